--- a/cmd/caperarch/main.go
+++ b/cmd/caperarch/main.go
@@ -198,7 +198,7 @@
 			}
 			return r
 		}, string(v.Bytes))
-		fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%.100s\n", v.Section, v.Key, v.At.Format(time.RFC3339), v.By, text)
+		fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%.100s\n", v.Section, v.Key, v.At.Format(time.RFC3339), v.Origin, text)
 	}
 	if err := w.Flush(); err != nil {
 		return err
@@ -206,8 +206,8 @@
 	for _, d := range in.Damage {
 		fmt.Fprintln(out, "damaged:", d)
 	}
-	if in.Open != "" {
-		fmt.Fprintln(out, "found damaged before, and not confirmed:", strings.ReplaceAll(in.Open, "\n", "; "))
+	if in.Unconfirmed != "" {
+		fmt.Fprintln(out, "found damaged before, and not confirmed:", strings.ReplaceAll(in.Unconfirmed, "\n", "; "))
 	}
 	return nil
 }
@@ -223,13 +223,13 @@
 	for _, d := range in.Damage {
 		fmt.Fprintln(out, "damaged:", d)
 	}
-	for _, name := range in.Refused {
+	for _, name := range in.Unreadable {
 		fmt.Fprintln(out, name+": of a newer program, or unreadable")
 	}
 	switch {
 	case len(in.Damage) > 0:
 		return errDamaged
-	case len(in.Refused) > 0:
+	case len(in.Unreadable) > 0:
 		return errors.New("some files can't be read by this program")
 	}
 	return nil
--- a/internal/duty/disk.go
+++ b/internal/duty/disk.go
@@ -21,17 +21,17 @@
 	retryDisk       = 100 * time.Millisecond
 )
 
-// disk is the library's log, votes and snapshots on a Keeper. Reading never waits for a disk. What is to be written is written
+// disk is the library's log, votes and snapshots on a Storage. Reading never waits for a disk. What is to be written is written
 // again until it is durable: the library ends the process where it can't keep its word, and a vote that waits is merely slow.
 type disk struct {
-	keep Keeper
+	keep Storage
 
 	mu          sync.RWMutex
 	logs        map[uint64]*raft.Log
 	first, last uint64
 }
 
-func clearDisk(k Keeper) error {
+func clearDisk(k Storage) error {
 	var bad []error
 	for _, section := range []string{sectionLog, sectionStable, sectionSnapshot} {
 		for key := range k.All(section) {
@@ -41,7 +41,7 @@
 	return errors.Join(bad...)
 }
 
-func readDisk(k Keeper) (*disk, error) {
+func readDisk(k Storage) (*disk, error) {
 	d := &disk{keep: k, logs: make(map[uint64]*raft.Log)}
 	for key, raw := range k.All(sectionLog) {
 		var l raft.Log
--- a/internal/duty/duty.go
+++ b/internal/duty/duty.go
@@ -9,7 +9,7 @@
 //   - A lost holder's duty is passed on within Lease*(1+drift), an election, and a beat, while a majority of voters lives.
 //
 // The voters, three or five, keep the table of who holds what. The others only ask them. It knows processes by name, and reaches
-// them by what it is given (Wire); it keeps what must outlive a process by what it is given (Keeper).
+// them by what it is given (Transport); it keeps what must outlive a process by what it is given (Storage).
 package duty
 
 import (
@@ -43,14 +43,14 @@
 	CallStream byte = 'D'
 )
 
-// Wire is how processes reach each other.
-type Wire interface {
+// Transport is how processes reach each other.
+type Transport interface {
 	Listen(kind byte) net.Listener // streams of that kind that others open
 	Dial(name string, kind byte, timeout time.Duration) (net.Conn, error)
 }
 
-// Keeper keeps values over the end of a process. Put has returned nil only once the value is durable.
-type Keeper interface {
+// Storage keeps values over the end of a process. Put has returned nil only once the value is durable.
+type Storage interface {
 	Get(section, key string) ([]byte, bool)
 	All(section string) map[string][]byte
 	Put(section, key string, value []byte) error
@@ -72,19 +72,19 @@
 
 // Config says who this process is. Voters, Duties and Lease are the same at all.
 type Config struct {
-	Name       string
-	Start      uint64 // higher than that of every earlier process of this name
-	Voters     []string
-	Duties     []Duty
-	Lease      time.Duration // 0: 3 s
-	Wire       Wire
-	Keep       Keeper
-	Lost       bool                 // what Keep had may be gone or wrong: this process is a new voter
-	Candidates func() []Candidate   // that are fit now
-	Now        func() time.Duration // a clock that never goes back; nil: the process's
-	Begin      func(duty string, token uint64)
-	End        func(duty string)
-	Log        *slog.Logger
+	Name           string
+	Start          uint64 // higher than that of every earlier process of this name
+	Voters         []string
+	Duties         []Duty
+	Lease          time.Duration // 0: 3 s
+	Transport      Transport
+	Storage        Storage
+	StorageDamaged bool                 // what Storage had may be gone or wrong: this process is a new voter
+	Candidates     func() []Candidate   // that are fit now
+	Now            func() time.Duration // a clock that never goes back; nil: the process's
+	OnAcquired     func(duty string, token uint64)
+	OnLost         func(duty string)
+	Log            *slog.Logger
 }
 
 // Holding is an entry of the table: who has a duty, and by what token.
@@ -99,7 +99,7 @@
 type held struct {
 	Holding
 	until time.Duration // by the own clock; 0: there was no lease so far
-	begun bool          // Begin was called, and End was not
+	begun bool          // OnAcquired was called, and OnLost was not
 }
 
 // Entry is a version that a duty's holder has entered for all, with the digest of what it means. Versions only grow, and one version
@@ -113,9 +113,9 @@
 // digestMost is how many bytes a digest may have.
 const digestMost = 128
 
-// Next is the entry that stands after a holder has asked for another. It is refused where its token is not that of the duty's present
+// Apply is the entry that stands after a holder has asked for another. It is refused where its token is not that of the duty's present
 // holding, its version is below the last, or the same with another digest. The same again changes nothing.
-func (e Entry) Next(present uint64, n Entry) (Entry, error) {
+func (e Entry) Apply(present uint64, n Entry) (Entry, error) {
 	switch {
 	case present == 0 || n.Token != present:
 		return e, fmt.Errorf("token %d: the duty is held by %d", n.Token, present)
@@ -131,25 +131,25 @@
 	return n, nil
 }
 
-// ErrNotEntered says that an entry was refused, and will be whenever it is tried again by that holding.
-var ErrNotEntered = errors.New("not entered")
+// ErrEntryRefused says that an entry was refused, and will be whenever it is tried again by that holding.
+var ErrEntryRefused = errors.New("not entered")
 
-// Enter enters a version under a duty that this process holds by that token; it is then agreed among the voters for ever. An error that
-// is no ErrNotEntered leaves open whether it was entered: try again, or ask Entered.
-func (g *Group) Enter(duty string, token, version uint64, digest string) error {
+// CommitEntry enters a version under a duty that this process holds by that token; it is then agreed among the voters for ever. An error that
+// is no ErrEntryRefused leaves open whether it was entered: try again, or ask LastEntry.
+func (g *Group) CommitEntry(duty string, token, version uint64, digest string) error {
 	var reply EnterReply
 	if err := g.ask("Enter", EnterArgs{duty, Entry{token, version, digest}}, &reply); err != nil {
 		return err
 	}
 	if reply.Refused != "" {
-		return fmt.Errorf("%w: %s", ErrNotEntered, reply.Refused)
+		return fmt.Errorf("%w: %s", ErrEntryRefused, reply.Refused)
 	}
 	return nil
 }
 
-// Entered is the entry under a duty as the voters have it. A holder that asks after it was given its token sees all that any earlier
+// LastEntry is the entry under a duty as the voters have it. A holder that asks after it was given its token sees all that any earlier
 // holder could enter.
-func (g *Group) Entered(duty string) (e Entry, err error) {
+func (g *Group) LastEntry(duty string) (e Entry, err error) {
 	err = g.ask("Entered", duty, &e)
 	return e, err
 }
@@ -203,7 +203,7 @@
 	serving, stop := context.WithCancel(context.Background())
 	defer work.Wait()
 	defer stop()
-	calls := g.cfg.Wire.Listen(CallStream)
+	calls := g.cfg.Transport.Listen(CallStream)
 	work.Go(func() { g.serve(serving, calls, &work) })
 	if slices.Contains(g.cfg.Voters, g.cfg.Name) {
 		v, err := newVoter(g)
@@ -285,7 +285,7 @@
 	g.mu.Unlock()
 	for _, name := range over {
 		g.log.Warn("duty", "ends", name, "why", "its lease was not renewed")
-		g.cfg.End(name)
+		g.cfg.OnLost(name)
 	}
 }
 
@@ -335,10 +335,10 @@
 	for _, c := range changes {
 		if c.begin {
 			g.log.Info("duty", "begins", c.name, "token", c.token)
-			g.cfg.Begin(c.name, c.token)
+			g.cfg.OnAcquired(c.name, c.token)
 		} else {
 			g.log.Info("duty", "ends", c.name, "why", "another has it")
-			g.cfg.End(c.name)
+			g.cfg.OnLost(c.name)
 		}
 	}
 }
@@ -354,7 +354,7 @@
 	ended := news && old != nil && old.begun
 	g.mu.Unlock()
 	if ended {
-		g.cfg.End(h.Duty)
+		g.cfg.OnLost(h.Duty)
 	}
 	select {
 	case g.hint <- struct{}{}:
@@ -374,7 +374,7 @@
 	g.mu.Unlock()
 	if begun {
 		g.log.Info("duty", "ends", h.Duty, "why", "it is moved")
-		g.cfg.End(h.Duty)
+		g.cfg.OnLost(h.Duty)
 	}
 }
 
@@ -387,7 +387,7 @@
 	args := ReleaseArgs{}
 	for _, name := range slices.Sorted(maps.Keys(mine)) {
 		if mine[name].begun {
-			g.cfg.End(name)
+			g.cfg.OnLost(name)
 		}
 		args.Given = append(args.Given, mine[name].Holding)
 	}
@@ -405,8 +405,8 @@
 	}
 }
 
-// Names are all duties.
-func (g *Group) Names() (names []string) {
+// DutyNames are all duties.
+func (g *Group) DutyNames() (names []string) {
 	for _, d := range g.cfg.Duties {
 		names = append(names, d.Name)
 	}
@@ -472,7 +472,7 @@
 	if name == g.cfg.Name {
 		return g.own(method, args, reply)
 	}
-	c, err := g.cfg.Wire.Dial(name, CallStream, callTime)
+	c, err := g.cfg.Transport.Dial(name, CallStream, callTime)
 	if err != nil {
 		return err
 	}
@@ -528,19 +528,19 @@
 
 // Fence tells words of holders that are of use from those of earlier ones. Its zero value knows of none.
 type Fence struct {
-	Keep Keeper
-	mu   sync.Mutex
-	high map[string]uint64
+	Storage Storage
+	mu      sync.Mutex
+	high    map[string]uint64
 }
 
 const sectionFence = "fence"
 
-// Pass says whether a token is no lower than any before it; a higher one is durable before it returns true.
-func (f *Fence) Pass(duty string, token uint64) (bool, error) {
+// Admit says whether a token is no lower than any before it; a higher one is durable before it returns true.
+func (f *Fence) Admit(duty string, token uint64) (bool, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	high, ok := f.high[duty]
-	if raw, kept := f.Keep.Get(sectionFence, duty); !ok && kept {
+	if raw, kept := f.Storage.Get(sectionFence, duty); !ok && kept {
 		if _, err := fmt.Sscan(string(raw), &high); err != nil {
 			return false, fmt.Errorf("duty: the fence of %s can't be read: %w", duty, err)
 		}
@@ -549,7 +549,7 @@
 	case token < high:
 		return false, nil
 	case token > high:
-		if err := f.Keep.Put(sectionFence, duty, fmt.Append(nil, token)); err != nil {
+		if err := f.Storage.Put(sectionFence, duty, fmt.Append(nil, token)); err != nil {
 			return false, err
 		}
 	}
--- a/internal/duty/duty_test.go
+++ b/internal/duty/duty_test.go
@@ -120,7 +120,7 @@
 	return here, nil
 }
 
-// memory is a Keeper in memory: a disk that outlives processes.
+// memory is a Storage in memory: a disk that outlives processes.
 type memory struct {
 	mu   sync.Mutex
 	all  map[string]map[string][]byte
@@ -208,10 +208,10 @@
 	start := f.start
 	c := Config{
 		Name: name, Start: start, Voters: voters, Lease: lease, Duties: []Duty{{Name: "ask"}, {Name: "warden", Zone: "a"}},
-		Wire: wire{f.m, name}, Keep: f.disks[name], Candidates: f.candidates, Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
-		Now:   func() time.Duration { return time.Hour + time.Duration(float64(time.Since(began))*rate) },
-		Begin: func(duty string, token uint64) { f.told(duty, name, true, token) },
-		End:   func(duty string) { f.told(duty, name, false, 0) },
+		Transport: wire{f.m, name}, Storage: f.disks[name], Candidates: f.candidates, Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
+		Now:        func() time.Duration { return time.Hour + time.Duration(float64(time.Since(began))*rate) },
+		OnAcquired: func(duty string, token uint64) { f.told(duty, name, true, token) },
+		OnLost:     func(duty string) { f.told(duty, name, false, 0) },
 	}
 	g, err := New(c)
 	if err != nil {
@@ -553,25 +553,25 @@
 // A fence passes no token that is lower than one before it, also in a later process; and none that it could not keep.
 func TestFence(t *testing.T) {
 	k := newMemory()
-	f := &Fence{Keep: k}
+	f := &Fence{Storage: k}
 	pass := func(f *Fence, token uint64, want bool) {
 		t.Helper()
-		if got, err := f.Pass("ask", token); got != want || err != nil {
+		if got, err := f.Admit("ask", token); got != want || err != nil {
 			t.Errorf("token %d: %v, %v", token, got, err)
 		}
 	}
 	pass(f, 7, true)
 	pass(f, 7, true)
 	pass(f, 6, false)
-	pass(&Fence{Keep: k}, 6, false)
-	pass(&Fence{Keep: k}, 7, true)
+	pass(&Fence{Storage: k}, 6, false)
+	pass(&Fence{Storage: k}, 7, true)
 	k.fail = 1
-	if ok, err := f.Pass("ask", 9); ok || err == nil {
+	if ok, err := f.Admit("ask", 9); ok || err == nil {
 		t.Error("a token passes that is not kept")
 	}
 	pass(f, 8, true)
 	k.all[sectionFence]["ask"] = []byte("x")
-	if ok, err := (&Fence{Keep: k}).Pass("ask", 9); ok || err == nil {
+	if ok, err := (&Fence{Storage: k}).Admit("ask", 9); ok || err == nil {
 		t.Error("a damaged fence passes a token")
 	}
 }
@@ -619,7 +619,7 @@
 		{"nobody holds the duty", 0, Entry{0, 8, "b"}, last, true},
 		{"no digest", 9, Entry{9, 8, ""}, last, true},
 	} {
-		if got, err := last.Next(c.present, c.n); got != c.want || (err != nil) != c.refused {
+		if got, err := last.Apply(c.present, c.n); got != c.want || (err != nil) != c.refused {
 			t.Errorf("%s: %+v, %v", c.what, got, err)
 		}
 	}
@@ -629,19 +629,19 @@
 		old := f.live[who]
 		enter := func(g *node, token, version uint64, digest string, refused bool) {
 			t.Helper()
-			err := g.Enter("ask", token, version, digest)
-			for tries := 0; err != nil && !errors.Is(err, ErrNotEntered) && tries < 20; tries++ {
+			err := g.CommitEntry("ask", token, version, digest)
+			for tries := 0; err != nil && !errors.Is(err, ErrEntryRefused) && tries < 20; tries++ {
 				f.watch(time.Second)
-				err = g.Enter("ask", token, version, digest)
+				err = g.CommitEntry("ask", token, version, digest)
 			}
-			if refused != errors.Is(err, ErrNotEntered) || !refused && err != nil {
+			if refused != errors.Is(err, ErrEntryRefused) || !refused && err != nil {
 				t.Errorf("version %d, digest %s by token %d: %v", version, digest, token, err)
 			}
 		}
 		stands := func(want Entry) {
 			t.Helper()
 			for tries := 0; ; tries++ {
-				e, err := f.live["n5"].Entered("ask")
+				e, err := f.live["n5"].LastEntry("ask")
 				if err == nil && e == want {
 					return
 				}
--- a/internal/duty/voter.go
+++ b/internal/duty/voter.go
@@ -56,13 +56,13 @@
 // newVoter starts the library with what the disk has. A voter that has lost its disk is another voter: the word that it gave under
 // the old id can't be taken back by somebody who does not remember it.
 func newVoter(g *Group) (*voter, error) {
-	birth, ok := g.cfg.Keep.Get(sectionVoter, keyBirth)
-	if !ok || g.cfg.Lost {
-		if err := clearDisk(g.cfg.Keep); err != nil {
+	birth, ok := g.cfg.Storage.Get(sectionVoter, keyBirth)
+	if !ok || g.cfg.StorageDamaged {
+		if err := clearDisk(g.cfg.Storage); err != nil {
 			return nil, err
 		}
 		birth = fmt.Appendf(nil, "%x", g.cfg.Start)
-		if err := g.cfg.Keep.Put(sectionVoter, keyBirth, birth); err != nil {
+		if err := g.cfg.Storage.Put(sectionVoter, keyBirth, birth); err != nil {
 			return nil, err
 		}
 	}
@@ -71,10 +71,10 @@
 		return nil, fmt.Errorf("duty: the id %q is too long", v.id)
 	}
 	var err error
-	if v.disk, err = readDisk(g.cfg.Keep); err != nil {
+	if v.disk, err = readDisk(g.cfg.Storage); err != nil {
 		return nil, err
 	}
-	v.layer = newLayer(g.cfg.Wire, v.id)
+	v.layer = newLayer(g.cfg.Transport, v.id)
 	quiet := hclog.New(&hclog.LoggerOptions{Name: "raft", Level: hclog.Warn, Output: &libraryLog{g}})
 	c := raft.DefaultConfig()
 	c.LocalID, c.Logger = v.id, quiet
@@ -527,7 +527,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if c.Enter != nil {
-		e, err := t.entries[c.Enter.Duty].Next(t.holdings[c.Enter.Duty].Token, c.Enter.Entry)
+		e, err := t.entries[c.Enter.Duty].Apply(t.holdings[c.Enter.Duty].Token, c.Enter.Entry)
 		if err != nil {
 			return EnterReply{e, err.Error()}
 		}
@@ -617,7 +617,7 @@
 // layer is the library's way to the other voters. Each stream begins with the id of the voter that it is for: a process that has
 // lost its disk is not the voter that it was, and must not be taken for it.
 type layer struct {
-	wire  Wire
+	wire  Transport
 	id    raft.ServerID
 	inner net.Listener
 	ready chan net.Conn
@@ -625,7 +625,7 @@
 	once  sync.Once
 }
 
-func newLayer(w Wire, id raft.ServerID) *layer {
+func newLayer(w Transport, id raft.ServerID) *layer {
 	l := &layer{wire: w, id: id, inner: w.Listen(RaftStream), ready: make(chan net.Conn), done: make(chan struct{})}
 	go func() {
 		for {
--- a/internal/lab/hold.go
+++ b/internal/lab/hold.go
@@ -183,7 +183,7 @@
 			if q.Version > 0 && status.InForce >= q.Version {
 				all.InForce++
 			}
-			for _, r := range status.Refused {
+			for _, r := range status.Refusals {
 				all.Refused = fmt.Sprintf("%d by %s: %s", r.Version, r.Name, r.Why)
 			}
 			all.Whole, all.Failed, all.Most = all.Whole+whole, all.Failed+failed, max(all.Most, v.Present)
--- a/internal/rules/core.go
+++ b/internal/rules/core.go
@@ -208,7 +208,7 @@
 	switch {
 	case err != nil:
 		return nil, short(fmt.Sprintf("version %d is in force, and can't be read here: %v", d.Version, err)), false
-	case slices.Contains(set.Without, c.self.Name):
+	case slices.Contains(set.ExcludedMembers, c.self.Name):
 		return nil, fmt.Sprintf("version %d goes on without this member", d.Version), false
 	}
 	return set, "", set.Digest != d.Digest
@@ -328,7 +328,7 @@
 	}
 	var all []Refusal
 	for _, m := range c.members {
-		if p := c.push.with[m.Peer]; !slices.Contains(c.push.set.Without, m.Name) && (p == nil || !p.stored && p.busy || !p.checked) {
+		if p := c.push.with[m.Peer]; !slices.Contains(c.push.set.ExcludedMembers, m.Name) && (p == nil || !p.stored && p.busy || !p.checked) {
 			why := "no answer"
 			if m.Silent {
 				why = "no answer, it is silent"
@@ -385,7 +385,7 @@
 	var wanted []Peer
 	checked, stored := true, true
 	for _, m := range c.members {
-		if slices.Contains(c.push.set.Without, m.Name) {
+		if slices.Contains(c.push.set.ExcludedMembers, m.Name) {
 			continue
 		}
 		wanted = append(wanted, m.Peer)
@@ -614,7 +614,7 @@
 		return Never, fmt.Sprintf("version %d is below %d, which is entered", f.Version, c.entry.Version)
 	case f.Version == c.entry.Version:
 		return Never, fmt.Sprintf("version %d is entered with another meaning", f.Version)
-	case slices.Contains(set.Without, c.self.Name):
+	case slices.Contains(set.ExcludedMembers, c.self.Name):
 		return No, c.self.Name + " holds the duty, and is named in without: move the duty"
 	case c.push != nil && c.push.set.Version == f.Version && c.push.set.Digest == f.Digest:
 		return Yes, ""
--- a/internal/rules/document.go
+++ b/internal/rules/document.go
@@ -29,13 +29,13 @@
 // program, to be played beside this one.
 var Highest = "2"
 
-// DocumentMost is the size of a document in bytes at most.
-const DocumentMost = 1_000_000
+// MaxDocumentBytes is the size of a document in bytes at most.
+const MaxDocumentBytes = 1_000_000
 
 const reasonMost = 1024 // bytes of a reason
 
-// Forms is the highest form as a number, or why there is none.
-func Forms() (int, error) {
+// ParseHighestForm is the highest form as a number, or why there is none.
+func ParseHighestForm() (int, error) {
 	n, err := strconv.Atoi(Highest)
 	if err != nil || n < 1 || n > 2 {
 		return 0, fmt.Errorf("rules: the build sets Highest to %q: 1 or 2 is known", Highest)
@@ -45,20 +45,20 @@
 
 // Settings are what a set is read against: what a process began with.
 type Settings struct {
-	Forms   int            // the highest form that is read
-	Tenants map[string]int // the tenants' places in Config, by name
-	Zones   map[string]int
-	Server  func(id string) balance.ServerID
-	Config  balance.Config
+	HighestForm int            // the highest form that is read
+	Tenants     map[string]int // the tenants' places in Config, by name
+	Zones       map[string]int
+	Server      func(id string) balance.ServerID
+	Config      balance.Config
 }
 
 // Set is a document as a process understands it.
 type Set struct {
-	Version uint64
-	Without []string // members that serve nothing under it
-	Digest  string   // of the meaning
-	Text    []byte
-	Rules   balance.Rules
+	Version         uint64
+	ExcludedMembers []string // members that serve nothing under it
+	Digest          string   // of the meaning
+	Text            []byte
+	Rules           balance.Rules
 }
 
 // head is what all forms have.
@@ -101,7 +101,7 @@
 // Version is what a text says of its version, in whatever form; 0: nothing.
 func Version(text []byte) uint64 {
 	var h head
-	if len(text) > DocumentMost || toml.Unmarshal(text, &h) != nil {
+	if len(text) > MaxDocumentBytes || toml.Unmarshal(text, &h) != nil {
 		return 0
 	}
 	return h.Version
@@ -109,8 +109,8 @@
 
 // Read reads a document, strictly. Errors name the line, the key and the reason.
 func Read(text []byte, s Settings) (*Set, error) {
-	if len(text) > DocumentMost {
-		return nil, fmt.Errorf("rules: %d bytes, %d are allowed", len(text), DocumentMost)
+	if len(text) > MaxDocumentBytes {
+		return nil, fmt.Errorf("rules: %d bytes, %d are allowed", len(text), MaxDocumentBytes)
 	}
 	var h head
 	if err := toml.Unmarshal(text, &h); err != nil {
@@ -121,8 +121,8 @@
 	switch {
 	case h.Form < 1:
 		return nil, errors.New(`rules:1: key "form" is missing, or below 1`)
-	case h.Form > s.Forms:
-		return nil, fmt.Errorf(`rules:%d: key "form" is %d: this program reads forms up to %d`, max(1, lineOf(text, "form")), h.Form, s.Forms)
+	case h.Form > s.HighestForm:
+		return nil, fmt.Errorf(`rules:%d: key "form" is %d: this program reads forms up to %d`, max(1, lineOf(text, "form")), h.Form, s.HighestForm)
 	case h.Form == 1:
 		err = conf.Parse("rules", text, &b.body1)
 	default:
@@ -151,7 +151,7 @@
 		}
 	}
 	out := &Set{Version: uint64(b.Version), Text: text}
-	out.Without = slices.Compact(slices.Sorted(slices.Values(b.Without)))
+	out.ExcludedMembers = slices.Compact(slices.Sorted(slices.Values(b.Without)))
 	r := &out.Rules
 	if r.MaxAttempts = b.Attempts; b.Attempts > s.Config.MaxAttempts {
 		fail("attempts", "is %d: the settings allow %d", b.Attempts, s.Config.MaxAttempts)
@@ -236,7 +236,7 @@
 		fmt.Fprintln(h)
 	}
 	line("version", o.Version)
-	for _, name := range o.Without {
+	for _, name := range o.ExcludedMembers {
 		line("without " + name)
 	}
 	line("attempts", cmp.Or(o.Rules.MaxAttempts, s.Config.MaxAttempts))
--- a/internal/rules/document_test.go
+++ b/internal/rules/document_test.go
@@ -12,7 +12,7 @@
 // settings are what the tests' documents are read against.
 func settings(forms int) Settings {
 	return Settings{
-		Forms: forms, Tenants: map[string]int{"alpha": 0, "beta": 1}, Zones: map[string]int{"a": 0, "b": 1},
+		HighestForm: forms, Tenants: map[string]int{"alpha": 0, "beta": 1}, Zones: map[string]int{"a": 0, "b": 1},
 		Server: func(id string) balance.ServerID { return balance.ServerID(len(id)) },
 		Config: balance.Config{
 			MaxAttempts: 3, Tenants: []balance.Tenant{{Share: 1, Quota: 10}, {Share: 2}},
@@ -47,7 +47,7 @@
 		"form=1\nversion=1\n[[server]]\nid='s'\nweight=0\n[[server]]\nid='s'\nweight=0":                  `rules:7: key "server[1].id" names "s" again`,
 		"form=1\nversion=1\n[[tenant]]\nname='alpha'\nshare=0.0\n[[tenant]]\nname='beta'\nshare=0.0":     `the module refuses it`,
 		"form=1\nversion=1\n[[tenant]]\nname='alpha'\nshare=1e308\n[[tenant]]\nname='beta'\nshare=1e308": `the module refuses it`,
-		"form=1\nversion=1\n#" + strings.Repeat("x", DocumentMost):                                       `bytes`,
+		"form=1\nversion=1\n#" + strings.Repeat("x", MaxDocumentBytes):                                   `bytes`,
 	} {
 		if _, err := Read([]byte(text), settings(2)); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%.60q: %v; not %s", text, err, want)
--- a/internal/rules/explore_test.go
+++ b/internal/rules/explore_test.go
@@ -18,7 +18,7 @@
 // The explorer plays Core, as it runs in the sidecar, in every order of messages, looks at the membership, passes of the duty, ends of pushes,
 // crashes (at any moment: before each write, after it, and between the last and the set in force) and restarts that the budgets allow.
 // A write that was not durable at a crash is one that was not made. Only what is around Core is a model: the disk, the network, the
-// membership and the voters' log, of which the rule itself (duty.Entry.Next) is the real one.
+// membership and the voters' log, of which the rule itself (duty.Entry.Apply) is the real one.
 
 // program is what runs at a node.
 type program struct {
@@ -368,7 +368,7 @@
 	}
 	i := int(a.from.Name[0] - 'a')
 	n := w.nodes[i]
-	next, err := w.entry.Next(present, duty.Entry{Token: a.f.Token, Version: a.f.Version, Digest: a.f.Digest})
+	next, err := w.entry.Apply(present, duty.Entry{Token: a.f.Token, Version: a.f.Version, Digest: a.f.Digest})
 	if err == nil && next != w.entry {
 		w.entered(a)
 	}
--- a/internal/rules/node.go
+++ b/internal/rules/node.go
@@ -31,17 +31,17 @@
 	section   = "rules"         // of what outlives the process
 )
 
-// Stream is the kind of streams that messages go by.
-const Stream byte = 'V'
+// MessageStream is the kind of streams that messages go by.
+const MessageStream byte = 'V'
 
-// Wire is how processes reach each other.
-type Wire interface {
+// Transport is how processes reach each other.
+type Transport interface {
 	Listen(kind byte) net.Listener // streams of that kind that others open
 	Dial(name string, kind byte, timeout time.Duration) (net.Conn, error)
 }
 
-// Keeper keeps values over the end of a process. Put has returned nil only once the value is durable.
-type Keeper interface {
+// Storage keeps values over the end of a process. Put has returned nil only once the value is durable.
+type Storage interface {
 	All(section string) map[string][]byte
 	Put(section, key string, value []byte) error
 	Delete(section, key string) error
@@ -53,26 +53,26 @@
 	Holds() (token uint64, yes bool)
 	// Holder is who holds it, as far as the voters say.
 	Holder() (name string, err error)
-	// Entered is what was entered last. Asked by a holder, it has all that earlier ones could enter.
-	Entered() (Floor, error)
-	// Enter enters a version. refused says no for good; err leaves open whether it was entered.
-	Enter(f Floor) (refused, err error)
-	// Fence says whether a holder's token is no lower than any before it; a higher one is durable then.
-	Fence(token uint64) (bool, error)
+	// LastEntry is what was entered last. Asked by a holder, it has all that earlier ones could enter.
+	LastEntry() (Floor, error)
+	// CommitEntry enters a version. refused says no for good; err leaves open whether it was entered.
+	CommitEntry(f Floor) (refused, err error)
+	// AdmitToken says whether a holder's token is no lower than any before it; a higher one is durable then.
+	AdmitToken(token uint64) (bool, error)
 }
 
 // Config says who this process is and what is around it.
 type Config struct {
-	Name    string
-	Start   uint64 // higher than that of every earlier process of this name
-	Keep    Keeper
-	Damaged bool // what Keep had may be gone or wrong
-	Wire    Wire
-	Voters  Voters
-	Members func() []Member                   // all that are present or silent, this one too
-	Read    func(text []byte) (*Set, error)   // how this process takes a document
-	Force   func(context.Context, *Set) error // puts a set in force; it returns once it is
-	Log     *slog.Logger
+	Name           string
+	Start          uint64 // higher than that of every earlier process of this name
+	Storage        Storage
+	StorageDamaged bool // what Storage had may be gone or wrong
+	Transport      Transport
+	Voters         Voters
+	Members        func() []Member                   // all that are present or silent, this one too
+	Read           func(text []byte) (*Set, error)   // how this process takes a document
+	Activate       func(context.Context, *Set) error // puts a set in force; it returns once it is
+	Log            *slog.Logger
 }
 
 // Node is a process's part in its fleet's rules. Its methods are safe for concurrent use.
@@ -104,13 +104,13 @@
 	hinted  Floor  // what is to be entered, as Run was last told
 }
 
-// New makes a node from what is kept. Nothing is in force before Begin.
+// New makes a node from what is kept. Nothing is in force before ActivateFloor.
 func New(cfg Config) *Node {
 	cfg.Read = once(cfg.Read)
 	n := &Node{
 		cfg: cfg, log: cfg.Log, ctx: context.Background(),
 		places: make(chan struct{}, callsMost), calls: make(chan struct{}, callsMost), wake: make(chan struct{}, 1), asks: make(map[Peer]bool),
-		core: NewCore(Peer{cfg.Name, cfg.Start}, cfg.Keep.All(section), cfg.Damaged, cfg.Read),
+		core: NewCore(Peer{cfg.Name, cfg.Start}, cfg.Storage.All(section), cfg.StorageDamaged, cfg.Read),
 	}
 	if n.log == nil {
 		n.log = slog.Default()
@@ -134,8 +134,8 @@
 	}
 }
 
-// Begin puts the floor's set in force. It comes before the first request.
-func (n *Node) Begin(ctx context.Context) error {
+// ActivateFloor puts the floor's set in force. It comes before the first request.
+func (n *Node) ActivateFloor(ctx context.Context) error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	defer n.publish()
@@ -148,7 +148,7 @@
 		return nil
 	}
 	n.log.Info("rules", "inForce", set.Version, "digest", set.Digest, "differs", n.core.differs)
-	return n.cfg.Force(ctx, set)
+	return n.cfg.Activate(ctx, set)
 }
 
 // Push has a document pushed, unless its version is that of the floor or below; again until it is in force or refused for good.
@@ -172,15 +172,15 @@
 
 // Status is what people are shown.
 type Status struct {
-	InForce uint64 // 0: the settings
-	Floor   Floor
-	Serves  bool
-	Why     string // it does not
-	Differs bool   // the set means something else here than what was entered
-	File    uint64 // version of the document that this process was given; 0: none
-	Never   string // why that is of no use
-	Holding uint64 // the token of the duty; 0: another has it
-	Refused []Refusal
+	InForce       uint64 // 0: the settings
+	Floor         Floor
+	Serves        bool
+	BarredReason  string // it does not
+	DigestDiffers bool   // the set means something else here than what was entered
+	FileVersion   uint64 // version of the document that this process was given; 0: none
+	FileRefusal   string // why that is of no use
+	DutyToken     uint64 // the token of the duty; 0: another has it
+	Refusals      []Refusal
 }
 
 // Status tells how things stand.
@@ -188,8 +188,8 @@
 
 // publish shows how things stand. mu is held.
 func (n *Node) publish() {
-	s := &Status{Floor: n.core.floor.Floor, Differs: n.core.differs, File: n.version, Never: n.never, Holding: n.core.token, Refused: n.core.refused}
-	s.Why, s.Serves = n.core.Serves()
+	s := &Status{Floor: n.core.floor.Floor, DigestDiffers: n.core.differs, FileVersion: n.version, FileRefusal: n.never, DutyToken: n.core.token, Refusals: n.core.refused}
+	s.BarredReason, s.Serves = n.core.Serves()
 	if set := n.core.InForce(); set != nil {
 		s.InForce = set.Version
 	}
@@ -201,7 +201,7 @@
 	n.mu.Lock()
 	n.ctx = ctx
 	n.mu.Unlock()
-	l := n.cfg.Wire.Listen(Stream)
+	l := n.cfg.Transport.Listen(MessageStream)
 	n.work.Go(func() { n.serve(ctx, l) })
 	defer n.work.Wait()
 	every := time.NewTicker(tick)
@@ -233,7 +233,7 @@
 	if !yes || token == had {
 		return
 	}
-	entry, err := n.cfg.Voters.Entered()
+	entry, err := n.cfg.Voters.LastEntry()
 	if err != nil {
 		n.log.Debug("rules", "error", err)
 		return // again with the next tick
@@ -253,7 +253,7 @@
 	if token, yes := n.cfg.Voters.Holds(); !due || !yes || token != f.Token {
 		return
 	}
-	refused, err := n.cfg.Voters.Enter(f)
+	refused, err := n.cfg.Voters.CommitEntry(f)
 	if err != nil {
 		n.log.Warn("rules", "entering", f.Version, "error", err)
 		return // it may be there or not: again with the next tick
@@ -330,7 +330,7 @@
 
 // follow takes a floor that another process of this node has written, in an upgrade.
 func (n *Node) follow() {
-	kept := n.cfg.Keep.All(section)
+	kept := n.cfg.Storage.All(section)
 	key := floorKey(n.core.floor.Floor)
 	for _, k := range slices.Sorted(maps.Keys(kept)) {
 		if len(k) == len(key) && k[:6] == "floor-" && k > key {
@@ -349,20 +349,20 @@
 	var err error
 	for _, w := range r.Writes {
 		if w.Value == nil {
-			err = n.cfg.Keep.Delete(section, w.Key)
+			err = n.cfg.Storage.Delete(section, w.Key)
 		} else {
-			err = n.cfg.Keep.Put(section, w.Key, w.Value)
+			err = n.cfg.Storage.Put(section, w.Key, w.Value)
 		}
 		if err != nil {
 			n.log.Error("rules", "notKept", w.Key, "error", err)
 			if w.Value != nil && strings.HasPrefix(w.Key, "set-") { // one that is too large would keep all others out
-				_ = n.cfg.Keep.Delete(section, w.Key)
+				_ = n.cfg.Storage.Delete(section, w.Key)
 			}
 			break
 		}
 	}
 	if err == nil && r.Force != nil {
-		err = n.cfg.Force(n.ctx, r.Force)
+		err = n.cfg.Activate(n.ctx, r.Force)
 	}
 	before := n.core.floor.Version
 	n.core.Advance(err)
@@ -391,7 +391,7 @@
 	if m.Kind > Tell {
 		return true
 	}
-	pass, err := n.cfg.Voters.Fence(m.Token)
+	pass, err := n.cfg.Voters.AdmitToken(m.Token)
 	if err != nil {
 		n.log.Error("rules", "error", err)
 	}
@@ -451,7 +451,7 @@
 
 // call makes one call.
 func (n *Node) call(m Message) (answer Message, err error) {
-	c, err := n.cfg.Wire.Dial(m.To.Name, Stream, dialTime)
+	c, err := n.cfg.Transport.Dial(m.To.Name, MessageStream, dialTime)
 	if err != nil {
 		return answer, err
 	}
@@ -459,7 +459,7 @@
 	if err := c.SetDeadline(time.Now().Add(callTime)); err != nil {
 		return answer, err
 	}
-	client := rpc.NewClient(&bounded{c, DocumentMost * 2})
+	client := rpc.NewClient(&bounded{c, MaxDocumentBytes * 2})
 	defer client.Close()
 	err = client.Call("Rules.Say", m, &answer)
 	return answer, err
@@ -486,7 +486,7 @@
 
 // Say takes a question and answers it.
 func (s *service) Say(m Message, answer *Message) error {
-	if m.Answer != Question || m.Kind > Offer || len(m.Text) > DocumentMost || len(m.Digest) > 128 {
+	if m.Answer != Question || m.Kind > Offer || len(m.Text) > MaxDocumentBytes || len(m.Digest) > 128 {
 		return errors.New("rules: no question")
 	}
 	s.n.mu.Lock()
@@ -517,7 +517,7 @@
 				if err := server.RegisterName("Rules", &service{n}); err != nil {
 					panic(err) // of a method that the compiler has seen
 				}
-				server.ServeConn(&bounded{c, DocumentMost * 2})
+				server.ServeConn(&bounded{c, MaxDocumentBytes * 2})
 			})
 		default:
 			c.Close()
--- a/internal/rules/node_test.go
+++ b/internal/rules/node_test.go
@@ -95,20 +95,20 @@
 	return e.a.holder, nil
 }
 
-func (e *end) Entered() (Floor, error) {
+func (e *end) LastEntry() (Floor, error) {
 	e.a.mu.Lock()
 	defer e.a.mu.Unlock()
 	return Floor{e.a.entry.Version, e.a.entry.Digest, e.a.entry.Token}, nil
 }
 
-func (e *end) Enter(f Floor) (refused, err error) {
+func (e *end) CommitEntry(f Floor) (refused, err error) {
 	e.a.mu.Lock()
 	defer e.a.mu.Unlock()
-	e.a.entry, refused = e.a.entry.Next(e.a.token, duty.Entry{Token: f.Token, Version: f.Version, Digest: f.Digest})
+	e.a.entry, refused = e.a.entry.Apply(e.a.token, duty.Entry{Token: f.Token, Version: f.Version, Digest: f.Digest})
 	return refused, nil
 }
 
-func (e *end) Fence(token uint64) (bool, error) { return e.fence.Pass("rules", token) }
+func (e *end) AdmitToken(token uint64) (bool, error) { return e.fence.Admit("rules", token) }
 
 // kept is a store as Nodes and fences want it.
 type kept struct{ *store.Store }
@@ -137,15 +137,15 @@
 	var work sync.WaitGroup
 	t.Cleanup(func() { stop(); work.Wait() })
 	for _, m := range a.all {
-		s, err := store.Open(store.Options{Dir: t.TempDir(), Limit: limit})
+		s, err := store.Open(store.Options{Dir: t.TempDir(), MaxBytes: limit})
 		if err != nil {
 			t.Fatal(err)
 		}
-		e := &end{a: a, name: m.Name, fence: duty.Fence{Keep: kept{s}}}
+		e := &end{a: a, name: m.Name, fence: duty.Fence{Storage: kept{s}}}
 		node := New(Config{
-			Name: m.Name, Start: 1, Keep: kept{s}, Wire: e, Voters: e, Members: func() []Member { return a.all },
+			Name: m.Name, Start: 1, Storage: kept{s}, Transport: e, Voters: e, Members: func() []Member { return a.all },
 			Read: func(text []byte) (*Set, error) { return Read(text, settings(2)) },
-			Force: func(_ context.Context, set *Set) error {
+			Activate: func(_ context.Context, set *Set) error {
 				a.mu.Lock()
 				defer a.mu.Unlock()
 				a.forced[m.Name] = set.Version
@@ -154,7 +154,7 @@
 			Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
 		})
 		a.nodes[m.Name], a.disks[m.Name] = node, s
-		if err := node.Begin(ctx); err != nil {
+		if err := node.ActivateFloor(ctx); err != nil {
 			t.Fatal(err)
 		}
 		work.Go(func() { node.Run(ctx); s.Close() })
@@ -197,7 +197,7 @@
 	a := fleetOf(t, 3, 64<<10)
 	a.until(t, "all have asked for their floor", func(s Status) bool { return s.Serves })
 	a.nodes["n1"].Push(append([]byte("form=1\nversion=1\n#"), bytes.Repeat([]byte{'x'}, 100<<10)...))
-	a.until(t, "it is refused", func(s Status) bool { return strings.Contains(fmt.Sprint(s.Refused), "are allowed") })
+	a.until(t, "it is refused", func(s Status) bool { return strings.Contains(fmt.Sprint(s.Refusals), "are allowed") })
 	a.nodes["n2"].Push([]byte("form=1\nversion=1\nattempts=1\n"))
 	a.until(t, "a smaller one is in force", func(s Status) bool { return s.InForce == 1 })
 	for name, disk := range a.disks {
@@ -206,7 +206,7 @@
 		}
 	}
 	a.nodes["n0"].Push([]byte("form=1\nversion=1\nattempts=3\n"))
-	for began := time.Now(); a.nodes["n0"].Status().Never == ""; time.Sleep(time.Millisecond) {
+	for began := time.Now(); a.nodes["n0"].Status().FileRefusal == ""; time.Sleep(time.Millisecond) {
 		if time.Since(began) > time.Minute {
 			t.Fatal("another body under version 1 is not refused for good")
 		}
--- a/internal/sidecar/byhand.go
+++ b/internal/sidecar/byhand.go
@@ -54,7 +54,7 @@
 // adopt takes over what older programs have left, or a second copy of the calls where the state itself was damaged.
 func (h *handover) adopt() {
 	servers, old, err := h.older()
-	bare := h.store.Fresh() || len(h.store.Damage().Files) > 0
+	bare := h.store.WasEmpty() || len(h.store.Damage().Findings) > 0
 	switch {
 	case err != nil:
 		slog.Error("state not read", "error", err)
@@ -227,7 +227,7 @@
 	if h.store == nil {
 		return
 	}
-	if _, err := h.store.Follow(); err != nil {
+	if _, err := h.store.Refresh(); err != nil {
 		slog.Error("state not read", "error", err)
 	}
 	servers, old, err := h.older()
--- a/internal/sidecar/config.go
+++ b/internal/sidecar/config.go
@@ -98,7 +98,7 @@
 		if c.Fleet, err = fleet.Read(c.FleetPath); err != nil {
 			return nil, fmt.Errorf("fleet: %w", err)
 		}
-		c.State.Limit = c.Fleet.State.Limit << 10
+		c.State.MaxBytes = c.Fleet.State.Limit << 10
 	}
 	return c, nil
 }
--- a/internal/sidecar/duties.go
+++ b/internal/sidecar/duties.go
@@ -40,9 +40,9 @@
 		return nil, errors.New("duty.voters needs a folder for what outlives the process (TMPDIR)")
 	}
 	c := duty.Config{
-		Name: cfg.Name, Start: state.store.Number(), Voters: cfg.Fleet.Duty.Voters, Lease: cfg.Fleet.Duty.Lease.D(),
-		Wire: p.group, Keep: keeper{state.store}, Lost: len(state.store.Damage().Files) > 0, Candidates: d.candidates,
-		Begin: func(string, uint64) {}, End: func(string) {}, // whoever acts asks before
+		Name: cfg.Name, Start: state.store.ProcessNumber(), Voters: cfg.Fleet.Duty.Voters, Lease: cfg.Fleet.Duty.Lease.D(),
+		Transport: p.group, Storage: keeper{state.store}, StorageDamaged: len(state.store.Damage().Findings) > 0, Candidates: d.candidates,
+		OnAcquired: func(string, uint64) {}, OnLost: func(string) {}, // whoever acts asks before
 	}
 	if cfg.Fleet.Duty.Report {
 		c.Duties = append(c.Duties, duty.Duty{Name: dutyReport})
@@ -58,13 +58,13 @@
 // keeper is the state as duties want it.
 type keeper struct{ *store.Store }
 
-// Get implements duty.Keeper.
+// Get implements duty.Storage.
 func (k keeper) Get(section, key string) ([]byte, bool) {
 	e, ok := k.Store.Get(section, key)
 	return e.Value, ok
 }
 
-// All implements duty.Keeper.
+// All implements duty.Storage.
 func (k keeper) All(section string) map[string][]byte {
 	all := make(map[string][]byte)
 	for key, e := range k.Store.All(section) {
@@ -100,7 +100,7 @@
 				return
 			}
 		}
-		if _, err := d.state.store.Follow(); err != nil { // what the process before this one has written last
+		if _, err := d.state.store.Refresh(); err != nil { // what the process before this one has written last
 			slog.Error("duties", "error", err)
 			return
 		}
@@ -145,7 +145,7 @@
 	if d.group == nil {
 		return
 	}
-	for _, name := range d.group.Names() {
+	for _, name := range d.group.DutyNames() {
 		token, _ := d.group.Holds(name)
 		fmt.Fprintf(w, "app.duty_token.%s=%d\n", name, token)
 	}
--- a/internal/sidecar/handover.go
+++ b/internal/sidecar/handover.go
@@ -91,7 +91,7 @@
 		slog.Error("upgrade alone", "error", err)
 	}
 	began := time.Now()
-	options.Dir, options.Alone = base+".kept", func() bool { return h.lock != nil && h.count() == 1 }
+	options.Dir, options.SoleWriter = base+".kept", func() bool { return h.lock != nil && h.count() == 1 }
 	var err error
 	h.store, err = store.Open(options)
 	if err != nil {
@@ -99,8 +99,8 @@
 	}
 	h.adopt()
 	h.seeBacks(time.Now())
-	damage := h.store.Damage().Files
-	slog.Info("state", "number", h.store.Number(), "calls", len(h.inForce()), "bytes", h.bytes(), "took", time.Since(began), "damaged", len(damage))
+	damage := h.store.Damage().Findings
+	slog.Info("state", "number", h.store.ProcessNumber(), "calls", len(h.inForce()), "bytes", h.bytes(), "took", time.Since(began), "damaged", len(damage))
 	for _, d := range damage {
 		slog.Error("state damaged", "error", d)
 	}
@@ -124,7 +124,7 @@
 		if n > 1 {
 			pause = togetherPoll
 		}
-		again := h.store.Unread() && time.Since(looked) >= unreadPoll
+		again := h.store.HasUnread() && time.Since(looked) >= unreadPoll
 		if n > 1 || before > 1 || again {
 			looked = time.Now()
 			calls(h.known())
--- a/internal/sidecar/peers.go
+++ b/internal/sidecar/peers.go
@@ -56,7 +56,7 @@
 		Name: cfg.Name, Start: uint64(time.Now().UnixMilli()), Version: revision(), Digest: cfg.digest(),
 		Listen: listen, Cluster: m.Cluster, Seeds: m.Seeds, Routes: cfg.Fleet.Routes, Probe: m.Probe.D(),
 		Expect: cfg.Policy.Balancers, Forget: m.Forget.D(), Index: cfg.Policy.Index, Tells: cfg.Fleet.Spread.Share,
-		Meter: counts, Kinds: map[byte]meter.Kind{duty.CallStream: meter.Duties, duty.RaftStream: meter.Duties, rules.Stream: meter.Rules},
+		Meter: counts, Kinds: map[byte]meter.Kind{duty.CallStream: meter.Duties, duty.RaftStream: meter.Duties, rules.MessageStream: meter.Rules},
 	}
 	for zone, i := range cfg.Zones {
 		if i == cfg.Policy.Zone {
@@ -67,7 +67,7 @@
 		c.Forms = rules.Highest
 	}
 	if state.store != nil {
-		c.Start = state.store.Number()
+		c.Start = state.store.ProcessNumber()
 		c.Known, _, _ = read[[]string](state.store, sectionPeers)
 	}
 	if p.group, err = member.New(c); err != nil && len(c.Known) > 0 {
@@ -163,7 +163,7 @@
 			continue
 		}
 		raw, err := json.Marshal(known)
-		if err = errors.Join(err, p.state.store.Keep(sectionPeers, only, raw)); err != nil {
+		if err = errors.Join(err, p.state.store.PutUnsynced(sectionPeers, only, raw)); err != nil {
 			slog.Debug("members not kept", "reason", err) // whoever keeps the state tells of its trouble
 		}
 		kept, keptAt = known, time.Now()
--- a/internal/sidecar/rules.go
+++ b/internal/sidecar/rules.go
@@ -30,19 +30,19 @@
 	if work.group == nil || cfg.Fleet.Rules.File == "" {
 		return s, nil
 	}
-	forms, err := rules.Forms()
+	forms, err := rules.ParseHighestForm()
 	if err != nil {
 		return nil, err
 	}
 	s.path = cfg.Fleet.Rules.File
-	against := rules.Settings{Forms: forms, Tenants: cfg.Tenants, Zones: cfg.Zones, Server: serverID, Config: cfg.Policy}
+	against := rules.Settings{HighestForm: forms, Tenants: cfg.Tenants, Zones: cfg.Zones, Server: serverID, Config: cfg.Policy}
 	keep := keeper{state.store}
 	s.node = rules.New(rules.Config{
-		Name: cfg.Name, Start: state.store.Number(), Keep: keep, Damaged: len(state.store.Damage().Files) > 0, Wire: p.group,
-		Voters:  &voters{group: work.group, fence: duty.Fence{Keep: keep}},
-		Members: p.forRules,
-		Read:    func(text []byte) (*rules.Set, error) { return rules.Read(text, against) },
-		Force:   path.rules,
+		Name: cfg.Name, Start: state.store.ProcessNumber(), Storage: keep, StorageDamaged: len(state.store.Damage().Findings) > 0, Transport: p.group,
+		Voters:   &voters{group: work.group, fence: duty.Fence{Storage: keep}},
+		Members:  p.forRules,
+		Read:     func(text []byte) (*rules.Set, error) { return rules.Read(text, against) },
+		Activate: path.rules,
 	})
 	p.barred = func() bool { return !s.node.Serves() }
 	return s, nil
@@ -78,30 +78,30 @@
 	return "", err
 }
 
-// Entered implements rules.Voters.
-func (v *voters) Entered() (rules.Floor, error) {
-	e, err := v.group.Entered(dutyRules)
+// LastEntry implements rules.Voters.
+func (v *voters) LastEntry() (rules.Floor, error) {
+	e, err := v.group.LastEntry(dutyRules)
 	return rules.Floor{Version: e.Version, Digest: e.Digest, Token: e.Token}, err
 }
 
-// Enter implements rules.Voters.
-func (v *voters) Enter(f rules.Floor) (refused, err error) {
-	err = v.group.Enter(dutyRules, f.Token, f.Version, f.Digest)
-	if errors.Is(err, duty.ErrNotEntered) {
+// CommitEntry implements rules.Voters.
+func (v *voters) CommitEntry(f rules.Floor) (refused, err error) {
+	err = v.group.CommitEntry(dutyRules, f.Token, f.Version, f.Digest)
+	if errors.Is(err, duty.ErrEntryRefused) {
 		return err, nil
 	}
 	return nil, err
 }
 
-// Fence implements rules.Voters.
-func (v *voters) Fence(token uint64) (bool, error) { return v.fence.Pass(dutyRules, token) }
+// AdmitToken implements rules.Voters.
+func (v *voters) AdmitToken(token uint64) (bool, error) { return v.fence.Admit(dutyRules, token) }
 
 // begin puts the floor's set in force; the loop runs, and no request has come.
 func (s *ruleSets) begin(ctx context.Context) error {
 	if s.node == nil {
 		return nil
 	}
-	return s.node.Begin(ctx)
+	return s.node.ActivateFloor(ctx)
 }
 
 // run takes part until ctx ends.
@@ -125,10 +125,10 @@
 	var text []byte
 	if err == nil {
 		defer f.Close()
-		text, err = io.ReadAll(io.LimitReader(f, rules.DocumentMost+1))
+		text, err = io.ReadAll(io.LimitReader(f, rules.MaxDocumentBytes+1))
 	}
-	if err == nil && len(text) > rules.DocumentMost {
-		err = fmt.Errorf("%s: more than %d bytes", s.path, rules.DocumentMost)
+	if err == nil && len(text) > rules.MaxDocumentBytes {
+		err = fmt.Errorf("%s: more than %d bytes", s.path, rules.MaxDocumentBytes)
 	}
 	if err != nil {
 		slog.Error("rules", "notPushed", s.path, "error", err)
@@ -161,14 +161,14 @@
 	}
 	st := s.node.Status()
 	fmt.Fprintf(w, "200 in-force=%d floor=%d digest=%s token=%d serves=%v differs=%v holds=%d file=%d forms=%s\n",
-		st.InForce, st.Floor.Version, st.Floor.Digest, st.Floor.Token, st.Serves, st.Differs, st.Holding, st.File, rules.Highest)
-	if st.Why != "" {
-		fmt.Fprintf(w, "barred\t%s\n", st.Why)
+		st.InForce, st.Floor.Version, st.Floor.Digest, st.Floor.Token, st.Serves, st.DigestDiffers, st.DutyToken, st.FileVersion, rules.Highest)
+	if st.BarredReason != "" {
+		fmt.Fprintf(w, "barred\t%s\n", st.BarredReason)
 	}
-	if st.Never != "" {
-		fmt.Fprintf(w, "refused for good\t%d\t%s\n", st.File, st.Never)
+	if st.FileRefusal != "" {
+		fmt.Fprintf(w, "refused for good\t%d\t%s\n", st.FileVersion, st.FileRefusal)
 	}
-	for _, r := range st.Refused {
+	for _, r := range st.Refusals {
 		fmt.Fprintf(w, "refused\t%d\tby %s\t%s\n", r.Version, r.Name, r.Why)
 	}
 	for _, m := range s.peers.group.View().Members { // who can't take what this one can, or takes more
--- a/internal/sidecar/state.go
+++ b/internal/sidecar/state.go
@@ -211,7 +211,7 @@
 	if next == nil {
 		return nil
 	}
-	if _, err := h.store.Follow(); err != nil {
+	if _, err := h.store.Refresh(); err != nil {
 		return err
 	}
 	if old, _, ok := read[keptList](h.store, sectionList); ok {
@@ -227,7 +227,7 @@
 			return nil
 		}
 	}
-	err := h.store.Keep(sectionList, only, next.raw)
+	err := h.store.PutUnsynced(sectionList, only, next.raw)
 	if err == nil && next.durable {
 		err = h.store.Sync()
 	}
@@ -367,7 +367,7 @@
 		if now := learned(l); !now.same(last) {
 			raw, failed := json.Marshal(now)
 			if failed == nil {
-				failed = h.store.Keep(sectionLearned, only, raw)
+				failed = h.store.PutUnsynced(sectionLearned, only, raw)
 			}
 			if failed == nil {
 				last = now
@@ -388,7 +388,7 @@
 	defer h.mu.Unlock()
 	n := h.oldDamage
 	if h.store != nil {
-		n += len(h.store.Damage().Files)
+		n += len(h.store.Damage().Findings)
 	}
 	return n
 }
@@ -398,7 +398,7 @@
 	if h.store == nil {
 		return errors.New("there is no state")
 	}
-	if err := h.store.Confirm(); err != nil { // it may wait for a disk: not under the lock of the figures
+	if err := h.store.ConfirmState(); err != nil { // it may wait for a disk: not under the lock of the figures
 		return errNotKept{err}
 	}
 	h.mu.Lock()
@@ -412,7 +412,7 @@
 	if h.store == nil {
 		return 0
 	}
-	return h.store.Size()
+	return h.store.CommittedSize()
 }
 
 // saved saves a call by hand, and waits for that only as long as a caller at the console may be kept waiting.
--- a/internal/sidecar/state_test.go
+++ b/internal/sidecar/state_test.go
@@ -187,8 +187,8 @@
 	return stuckFile{f, d}, nil
 }
 
-func (d *stuckDisk) Linked(path string, f store.File) bool {
-	return d.OS.Linked(path, f.(stuckFile).File)
+func (d *stuckDisk) SameFile(path string, f store.File) bool {
+	return d.OS.SameFile(path, f.(stuckFile).File)
 }
 
 type stuckFile struct {
--- a/internal/store/fs.go
+++ b/internal/store/fs.go
@@ -19,10 +19,10 @@
 	Create(path string) (File, error)
 	// Open opens a file for writing.
 	Open(path string) (File, error)
-	// Linked says whether a file is still what its path names.
-	Linked(path string, f File) bool
-	// Stamp changes whenever a file does.
-	Stamp(path string) string
+	// SameFile says whether a file is still what its path names.
+	SameFile(path string, f File) bool
+	// ChangeStamp changes whenever a file does.
+	ChangeStamp(path string) string
 	Rename(from, to string) error
 	Remove(path string) error
 	// SyncDir makes the names in a folder durable; it makes the folder where there is none.
@@ -81,8 +81,8 @@
 	return f, nil
 }
 
-// Linked implements FS.
-func (OS) Linked(path string, f File) bool {
+// SameFile implements FS.
+func (OS) SameFile(path string, f File) bool {
 	named, err := os.Stat(path)
 	if err != nil {
 		return false
@@ -91,8 +91,8 @@
 	return err == nil && os.SameFile(named, own)
 }
 
-// Stamp implements FS.
-func (OS) Stamp(path string) string {
+// ChangeStamp implements FS.
+func (OS) ChangeStamp(path string) string {
 	info, err := os.Stat(path)
 	if err != nil {
 		return ""
--- a/internal/store/inspect.go
+++ b/internal/store/inspect.go
@@ -9,15 +9,15 @@
 
 // Inspection is what a folder holds, as a reader finds it that changes nothing.
 type Inspection struct {
-	Files   []Found  `json:"files"`
-	Values  []Value  `json:"values"`
-	Damage  []string `json:"damage,omitempty"`      // found now
-	Open    string   `json:"unconfirmed,omitempty"` // found before, and not confirmed yet
-	Refused []string `json:"refused,omitempty"`     // files of a newer program
+	Files       []FileReport `json:"files"`
+	Values      []Value      `json:"values"`
+	Damage      []string     `json:"damage,omitempty"`      // found now
+	Unconfirmed string       `json:"unconfirmed,omitempty"` // found before, and not confirmed yet
+	Unreadable  []string     `json:"refused,omitempty"`     // files of a newer program
 }
 
-// Found is one file.
-type Found struct {
+// FileReport is one file.
+type FileReport struct {
 	Name      string `json:"name"`
 	Records   int    `json:"records"`
 	Bytes     int    `json:"bytes"`
@@ -30,7 +30,7 @@
 	Section string    `json:"section"`
 	Key     string    `json:"key"`
 	Version uint64    `json:"version"`
-	By      uint64    `json:"by"` // the number of the process that put it
+	Origin  uint64    `json:"by"` // the number of the process that put it
 	At      time.Time `json:"at"`
 	Bytes   []byte    `json:"value"`
 }
@@ -48,10 +48,10 @@
 	if err != nil && len(unread) == 0 {
 		return nil, err
 	}
-	in := &Inspection{Refused: unread}
+	in := &Inspection{Unreadable: unread}
 	s := &Store{entries: make(map[id]entry)}
 	for _, c := range contents {
-		in.Files = append(in.Files, Found{c.ref.name(), len(c.records), c.end, c.slot.length, c.damage})
+		in.Files = append(in.Files, FileReport{c.ref.name(), len(c.records), c.end, c.slot.length, c.damage})
 		if c.damage != "" {
 			in.Damage = append(in.Damage, c.ref.name()+": "+c.damage)
 		}
@@ -64,7 +64,7 @@
 		switch {
 		case e.gone:
 		case i.section == internal:
-			in.Open = string(e.value)
+			in.Unconfirmed = string(e.value)
 		default:
 			in.Values = append(in.Values, Value{i.section, i.key, e.version, e.origin, time.UnixMilli(e.at).UTC(), e.value})
 		}
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -5,10 +5,10 @@
 //     folder is there. Where Put returns an error, what it was given holds in this process, and may or may not be found.
 //   - What was never put is never found. Each record has a checksum; what is not sound counts for nothing.
 //   - A folder that is damaged is never taken for a sound one: a flipped bit, a file cut short, emptied or missing is
-//     told (Damage) by every Open until Confirm. What can't be told from the outside: a folder that is gone as a whole.
-//   - Processes under one name each write files of their own, and read the others' (Follow): none can harm another's.
+//     told (Damage) by every Open until ConfirmState. What can't be told from the outside: a folder that is gone as a whole.
+//   - Processes under one name each write files of their own, and read the others' (Refresh): none can harm another's.
 //     Of two words on one thing the one with the higher version counts, and the same at every process.
-//   - It holds two files of at most half of Limit each for a process that is alone; damaged files are set aside,
+//   - It holds two files of at most half of MaxBytes each for a process that is alone; damaged files are set aside,
 //     damagedMost at most.
 //
 // All methods are safe for concurrent use. Reading never waits for a disk.
@@ -41,16 +41,16 @@
 
 // Options say how a store is opened.
 type Options struct {
-	FS    FS // nil: the machine's own
-	Dir   string
-	Limit int              // bytes of files; 0: 1 MiB
-	Now   func() time.Time // nil: the wall clock
-	// Alone says whether no other process writes here. Files of others go only while it does; nil: never.
-	Alone func() bool
+	FS       FS // nil: the machine's own
+	Dir      string
+	MaxBytes int              // bytes of files; 0: 1 MiB
+	Now      func() time.Time // nil: the wall clock
+	// SoleWriter says whether no other process writes here. Files of others go only while it does; nil: never.
+	SoleWriter func() bool
 }
 
 // Damage is what was found wrong with a folder, until an operator confirms it.
-type Damage struct{ Files []string }
+type Damage struct{ Findings []string }
 
 // Entry is a value with its age.
 type Entry struct {
@@ -90,7 +90,7 @@
 // Open opens the store in a folder, which it makes if need be, and begins a file of its own there. It fails where that
 // can't be done; what was found is in the store even then, and Put tries again.
 func Open(o Options) (*Store, error) {
-	s := &Store{fs: o.FS, dir: o.Dir, limit: o.Limit, now: o.Now, alone: o.Alone, entries: make(map[id]entry), stamps: make(map[string]string)}
+	s := &Store{fs: o.FS, dir: o.Dir, limit: o.MaxBytes, now: o.Now, alone: o.SoleWriter, entries: make(map[id]entry), stamps: make(map[string]string)}
 	if s.fs == nil {
 		s.fs = OS{}
 	}
@@ -300,7 +300,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if s.fs.Stamp(path) != "" {
+	if s.fs.ChangeStamp(path) != "" {
 		err = fmt.Errorf("%s: %w", path, fs.ErrExist)
 	}
 	if err == nil {
@@ -396,8 +396,8 @@
 // Delete is Put of nothing.
 func (s *Store) Delete(section, key string) error { return s.change(id{section, key}, nil, true, true) }
 
-// Keep keeps a value that may be lost with the power; Sync makes it durable. The same value again costs nothing.
-func (s *Store) Keep(section, key string, value []byte) error {
+// PutUnsynced keeps a value that may be lost with the power; Sync makes it durable. The same value again costs nothing.
+func (s *Store) PutUnsynced(section, key string, value []byte) error {
 	s.mu.RLock()
 	old, ok := s.entries[id{section, key}]
 	s.mu.RUnlock()
@@ -427,7 +427,7 @@
 		return fmt.Errorf("state: a value of %d bytes", len(raw))
 	}
 	full := s.size+len(raw) > s.limit/2
-	if s.file == nil || s.behind || full || !s.fs.Linked(filepath.Join(s.dir, s.own.name()), s.file) {
+	if s.file == nil || s.behind || full || !s.fs.SameFile(filepath.Join(s.dir, s.own.name()), s.file) {
 		s.behind = true // until there is one with all
 		return s.begin()
 	}
@@ -474,7 +474,7 @@
 	return nil
 }
 
-// Sync makes all that Keep was given durable.
+// Sync makes all that PutUnsynced was given durable.
 func (s *Store) Sync() error {
 	s.io.Lock()
 	defer s.io.Unlock()
@@ -505,24 +505,24 @@
 	return all
 }
 
-// Number is this process's: higher than that of every process before it, as long as the folder or the clock says so.
-func (s *Store) Number() uint64 {
+// ProcessNumber is this process's: higher than that of every process before it, as long as the folder or the clock says so.
+func (s *Store) ProcessNumber() uint64 {
 	s.io.Lock()
 	defer s.io.Unlock()
 	return s.own.number
 }
 
-// Fresh says whether there was no state before this process.
-func (s *Store) Fresh() bool { return s.fresh }
+// WasEmpty says whether there was no state before this process.
+func (s *Store) WasEmpty() bool { return s.fresh }
 
-// Size is how many bytes the file in use had when it was committed last.
-func (s *Store) Size() int { return int(s.committed.Load()) }
+// CommittedSize is how many bytes the file in use had when it was committed last.
+func (s *Store) CommittedSize() int { return int(s.committed.Load()) }
 
-// Unread says whether something in the folder could not be read so far. Follow tries again.
-func (s *Store) Unread() bool { return s.unread.Load() }
+// HasUnread says whether something in the folder could not be read so far. Refresh tries again.
+func (s *Store) HasUnread() bool { return s.unread.Load() }
 
-// Follow takes in what other processes have put since, and says whether that was news.
-func (s *Store) Follow() (news bool, err error) {
+// Refresh takes in what other processes have put since, and says whether that was news.
+func (s *Store) Refresh() (news bool, err error) {
 	s.io.Lock()
 	defer s.io.Unlock()
 	names, err := s.fs.List(s.dir)
@@ -536,7 +536,7 @@
 			continue
 		}
 		path := filepath.Join(s.dir, name)
-		stamp := s.fs.Stamp(path)
+		stamp := s.fs.ChangeStamp(path)
 		seen[name] = stamp
 		if stamp == s.stamps[name] {
 			continue
@@ -569,8 +569,8 @@
 	return Damage{slices.Clone(s.damage)}
 }
 
-// Confirm takes an operator's word that what holds now is right. It is durable once it has returned nil.
-func (s *Store) Confirm() error {
+// ConfirmState takes an operator's word that what holds now is right. It is durable once it has returned nil.
+func (s *Store) ConfirmState() error {
 	s.io.Lock()
 	defer s.io.Unlock()
 	s.mu.Lock()
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -97,13 +97,13 @@
 	return &handle{d, d.names[path]}, nil
 }
 
-func (d *disk) Linked(path string, f File) bool {
+func (d *disk) SameFile(path string, f File) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.names[path] == f.(*handle).n
 }
 
-func (d *disk) Stamp(path string) string {
+func (d *disk) ChangeStamp(path string) string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.names[path] == nil {
@@ -251,7 +251,7 @@
 }
 
 func (w *world) open(alone bool) *Store {
-	s, err := Open(Options{FS: w.d, Dir: dir, Limit: 16 << 10, Now: func() time.Time { return w.now }, Alone: func() bool { return alone }})
+	s, err := Open(Options{FS: w.d, Dir: dir, MaxBytes: 16 << 10, Now: func() time.Time { return w.now }, SoleWriter: func() bool { return alone }})
 	if err != nil && w.d.fail == nil {
 		w.t.Fatal(err)
 	}
@@ -280,7 +280,7 @@
 		err = s.Delete("calls", key)
 	case 1, 2:
 		w.say(s, key, value)
-		_ = s.Keep("calls", key, []byte(value))
+		_ = s.PutUnsynced("calls", key, []byte(value))
 		return
 	case 3:
 		if s.Sync() == nil {
@@ -300,11 +300,11 @@
 
 // check opens what a loss of power has left, and returns what is wrong with it.
 func (w *world) check(left *disk, cut int) error {
-	s, err := Open(Options{FS: left, Dir: dir, Limit: 16 << 10, Now: func() time.Time { return w.now }, Alone: func() bool { return true }})
+	s, err := Open(Options{FS: left, Dir: dir, MaxBytes: 16 << 10, Now: func() time.Time { return w.now }, SoleWriter: func() bool { return true }})
 	if err != nil {
 		return err
 	}
-	if bad := s.Damage().Files; len(bad) > 0 {
+	if bad := s.Damage().Findings; len(bad) > 0 {
 		return fmt.Errorf("a loss of power is taken for damage: %v", bad)
 	}
 	least := make(map[string]int)
@@ -359,7 +359,7 @@
 					one, other = next, s
 				}
 				w.step(one)
-				if _, err := other.Follow(); err != nil {
+				if _, err := other.Refresh(); err != nil {
 					t.Fatal(err)
 				}
 			}
@@ -462,7 +462,7 @@
 	d, want := newDisk(), make(map[string]string)
 	now := time.UnixMilli(1_800_000_000_000)
 	open := func() *Store {
-		s, err := Open(Options{FS: d, Dir: dir, Now: func() time.Time { return now }, Alone: func() bool { return true }})
+		s, err := Open(Options{FS: d, Dir: dir, Now: func() time.Time { return now }, SoleWriter: func() bool { return true }})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -490,7 +490,7 @@
 // hurt opens a damaged folder and says what is wrong: damage that nobody is told of, or a value that nobody gave; and,
 // as a whole, whether the next process is told too, until an operator confirms.
 func hurt(d *disk, want map[string]string, whole bool) error {
-	s, err := Open(Options{FS: d, Dir: dir, Alone: func() bool { return true }})
+	s, err := Open(Options{FS: d, Dir: dir, SoleWriter: func() bool { return true }})
 	if err != nil && !strings.Contains(err.Error(), errForm.Error()) {
 		return err
 	}
@@ -499,21 +499,21 @@
 			return fmt.Errorf("%s is %q", key, v)
 		}
 	}
-	if len(s.Damage().Files) == 0 && err == nil {
+	if len(s.Damage().Findings) == 0 && err == nil {
 		return errors.New("nobody is told of it")
 	}
 	if !whole {
 		return nil
 	}
-	again, err := Open(Options{FS: d, Dir: dir, Alone: func() bool { return true }})
-	if err == nil && len(s.Damage().Files) > 0 && len(again.Damage().Files) == 0 {
+	again, err := Open(Options{FS: d, Dir: dir, SoleWriter: func() bool { return true }})
+	if err == nil && len(s.Damage().Findings) > 0 && len(again.Damage().Findings) == 0 {
 		return errors.New("the next process is not told of it")
 	}
-	if err := again.Confirm(); err != nil {
+	if err := again.ConfirmState(); err != nil {
 		return err
 	}
-	if last, err := Open(Options{FS: d, Dir: dir, Alone: func() bool { return true }}); err != nil || len(last.Damage().Files) > 0 {
-		return fmt.Errorf("it goes on after it was confirmed: %v, error %w", last.Damage().Files, err)
+	if last, err := Open(Options{FS: d, Dir: dir, SoleWriter: func() bool { return true }}); err != nil || len(last.Damage().Findings) > 0 {
+		return fmt.Errorf("it goes on after it was confirmed: %v, error %w", last.Damage().Findings, err)
 	}
 	return nil
 }
@@ -591,7 +591,7 @@
 	path := filepath.Join(t.TempDir(), "state")
 	open := func(alone bool) *Store {
 		t.Helper()
-		s, err := Open(Options{Dir: path, Alone: func() bool { return alone }})
+		s, err := Open(Options{Dir: path, SoleWriter: func() bool { return alone }})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -605,17 +605,17 @@
 	}
 	a := open(true)
 	b := open(false)
-	if a.Number() >= b.Number() {
-		t.Errorf("numbers %d and %d", a.Number(), b.Number())
+	if a.ProcessNumber() >= b.ProcessNumber() {
+		t.Errorf("numbers %d and %d", a.ProcessNumber(), b.ProcessNumber())
 	}
 	if err := errors.Join(a.Put("calls", "x", []byte("1")), b.Put("calls", "y", []byte("2"))); err != nil {
 		t.Fatal(err)
 	}
 	for _, s := range []*Store{a, b} {
-		if news, err := s.Follow(); !news || err != nil {
+		if news, err := s.Refresh(); !news || err != nil {
 			t.Errorf("news %v, error %v", news, err)
 		}
-		if news, _ := s.Follow(); news {
+		if news, _ := s.Refresh(); news {
 			t.Error("the same news twice")
 		}
 		want(s, "x", "1")
@@ -624,7 +624,7 @@
 	if err := b.Delete("calls", "x"); err != nil {
 		t.Fatal(err)
 	}
-	_, _ = a.Follow()
+	_, _ = a.Refresh()
 	want(a, "x", "")
 	if err := os.RemoveAll(path); err != nil {
 		t.Fatal(err)
@@ -638,7 +638,7 @@
 	want(c, "y", "2")
 	want(c, "z", "3")
 	for i := range 5000 { // a storm of calls stays within its bounds
-		if err := c.Keep("calls", "w", []byte(strings.Repeat("x", 200+i%2))); err != nil {
+		if err := c.PutUnsynced("calls", "w", []byte(strings.Repeat("x", 200+i%2))); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -662,7 +662,7 @@
 	if err := os.WriteFile(filepath.Join(path, newer.name()), raw, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	d, err := Open(Options{Dir: path, Alone: func() bool { return true }})
+	d, err := Open(Options{Dir: path, SoleWriter: func() bool { return true }})
 	if !errors.Is(err, errForm) {
 		t.Errorf("a newer program's file: error %v", err)
 	}
@@ -671,7 +671,7 @@
 		t.Errorf("the newer program's file was touched, error %v", err)
 	}
 	in, err := Inspect(OS{}, path)
-	if err != nil || len(in.Values) != 3 || len(in.Refused) != 1 || len(in.Damage) != 0 {
+	if err != nil || len(in.Values) != 3 || len(in.Unreadable) != 1 || len(in.Damage) != 0 {
 		t.Errorf("inspected: %+v, error %v", in, err)
 	}
 }
@@ -681,12 +681,12 @@
 	for _, records := range []int{10, 1000, 50_000} {
 		b.Run(fmt.Sprint(records), func(b *testing.B) {
 			path := b.TempDir()
-			s, err := Open(Options{Dir: path, Limit: 16 << 20, Alone: func() bool { return true }})
+			s, err := Open(Options{Dir: path, MaxBytes: 16 << 20, SoleWriter: func() bool { return true }})
 			if err != nil {
 				b.Fatal(err)
 			}
 			for i := range records {
-				if err := s.Keep("calls", fmt.Sprint(i), []byte(`{"out":true,"atMs":1800000000000}`)); err != nil {
+				if err := s.PutUnsynced("calls", fmt.Sprint(i), []byte(`{"out":true,"atMs":1800000000000}`)); err != nil {
 					b.Fatal(err)
 				}
 			}
@@ -694,7 +694,7 @@
 				b.Fatal(err)
 			}
 			for b.Loop() {
-				s, err := Open(Options{Dir: path, Limit: 16 << 20, Alone: func() bool { return true }})
+				s, err := Open(Options{Dir: path, MaxBytes: 16 << 20, SoleWriter: func() bool { return true }})
 				if err != nil {
 					b.Fatal(err)
 				}
@@ -705,7 +705,7 @@
 }
 
 func BenchmarkPut(b *testing.B) {
-	s, err := Open(Options{Dir: b.TempDir(), Alone: func() bool { return true }})
+	s, err := Open(Options{Dir: b.TempDir(), SoleWriter: func() bool { return true }})
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -729,7 +729,7 @@
 	d := slowDisk{held: make(chan struct{}, 4)}
 	d.held <- struct{}{}
 	d.held <- struct{}{}
-	s, err := Open(Options{FS: d, Dir: t.TempDir(), Limit: 8 << 10})
+	s, err := Open(Options{FS: d, Dir: t.TempDir(), MaxBytes: 8 << 10})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -741,8 +741,8 @@
 	for e, _ := s.Get("calls", "x"); len(e.Value) == 2<<10; e, _ = s.Get("calls", "x") {
 		time.Sleep(time.Millisecond)
 	}
-	if s.Size() == 0 || len(s.All("calls")) != 1 || len(s.Damage().Files) != 0 {
-		t.Errorf("size %d, %d values", s.Size(), len(s.All("calls")))
+	if s.CommittedSize() == 0 || len(s.All("calls")) != 1 || len(s.Damage().Findings) != 0 {
+		t.Errorf("size %d, %d values", s.CommittedSize(), len(s.All("calls")))
 	}
 	if len(done) > 0 {
 		t.Error("the disk did not hang")
@@ -788,7 +788,7 @@
 			t.Parallel()
 			dir, alone := t.TempDir(), func() bool { return true }
 			for _, key := range []string{"a", "b", "c"} { // a process each
-				s, err := Open(Options{Dir: dir, Alone: alone})
+				s, err := Open(Options{Dir: dir, SoleWriter: alone})
 				if err == nil {
 					err = errors.Join(s.Put("calls", key, []byte("out")), s.Close())
 				}
@@ -796,21 +796,21 @@
 					t.Fatal(err)
 				}
 			}
-			s, _ := Open(Options{FS: disk, Dir: dir, Alone: alone})
+			s, _ := Open(Options{FS: disk, Dir: dir, SoleWriter: alone})
 			if found := len(s.All("calls")); found != 3 && strings.HasSuffix(name, "late") {
 				t.Errorf("%d calls are known at once, want 3", found)
 			}
-			if s.Unread() != strings.HasSuffix(name, "at all") {
-				t.Errorf("unread: %v", s.Unread())
+			if s.HasUnread() != strings.HasSuffix(name, "at all") {
+				t.Errorf("unread: %v", s.HasUnread())
 			}
 			disk.lists, disk.reads = 0, 0
-			if _, err := s.Follow(); err != nil || s.Unread() || len(s.All("calls")) != 3 {
-				t.Errorf("%d calls are known when it can be read, unread %v, error %v; want 3", len(s.All("calls")), s.Unread(), err)
+			if _, err := s.Refresh(); err != nil || s.HasUnread() || len(s.All("calls")) != 3 {
+				t.Errorf("%d calls are known when it can be read, unread %v, error %v; want 3", len(s.All("calls")), s.HasUnread(), err)
 			}
 			if err := s.Put("calls", "a", []byte("back")); err != nil {
 				t.Error(err)
 			}
-			next, err := Open(Options{Dir: dir, Alone: alone})
+			next, err := Open(Options{Dir: dir, SoleWriter: alone})
 			if e, _ := next.Get("calls", "a"); err != nil || len(next.All("calls")) != 3 || string(e.Value) != "back" {
 				t.Errorf("the next process has %v, error %v", next.All("calls"), err)
 			}
@@ -821,14 +821,14 @@
 // A folder that stays unreadable in part takes in no more files, however often this process writes anew.
 func TestUnreadFolderDoesNotGrow(t *testing.T) {
 	dir, alone := t.TempDir(), func() bool { return true }
-	before, err := Open(Options{Dir: dir, Alone: alone})
+	before, err := Open(Options{Dir: dir, SoleWriter: alone})
 	if err != nil {
 		t.Fatal(err)
 	}
 	if err := errors.Join(before.Put("calls", "a", []byte("out")), before.Close()); err != nil {
 		t.Fatal(err)
 	}
-	s, _ := Open(Options{FS: &unreadable{reads: 1 << 30}, Dir: dir, Alone: alone, Limit: 16 << 10})
+	s, _ := Open(Options{FS: &unreadable{reads: 1 << 30}, Dir: dir, SoleWriter: alone, MaxBytes: 16 << 10})
 	for i := range 200 { // some ten files
 		if err := s.Put("calls", "b", make([]byte, 400+i)); err != nil {
 			t.Fatal(err)
@@ -838,7 +838,7 @@
 	if err != nil || len(names) > 3 {
 		t.Errorf("the folder has %v, error %v, want the file that can't be read and two of this process's", names, err)
 	}
-	if !s.Unread() {
+	if !s.HasUnread() {
 		t.Error("all was read")
 	}
 }
