--- a/cmd/caperarch/main.go
+++ b/cmd/caperarch/main.go
@@ -94,7 +94,7 @@
 
 // run serves until it is told to stop. An error is in the log by then.
 func run() (err error) {
-	log := logging.Detach(os.Stderr) // whoever reads it may stall
+	log := logging.NewAsyncWriter(os.Stderr) // whoever reads it may stall
 	defer log.Flush(flushTime)
 	defer func() {
 		if err != nil {
--- a/internal/lab/hollow.go
+++ b/internal/lab/hollow.go
@@ -541,7 +541,7 @@
 		if _, isWhole := r.cpu[i]; !ok || isWhole != whole {
 			continue
 		}
-		since := t.Minus(old)
+		since := t.Sub(old)
 		in, out, n = in+float64(since.In[k].Bytes), out+float64(since.Out[k].Bytes), n+1
 	}
 	return in / max(1, n), out / max(1, n)
@@ -554,7 +554,7 @@
 	h.count("push_each_out", out)
 	i := after.holds
 	if old, ok := before.traffic[i]; ok && before.holds == i {
-		since := after.traffic[i].Minus(old)
+		since := after.traffic[i].Sub(old)
 		h.count("push_holder_in", float64(since.In[meter.Rules].Bytes))
 		h.count("push_holder_out", float64(since.Out[meter.Rules].Bytes))
 		h.count("push_holder_conns", float64(since.Out[meter.Rules].Units))
@@ -607,8 +607,8 @@
 			if _, isWhole := b.cpu[i]; !ok || isWhole != whole {
 				continue
 			}
-			since, sum := t.Minus(old), int64(0)
-			total = total.Plus(since)
+			since, sum := t.Sub(old), int64(0)
+			total = total.Add(since)
 			for k := range since.In {
 				sum += since.In[k].Bytes + since.Out[k].Bytes
 			}
@@ -619,7 +619,7 @@
 		}
 		slices.Sort(sums)
 		per := 1 / seconds / float64(len(sums))
-		for k, name := range meter.Names {
+		for k, name := range meter.KindNames {
 			f["rest_"+who+"_in_"+name], f["rest_"+who+"_out_"+name] = float64(total.In[k].Bytes)*per, float64(total.Out[k].Bytes)*per
 		}
 		f["rest_"+who+"_packets_in"], f["rest_"+who+"_packets_out"] = float64(total.In[meter.Packets].Units)*per, float64(total.Out[meter.Packets].Units)*per
@@ -666,7 +666,7 @@
 
 // trafficOf is what a whole sidecar's figures say of the bytes of its control.
 func trafficOf(stat map[string]float64) (t meter.Traffic) {
-	for k, name := range meter.Names {
+	for k, name := range meter.KindNames {
 		t.In[k] = meter.Count{Bytes: int64(stat["app.control_bytes_in."+name]), Units: int64(stat["app.control_units_in."+name])}
 		t.Out[k] = meter.Count{Bytes: int64(stat["app.control_bytes_out."+name]), Units: int64(stat["app.control_units_out."+name])}
 	}
@@ -703,7 +703,7 @@
 	for _, who := range []string{"hollow", "whole"} {
 		fmt.Fprintf(w, "  at rest    %s: %.2f%% of a core, %.0f bytes a second in the median, %.0f for 99 in 100, over %.0f s; in/out:",
 			who, 100*f["rest_"+who+"_cores"], f["rest_"+who+"_bytes_p50"], f["rest_"+who+"_bytes_p99"], f["rest_s"])
-		for _, name := range meter.Names {
+		for _, name := range meter.KindNames {
 			if in, out := f["rest_"+who+"_in_"+name], f["rest_"+who+"_out_"+name]; in+out > 0 {
 				fmt.Fprintf(w, " %s %.0f/%.0f", name, in, out)
 			}
--- a/internal/logging/logs_test.go
+++ b/internal/logging/logs_test.go
@@ -128,7 +128,7 @@
 // Who logs is not held up by a reader that stalls; once that goes on it has the newest lines, of a bounded number.
 func TestDetachedWriterHoldsUpNobody(t *testing.T) {
 	w := &stalled{release: make(chan struct{})}
-	log := Detach(w)
+	log := NewAsyncWriter(w)
 	for range 3 * waitingMost {
 		if _, err := log.Write([]byte("a line\n")); err != nil {
 			t.Fatal(err)
--- a/internal/member/list.go
+++ b/internal/member/list.go
@@ -26,11 +26,11 @@
 	}
 	c := memberlist.DefaultLANConfig()
 	c.Name, c.Label, c.Logger = g.cfg.Name, g.cfg.Cluster, quiet
-	c.Transport = newTransport(inner, g.cfg.Routes, g.refused, g.listening, g.cfg.Meter, g.cfg.Kinds)
+	c.Transport = newTransport(inner, g.cfg.Routes, g.refused, g.listening, g.cfg.Meter, g.cfg.StreamKinds)
 	c.Delegate, c.Events, c.Alive, c.Ping, c.Conflict = g, g, g, g, g
-	c.ProbeInterval, c.ProbeTimeout = g.cfg.Probe, g.cfg.Probe*2/5
+	c.ProbeInterval, c.ProbeTimeout = g.cfg.ProbeInterval, g.cfg.ProbeInterval*2/5
 	c.SuspicionMult, c.SuspicionMaxTimeoutMult = g.suspicion(), 3
-	c.GossipInterval, c.GossipNodes, c.RetransmitMult = g.cfg.Probe, 4, 4
+	c.GossipInterval, c.GossipNodes, c.RetransmitMult = g.cfg.ProbeInterval, 4, 4
 	c.PushPullInterval, c.TCPTimeout = 30*time.Second, streamTime
 	c.EnableCompression = false
 	c.DeadNodeReclaimTime = time.Millisecond // a name is free for another address once its holder is dead
@@ -44,8 +44,8 @@
 }
 
 func (g *Group) network() (memberlist.NodeAwareTransport, error) {
-	if g.cfg.Network != nil {
-		return g.cfg.Network(g.cfg)
+	if g.cfg.NewTransport != nil {
+		return g.cfg.NewTransport(g.cfg)
 	}
 	return listen(g.cfg.Listen, g.cfg.Meter)
 }
@@ -60,7 +60,7 @@
 // suspicion is how many times the probes' interval and log10 of the members a suspect has to object, so that a process that
 // stands still for most of a second is not declared dead in a small fleet either.
 func (g *Group) suspicion() int {
-	return max(3, int(math.Ceil(suspectProbes/max(1, math.Log10(float64(g.cfg.Expect))))))
+	return max(3, int(math.Ceil(suspectProbes/max(1, math.Log10(float64(g.cfg.ExpectedMembers))))))
 }
 
 // libraryLog takes the library's lines to the log, at the level for people who look for a fault in it. Its word that a
@@ -358,7 +358,7 @@
 func (g *Group) strangers() (all []string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	for _, s := range slices.Concat(g.cfg.Seeds, g.cfg.Known) {
+	for _, s := range slices.Concat(g.cfg.Seeds, g.cfg.KnownPeers) {
 		r, err := g.resolve(s)
 		if err != nil || r == "" {
 			continue
--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -7,7 +7,7 @@
 //     believes nothing of the earlier any more.
 //   - It never promises that a member that it shows runs, nor that two processes see the same at one moment.
 //
-// Everything that it holds is bounded: members by membersMost, those lost by Config.Forget, views by viewsMost, streams
+// Everything that it holds is bounded: members by membersMost, those lost by Config.ForgetAfter, views by viewsMost, streams
 // by streamsMost. Times are read from the monotonic clock; none is compared between machines.
 package member
 
@@ -108,40 +108,40 @@
 	Digest  string // of what should be the same everywhere in the configuration
 	Forms   string // of rule sets that it reads
 
-	Listen  netip.AddrPort // UDP and TCP
-	Cluster string         // on every packet: other fleets' are passed over
-	Seeds   []string       // NAME (reached by its route), NAME/IP:PORT or IP:PORT
-	Known   []string       // members that an earlier process knew, as Known told them
-	Routes  map[string]string
-	Probe   time.Duration // between two probes; 0: 100 ms
-	Expect  int           // members, about: for how long a suspect has to object
-	Forget  time.Duration // a member that was lost is forgotten after this; 0: 15 min
-	Index   int           // this process's number in the fleet, told along with its traffic
-	Tells   bool          // Tell is called
-
-	Meter *meter.Meter        // counts bytes; nil: nobody does
-	Kinds map[byte]meter.Kind // what streams of other parts count as; one that is not in it is Other
-
-	Log     *slog.Logger
-	Network func(Config) (memberlist.NodeAwareTransport, error) // nil: sockets at Listen
+	Listen          netip.AddrPort // UDP and TCP
+	Cluster         string         // on every packet: other fleets' are passed over
+	Seeds           []string       // NAME (reached by its route), NAME/IP:PORT or IP:PORT
+	KnownPeers      []string       // result of KnownPeers in an earlier process; used like Seeds
+	Routes          map[string]string
+	ProbeInterval   time.Duration // between two probes; 0: 100 ms
+	ExpectedMembers int           // members, about: for how long a suspect has to object
+	ForgetAfter     time.Duration // a member that was lost is forgotten after this; 0: 15 min
+	Index           int           // this process's number in the fleet, told along with its traffic
+	ShareTraffic    bool          // reserves metadata space for ReportTraffic; has to be set if that is called
+
+	Meter       *meter.Meter        // counts bytes; nil: nobody does
+	StreamKinds map[byte]meter.Kind // what streams of other parts count as; one that is not in it is Other
+
+	Log          *slog.Logger
+	NewTransport func(Config) (memberlist.NodeAwareTransport, error) // nil: sockets at Listen
 }
 
 // MemberInfo is one member as this process knows it.
 type MemberInfo struct {
-	Name      string
-	Start     uint64
-	Zone      string
-	Version   string
-	Digest    string
-	Forms     string
-	Phase     Phase
-	State     State
-	Address   string
-	Since     time.Duration // in this state for so long
-	Word      time.Duration // since its last own word to this process; -1: none so far
-	Suspected bool          // by this process: it did not answer
-	Index     int           // its number in the fleet, where Traffic is known
-	Traffic   float64       // requests a second, coarse; 0: not told, or too long ago
+	Name           string
+	Start          uint64
+	Zone           string
+	Version        string
+	Digest         string
+	Forms          string
+	Phase          Phase
+	State          State
+	Address        string
+	StateAge       time.Duration // in this state for so long
+	LastContactAge time.Duration // since its last own word to this process; -1: none so far
+	Suspected      bool          // by this process: it did not answer
+	Index          int           // its number in the fleet, where Traffic is known
+	Traffic        float64       // requests a second, coarse; 0: not told, or too long ago
 }
 
 // View is what a process sees. It is a copy.
@@ -151,13 +151,13 @@
 	Standing Standing
 	Members  []MemberInfo // by name, this process included
 
-	Present   int
-	Suspected int
-	Silent    int
-	Views     int           // different views that were heard of lately, this one's included
-	Agreed    bool          // there is one, and somebody to agree with
-	Since     time.Duration // for so long
-	Starved   bool          // this process stood still lately: its own word is not worth much
+	Present       int
+	Suspected     int
+	Silent        int
+	DistinctViews int           // different views that were heard of lately, this one's included
+	Agreed        bool          // there is one, and somebody to agree with
+	AgreementAge  time.Duration // for so long
+	Starved       bool          // this process stood still lately: its own word is not worth much
 }
 
 // meta travels with each member.
@@ -213,7 +213,7 @@
 	cfg Config
 	log *slog.Logger
 	rng *rand.Rand // of Run's goroutine
-	jit *rand.Rand // of whoever calls Tell
+	jit *rand.Rand // of whoever calls ReportTraffic
 
 	mu        sync.Mutex // never held while the library is called, as the library calls back under locks of its own
 	phase     Phase
@@ -244,8 +244,8 @@
 
 // New makes a group, or names the field that can't be used. It does nothing until Run.
 func New(cfg Config) (*Group, error) {
-	cfg.Probe = cmp.Or(cfg.Probe, 100*time.Millisecond)
-	cfg.Forget = cmp.Or(cfg.Forget, 15*time.Minute)
+	cfg.ProbeInterval = cmp.Or(cfg.ProbeInterval, 100*time.Millisecond)
+	cfg.ForgetAfter = cmp.Or(cfg.ForgetAfter, 15*time.Minute)
 	g := &Group{
 		cfg: cfg, log: cfg.Log, phase: Starting, stands: Waiting,
 		rng:   rand.New(rand.NewPCG(cfg.Start, uint64(len(cfg.Name)))),
@@ -261,16 +261,16 @@
 		return nil, fmt.Errorf("member: name %q: 1 to 128 characters, no blank and no slash", cfg.Name)
 	case cfg.Cluster == "" || len(cfg.Cluster) > memberlist.LabelMaxSize:
 		return nil, fmt.Errorf("member: cluster %q: 1 to %d characters", cfg.Cluster, memberlist.LabelMaxSize)
-	case cfg.Network == nil && !cfg.Listen.IsValid():
+	case cfg.NewTransport == nil && !cfg.Listen.IsValid():
 		return nil, errors.New("member: listen is no IP:port")
-	case cfg.Probe < 20*time.Millisecond:
-		return nil, fmt.Errorf("member: probe %v is under 20ms", cfg.Probe)
-	case cfg.Tells && (cfg.Index < 0 || cfg.Index > indexMost):
+	case cfg.ProbeInterval < 20*time.Millisecond:
+		return nil, fmt.Errorf("member: probe %v is under 20ms", cfg.ProbeInterval)
+	case cfg.ShareTraffic && (cfg.Index < 0 || cfg.Index > indexMost):
 		return nil, fmt.Errorf("member: index %d: 0 to %d", cfg.Index, indexMost)
-	case len(g.encode()) > metaMost, cfg.Tells && len(g.encode()) > metaMost-loadMost:
+	case len(g.encode()) > metaMost, cfg.ShareTraffic && len(g.encode()) > metaMost-loadMost:
 		return nil, fmt.Errorf("member: zone, version and digest are more than %d bytes together", metaMost)
 	}
-	for _, s := range slices.Concat(cfg.Seeds, cfg.Known) {
+	for _, s := range slices.Concat(cfg.Seeds, cfg.KnownPeers) {
 		if _, err := g.resolve(s); err != nil {
 			return nil, err
 		}
@@ -314,16 +314,17 @@
 	return raw
 }
 
-// Say tells the others in what phase this process is.
-func (g *Group) Say(p Phase) {
+// SetPhase sets the phase that is announced to the other members.
+func (g *Group) SetPhase(p Phase) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.phase = p
 }
 
-// Tell takes how much traffic this process has, in requests a second, as often as the caller likes. The others are told coarsely and
-// seldom: at once at first, later only where it has changed by tellChange and tellPause has passed, and now and then all the same.
-func (g *Group) Tell(rate float64) {
+// ReportTraffic updates the rate of this process's traffic, in requests per second. It may be called at any interval. The rate
+// is averaged, rounded to a step and published at the first call, then when it has changed by tellChange and about
+// tellPause has passed, and in any case about every tellEvery.
+func (g *Group) ReportTraffic(rate float64) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := time.Now()
@@ -373,8 +374,9 @@
 	<-g.ended
 }
 
-// Known tells members that are present, for the Config.Known of a later process.
-func (g *Group) Known() (known []string) {
+// KnownPeers returns the first keptMost present members by name, this process excluded, as NAME/IP:PORT. They can be
+// passed to a later process as Config.KnownPeers.
+func (g *Group) KnownPeers() (known []string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for _, name := range slices.Sorted(maps.Keys(g.table)) {
@@ -396,13 +398,13 @@
 		e := g.table[name]
 		m := MemberInfo{
 			Name: name, Start: e.Start, Zone: e.Zone, Version: e.Version, Digest: e.Digest, Forms: e.Forms, Phase: e.Phase, State: e.state,
-			Address: e.address, Since: now.Sub(e.since), Word: -1, Suspected: g.suspects(e, now),
+			Address: e.address, StateAge: now.Sub(e.since), LastContactAge: -1, Suspected: g.suspects(e, now),
 		}
 		if m.Traffic = e.Load.traffic(now.Sub(e.told)); m.Traffic > 0 {
 			m.Index = e.Load.Index
 		}
 		if !e.word.IsZero() {
-			m.Word = now.Sub(e.word)
+			m.LastContactAge = now.Sub(e.word)
 		}
 		switch {
 		case e.state == Silent:
@@ -418,8 +420,8 @@
 	return v
 }
 
-// Brief is View without the members one by one: it costs no more than counting them.
-func (g *Group) Brief() View {
+// Summary is like View, but leaves Members empty, which avoids sorting and copying them.
+func (g *Group) Summary() View {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := time.Now()
@@ -439,8 +441,8 @@
 	return v
 }
 
-// Sees says whether a member is present as far as this process knows.
-func (g *Group) Sees(name string) bool {
+// IsPresent reports whether the named member is present as far as this process knows.
+func (g *Group) IsPresent(name string) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	e := g.table[name]
@@ -450,8 +452,8 @@
 // head is a view without its members. mu is held.
 func (g *Group) head(now time.Time) View {
 	return View{
-		Number: g.number, Digest: g.digest, Standing: g.stands, Views: len(g.views), Agreed: g.agreed,
-		Since: now.Sub(g.since), Starved: now.Before(g.starved),
+		Number: g.number, Digest: g.digest, Standing: g.stands, DistinctViews: len(g.views), Agreed: g.agreed,
+		AgreementAge: now.Sub(g.since), Starved: now.Before(g.starved),
 	}
 }
 
@@ -486,7 +488,7 @@
 }
 
 // viewKept is how long a view counts after the last word of somebody who held it: several times what a word takes to go round.
-func (g *Group) viewKept() time.Duration { return 40 * g.cfg.Probe }
+func (g *Group) viewKept() time.Duration { return 40 * g.cfg.ProbeInterval }
 
 // look drops views and members that nothing was heard of for long, and sees whether all agree. mu is held.
 func (g *Group) look(now time.Time) {
@@ -501,7 +503,7 @@
 	if now.Sub(g.swept) > time.Second {
 		g.swept = now
 		maps.DeleteFunc(g.table, func(_ string, e *entry) bool {
-			return e.state == Left && now.Sub(e.since) > leftKept || e.state != Present && now.Sub(e.since) > g.cfg.Forget
+			return e.state == Left && now.Sub(e.since) > leftKept || e.state != Present && now.Sub(e.since) > g.cfg.ForgetAfter
 		})
 	}
 	if g.stands == Conflict && now.Sub(g.clash) > 2*g.viewKept() {
--- a/internal/member/member_test.go
+++ b/internal/member/member_test.go
@@ -79,7 +79,7 @@
 		for k := range max(1, n/10) {
 			g := f.live[k]
 			delete(f.live, k)
-			go func() { g.Say(Draining); time.Sleep(time.Second); g.Leave() }()
+			go func() { g.SetPhase(Draining); time.Sleep(time.Second); g.Leave() }()
 		}
 		time.Sleep(2 * time.Second)
 		right, agreed = f.settled(20 * time.Second)
@@ -253,7 +253,7 @@
 			}
 			f.settled(10 * time.Second)
 			late := f.config(7)
-			late.Known = f.live[4].Known() // what its state has of the fleet
+			late.KnownPeers = f.live[4].KnownPeers() // what its state has of the fleet
 			f.live[7] = f.run(late)
 			f.settled(20 * time.Second)
 			g := f.run(f.config(8)) // and one that knows nobody
@@ -442,8 +442,8 @@
 	for i := range 100 {
 		g.hear([]byte(fmt.Sprintf("digest%02d\x00\x00\x00\x01", i)))
 	}
-	if v := g.View(); v.Views > viewsMost {
-		t.Errorf("%d views are kept", v.Views)
+	if v := g.View(); v.DistinctViews > viewsMost {
+		t.Errorf("%d views are kept", v.DistinctViews)
 	}
 }
 
@@ -456,7 +456,7 @@
 		"name":    func(c *Config) { c.Name = "a b" },
 		"cluster": func(c *Config) { c.Cluster = "" },
 		"listen":  func(c *Config) { c.Listen = netip.AddrPort{} },
-		"probe":   func(c *Config) { c.Probe = time.Millisecond },
+		"probe":   func(c *Config) { c.ProbeInterval = time.Millisecond },
 		"zone":    func(c *Config) { c.Zone = strings.Repeat("z", 600) },
 		"seed":    func(c *Config) { c.Seeds = []string{"n5"} },
 	} {
--- a/internal/member/mesh_test.go
+++ b/internal/member/mesh_test.go
@@ -178,9 +178,9 @@
 func (f *fleet) config(i int) Config {
 	f.start++
 	return Config{
-		Name: name(i), Start: f.start, Zone: string(rune('a' + i%2)), Version: "v1", Digest: "c1", Cluster: f.label, Expect: f.expect, Probe: f.probe,
+		Name: name(i), Start: f.start, Zone: string(rune('a' + i%2)), Version: "v1", Digest: "c1", Cluster: f.label, ExpectedMembers: f.expect, ProbeInterval: f.probe,
 		Seeds: []string{place(0), place(1), place(2)}, Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
-		Network: func(Config) (memberlist.NodeAwareTransport, error) { return f.m.open(i) },
+		NewTransport: func(Config) (memberlist.NodeAwareTransport, error) { return f.m.open(i) },
 	}
 }
 
@@ -191,7 +191,7 @@
 	if err != nil {
 		f.t.Fatal(err)
 	}
-	g.Say(Serving)
+	g.SetPhase(Serving)
 	go g.Run(f.t.Context())
 	return g
 }
@@ -209,7 +209,7 @@
 
 // leave ends a process as a planned stop does.
 func (f *fleet) leave(i int) {
-	f.live[i].Say(Draining)
+	f.live[i].SetPhase(Draining)
 	time.Sleep(2 * time.Second)
 	f.live[i].Leave()
 	delete(f.live, i)
@@ -279,7 +279,7 @@
 					bad = f.wrong(g)
 				} else if !g.agrees() && len(f.live) > 1 {
 					v := g.View()
-					bad = fmt.Sprintf("%d views, %s", v.Views, v.Standing)
+					bad = fmt.Sprintf("%d views, %s", v.DistinctViews, v.Standing)
 				}
 				if bad != "" {
 					bad = name(i) + ": " + bad
--- a/internal/member/sockets.go
+++ b/internal/member/sockets.go
@@ -67,7 +67,7 @@
 		if n == 0 {
 			continue
 		}
-		s.meter.Received(meter.Packets, n, 1)
+		s.meter.AddReceived(meter.Packets, n, 1)
 		select {
 		case s.packets <- &memberlist.Packet{Buf: append([]byte(nil), room[:n]...), From: from, Timestamp: came}:
 		case <-s.done:
@@ -115,7 +115,7 @@
 		return time.Time{}, err
 	}
 	if _, err = s.udp.WriteToUDPAddrPort(b, to); err == nil {
-		s.meter.Sent(meter.Packets, len(b), 1)
+		s.meter.AddSent(meter.Packets, len(b), 1)
 	}
 	return time.Now(), err
 }
--- a/internal/member/streams.go
+++ b/internal/member/streams.go
@@ -105,7 +105,7 @@
 		return nil, err
 	}
 	_ = c.SetWriteDeadline(time.Now().Add(timeout)) // it fails on a closed one, as writing does
-	c = g.cfg.Meter.Conn(c, kindOf(g.cfg.Kinds, kind), true)
+	c = g.cfg.Meter.WrapConn(c, kindOf(g.cfg.StreamKinds, kind), true)
 	if _, err := c.Write([]byte{kind}); err != nil {
 		c.Close()
 		return nil, err
--- a/internal/member/tell_test.go
+++ b/internal/member/tell_test.go
@@ -30,7 +30,7 @@
 		synctest.Test(t, func(t *testing.T) {
 			f := newFleet(t, 1)
 			c2 := f.config(0)
-			c2.Tells = true
+			c2.ShareTraffic = true
 			g, err := New(c2)
 			if err != nil {
 				t.Fatal(err)
@@ -38,7 +38,7 @@
 			began, last, steps := time.Now(), time.Time{}, 0
 			for time.Since(began) < 10*time.Minute {
 				before := g.load
-				g.Tell(c.rate(time.Since(began).Seconds()))
+				g.ReportTraffic(c.rate(time.Since(began).Seconds()))
 				if g.load != before {
 					if before == nil || g.load.Step != before.Step {
 						steps++
@@ -91,7 +91,7 @@
 		c := newFleet(t, 1).config(0)
 		change(&c)
 		_, without := New(c)
-		c.Tells = true
+		c.ShareTraffic = true
 		if _, with := New(c); without != nil || with == nil {
 			t.Errorf("%s: %v, without the key %v", what, with, without)
 		}
@@ -110,7 +110,7 @@
 		begin := time.Now()
 		for i := range n {
 			c := f.config(i)
-			c.Index, c.Tells = i, true
+			c.Index, c.ShareTraffic = i, true
 			f.live[i] = f.run(c)
 			time.Sleep(time.Second / time.Duration(n))
 		}
@@ -120,7 +120,7 @@
 			for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(500 * time.Millisecond) {
 				for i, g := range f.live {
 					if !still[i] {
-						g.Tell(rate(i) * (1 + noise*math.Sin(time.Since(begin).Seconds()/float64(3+i%7))))
+						g.ReportTraffic(rate(i) * (1 + noise*math.Sin(time.Since(begin).Seconds()/float64(3+i%7))))
 					}
 				}
 			}
--- a/internal/member/transport.go
+++ b/internal/member/transport.go
@@ -77,12 +77,12 @@
 	if l := t.kinds(s.start[0]); l != nil {
 		s.last.Do(s.ended) // it may last: it has no place here any more
 		k := kindOf(t.counts, s.start[0])
-		t.meter.Received(k, 1, 0)
-		l.hand(t.meter.Conn(c, k, false))
+		t.meter.AddReceived(k, 1, 0)
+		l.hand(t.meter.WrapConn(c, k, false))
 		return
 	}
-	t.meter.Received(meter.Exchanges, 1, 0)
-	s.Conn, s.unread = t.meter.Conn(c, meter.Exchanges, false), true
+	t.meter.AddReceived(meter.Exchanges, 1, 0)
+	s.Conn, s.unread = t.meter.WrapConn(c, meter.Exchanges, false), true
 	select {
 	case t.streams <- s:
 	case <-t.done:
@@ -128,7 +128,7 @@
 		}
 		return nil, err
 	}
-	s := &stream{Conn: t.meter.Conn(c, meter.Exchanges, true), told: func(refused bool) { t.refused(a.Name, refused) }}
+	s := &stream{Conn: t.meter.WrapConn(c, meter.Exchanges, true), told: func(refused bool) { t.refused(a.Name, refused) }}
 	s.left.Store(streamBytes)
 	return s, nil
 }
--- a/internal/meter/meter.go
+++ b/internal/meter/meter.go
@@ -20,8 +20,8 @@
 	kinds
 )
 
-// Names are the kinds' names, in their order.
-var Names = [kinds]string{"packets", "exchanges", "duties", "rules", "discovery", "other"}
+// KindNames are the names of the kinds, indexed by Kind.
+var KindNames = [kinds]string{"packets", "exchanges", "duties", "rules", "discovery", "other"}
 
 // Count is what went one way. Bytes are payload: the headers of packets and segments are not in them.
 type Count struct {
@@ -37,16 +37,16 @@
 	in, out [kinds]struct{ bytes, units atomic.Int64 }
 }
 
-// Received counts a packet, or the bytes of one, that came in.
-func (m *Meter) Received(k Kind, bytes, units int) {
+// AddReceived adds received bytes and units of a kind.
+func (m *Meter) AddReceived(k Kind, bytes, units int) {
 	if m != nil {
 		m.in[k].bytes.Add(int64(bytes))
 		m.in[k].units.Add(int64(units))
 	}
 }
 
-// Sent is Received for what went out.
-func (m *Meter) Sent(k Kind, bytes, units int) {
+// AddSent adds sent bytes and units of a kind.
+func (m *Meter) AddSent(k Kind, bytes, units int) {
 	if m != nil {
 		m.out[k].bytes.Add(int64(bytes))
 		m.out[k].units.Add(int64(units))
@@ -65,11 +65,11 @@
 	return t
 }
 
-// Plus adds up two counts.
-func (t Traffic) Plus(o Traffic) Traffic { return t.each(o, 1) }
+// Add returns the sum t+o.
+func (t Traffic) Add(o Traffic) Traffic { return t.each(o, 1) }
 
-// Minus is what was counted since o.
-func (t Traffic) Minus(o Traffic) Traffic { return t.each(o, -1) }
+// Sub returns the difference t-o: the traffic since o, if o is an earlier result of the same meter.
+func (t Traffic) Sub(o Traffic) Traffic { return t.each(o, -1) }
 
 func (t Traffic) each(o Traffic, sign int64) Traffic {
 	for k := range kinds {
@@ -81,15 +81,16 @@
 	return t
 }
 
-// Conn counts what goes over a connection from now on, and the connection itself: as opened here, or as accepted.
-func (m *Meter) Conn(c net.Conn, k Kind, opened bool) net.Conn {
+// WrapConn counts a connection as opened by this process, or else as accepted. It returns a connection that counts the bytes
+// read and written.
+func (m *Meter) WrapConn(c net.Conn, k Kind, opened bool) net.Conn {
 	if m == nil {
 		return c
 	}
 	if opened {
-		m.Sent(k, 0, 1)
+		m.AddSent(k, 0, 1)
 	} else {
-		m.Received(k, 0, 1)
+		m.AddReceived(k, 0, 1)
 	}
 	return &conn{c, m, k}
 }
@@ -103,13 +104,13 @@
 // Read implements net.Conn.
 func (c *conn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
-	c.m.Received(c.k, n, 0)
+	c.m.AddReceived(c.k, n, 0)
 	return n, err
 }
 
 // Write implements net.Conn.
 func (c *conn) Write(p []byte) (int, error) {
 	n, err := c.Conn.Write(p)
-	c.m.Sent(c.k, n, 0)
+	c.m.AddSent(c.k, n, 0)
 	return n, err
 }
--- a/internal/sidecar/control.go
+++ b/internal/sidecar/control.go
@@ -50,7 +50,7 @@
 		if err != nil {
 			return nil, err
 		}
-		return k.meter.Conn(conn, meter.Discovery, true), nil
+		return k.meter.WrapConn(conn, meter.Discovery, true), nil
 	}
 	if k.peers, err = newPeers(cfg, path, k.state, k.meter); err != nil {
 		return nil, err
@@ -141,7 +141,7 @@
 		return
 	}
 	t := k.meter.Traffic()
-	for i, name := range meter.Names {
+	for i, name := range meter.KindNames {
 		if t.In[i] == (meter.Count{}) && t.Out[i] == (meter.Count{}) {
 			continue
 		}
--- a/internal/sidecar/duties.go
+++ b/internal/sidecar/duties.go
@@ -134,7 +134,7 @@
 			}
 		}
 		if token, yes := d.group.Holds(dutyReport); yes {
-			slog.Info("fleet", "token", token, "present", v.Present, "silent", v.Silent, "views", v.Views, "agreed", v.Agreed,
+			slog.Info("fleet", "token", token, "present", v.Present, "silent", v.Silent, "views", v.DistinctViews, "agreed", v.Agreed,
 				"versions", len(versions), "phases", fmt.Sprint(phases))
 		}
 	}
--- a/internal/sidecar/hollow.go
+++ b/internal/sidecar/hollow.go
@@ -99,7 +99,7 @@
 // Members is what it sees of its fleet, without the members one by one.
 func (h *Hollow) Members() (v member.View) {
 	if g := h.control.peers.group; g != nil {
-		v = g.Brief()
+		v = g.Summary()
 	}
 	return v
 }
@@ -107,7 +107,7 @@
 // Sees says whether it holds a member for present.
 func (h *Hollow) Sees(name string) bool {
 	g := h.control.peers.group
-	return g != nil && g.Sees(name)
+	return g != nil && g.IsPresent(name)
 }
 
 // Rules is how its rule set stands.
--- a/internal/sidecar/peers.go
+++ b/internal/sidecar/peers.go
@@ -54,9 +54,9 @@
 	}
 	c := member.Config{
 		Name: cfg.Name, Start: uint64(time.Now().UnixMilli()), Version: revision(), Digest: cfg.digest(),
-		Listen: listen, Cluster: m.Cluster, Seeds: m.Seeds, Routes: cfg.Fleet.Routes, Probe: m.Probe.D(),
-		Expect: cfg.Policy.Balancers, Forget: m.Forget.D(), Index: cfg.Policy.Index, Tells: cfg.Fleet.Spread.Share,
-		Meter: counts, Kinds: map[byte]meter.Kind{duty.CallStream: meter.Duties, duty.RaftStream: meter.Duties, rules.Stream: meter.Rules},
+		Listen: listen, Cluster: m.Cluster, Seeds: m.Seeds, Routes: cfg.Fleet.Routes, ProbeInterval: m.Probe.D(),
+		ExpectedMembers: cfg.Policy.Balancers, ForgetAfter: m.Forget.D(), Index: cfg.Policy.Index, ShareTraffic: cfg.Fleet.Spread.Share,
+		Meter: counts, StreamKinds: map[byte]meter.Kind{duty.CallStream: meter.Duties, duty.RaftStream: meter.Duties, rules.Stream: meter.Rules},
 	}
 	for zone, i := range cfg.Zones {
 		if i == cfg.Policy.Zone {
@@ -68,11 +68,11 @@
 	}
 	if state.store != nil {
 		c.Start = state.store.Number()
-		c.Known, _, _ = read[[]string](state.store, sectionPeers)
+		c.KnownPeers, _, _ = read[[]string](state.store, sectionPeers)
 	}
-	if p.group, err = member.New(c); err != nil && len(c.Known) > 0 {
+	if p.group, err = member.New(c); err != nil && len(c.KnownPeers) > 0 {
 		slog.Warn("members not recalled", "reason", err)
-		c.Known = nil
+		c.KnownPeers = nil
 		p.group, err = member.New(c)
 	}
 	return p, err
@@ -112,7 +112,7 @@
 		return
 	}
 	if !p.barred() {
-		p.group.Say(member.Serving)
+		p.group.SetPhase(member.Serving)
 	}
 	go p.group.Run(ctx)
 	go p.follow(ctx)
@@ -141,16 +141,16 @@
 		case v.Starved: // it is given no duties
 			phase = member.Starved
 		}
-		p.group.Say(phase)
+		p.group.SetPhase(phase)
 		if p.stopping.Load() { // it may have begun since the last line
-			p.group.Say(member.Draining)
+			p.group.SetPhase(member.Draining)
 		}
 		if p.cfg.Fleet.Spread.Share {
 			l, err := p.path.learned(ctx)
 			if err != nil {
 				return // it ends
 			}
-			p.group.Tell(l.Rate)
+			p.group.ReportTraffic(l.Rate)
 		}
 		if f, ok := p.fleet(v, told); ok {
 			if p.path.fleet(ctx, f) != nil {
@@ -158,7 +158,7 @@
 			}
 			told = f
 		}
-		known := p.group.Known()
+		known := p.group.KnownPeers()
 		if p.state.store == nil || len(known) == 0 || slices.Equal(known, kept) || time.Since(keptAt) < peersKept {
 			continue
 		}
@@ -203,7 +203,7 @@
 func (p *peers) draining(replaced bool, work *duties) {
 	if p.group != nil && !replaced {
 		p.stopping.Store(true)
-		p.group.Say(member.Draining)
+		p.group.SetPhase(member.Draining)
 	}
 	work.leave()
 	if p.group != nil && replaced {
@@ -229,7 +229,7 @@
 		agreed = 1
 	}
 	fmt.Fprintf(w, "app.fleet_members=%d\napp.fleet_silent=%d\napp.fleet_suspected=%d\napp.fleet_views=%d\napp.fleet_agreed=%d\n",
-		v.Present, v.Silent, v.Suspected, v.Views, agreed)
+		v.Present, v.Silent, v.Suspected, v.DistinctViews, agreed)
 	if p.cfg.Fleet.Spread.Share {
 		n := 0
 		for _, m := range v.Members {
@@ -255,7 +255,7 @@
 	}
 	words := []string{
 		"self=" + p.cfg.Name, "standing=" + string(v.Standing), fmt.Sprintf("view=%d digest=%x", v.Number, v.Digest),
-		fmt.Sprintf("views=%d agreed=%v for=%v", v.Views, v.Agreed, v.Since.Round(time.Second)),
+		fmt.Sprintf("views=%d agreed=%v for=%v", v.DistinctViews, v.Agreed, v.AgreementAge.Round(time.Second)),
 	}
 	if v.Starved {
 		words = append(words, "starved")
@@ -277,11 +277,11 @@
 			notes = append(notes, fmt.Sprintf("traffic=%.3g", m.Traffic))
 		}
 		word := "none"
-		if m.Word >= 0 {
-			word = m.Word.Round(time.Second / 10).String()
+		if m.LastContactAge >= 0 {
+			word = m.LastContactAge.Round(time.Second / 10).String()
 		}
 		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%v\t%d\t%s\t%s\t%s\t%s\n",
-			m.Name, m.Zone, m.State, m.Phase, m.Since.Round(time.Second), m.Start, m.Version, word, m.Address, strings.Join(notes, " "))
+			m.Name, m.Zone, m.State, m.Phase, m.StateAge.Round(time.Second), m.Start, m.Version, word, m.Address, strings.Join(notes, " "))
 	}
 	fmt.Fprintln(w, "EOF")
 	return nil
