--- a/internal/conform/simhost.go
+++ b/internal/conform/simhost.go
@@ -155,7 +155,7 @@
 			return nil, err
 		}
 		f := rec.Fields[4:] // behind the instance
-		ms := func(at int) time.Duration { return wire.Millis(math.Float64frombits(le.Uint64(f[at:]))) }
+		ms := func(at int) time.Duration { return wire.FromMillis(math.Float64frombits(le.Uint64(f[at:]))) }
 		switch rec.Code {
 		case wire.ActCallOut:
 			acts = append(acts, action{kind: send, id: int(le.Uint32(f)), server: number(f[4:]), d: ms(10)})
--- a/internal/lab/hold.go
+++ b/internal/lab/hold.go
@@ -126,7 +126,7 @@
 func (h *holder) Move(to map[int]string, _ *struct{}) error {
 	for number, one := range h.running() {
 		if address := to[number]; address != "" {
-			one.Move(address)
+			one.SetDiscovery(address)
 		}
 	}
 	return nil
@@ -168,7 +168,7 @@
 	for _, one := range h.running() {
 		work.Go(func() {
 			see, status, v := q.Name != "" && one.Sees(q.Name), one.Rules(), member.View{}
-			whole, failed := one.Lists()
+			whole, failed := one.DiscoveryCounts()
 			if q.Members {
 				v = one.Members()
 			}
--- a/internal/sidecar/byhand.go
+++ b/internal/sidecar/byhand.go
@@ -70,7 +70,7 @@
 
 // take enters calls that are younger than what the state has of their servers.
 func (h *handover) take(servers map[string]handed) {
-	known := h.inForce()
+	known := h.callsInForce()
 	for instance, c := range servers {
 		if was, ok := known[instance]; ok && was.AtMs >= c.AtMs {
 			continue
@@ -149,7 +149,7 @@
 
 // enterCall makes a call durable. Said again, it keeps the moment at which it was said first.
 func (h *handover) enterCall(instance string, c handed) error {
-	known := h.inForce()
+	known := h.callsInForce()
 	old, ok := known[instance]
 	if h.store == nil {
 		if h.handed == nil {
@@ -176,7 +176,7 @@
 // seeBacks notes since when this process has seen each call back.
 func (h *handover) seeBacks(now time.Time) {
 	seen := make(map[string]backSeen)
-	for instance, c := range h.inForce() {
+	for instance, c := range h.callsInForce() {
 		if c.Out {
 			continue
 		}
@@ -204,7 +204,7 @@
 	if h.state == "" {
 		return nil
 	}
-	s := stateFile{Version: stateVersion, Servers: h.inForce()}
+	s := stateFile{Version: stateVersion, Servers: h.callsInForce()}
 	sum := s.sum()
 	s.Sum = &sum
 	raw, err := json.Marshal(s)
@@ -247,7 +247,7 @@
 		h.follow()
 	}
 	h.seeBacks(time.Now())
-	return h.inForce()
+	return h.callsInForce()
 }
 
 // followLate takes over the calls by hand of a folder that did not answer in time, once it does; those that were made at this
--- a/internal/sidecar/calledoff_test.go
+++ b/internal/sidecar/calledoff_test.go
@@ -17,7 +17,7 @@
 // callOff calls a request's first attempt off, and holds the loop until happened or crossing is over.
 func (f *front) callOff(t *testing.T, happened func() bool) {
 	t.Helper()
-	err := f.loop.do(context.Background(), func(time.Duration) {
+	err := f.loop.postAndWait(context.Background(), func(time.Duration) {
 		for id := range f.loop.requests {
 			f.loop.Cancel(id, 0)
 		}
@@ -33,10 +33,10 @@
 // its connection, which was taken for its client's leaving.
 func TestCalledOffUploadIsAnswered(t *testing.T) {
 	s := newStub(t, func(net.Conn, received) bool { select {} })
-	f, side, serve := assembled(t, s.address, nil)
+	f, side, serve := newTestFront(t, s.address, nil)
 	serve()
 	c := side.dial(t)
-	body := string(long(bodyHeld + 4<<10))
+	body := string(patternedBody(maxBufferedBody + 4<<10))
 	if _, err := io.WriteString(c, head("1", fmt.Sprintf("Content-Length: %d", len(body)))+body); err != nil {
 		t.Fatal(err)
 	}
@@ -53,18 +53,18 @@
 	begin := make(chan struct{})
 	s := newStub(t, func(c net.Conn, r received) bool {
 		<-begin
-		_, _ = fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\nthe first bytes", 2*bodyHeld)
+		_, _ = fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\nthe first bytes", 2*maxBufferedBody)
 		_, _ = io.Copy(io.Discard, c) // until it is called off
 		return false
 	})
-	f, side, serve := assembled(t, s.address, nil)
+	f, side, serve := newTestFront(t, s.address, nil)
 	serve()
 	c := side.dial(t)
 	if _, err := io.WriteString(c, head("1", "Content-Length: 0")); err != nil {
 		t.Fatal(err)
 	}
 	wait(t, "the request", s.seen)
-	err := f.loop.do(context.Background(), func(time.Duration) {
+	err := f.loop.postAndWait(context.Background(), func(time.Duration) {
 		close(begin)
 		for end := time.Now().Add(generous); len(f.loop.events) == 0 && time.Now().Before(end); time.Sleep(time.Millisecond) {
 		}
--- a/internal/sidecar/console.go
+++ b/internal/sidecar/console.go
@@ -142,7 +142,7 @@
 	case name == "disable-server" || name == "enable-server":
 		err = c.server(ctx, words[1], name == "disable-server")
 	}
-	if kept := (errNotKept{}); errors.As(err, &kept) {
+	if kept := (errNotDurable{}); errors.As(err, &kept) {
 		fmt.Fprintf(w, "202 %v\n", err)
 		return
 	}
@@ -154,7 +154,7 @@
 }
 
 // stat writes the figures, for operators and what watches the sidecar for them. Requests are counted where
-// they are answered, attempts where they are written; what only the loop knows is at most membersEvery old.
+// they are answered, attempts where they are written; what only the loop knows is at most serverCountsInterval old.
 func (f *front) stat(w io.Writer) {
 	for _, name := range slices.Sorted(maps.Keys(f.cfg.Classes)) {
 		ended := &f.ended[f.cfg.Classes[name]]
@@ -165,9 +165,9 @@
 			fmt.Fprintf(w, "app.downstream_requests.%s.%s=%d\n", name, figure.name, figure.value)
 		}
 	}
-	members := f.loop.members.Load()
+	members := f.loop.serverCounts.Load()
 	// A long body that still comes belongs to no request taken.
 	fmt.Fprintf(w, "app.upstream_requests=%d\napp.pending=%d\napp.members=%d\napp.members_unavailable=%d\napp.state_damaged=%d\napp.state_bytes=%d\n",
-		f.loop.upstream.written.Load(), f.held.Load()-f.uploads.Load(), members.listed, members.unavailable,
-		f.loop.handover.damaged(), f.loop.handover.bytes())
+		f.loop.upstream.attemptsWritten.Load(), f.held.Load()-f.uploads.Load(), members.listed, members.unavailable,
+		f.loop.handover.damageCount(), f.loop.handover.stateSize())
 }
--- a/internal/sidecar/control.go
+++ b/internal/sidecar/control.go
@@ -16,12 +16,12 @@
 
 // requests is what control tells the path of requests, and asks it. Its loop is that; in a hollow process there is none.
 type requests interface {
-	list(listing)
-	listFailed()
-	fleet(context.Context, balance.Fleet) error
-	rules(context.Context, *rules.Set) error
-	calls(context.Context, map[string]handed)
-	learned(context.Context) (balance.Learned, error)
+	applyListing(listing)
+	discoveryFailed()
+	updateFleet(context.Context, balance.Fleet) error
+	applyRules(context.Context, *rules.Set) error
+	applyOperatorCalls(context.Context, map[string]handed)
+	learnedState(context.Context) (balance.Learned, error)
 }
 
 // control are the parts of a sidecar that are not on the path of a request: its state, the list of servers, and what joins
@@ -40,10 +40,10 @@
 // newControl reads what the configuration and the state say, and sets cfg.Known to the list that counts. Nothing runs before begin.
 func newControl(cfg *Config, c clock, path requests) (k *control, err error) {
 	k = &control{cfg: cfg, path: path, meter: new(meter.Meter), state: openHandover(cfg.Shared, cfg.Name, cfg.State)}
-	versions := k.state.versions(cfg, c.now())
-	cfg.Known = versions.list()
-	k.discovery = newDiscovery(cfg, path.list, path.listFailed)
-	k.discovery.versions, k.discovery.now, k.discovery.keep = versions, c.now, k.state.keepList
+	versions := k.state.loadServerList(cfg, c.now())
+	cfg.Known = versions.effectiveListing()
+	k.discovery = newDiscovery(cfg, path.applyListing, path.discoveryFailed)
+	k.discovery.list, k.discovery.now, k.discovery.saveList = versions, c.now, k.state.queueList
 	dial := k.discovery.dial
 	k.discovery.dial = func(ctx context.Context, network, address string) (net.Conn, error) {
 		conn, err := dial(ctx, network, address)
@@ -69,16 +69,16 @@
 	share(n)
 	var beside []byte
 	go k.state.watch(ctx, n, share, func(handed map[string]handed) {
-		k.path.calls(ctx, handed)
-		kept, list, raw, news := k.state.beside(beside, k.cfg.Zones)
+		k.path.applyOperatorCalls(ctx, handed)
+		kept, list, raw, news := k.state.changedList(beside, k.cfg.Zones)
 		if beside = raw; news {
-			k.discovery.beside(kept, list)
+			k.discovery.applyOtherProcessList(kept, list)
 		}
 	})
-	go k.state.followLate(ctx, func(owed map[string]handed) { k.path.calls(ctx, owed) })
+	go k.state.followLate(ctx, func(owed map[string]handed) { k.path.applyOperatorCalls(ctx, owed) })
 	go func() {
 		defer close(kept)
-		k.state.keep(ctx, k.path.learned)
+		k.state.persist(ctx, k.path.learnedState)
 	}()
 	go k.discovery.run(ctx)
 	return k.sets.begin(ctx)
@@ -115,7 +115,7 @@
 	for end, told := time.Now().Add(reloadTime), false; ; told = true {
 		cfg, err := ReadConfig(path)
 		if err == nil {
-			k.discovery.move(cfg.Discovery)
+			k.discovery.setAddress(cfg.Discovery)
 			return
 		}
 		if !told {
--- a/internal/sidecar/discovery.go
+++ b/internal/sidecar/discovery.go
@@ -134,12 +134,12 @@
 	failed func()
 	client http.Client
 
-	taking   sync.Mutex // held while news go on to the loop, so that they do so in order
-	versions *versions  // of the list that the loop holds; changed only with taking held
+	taking   sync.Mutex  // held while news go on to the loop, so that they do so in order
+	list     *serverList // of the list that the loop holds; changed only with taking held
 	now      func() time.Duration
 	draw     func() float64 // from 0 to 1: a watch's part between the shortest and the longest
 	pause    func(context.Context, time.Duration)
-	keep     func(v *versions, durable bool)
+	saveList func(v *serverList, durable bool)
 	dial     func(ctx context.Context, network, address string) (net.Conn, error)
 	silent   int  // calls other than watches that got no answer in time, one after the other
 	begun    bool // the last of them had begun to answer
@@ -164,7 +164,7 @@
 
 func newDiscovery(cfg *Config, heard func(listing), failed func()) *discovery {
 	d := &discovery{address: cfg.Discovery, zones: cfg.Zones, heard: heard, failed: failed, now: newClock().now, pause: pause}
-	d.versions, d.keep = recall(cfg, keptList{}, time.Time{}, d.now()), func(*versions, bool) {}
+	d.list, d.saveList = recall(cfg, keptList{}, time.Time{}, d.now()), func(*serverList, bool) {}
 	d.draw, d.dial = rand.Float64, new(net.Dialer).DialContext
 	d.connectTime, d.firstRetry, d.lastRetry = connectTime, firstRetry, lastRetry
 	if cfg.Policy.AskList {
@@ -195,16 +195,16 @@
 	return conn, err
 }
 
-// ask takes that the module wants to be subscribed to the list.
-func (d *discovery) ask() {
+// subscribe takes that the module wants to be subscribed to the list.
+func (d *discovery) subscribe() {
 	select {
 	case d.asked <- struct{}{}:
 	default: // already asked, or the list is pushed
 	}
 }
 
-// move goes on at another address, at once: what the old one is waited on for does not come there any more.
-func (d *discovery) move(address string) {
+// setAddress goes on at another address, at once: what the old one is waited on for does not come there any more.
+func (d *discovery) setAddress(address string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if address == d.address {
@@ -230,7 +230,7 @@
 	for moved := false; ctx.Err() == nil; moved = true {
 		here, address := d.stay(ctx)
 		d.taking.Lock()
-		d.versions.move(address, d.now()) // whether versions are the same elsewhere is not told
+		d.list.move(address, d.now()) // whether versions are the same elsewhere is not told
 		d.silent = 0
 		d.taking.Unlock()
 		d.runAt(here, address, moved)
@@ -318,18 +318,18 @@
 func (d *discovery) take(l listing) (pause time.Duration) {
 	d.taking.Lock()
 	defer d.taking.Unlock()
-	held := d.versions.top
-	news, older := d.versions.take(l, d.now())
+	held := d.list.top
+	news, older := d.list.take(l, d.now())
 	d.heard(news)
 	if l.whole || len(news.servers) > 0 {
-		d.keep(d.versions, l.whole || !allReady(news))
+		d.saveList(d.list, l.whole || !allReady(news))
 	}
 	if older {
 		slog.Warn("discovery is older than what is held", "version", l.version, "held", held, "whole", l.whole, "out", len(news.servers))
 	}
-	_, doubted := d.versions.doubted(d.now())
+	_, doubted := d.list.doubted(d.now())
 	switch {
-	case d.versions.watched():
+	case d.list.watched():
 		return 0
 	case l.whole && !doubted: // and the next is whole too
 		return staleRetry
@@ -337,12 +337,12 @@
 	return lastRetry
 }
 
-// beside acts on what another process of this sidecar goes by.
-func (d *discovery) beside(k keptList, l listing) {
+// applyOtherProcessList acts on what another process of this sidecar goes by.
+func (d *discovery) applyOtherProcessList(k keptList, l listing) {
 	d.taking.Lock()
 	defer d.taking.Unlock()
-	if news := d.versions.beside(k, l); len(news.servers) > 0 {
-		slog.Info("out by the other process", "version", l.version, "held", d.versions.top, "out", len(news.servers))
+	if news := d.list.beside(k, l); len(news.servers) > 0 {
+		slog.Info("out by the other process", "version", l.version, "held", d.list.top, "out", len(news.servers))
 		d.heard(news)
 	}
 }
@@ -351,7 +351,7 @@
 func (d *discovery) query(wait time.Duration) (query string, limit time.Duration) {
 	d.taking.Lock()
 	defer d.taking.Unlock()
-	since, older := d.versions.doubted(d.now())
+	since, older := d.list.doubted(d.now())
 	first := firstTime
 	if d.silent > 1 {
 		first = againTime
@@ -360,8 +360,8 @@
 		}
 	}
 	switch {
-	case d.versions.watched():
-		since = d.versions.top
+	case d.list.watched():
+		since = d.list.top
 	case older:
 		wait = staleRetry
 	default:
--- a/internal/sidecar/discovery_test.go
+++ b/internal/sidecar/discovery_test.go
@@ -178,7 +178,7 @@
 		if len(calls) > 0 {
 			t.Fatal("called unasked")
 		}
-		d.ask()
+		d.subscribe()
 		wait(t, "the failure", failed)
 		wait(t, "the call", calls)
 	}
@@ -211,7 +211,7 @@
 			ctx, cancel := context.WithCancel(context.Background())
 			ended := make(chan struct{})
 			go func() { d.run(ctx); close(ended) }()
-			d.ask()
+			d.subscribe()
 			for generation := int64(1); generation <= 3; generation++ {
 				if l := wait(t, "a list", heard); l.version != generation || !l.whole {
 					t.Fatalf("version %d, whole %v, want all of %d", l.version, l.whole, generation)
@@ -221,7 +221,7 @@
 				}
 				wait(t, "the watch", began)
 				if generation < 3 {
-					d.move(place(int(generation) + 1))
+					d.setAddress(place(int(generation) + 1))
 				}
 			}
 			cancel()
--- a/internal/sidecar/front.go
+++ b/internal/sidecar/front.go
@@ -96,7 +96,7 @@
 		return
 	}
 	if r.ContentLength != 0 { // until receive knows better: a body that nobody reads holds no connection
-		_ = http.NewResponseController(w).SetReadDeadline(time.Now().Add(bodyStill)) // fails only on a closed one
+		_ = http.NewResponseController(w).SetReadDeadline(time.Now().Add(bodyStallTimeout)) // fails only on a closed one
 	}
 	if len(r.TransferEncoding) > 0 || !r.ProtoAtLeast(1, 1) {
 		// What follows such a body is not checked (see framing), and HTTP/1.0 knows no chunks.
@@ -107,7 +107,7 @@
 		reject(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	m := &message{id: r.Header.Get("X-Request-ID"), method: r.Method, url: r.URL, host: r.Host, header: endToEnd(r.Header), length: r.ContentLength, left: left}
+	m := &outboundRequest{id: r.Header.Get("X-Request-ID"), method: r.Method, url: r.URL, host: r.Host, header: endToEnd(r.Header), length: r.ContentLength, timeLeft: left}
 	if err := f.receive(w, r, m); err != nil {
 		f.rejectBody(w, err)
 		return
@@ -116,12 +116,12 @@
 }
 
 // take takes a request on that has come, or whose held part has, and answers it.
-func (f *front) take(w http.ResponseWriter, r *http.Request, q balance.Request, m *message) {
+func (f *front) take(w http.ResponseWriter, r *http.Request, q balance.Request, m *outboundRequest) {
 	arrived := f.clock.now() // the client's time began with the last byte; that of a longer body's is still to come
-	if m.rest == nil {
+	if m.upload == nil {
 		arrived -= max(0, f.clients.came(r.Context()))
 	}
-	m.left = f.stop.Load().left(arrived, m.left)
+	m.timeLeft = f.stop.Load().left(arrived, m.timeLeft)
 	if !f.clients.took(r.Context()) { // its connection has made room for others, and closes with a refusal
 		f.loop.trace.unanswered(m.id, closedRoomPartial, f.clock.now()-arrived)
 		panic(http.ErrAbortHandler)
@@ -134,30 +134,30 @@
 	}
 	barred := !f.serves() // by rules, which were not those of before
 	if full && !leaving || barred || f.cfg.MostOpen > 0 && held > int64(f.cfg.MostOpen) {
-		f.reply(w, r, q.Class, answer{status: http.StatusServiceUnavailable, pause: f.pause()}, m.rest)
+		f.reply(w, r, q.Class, answer{status: http.StatusServiceUnavailable, retryAfter: f.pause()}, m.upload)
 		return
 	}
-	if m.rest != nil {
+	if m.upload != nil {
 		f.uploads.Add(1)
-		m.rest.whole = sync.OnceFunc(func() { f.uploads.Add(-1) })
-		defer m.rest.whole()
+		m.upload.onSent = sync.OnceFunc(func() { f.uploads.Add(-1) })
+		defer m.upload.onSent()
 	}
-	m.presence = func() presence { return f.clients.presenceOf(r.Context()) }
-	if m.presence() == departed { // while the request waited to be read
+	m.clientPresence = func() presence { return f.clients.presenceOf(r.Context()) }
+	if m.clientPresence() == departed { // while the request waited to be read
 		f.abandon(m, arrived)
 	}
-	f.loop.trace.step("request taken", m.id, slog.Duration("left", m.left), slog.Int64("held", held))
+	f.loop.trace.step("request taken", m.id, slog.Duration("left", m.timeLeft), slog.Int64("held", held))
 	f.await(w, r, q, m, arrived)
 }
 
 // await asks for a request's answer, and passes it on. Where the client leaves before, or breaks its body off, the
 // request ends.
-func (f *front) await(w http.ResponseWriter, r *http.Request, q balance.Request, m *message, arrived time.Duration) {
+func (f *front) await(w http.ResponseWriter, r *http.Request, q balance.Request, m *outboundRequest, arrived time.Duration) {
 	reply, broken := make(chan answer, 1), (chan error)(nil)
-	if m.rest != nil {
-		broken = m.rest.failed
+	if m.upload != nil {
+		broken = m.upload.readErr
 	}
-	id, look := f.loop.ask(q, m, arrived+m.left, reply), time.NewTicker(leftEvery)
+	id, look := f.loop.submit(q, m, arrived+m.timeLeft, reply), time.NewTicker(leftEvery)
 	defer look.Stop()
 	incomplete := false // its client has not sent all of it
 	defer func() { f.loop.guard.Close(f.clock.now(), id, incomplete) }()
@@ -165,12 +165,12 @@
 	for cancelled := ctx.Done(); ; {
 		select {
 		case a := <-reply:
-			f.reply(w, r, q.Class, a, m.rest)
+			f.reply(w, r, q.Class, a, m.upload)
 			return
 		case err := <-broken:
 			incomplete = true
-			f.loop.gone(id)
-			m.rest.stop()
+			f.loop.clientGone(id)
+			m.upload.stop()
 			f.rejectBody(w, err)
 			return
 		case <-look.C:
@@ -181,38 +181,38 @@
 			continue
 		}
 		f.loop.guard.Left(f.clock.now(), id)
-		f.loop.gone(id) // the client has closed its connection
-		if m.rest != nil {
-			m.rest.stop()
+		f.loop.clientGone(id) // the client has closed its connection
+		if m.upload != nil {
+			m.upload.stop()
 		}
 		f.abandon(m, arrived)
 	}
 }
 
 // abandon closes the connection of a client that has left, with no answer: net/http's way to do that is a panic.
-func (f *front) abandon(m *message, arrived time.Duration) {
+func (f *front) abandon(m *outboundRequest, arrived time.Duration) {
 	f.loop.trace.unanswered(m.id, closedClientLeft, f.clock.now()-arrived)
 	panic(http.ErrAbortHandler)
 }
 
 // receive reads a request's body into m: whole, or as far as it is held.
-func (f *front) receive(w http.ResponseWriter, r *http.Request, m *message) error {
-	if r.ContentLength > bodyMost {
-		return errTooLong
+func (f *front) receive(w http.ResponseWriter, r *http.Request, m *outboundRequest) error {
+	if r.ContentLength > maxRequestBody {
+		return errBodyTooLarge
 	}
-	body := &paced{body: r.Body, deadline: http.NewResponseController(w).SetReadDeadline, waited: f.clients.waited(r.Context())}
+	body := &pacedBody{body: r.Body, setReadDeadline: http.NewResponseController(w).SetReadDeadline, clientTime: f.clients.waited(r.Context())}
 	var err error
 	if r.ContentLength >= 0 {
-		m.body = make([]byte, min(r.ContentLength, bodyHeld))
+		m.body = make([]byte, min(r.ContentLength, maxBufferedBody))
 		_, err = io.ReadFull(body, m.body)
 	} else {
-		m.body, err = io.ReadAll(io.LimitReader(body, bodyHeld))
+		m.body, err = io.ReadAll(io.LimitReader(body, maxBufferedBody))
 	}
 	switch {
 	case err != nil:
 		return err
-	case r.ContentLength > bodyHeld || r.ContentLength < 0 && len(m.body) == bodyHeld:
-		m.rest = newUpload(body)
+	case r.ContentLength > maxBufferedBody || r.ContentLength < 0 && len(m.body) == maxBufferedBody:
+		m.upload = newUpload(body)
 	default:
 		m.length = int64(len(m.body))
 	}
@@ -224,7 +224,7 @@
 	status := http.StatusBadRequest
 	var late net.Error
 	switch {
-	case errors.Is(err, errTooLong):
+	case errors.Is(err, errBodyTooLarge):
 		status = http.StatusRequestEntityTooLarge
 	case errors.As(err, &late) && late.Timeout():
 		status = http.StatusRequestTimeout
@@ -243,7 +243,7 @@
 	switch {
 	case a.stream != nil:
 		f.pass(w, r, class, a)
-	case rest != nil && !rest.ended.Load():
+	case rest != nil && !rest.complete.Load():
 		rest.stop()
 		_ = out.EnableFullDuplex()            // or the answer would wait for the rest of the body
 		w.Header().Set("Connection", "close") // net/http may still read on when it takes the next request
@@ -259,7 +259,7 @@
 // end must see that.
 func (f *front) pass(w http.ResponseWriter, r *http.Request, class int, a answer) {
 	a.head(w)
-	if n := a.stream.length(); n >= 0 {
+	if n := a.stream.contentLength(); n >= 0 {
 		w.Header().Set("Content-Length", strconv.FormatInt(n, 10))
 	}
 	f.streams.begun.Add(1)
@@ -268,7 +268,7 @@
 	began, why := f.clock.now(), closedClientLeft
 	if err := a.stream.copyTo(r.Context(), w); err != nil {
 		switch {
-		case errors.Is(err, errBroken):
+		case errors.Is(err, errAnswerCutShort):
 			f.streams.broken.Add(1)
 			why = closedServerBroke
 		case errors.Is(err, os.ErrDeadlineExceeded):
@@ -277,7 +277,7 @@
 		}
 		f.loop.trace.unanswered(r.Header.Get("X-Request-ID"), why, f.clock.now()-began)
 		f.ended[class].count(http.StatusBadGateway)
-		a.stream.leave()
+		a.stream.abort()
 		panic(http.ErrAbortHandler)
 	}
 	f.ended[class].count(http.StatusOK)
@@ -370,7 +370,7 @@
 		w.Header().Set("Content-Length", strconv.Itoa(len(a.body)))
 		_, _ = w.Write(a.body) // it fails if the client has gone: nobody is left to tell
 	case http.StatusServiceUnavailable:
-		refuse(w, a.pause)
+		refuse(w, a.retryAfter)
 	default:
 		w.Header().Set("Content-Length", "0")
 		w.WriteHeader(a.status)
--- a/internal/sidecar/front_test.go
+++ b/internal/sidecar/front_test.go
@@ -44,7 +44,7 @@
 // What rules bar is refused with a time to come back, and no attempt is made.
 func TestBarred(t *testing.T) {
 	s := newStub(t, echo)
-	f, side, serve := assembled(t, s.address, nil)
+	f, side, serve := newTestFront(t, s.address, nil)
 	var serves atomic.Bool
 	f.serves = serves.Load
 	serve()
@@ -104,7 +104,7 @@
 		}
 	}
 	tooLong := side.dial(t)
-	if _, err := io.WriteString(tooLong, head("1", fmt.Sprintf("Content-Length: %d", bodyMost+1))); err != nil {
+	if _, err := io.WriteString(tooLong, head("1", fmt.Sprintf("Content-Length: %d", maxRequestBody+1))); err != nil {
 		t.Fatal(err)
 	}
 	if answers, err := io.ReadAll(tooLong); err != nil || !strings.HasPrefix(string(answers), "HTTP/1.1 413 ") {
@@ -124,7 +124,7 @@
 	if answers, _ := io.ReadAll(many); strings.Count(string(answers), "HTTP/1.1 ") != 1 { // a reset behind it is as good as a close
 		t.Errorf("three without an id: %q, want one answer and a close", answers)
 	}
-	if res, body := do(t, side.request(t, "POST", "/entry", strings.Repeat("x", bodyHeld))); res.StatusCode != 200 || body != "done r1" {
+	if res, body := do(t, side.request(t, "POST", "/entry", strings.Repeat("x", maxBufferedBody))); res.StatusCode != 200 || body != "done r1" {
 		t.Errorf("longest body: %s %q", res.Status, body)
 	}
 	if len(s.seen) != 1 {
@@ -136,7 +136,7 @@
 func TestFloods(t *testing.T) {
 	s := newStub(t, echo)
 	side := start(t, nil, s.address)
-	chunk := "10000\r\n" + string(long(0x10000)) + "\r\n"
+	chunk := "10000\r\n" + string(patternedBody(0x10000)) + "\r\n"
 	for name, c := range map[string]struct {
 		begin, more string
 		times       int
@@ -144,10 +144,10 @@
 		"a line without end":      {"GET /", strings.Repeat("x", 4096), 256},
 		"headers without end":     {"GET /look HTTP/1.1\r\nHost: service.internal\r\n", strings.Repeat("X-A: b\r\n", 512), 256},
 		"blank lines without end": {"", strings.Repeat("\r\n", 2048), 256},
-		"60 MB announced":         {head("1", "Content-Length: 60000000"), string(long(60000)), 1000},
+		"60 MB announced":         {head("1", "Content-Length: 60000000"), string(patternedBody(60000)), 1000},
 		"60 MB in chunks":         {head("1", "Transfer-Encoding: chunked"), chunk, 960},
-		"60 MB for nobody":        {"POST /nothing HTTP/1.1\r\nHost: service.internal\r\nContent-Length: 60000000\r\n\r\n", string(long(60000)), 1000},
-		"a chunk without end":     {head("1", "Transfer-Encoding: chunked") + "fffffffffffffff\r\n", string(long(1 << 16)), 960},
+		"60 MB for nobody":        {"POST /nothing HTTP/1.1\r\nHost: service.internal\r\nContent-Length: 60000000\r\n\r\n", string(patternedBody(60000)), 1000},
+		"a chunk without end":     {head("1", "Transfer-Encoding: chunked") + "fffffffffffffff\r\n", string(patternedBody(1 << 16)), 960},
 		"a chunk of no size":      {head("1", "Transfer-Encoding: chunked") + "g\r\n", "x", 1},
 		"a bad one in pieces":     {"", strings.Replace(head("1", "Content-Length: 0"), "X-Timeout", "X-Time", 1), 0},
 	} {
--- a/internal/sidecar/handover.go
+++ b/internal/sidecar/handover.go
@@ -49,8 +49,8 @@
 	counted  atomic.Int64    // how many processes that makes; 0: nobody has counted yet
 
 	mu        sync.Mutex
-	nextList  *keepNext // the list that is to be kept next; nil: there is no news
-	oldDamage int       // 1: the older programs' file was all there was, and it is damaged
+	nextList  *pendingList // the list that is to be kept next; nil: there is no news
+	oldDamage int          // 1: the older programs' file was all there was, and it is damaged
 }
 
 // newHandover enters this process among a sidecar's, in dir. What is missing or unusable there is told in
@@ -79,7 +79,7 @@
 
 // emptyHandover is that of a process that stands alone and keeps nothing.
 func emptyHandover() *handover {
-	return &handover{saves: make(chan struct{}, savesAtOnce), news: make(chan struct{}, 1)}
+	return &handover{saves: make(chan struct{}, maxPendingSaves), news: make(chan struct{}, 1)}
 }
 
 // enterFolder opens the state in a folder.
@@ -100,7 +100,7 @@
 	h.adopt()
 	h.seeBacks(time.Now())
 	damage := h.store.Damage().Files
-	slog.Info("state", "number", h.store.Number(), "calls", len(h.inForce()), "bytes", h.bytes(), "took", time.Since(began), "damaged", len(damage))
+	slog.Info("state", "number", h.store.Number(), "calls", len(h.callsInForce()), "bytes", h.stateSize(), "took", time.Since(began), "damaged", len(damage))
 	for _, d := range damage {
 		slog.Error("state damaged", "error", d)
 	}
--- a/internal/sidecar/handover_test.go
+++ b/internal/sidecar/handover_test.go
@@ -90,11 +90,11 @@
 		h.known()
 		now := time.Now()
 		h.forget(now.Add(backKept / 2))
-		if _, kept := h.inForce()["a"]; !kept {
+		if _, kept := h.callsInForce()["a"]; !kept {
 			t.Errorf("stepped by %v: the call back is forgotten half a minute behind it", step)
 		}
 		h.forget(now.Add(2 * backKept))
-		if _, kept := h.inForce()["a"]; kept {
+		if _, kept := h.callsInForce()["a"]; kept {
 			t.Errorf("stepped by %v: the call back is kept for two minutes", step)
 		}
 		h.die()
@@ -132,8 +132,8 @@
 		t.Fatal(err)
 	}
 	h := newHandover(dir, "n0")
-	var kept errNotKept
-	if err := h.saved("a", true, time.Now()); !errors.As(err, &kept) {
+	var kept errNotDurable
+	if err := h.saveCall("a", true, time.Now()); !errors.As(err, &kept) {
 		t.Errorf("error %v", err)
 	}
 	if got := h.known(); !got["a"].Out {
@@ -142,7 +142,7 @@
 	if err := os.Remove(filepath.Join(dir, "sidecar-n0.kept")); err != nil {
 		t.Fatal(err)
 	}
-	if err := h.saved("a", true, time.Now()); err != nil { // said again, it is kept
+	if err := h.saveCall("a", true, time.Now()); err != nil { // said again, it is kept
 		t.Error(err)
 	}
 	if got := newHandover(dir, "n0").known(); !got["a"].Out {
@@ -232,13 +232,13 @@
 			t.Errorf("%d processes hold up to %d descriptors of %d", n, all, cfg.Sockets)
 		}
 	}
-	u := testUpstream(t)
+	u := testTransport(t)
 	s := newStub(t, echo)
 	for i := range 4 {
 		u.idle[s.address] = append(u.idle[s.address], &conn{Conn: dialled(t, s.address), idleSince: time.Duration(i)})
 		u.open++
 	}
-	u.share(1)
+	u.setMaxConnections(1)
 	if u.open != 1 || len(u.idle[s.address]) != 1 {
 		t.Errorf("%d open, %d idle, want 1", u.open, len(u.idle[s.address]))
 	}
--- a/internal/sidecar/hollow.go
+++ b/internal/sidecar/hollow.go
@@ -86,12 +86,12 @@
 	h.stop()
 	select {
 	case <-h.kept:
-	case <-time.After(saveWait):
+	case <-time.After(saveTimeout):
 	}
 }
 
-// Move has it go on with discovery at another address, as a reload of the configuration does.
-func (h *Hollow) Move(discovery string) { h.control.discovery.move(discovery) }
+// SetDiscovery has it go on with discovery at another address, as a reload of the configuration does.
+func (h *Hollow) SetDiscovery(discovery string) { h.control.discovery.setAddress(discovery) }
 
 // ReadRules has it read its file of rules again, as a reload does.
 func (h *Hollow) ReadRules() { h.control.sets.read() }
@@ -118,8 +118,8 @@
 	return s
 }
 
-// Lists counts discovery's answers so far: whole lists that it was given, and calls that failed.
-func (h *Hollow) Lists() (whole, failed int) {
+// DiscoveryCounts counts discovery's answers so far: whole lists that it was given, and calls that failed.
+func (h *Hollow) DiscoveryCounts() (whole, failed int) {
 	d := h.control.discovery
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -135,11 +135,11 @@
 	rate  float64
 }
 
-func (absent) list(listing)                               {}
-func (absent) listFailed()                                {}
-func (absent) fleet(context.Context, balance.Fleet) error { return nil }
-func (absent) rules(context.Context, *rules.Set) error    { return nil }
-func (absent) calls(context.Context, map[string]handed)   {}
-func (a absent) learned(context.Context) (balance.Learned, error) {
+func (absent) applyListing(listing)                                  {}
+func (absent) discoveryFailed()                                      {}
+func (absent) updateFleet(context.Context, balance.Fleet) error      { return nil }
+func (absent) applyRules(context.Context, *rules.Set) error          { return nil }
+func (absent) applyOperatorCalls(context.Context, map[string]handed) {}
+func (a absent) learnedState(context.Context) (balance.Learned, error) {
 	return balance.Learned{At: a.clock.now(), Rate: a.rate}, nil
 }
--- a/internal/sidecar/late_test.go
+++ b/internal/sidecar/late_test.go
@@ -20,7 +20,7 @@
 
 // late has connections to an address come up in the very moment in which whoever waits for one gives up, or when free
 // is closed. dialled hears of each as it is asked for.
-func (u *upstream) late(address string) (dialled chan struct{}, free chan struct{}) {
+func (u *transport) late(address string) (dialled chan struct{}, free chan struct{}) {
 	dialled, free = make(chan struct{}, 100), make(chan struct{})
 	dial := u.dial
 	u.dial = func(ctx context.Context, network, to string) (net.Conn, error) {
@@ -53,7 +53,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := newStub(t, echo)
-			u := testUpstream(t)
+			u := testTransport(t)
 			u.dialTimeout = 2 * generous
 			dialled, _ := u.late(s.address)
 			done, now := make(chan result, 1), u.clock.now()
@@ -81,7 +81,7 @@
 func TestWithdrawnTooLate(t *testing.T) {
 	answer := make(chan struct{})
 	s := newStub(t, func(c net.Conn, r received) bool { <-answer; return echo(c, r) })
-	u := testUpstream(t)
+	u := testTransport(t)
 	done := make(chan result, 1)
 	x := u.send(s.address, testMessage("1"), u.clock.now()+generous, 0, u.clock.now()+generous, func(r result) { done <- r })
 	wait(t, "the request", s.seen)
@@ -114,7 +114,7 @@
 				t.Fatal(err)
 			}
 			defer l.Close()
-			u := testUpstream(t)
+			u := testTransport(t)
 			dial := u.dial
 			u.dial = func(ctx context.Context, network, address string) (net.Conn, error) {
 				c, err := dial(ctx, network, address)
@@ -124,11 +124,11 @@
 				return c, err
 			}
 			m, by := testMessage("1"), u.clock.now()+50*time.Millisecond
-			m.body, m.length = long(bodyHeld), bodyHeld
+			m.body, m.length = patternedBody(maxBufferedBody), maxBufferedBody
 			if name == "long" {
-				body := &paced{body: slow{u.clock.at(by + time.Millisecond)}, deadline: func(time.Time) error { return nil }}
-				m.rest, m.length = newUpload(body), bodyHeld+3
-				m.rest.whole = func() { t.Error("the last byte went out") }
+				body := &pacedBody{body: slow{u.clock.at(by + time.Millisecond)}, setReadDeadline: func(time.Time) error { return nil }}
+				m.upload, m.length = newUpload(body), maxBufferedBody+3
+				m.upload.onSent = func() { t.Error("the last byte went out") }
 			}
 			accepted := make(chan net.Conn, 1)
 			go func() {
@@ -147,7 +147,7 @@
 				t.Errorf("ending %v, want %v", got.ending, balance.NoConnection)
 			}
 			if name == "held" {
-				if n, _ := io.Copy(io.Discard, server); n >= bodyHeld {
+				if n, _ := io.Copy(io.Discard, server); n >= maxBufferedBody {
 					t.Errorf("%d bytes went out, all of it", n)
 				}
 			}
@@ -163,7 +163,7 @@
 	l.upstream.dialTimeout = 2 * generous
 	dialled, _ := l.upstream.late(late.address)
 	reply := make(chan answer, 1)
-	l.ask(balance.Request{Class: 1}, testMessage("1"), l.now+generous, reply)
+	l.submit(balance.Request{Class: 1}, testMessage("1"), l.now+generous, reply)
 	l.next(t)
 	wait(t, "its call for a connection", dialled)
 	l.take(listing{servers: []balance.Server{{ID: serverID("s-0"), State: balance.Draining, Weight: 1},
@@ -177,12 +177,12 @@
 	}
 }
 
-// assembled is the application's side before one server, with a listener that nobody serves yet.
-func assembled(t *testing.T, address string, edit func(file, settings map[string]any)) (*front, *running, func()) {
+// newTestFront is the application's side before one server, with a listener that nobody serves yet.
+func newTestFront(t *testing.T, address string, edit func(file, settings map[string]any)) (*front, *running, func()) {
 	t.Helper()
 	cfg := testConfig(t, listed(1, "ready", address), edit)
 	c := newClock()
-	l, err := newLoop(cfg, c, newUpstream(cfg, c))
+	l, err := newLoop(cfg, c, newTransport(cfg, c))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -192,7 +192,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	k := newClients(cfg, listener, l.upstream.connections)
+	k := newClients(cfg, listener, l.upstream.connectionCount)
 	k.share(8, 16)
 	f := newFront(cfg, c, l, k)
 	l.guard.Start()
@@ -208,7 +208,7 @@
 // A client that leaves while its request waits for a connection is sent nowhere, be cancelling allowed or not, and
 // whatever it has sent that is still to be read: a close behind that shows to no reader.
 func TestClientLeavesWhileItWaits(t *testing.T) {
-	body := string(long(bodyHeld + 4<<10))
+	body := string(patternedBody(maxBufferedBody + 4<<10))
 	short := head("1", "Content-Length: 0")
 	for name, sends := range map[string][2]string{ // at once, and when its attempt waits
 		"nothing more":    {short, ""},
@@ -220,7 +220,7 @@
 		for _, mayCancel := range []bool{true, false} {
 			t.Run(fmt.Sprintf("%s, cancel %v", name, mayCancel), func(t *testing.T) {
 				s := newStub(t, echo)
-				f, side, serve := assembled(t, s.address, func(_, settings map[string]any) {
+				f, side, serve := newTestFront(t, s.address, func(_, settings map[string]any) {
 					settings["caps"].(map[string]any)["may_cancel"] = mayCancel
 					entry := settings["classes"].([]any)[1].(map[string]any) // no time-out may end it before the test does
 					entry["aim_ms"], entry["hard_limit_ms"] = 10*generous.Milliseconds(), 10*generous.Milliseconds()
@@ -252,7 +252,7 @@
 func (f *front) until(t *testing.T, what string, holds func() bool) {
 	t.Helper()
 	for end, there := time.Now().Add(generous), false; !there; time.Sleep(time.Millisecond) {
-		if err := f.loop.do(context.Background(), func(time.Duration) { there = holds() }); err != nil {
+		if err := f.loop.postAndWait(context.Background(), func(time.Duration) { there = holds() }); err != nil {
 			t.Fatal(err)
 		}
 		if time.Now().After(end) {
@@ -264,7 +264,7 @@
 // A client that had left before its request was read is sent nowhere.
 func TestClientLeftBeforeItWasRead(t *testing.T) {
 	s := newStub(t, echo)
-	f, side, serve := assembled(t, s.address, nil)
+	f, side, serve := newTestFront(t, s.address, nil)
 	c := side.dial(t)
 	if _, err := io.WriteString(c, head("1", "Content-Length: 0")); err != nil {
 		t.Fatal(err)
@@ -310,7 +310,7 @@
 					return err == nil
 				}
 				one, other := newStub(t, answer), newStub(t, answer)
-				f, side, serve := assembled(t, one.address, func(file, settings map[string]any) {
+				f, side, serve := newTestFront(t, one.address, func(file, settings map[string]any) {
 					if at != "connecting" {
 						file["known"] = json.RawMessage(listed(1, "ready", one.address, other.address))
 					}
@@ -380,19 +380,19 @@
 
 // What an attempt tells its server is what is left once its connection has come up, for a long body too, all of which may have come long before.
 func TestToldTime(t *testing.T) {
-	for name, m := range map[string]*message{"held": testMessage("1"), "long": testMessage("1")} {
+	for name, m := range map[string]*outboundRequest{"held": testMessage("1"), "long": testMessage("1")} {
 		t.Run(name, func(t *testing.T) {
-			s, u := newStub(t, echo), testUpstream(t)
+			s, u := newStub(t, echo), testTransport(t)
 			dialled, free := u.late(s.address)
-			if m.left = 4 * time.Second; name == "long" {
-				m.rest = newUpload(&paced{body: strings.NewReader("end"), deadline: func(time.Time) error { return nil }})
-				m.rest.whole, m.length = func() {}, int64(len(m.body))+3
+			if m.timeLeft = 4 * time.Second; name == "long" {
+				m.upload = newUpload(&pacedBody{body: strings.NewReader("end"), setReadDeadline: func(time.Time) error { return nil }})
+				m.upload.onSent, m.length = func() {}, int64(len(m.body))+3
 			}
-			u.send(s.address, m, u.clock.now()+m.left, 0, u.clock.now()+m.left, func(result) {})
+			u.send(s.address, m, u.clock.now()+m.timeLeft, 0, u.clock.now()+m.timeLeft, func(result) {})
 			wait(t, "its call for a connection", dialled)
 			begun := u.clock.now()
 			time.Sleep(30 * time.Millisecond)
-			most := m.left - (u.clock.now() - begun)
+			most := m.timeLeft - (u.clock.now() - begun)
 			close(free)
 			if told, _ := duration(wait(t, "the request", s.seen).Header.Get("X-Timeout")); told > most {
 				t.Errorf("it tells %v, want %v at most", told, most)
@@ -409,7 +409,7 @@
 		late    int  // so many dials, the first ones, end only as they are called off,
 		comesUp bool // with a connection or without
 		fails   error
-		edit    func(u *upstream)
+		edit    func(u *transport)
 		ending  balance.Ending
 		dials   int
 		open    int // connections that are left
@@ -419,15 +419,15 @@
 		"one, up after all": {late: 1, comesUp: true, ending: balance.Served, dials: 2, open: 2},
 		"two":               {late: 2, ending: balance.Served, dials: 3, open: 1},
 		"all":               {late: dialsMost + 1, ending: balance.NoConnection, dials: dialsMost},
-		"one, at the limit": {late: 1, edit: func(u *upstream) { u.most = 1 }, ending: balance.NoConnection, dials: 1},
-		"one, with no room": {late: 1, edit: func(u *upstream) { u.room = func(n int) bool { return n < 1 } },
+		"one, at the limit": {late: 1, edit: func(u *transport) { u.most = 1 }, ending: balance.NoConnection, dials: 1},
+		"one, with no room": {late: 1, edit: func(u *transport) { u.hasRoom = func(n int) bool { return n < 1 } },
 			ending: balance.NoConnection, dials: 1},
 		"one, then refused": {late: 1, fails: refused, ending: balance.NoConnection, dials: 2},
 		"refused":           {fails: refused, ending: balance.NoConnection, dials: 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := newStub(t, echo)
-			u := testUpstream(t)
+			u := testTransport(t)
 			if c.ending != balance.Served {
 				u.dialTimeout = 20 * time.Millisecond
 			}
@@ -480,9 +480,9 @@
 	s := newStub(t, echo)
 	l := idleLoop(t, s.address)
 	r, _ := l.hold(7)
-	r.message.left = generous
-	r.message.rest = newUpload(&paced{body: strings.NewReader("end"), deadline: func(time.Time) error { return nil }})
-	r.message.rest.whole, r.message.length = func() {}, int64(len(r.message.body))+3
+	r.message.timeLeft = generous
+	r.message.upload = newUpload(&pacedBody{body: strings.NewReader("end"), setReadDeadline: func(time.Time) error { return nil }})
+	r.message.upload.onSent, r.message.length = func() {}, int64(len(r.message.body))+3
 	l.now += generous / 2 // as if others had failed
 	l.Send(7, serverID("s-0"), 0, 0)
 	if told, _ := duration(wait(t, "the request", s.seen).Header.Get("X-Timeout")); told > generous/2 {
@@ -493,12 +493,12 @@
 
 // A client that has left as the last byte of its long body is about to go out is sent nowhere: its server never has that.
 func TestClientLeavesAtItsLastByte(t *testing.T) {
-	s, u, asked := newStub(t, echo), testUpstream(t), 0
+	s, u, asked := newStub(t, echo), testTransport(t), 0
 	m := testMessage("1")
-	m.rest = newUpload(&paced{body: strings.NewReader("end"), deadline: func(time.Time) error { return nil }})
-	m.rest.whole = func() { t.Error("the last byte went out") }
+	m.upload = newUpload(&pacedBody{body: strings.NewReader("end"), setReadDeadline: func(time.Time) error { return nil }})
+	m.upload.onSent = func() { t.Error("the last byte went out") }
 	m.length = int64(len(m.body)) + 3
-	m.presence = func() presence {
+	m.clientPresence = func() presence {
 		if asked++; asked > 1 {
 			return departed
 		}
--- a/internal/sidecar/loop.go
+++ b/internal/sidecar/loop.go
@@ -16,30 +16,30 @@
 )
 
 const (
-	countersEvery = 5 * time.Second        // how often the module's counters go to the log
-	membersEvery  = 100 * time.Millisecond // and what it knows of its servers to the console
-	eventQueue    = 256
+	countersEvery        = 5 * time.Second        // how often the module's counters go to the log
+	serverCountsInterval = 100 * time.Millisecond // and what it knows of its servers to the console
+	eventQueue           = 256
 )
 
 // loop owns the Balancer. All of its events pass through one goroutine, in order; the other parts
 // hand them over with post. Everything that must happen once a request or once an attempt, the
 // final answer and the Outcome, is kept here.
 type loop struct {
-	clock    clock
-	b        *policy.Balancer
-	upstream *upstream
-	handover *handover             // keeps the calls by hand
-	watch    func()                // subscribes to the list
-	clients  func() map[string]int // counters of the application's side
-	asked    func() map[string]int // and of discovery's
-	trace    *trace
-	guard    *guard.Guard                                // every start, send, repeat, answer and close passes it
-	bounded  func(now, left time.Duration) time.Duration // what a stop under way leaves of a request's time
-	most     int                                         // attempts for one request at most
-	classes  []balance.Class
-
-	members   atomic.Pointer[members] // the last word on the servers, for the console
-	membersAt time.Duration           // when it was published
+	clock             clock
+	b                 *policy.Balancer
+	upstream          *transport
+	handover          *handover             // keeps the calls by hand
+	subscribe         func()                // subscribes to the list
+	clientCounters    func() map[string]int // counters of the application's side
+	discoveryCounters func() map[string]int // and of discovery's
+	trace             *trace
+	guard             *guard.Guard                                // every start, send, repeat, answer and close passes it
+	limitTimeLeft     func(now, left time.Duration) time.Duration // what a stop under way leaves of a request's time
+	most              int                                         // attempts for one request at most
+	classes           []balance.Class
+
+	serverCounts atomic.Pointer[serverCounts] // the last word on the servers, for the console
+	membersAt    time.Duration                // when it was published
 
 	lastID   atomic.Uint64
 	events   chan func(now time.Duration)
@@ -52,12 +52,12 @@
 	timer    *time.Timer               // set for the first of them
 }
 
-// members counts the servers in the list, and those that the module avoids.
-type members struct{ listed, unavailable int }
+// serverCounts counts the servers in the list, and those that the module avoids.
+type serverCounts struct{ listed, unavailable int }
 
 // request is one in the table. It stays until it has its answer and all its attempts have ended.
 type request struct {
-	message  *message
+	message  *outboundRequest
 	reply    chan<- answer
 	deadline time.Duration
 	attempts []*exchange    // by number; nil: was not sent
@@ -70,52 +70,52 @@
 
 // answer is the final answer of a request.
 type answer struct {
-	status int
-	header http.Header
-	body   []byte
-	stream *stream       // served, and passed on as it comes
-	pause  time.Duration // refused: when to come back
+	status     int
+	header     http.Header
+	body       []byte
+	stream     *stream       // served, and passed on as it comes
+	retryAfter time.Duration // refused: when to come back
 }
 
-func newLoop(cfg *Config, c clock, up *upstream) (*loop, error) {
+func newLoop(cfg *Config, c clock, up *transport) (*loop, error) {
 	l := &loop{
-		clock: c, upstream: up, watch: func() {}, most: cfg.Policy.MaxAttempts, classes: cfg.Policy.Classes,
-		clients:  func() map[string]int { return nil },
-		asked:    func() map[string]int { return nil },
-		handover: new(handover),
-		trace:    newTrace(),
-		guard:    guard.New(logViolation, cfg.DrainGrace),
-		bounded:  func(_, left time.Duration) time.Duration { return left },
-		events:   make(chan func(time.Duration), eventQueue),
-		requests: make(map[balance.RequestID]*request),
-		address:  make(map[balance.ServerID]string),
-		ready:    make(map[balance.ServerID]bool),
-		timer:    time.NewTimer(time.Hour),
+		clock: c, upstream: up, subscribe: func() {}, most: cfg.Policy.MaxAttempts, classes: cfg.Policy.Classes,
+		clientCounters:    func() map[string]int { return nil },
+		discoveryCounters: func() map[string]int { return nil },
+		handover:          new(handover),
+		trace:             newTrace(),
+		guard:             guard.New(logViolation, cfg.DrainGrace),
+		limitTimeLeft:     func(_, left time.Duration) time.Duration { return left },
+		events:            make(chan func(time.Duration), eventQueue),
+		requests:          make(map[balance.RequestID]*request),
+		address:           make(map[balance.ServerID]string),
+		ready:             make(map[balance.ServerID]bool),
+		timer:             time.NewTimer(time.Hour),
 	}
 	var err error
 	if l.b, err = policy.New(cfg.Policy, cfg.Seed, l); err != nil {
 		return nil, err
 	}
-	l.members.Store(new(members))
+	l.serverCounts.Store(new(serverCounts))
 	return l, nil
 }
 
 // publish tells the console of the servers, now and then: the module is woken more often than that.
 func (l *loop) publish() {
-	if l.now-l.membersAt < membersEvery {
+	if l.now-l.membersAt < serverCountsInterval {
 		return
 	}
 	l.membersAt = l.now
-	var m members
+	var m serverCounts
 	m.listed, m.unavailable = l.b.Members(l.now)
-	l.members.Store(&m)
+	l.serverCounts.Store(&m)
 }
 
-// server takes a server out by hand, or brings it back, and returns once the module has done so and it is
-// durable; where it can't be made so it is an errNotKept. One that is neither listed nor out is an error.
-func (l *loop) server(ctx context.Context, instance string, out bool) error {
+// setServerDisabled takes a server out by hand, or brings it back, and returns once the module has done so and it is
+// durable; where it can't be made so it is an errNotDurable. One that is neither listed nor out is an error.
+func (l *loop) setServerDisabled(ctx context.Context, instance string, out bool) error {
 	id, known := serverID(instance), make(chan bool, 1)
-	if err := l.do(ctx, func(time.Duration) {
+	if err := l.postAndWait(ctx, func(time.Duration) {
 		_, listed := l.address[id]
 		known <- listed || l.b.Out(id)
 	}); err != nil {
@@ -125,10 +125,10 @@
 		return fmt.Errorf("no server has the id %q", instance)
 	}
 	at := l.clock.now()
-	if err := l.do(ctx, func(now time.Duration) { l.byHand(now, instance, out, at) }); err != nil {
+	if err := l.postAndWait(ctx, func(now time.Duration) { l.byHand(now, instance, out, at) }); err != nil {
 		return err
 	}
-	err := l.handover.saved(instance, out, time.Unix(0, int64(at)))
+	err := l.handover.saveCall(instance, out, time.Unix(0, int64(at)))
 	if err != nil {
 		slog.Error("by hand not kept", "server", instance, "out", out, "error", err)
 	}
@@ -146,28 +146,28 @@
 	}
 }
 
-// learned asks the module what it has learned.
-func (l *loop) learned(ctx context.Context) (told balance.Learned, err error) {
-	err = l.do(ctx, func(now time.Duration) { told = l.b.Learned(now) })
+// learnedState asks the module what it has learned.
+func (l *loop) learnedState(ctx context.Context) (told balance.Learned, err error) {
+	err = l.postAndWait(ctx, func(now time.Duration) { told = l.b.Learned(now) })
 	return told, err
 }
 
-// fleet tells the module who is there.
-func (l *loop) fleet(ctx context.Context, f balance.Fleet) error {
-	return l.do(ctx, func(now time.Duration) { l.b.Fleet(now, f) })
+// updateFleet tells the module who is there.
+func (l *loop) updateFleet(ctx context.Context, f balance.Fleet) error {
+	return l.postAndWait(ctx, func(now time.Duration) { l.b.Fleet(now, f) })
 }
 
-// rules puts a rule set in force.
-func (l *loop) rules(ctx context.Context, set *rules.Set) error {
-	return l.do(ctx, func(now time.Duration) { l.b.Rules(now, set.Rules) })
+// applyRules puts a rule set in force.
+func (l *loop) applyRules(ctx context.Context, set *rules.Set) error {
+	return l.postAndWait(ctx, func(now time.Duration) { l.b.Rules(now, set.Rules) })
 }
 
-// share takes how many processes this sidecar has.
-func (l *loop) share(n int) { l.post(func(time.Duration) { l.b.Share(n) }) }
+// setProcessCount takes how many processes this sidecar has.
+func (l *loop) setProcessCount(n int) { l.post(func(time.Duration) { l.b.Share(n) }) }
 
-// calls takes over what was called for at the other process.
-func (l *loop) calls(ctx context.Context, handed map[string]handed) {
-	_ = l.do(ctx, func(now time.Duration) { // fails only as all ends
+// applyOperatorCalls takes over what was called for at the other process.
+func (l *loop) applyOperatorCalls(ctx context.Context, handed map[string]handed) {
+	_ = l.postAndWait(ctx, func(now time.Duration) { // fails only as all ends
 		for instance, s := range handed {
 			l.byHand(now, instance, s.Out, time.Duration(s.AtMs)*time.Millisecond)
 		}
@@ -190,8 +190,8 @@
 	l.membersAt = 0 // to be published at once
 }
 
-// do has the loop's goroutine carry out an event, and returns once it has.
-func (l *loop) do(ctx context.Context, event func(now time.Duration)) error {
+// postAndWait has the loop's goroutine carry out an event, and returns once it has.
+func (l *loop) postAndWait(ctx context.Context, event func(now time.Duration)) error {
 	done := make(chan struct{})
 	select {
 	case l.events <- func(now time.Duration) { event(now); close(done) }:
@@ -220,7 +220,7 @@
 	}
 	known.whole = true
 	l.take(known, balance.ListCached)
-	if before, ok := l.handover.learned(); ok {
+	if before, ok := l.handover.loadLearned(); ok {
 		l.b.Recall(l.now, before)
 	}
 	counters := time.NewTicker(countersEvery)
@@ -237,7 +237,7 @@
 			l.wake()
 		case <-counters.C:
 			slog.Info("counters", "module", fmt.Sprintf("%+v", l.b.Counters()),
-				"upstream", l.upstream.counters(), "clients", l.clients(), "discovery", l.asked(), "requests", l.trace.counters(), "guard", guardCounters(l.guard))
+				"upstream", l.upstream.counters(), "clients", l.clientCounters(), "discovery", l.discoveryCounters(), "requests", l.trace.counters(), "guard", guardCounters(l.guard))
 		case <-ctx.Done():
 			return
 		}
@@ -272,8 +272,8 @@
 	}
 }
 
-// list takes news from discovery.
-func (l *loop) list(news listing) {
+// applyListing takes news from discovery.
+func (l *loop) applyListing(news listing) {
 	kind := balance.ListDelta
 	if news.whole {
 		kind = balance.ListFull
@@ -281,7 +281,7 @@
 	l.post(func(time.Duration) { l.take(news, kind) })
 }
 
-func (l *loop) listFailed() {
+func (l *loop) discoveryFailed() {
 	l.post(func(now time.Duration) { l.b.List(now, balance.ListFailed, nil) })
 }
 
@@ -330,28 +330,28 @@
 	return balance.Draining
 }
 
-// ask takes a request on. Its final answer goes to reply, which must have room for it.
+// submit takes a request on. Its final answer goes to reply, which must have room for it.
 // The number that it returns names the request for gone.
-func (l *loop) ask(q balance.Request, m *message, deadline time.Duration, reply chan<- answer) balance.RequestID {
+func (l *loop) submit(q balance.Request, m *outboundRequest, deadline time.Duration, reply chan<- answer) balance.RequestID {
 	q.ID = balance.RequestID(l.lastID.Add(1))
 	class := l.classes[q.Class]
-	l.guard.Take(q.ID, guard.Request{Name: m.id, Deadline: deadline, Effect: class.Effect, Window: class.Window, Coming: m.rest != nil})
+	l.guard.Take(q.ID, guard.Request{Name: m.id, Deadline: deadline, Effect: class.Effect, Window: class.Window, Coming: m.upload != nil})
 	m.permit = func(now time.Duration, address string) error { return l.guard.Write(now, q.ID, address) }
 	m.written = func(began, now time.Duration, address string) { l.guard.Written(began, now, q.ID, address) }
-	if m.rest != nil {
+	if m.upload != nil {
 		q.Coming = true
-		whole := m.rest.whole
-		m.rest.whole = func() {
+		whole := m.upload.onSent
+		m.upload.onSent = func() {
 			whole()
 			l.post(func(now time.Duration) { l.uploaded(now, q.ID) })
 		}
 	}
-	if look := m.presence; look != nil {
-		m.presence = func() presence {
+	if look := m.clientPresence; look != nil {
+		m.clientPresence = func() presence {
 			found := look()
 			if found == departed {
 				l.guard.Left(l.clock.now(), q.ID)
-				l.gone(q.ID) // ahead of the end of the attempt that finds it out, or the module would make another
+				l.clientGone(q.ID) // ahead of the end of the attempt that finds it out, or the module would make another
 			}
 			return found
 		}
@@ -364,14 +364,14 @@
 	return q.ID
 }
 
-// gone takes that a request's client has closed its connection.
-func (l *loop) gone(id balance.RequestID) {
+// clientGone takes that a request's client has closed its connection.
+func (l *loop) clientGone(id balance.RequestID) {
 	l.post(func(now time.Duration) {
 		r := l.requests[id]
 		switch {
 		case r == nil:
 		case r.stream != nil:
-			r.stream.leave()
+			r.stream.abort()
 		case !r.over:
 			l.finish(id, r, nil)
 			l.b.ClientGone(now, id)
@@ -382,7 +382,7 @@
 // uploaded takes that the last byte of a request's body has gone out: the client's time begins.
 func (l *loop) uploaded(now time.Duration, id balance.RequestID) {
 	if r := l.requests[id]; r != nil && !r.over {
-		left := l.bounded(now, r.message.left)
+		left := l.limitTimeLeft(now, r.message.timeLeft)
 		r.deadline = now + left
 		l.guard.BodyEnded(id, r.deadline)
 		l.b.BodyEnded(now, id, left)
@@ -419,7 +419,7 @@
 func (l *loop) began(id balance.RequestID, number int, res result) {
 	r := l.requests[id]
 	if r.over || r.attempts[number].givenUp() { // called off while this was on its way: its connection is closed
-		res.stream.leave()
+		res.stream.abort()
 		return
 	}
 	r.attempts[number], r.stream = nil, res.stream
@@ -462,8 +462,8 @@
 	if unsent > 0 {
 		unsent += l.now
 	}
-	if r.message.rest != nil { // its last byte may have come long ago, and lie unread
-		r.message.left = min(r.message.left, left)
+	if r.message.upload != nil { // its last byte may have come long ago, and lie unread
+		r.message.timeLeft = min(r.message.timeLeft, left)
 	}
 	sent := l.now
 	l.trace.attempt(r.message.id, number, r.ending, address, timeout)
@@ -482,7 +482,7 @@
 func (l *loop) Refuse(id balance.RequestID, pause time.Duration, why balance.Reason) {
 	if r := l.requests[id]; r != nil && !r.over {
 		l.trace.refused(r.message.id, why, len(r.attempts))
-		l.finish(id, r, &answer{status: http.StatusServiceUnavailable, pause: pause})
+		l.finish(id, r, &answer{status: http.StatusServiceUnavailable, retryAfter: pause})
 	}
 }
 
@@ -543,7 +543,7 @@
 func (l *loop) Close(to balance.ServerID) { l.upstream.close(l.address[to]) }
 
 // WatchList subscribes to the server list.
-func (l *loop) WatchList() { l.watch() }
+func (l *loop) WatchList() { l.subscribe() }
 
 // Log writes a line for the people on call.
 func (l *loop) Log(line string) { slog.Info("module", "says", line) }
--- a/internal/sidecar/loop_test.go
+++ b/internal/sidecar/loop_test.go
@@ -15,7 +15,7 @@
 	t.Helper()
 	cfg := testConfig(t, listed(1, "ready", address), nil)
 	c := newClock()
-	l, err := newLoop(cfg, c, newUpstream(cfg, c))
+	l, err := newLoop(cfg, c, newTransport(cfg, c))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -142,10 +142,10 @@
 	s := newStub(t, silent)
 	l := idleLoop(t, s.address)
 	reply := make(chan answer, 1)
-	id := l.ask(balance.Request{Class: 0}, testMessage("1"), l.now+generous, reply)
+	id := l.submit(balance.Request{Class: 0}, testMessage("1"), l.now+generous, reply)
 	l.next(t)
 	wait(t, "the request", s.seen)
-	l.gone(id)
+	l.clientGone(id)
 	l.next(t)
 	l.next(t) // the end of its attempt
 	wait(t, "the connection to close", s.closed)
--- a/internal/sidecar/peers.go
+++ b/internal/sidecar/peers.go
@@ -68,7 +68,7 @@
 	}
 	if state.store != nil {
 		c.Start = state.store.Number()
-		c.Known, _, _ = read[[]string](state.store, sectionPeers)
+		c.Known, _, _ = readSection[[]string](state.store, sectionPeers)
 	}
 	if p.group, err = member.New(c); err != nil && len(c.Known) > 0 {
 		slog.Warn("members not recalled", "reason", err)
@@ -146,14 +146,14 @@
 			p.group.Say(member.Draining)
 		}
 		if p.cfg.Fleet.Spread.Share {
-			l, err := p.path.learned(ctx)
+			l, err := p.path.learnedState(ctx)
 			if err != nil {
 				return // it ends
 			}
 			p.group.Tell(l.Rate)
 		}
 		if f, ok := p.fleet(v, told); ok {
-			if p.path.fleet(ctx, f) != nil {
+			if p.path.updateFleet(ctx, f) != nil {
 				return
 			}
 			told = f
@@ -163,7 +163,7 @@
 			continue
 		}
 		raw, err := json.Marshal(known)
-		if err = errors.Join(err, p.state.store.Keep(sectionPeers, only, raw)); err != nil {
+		if err = errors.Join(err, p.state.store.Keep(sectionPeers, singleKey, raw)); err != nil {
 			slog.Debug("members not kept", "reason", err) // whoever keeps the state tells of its trouble
 		}
 		kept, keptAt = known, time.Now()
--- a/internal/sidecar/rules.go
+++ b/internal/sidecar/rules.go
@@ -42,7 +42,7 @@
 		Voters:  &voters{group: work.group, fence: duty.Fence{Keep: keep}},
 		Members: p.forRules,
 		Read:    func(text []byte) (*rules.Set, error) { return rules.Read(text, against) },
-		Force:   path.rules,
+		Force:   path.applyRules,
 	})
 	p.barred = func() bool { return !s.node.Serves() }
 	return s, nil
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -40,7 +40,7 @@
 // parts are what a sidecar consists of.
 type parts struct {
 	cfg       *Config
-	upstreams *upstream
+	upstreams *transport
 	loop      *loop
 	control   *control
 	clients   *clients
@@ -50,7 +50,7 @@
 // newParts makes the parts and wires them. Nothing runs yet.
 func newParts(cfg *Config) (*parts, error) {
 	c := newClock()
-	p := &parts{cfg: cfg, upstreams: newUpstream(cfg, c)}
+	p := &parts{cfg: cfg, upstreams: newTransport(cfg, c)}
 	var err error
 	if p.loop, err = newLoop(cfg, c, p.upstreams); err != nil {
 		return nil, err
@@ -59,12 +59,12 @@
 		return nil, err
 	}
 	l, discovery := p.loop, p.control.discovery
-	l.watch, l.asked, l.handover = discovery.ask, discovery.counters, p.control.state
-	p.clients = newClients(cfg, nil, p.upstreams.connections)
-	p.upstreams.yield, p.upstreams.room = p.clients.yield, p.clients.spare
+	l.subscribe, l.discoveryCounters, l.handover = discovery.subscribe, discovery.counters, p.control.state
+	p.clients = newClients(cfg, nil, p.upstreams.connectionCount)
+	p.upstreams.makeRoom, p.upstreams.hasRoom = p.clients.yield, p.clients.spare
 	p.front = newFront(cfg, c, l, p.clients)
-	l.clients, p.clients.closed = p.front.counters, l.trace.closed
-	l.bounded = func(now, left time.Duration) time.Duration { return p.front.stop.Load().left(now, left) }
+	l.clientCounters, p.clients.closed = p.front.counters, l.trace.closed
+	l.limitTimeLeft = func(now, left time.Duration) time.Duration { return p.front.stop.Load().left(now, left) }
 	p.front.serves = p.control.sets.serves
 	return p, nil
 }
@@ -72,15 +72,15 @@
 // share takes how many processes this sidecar has: its limits are theirs together.
 func (p *parts) share(n int) {
 	limitMemory(p.cfg.MemoryMB, n)
-	p.upstreams.share(p.cfg.upstreamConns(n))
+	p.upstreams.setMaxConnections(p.cfg.upstreamConns(n))
 	p.clients.share(p.cfg.clientConns(n), p.cfg.allConns(n))
-	p.loop.share(n)
+	p.loop.setProcessCount(n)
 }
 
 // console is the operators' door to the parts.
 func (p *parts) console() *console {
 	return &console{
-		ready: p.front.up, rules: p.control.sets.show, server: p.loop.server, confirm: p.control.state.confirm,
+		ready: p.front.up, rules: p.control.sets.show, server: p.loop.setServerDisabled, confirm: p.control.state.confirmDamage,
 		members: p.control.peers.show, duties: p.control.work.show, move: p.control.work.move, stat: p.stat,
 	}
 }
@@ -109,7 +109,7 @@
 	kept := make(chan struct{})
 	defer func() {
 		stop()
-		waitAtMost(kept, saveWait) // what is kept last may wait for a disk; the end does not
+		waitAtMost(kept, saveTimeout) // what is kept last may wait for a disk; the end does not
 	}()
 	go p.loop.run(running, cfg.Known)
 	if err := p.control.begin(running, kept, p.share); err != nil {
--- a/internal/sidecar/state.go
+++ b/internal/sidecar/state.go
@@ -17,14 +17,14 @@
 )
 
 const (
-	keepEvery   = time.Second            // how often what the module has learned is looked at
-	syncEvery   = 10 * time.Second       // and made durable: a loss of power costs so much of it, the end of a process nothing
-	listEvery   = 100 * time.Millisecond // the list is written no more often than this
-	listKept    = time.Hour              // a kept list is no use past this
-	listBytes   = 256 << 10              // of one that is larger only servers that are not ready are kept
-	rateChange  = 0.2                    // traffic that changed by less than this part is not worth a write
-	saveWait    = 800 * time.Millisecond
-	savesAtOnce = 8 // calls that wait for a disk; past that it is stuck
+	keepEvery       = time.Second            // how often what the module has learned is looked at
+	syncEvery       = 10 * time.Second       // and made durable: a loss of power costs so much of it, the end of a process nothing
+	listEvery       = 100 * time.Millisecond // the list is written no more often than this
+	listKept        = time.Hour              // a kept list is no use past this
+	listBytes       = 256 << 10              // of one that is larger only servers that are not ready are kept
+	rateChange      = 0.2                    // traffic that changed by less than this part is not worth a write
+	saveTimeout     = 800 * time.Millisecond
+	maxPendingSaves = 8 // calls that wait for a disk; past that it is stuck
 )
 
 // The sections of the state and, where a section has one value, its key.
@@ -32,13 +32,13 @@
 	sectionCalls   = "calls"   // by instanceId: handed
 	sectionList    = "list"    // keptList
 	sectionLearned = "learned" // keptLearned
-	only           = "all"
+	singleKey      = "all"
 )
 
-// errNotKept says that a call holds, but is not durable.
-type errNotKept struct{ why error }
+// errNotDurable says that a call holds, but is not durable.
+type errNotDurable struct{ why error }
 
-func (e errNotKept) Error() string { return fmt.Sprintf("it holds, but is not kept: %v", e.why) }
+func (e errNotDurable) Error() string { return fmt.Sprintf("it holds, but is not kept: %v", e.why) }
 
 // keptList is the list of servers as it was acted on last. Times are Unix milliseconds.
 type keptList struct {
@@ -66,8 +66,8 @@
 	StartedNs int64  `json:"startedNs,omitempty"` // to be the same as the list's
 }
 
-// keepNext is a list that is to be kept.
-type keepNext struct {
+// pendingList is a list that is to be kept.
+type pendingList struct {
 	raw     []byte
 	kept    keptList
 	durable bool
@@ -128,9 +128,9 @@
 	return true
 }
 
-// read takes a kept value, or says that there is none that can be used.
-func read[T any](s *store.Store, section string) (value T, at time.Time, ok bool) {
-	e, ok := s.Get(section, only)
+// readSection takes a kept value, or says that there is none that can be used.
+func readSection[T any](s *store.Store, section string) (value T, at time.Time, ok bool) {
+	e, ok := s.Get(section, singleKey)
 	if !ok {
 		return value, at, false
 	}
@@ -141,9 +141,9 @@
 	return value, e.At, true
 }
 
-// keepList has the list kept as it is now, soon: whoever follows discovery must not wait for a disk. What takes servers
+// queueList has the list kept as it is now, soon: whoever follows discovery must not wait for a disk. What takes servers
 // away is made durable at once.
-func (h *handover) keepList(v *versions, durable bool) {
+func (h *handover) queueList(v *serverList, durable bool) {
 	if h.store == nil || v.top == unknown {
 		return
 	}
@@ -185,7 +185,7 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	durable = durable || h.nextList != nil && h.nextList.durable
-	h.nextList = &keepNext{raw, k, durable}
+	h.nextList = &pendingList{raw, k, durable}
 	select {
 	case h.news <- struct{}{}:
 	default:
@@ -214,7 +214,7 @@
 	if _, err := h.store.Follow(); err != nil {
 		return err
 	}
-	if old, _, ok := read[keptList](h.store, sectionList); ok {
+	if old, _, ok := readSection[keptList](h.store, sectionList); ok {
 		newer := old.Line > next.kept.Line
 		if old.Line == next.kept.Line && old.Source == next.kept.Source {
 			if old.Version == 0 {
@@ -227,7 +227,7 @@
 			return nil
 		}
 	}
-	err := h.store.Keep(sectionList, only, next.raw)
+	err := h.store.Keep(sectionList, singleKey, next.raw)
 	if err == nil && next.durable {
 		err = h.store.Sync()
 	}
@@ -241,12 +241,12 @@
 	return err
 }
 
-// beside returns the list that this sidecar's processes have kept last, where it is another than the one before.
-func (h *handover) beside(before []byte, zones map[string]int) (k keptList, l listing, raw []byte, news bool) {
+// changedList returns the list that this sidecar's processes have kept last, where it is another than the one before.
+func (h *handover) changedList(before []byte, zones map[string]int) (k keptList, l listing, raw []byte, news bool) {
 	if h.store == nil {
 		return k, l, nil, false
 	}
-	e, ok := h.store.Get(sectionList, only)
+	e, ok := h.store.Get(sectionList, singleKey)
 	if !ok || bytes.Equal(e.Value, before) || json.Unmarshal(e.Value, &k) != nil {
 		return k, l, e.Value, false
 	}
@@ -254,19 +254,19 @@
 	return k, l, e.Value, err == nil
 }
 
-// versions returns what a process before this one knew of the list, or else what the configuration does.
-func (h *handover) versions(cfg *Config, now time.Duration) *versions {
+// loadServerList returns what a process before this one knew of the list, or else what the configuration does.
+func (h *handover) loadServerList(cfg *Config, now time.Duration) *serverList {
 	var kept keptList
 	var at time.Time
 	if h.store != nil {
-		kept, at, _ = read[keptList](h.store, sectionList)
+		kept, at, _ = readSection[keptList](h.store, sectionList)
 	}
 	return recall(cfg, kept, at, now)
 }
 
 // recall begins with the newer of the list that was kept at some moment and the configuration's. Where that is the
 // configuration's as the kept one is too old to be served from, what that says against servers still holds.
-func recall(cfg *Config, kept keptList, at time.Time, now time.Duration) *versions {
+func recall(cfg *Config, kept keptList, at time.Time, now time.Duration) *serverList {
 	v, known := newVersions(cfg.Discovery), cfg.Known
 	known.whole = true
 	l, err := listing{}, error(nil)
@@ -316,17 +316,17 @@
 	return v
 }
 
-// learned returns what a process before this one had learned; the module judges what of it still holds.
-func (h *handover) learned() (balance.Learned, bool) {
+// loadLearned returns what a process before this one had learned; the module judges what of it still holds.
+func (h *handover) loadLearned() (balance.Learned, bool) {
 	if h.store == nil {
 		return balance.Learned{}, false
 	}
-	kept, _, ok := read[keptLearned](h.store, sectionLearned)
+	kept, _, ok := readSection[keptLearned](h.store, sectionLearned)
 	return kept.toModule(), ok
 }
 
-// keep keeps what the module learns until ctx ends, and then makes it durable. It never holds the loop up.
-func (h *handover) keep(ctx context.Context, ask func(context.Context) (balance.Learned, error)) {
+// persist keeps what the module learns until ctx ends, and then makes it durable. It never holds the loop up.
+func (h *handover) persist(ctx context.Context, ask func(context.Context) (balance.Learned, error)) {
 	if h.store == nil {
 		return
 	}
@@ -367,7 +367,7 @@
 		if now := learned(l); !now.same(last) {
 			raw, failed := json.Marshal(now)
 			if failed == nil {
-				failed = h.store.Keep(sectionLearned, only, raw)
+				failed = h.store.Keep(sectionLearned, singleKey, raw)
 			}
 			if failed == nil {
 				last = now
@@ -382,8 +382,8 @@
 	}
 }
 
-// damaged says in how many places the state was found damaged and no operator has confirmed it since.
-func (h *handover) damaged() int {
+// damageCount says in how many places the state was found damaged and no operator has confirmed it since.
+func (h *handover) damageCount() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	n := h.oldDamage
@@ -393,13 +393,13 @@
 	return n
 }
 
-// confirm takes an operator's word that the servers that are out now are the right ones.
-func (h *handover) confirm() error {
+// confirmDamage takes an operator's word that the servers that are out now are the right ones.
+func (h *handover) confirmDamage() error {
 	if h.store == nil {
 		return errors.New("there is no state")
 	}
 	if err := h.store.Confirm(); err != nil { // it may wait for a disk: not under the lock of the figures
-		return errNotKept{err}
+		return errNotDurable{err}
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -407,20 +407,20 @@
 	return nil
 }
 
-// bytes is the size of the state's file.
-func (h *handover) bytes() int {
+// stateSize is the size of the state's file.
+func (h *handover) stateSize() int {
 	if h.store == nil {
 		return 0
 	}
 	return h.store.Size()
 }
 
-// saved saves a call by hand, and waits for that only as long as a caller at the console may be kept waiting.
-func (h *handover) saved(instance string, out bool, at time.Time) error {
+// saveCall saves a call by hand, and waits for that only as long as a caller at the console may be kept waiting.
+func (h *handover) saveCall(instance string, out bool, at time.Time) error {
 	select {
 	case h.saves <- struct{}{}:
 	default:
-		return errNotKept{errors.New("the disk is stuck")}
+		return errNotDurable{errors.New("the disk is stuck")}
 	}
 	done := make(chan error, 1)
 	go func() {
@@ -430,16 +430,16 @@
 	select {
 	case err := <-done:
 		if err != nil {
-			return errNotKept{err}
+			return errNotDurable{err}
 		}
 		return nil
-	case <-time.After(saveWait):
-		return errNotKept{fmt.Errorf("the disk has not answered for %v", saveWait)}
+	case <-time.After(saveTimeout):
+		return errNotDurable{fmt.Errorf("the disk has not answered for %v", saveTimeout)}
 	}
 }
 
 // calls returns the calls in force.
-func (h *handover) inForce() map[string]handed {
+func (h *handover) callsInForce() map[string]handed {
 	if h.store == nil {
 		return maps.Clone(h.handed)
 	}
--- a/internal/sidecar/state_test.go
+++ b/internal/sidecar/state_test.go
@@ -22,7 +22,7 @@
 	dir := t.TempDir()
 	cfg := testConfig(t, listed(1, "ready", "127.0.0.1:1"), nil)
 	h, now := newHandover(dir, "n0"), newClock().now()
-	if v := h.versions(cfg, now); v.top != 1 || !v.watched() {
+	if v := h.loadServerList(cfg, now); v.top != 1 || !v.watched() {
 		t.Errorf("without a kept list: version %d", v.top)
 	}
 	l, err := parseListing([]byte(listed(7, "ready", "127.0.0.1:2", "127.0.0.1:3")), cfg.Zones)
@@ -32,7 +32,7 @@
 	v := newVersions(cfg.Discovery)
 	v.take(l, now)
 	v.take(listing{version: 8, servers: []balance.Server{{ID: serverID("s-0"), State: balance.Gone}}}, now)
-	h.keepList(v, true)
+	h.queueList(v, true)
 	told := balance.Learned{At: time.Duration(time.Now().UnixMilli()) * time.Millisecond, Rate: 120, Servers: []balance.LearnedServer{
 		{ID: serverID("s-1"), Fails: 3, Silent: 5 * time.Second, WarmAt: 9 * time.Second, Strain: 7.5},
 	}}
@@ -40,7 +40,7 @@
 	asked := make(chan bool, 100)
 	done := make(chan bool)
 	go func() {
-		h.keep(ctx, func(context.Context) (balance.Learned, error) { asked <- true; return told, nil })
+		h.persist(ctx, func(context.Context) (balance.Learned, error) { asked <- true; return told, nil })
 		close(done)
 	}()
 	wait(t, "the module is asked", asked)
@@ -50,7 +50,7 @@
 	h.die()
 
 	next := newHandover(dir, "n0")
-	if learned, ok := next.learned(); !ok || !reflect.DeepEqual(learned, told) {
+	if learned, ok := next.loadLearned(); !ok || !reflect.DeepEqual(learned, told) {
 		t.Errorf("learned %+v, %v, want %+v", learned, ok, told)
 	}
 	for name, c := range map[string]struct {
@@ -68,8 +68,8 @@
 	} {
 		cfg.Known.version, cfg.Discovery = c.known, c.source
 		at := newClock().now() + c.later
-		v := next.versions(cfg, at)
-		if got := wording(v.list()); got != c.want || v.top != c.top {
+		v := next.loadServerList(cfg, at)
+		if got := wording(v.effectiveListing()); got != c.want || v.top != c.top {
 			t.Errorf("%s: version %d, %s, want %d, %s", name, v.top, got, c.top, c.want)
 		}
 	}
@@ -89,7 +89,7 @@
 	now := time.Now().UnixMilli()
 	write(fmt.Sprintf(`{"version":1,"servers":{"a":{"out":true,"atMs":%d}}}`, now))
 	h := newHandover(dir, "n0")
-	if got := h.known(); !got["a"].Out || h.damaged() != 0 {
+	if got := h.known(); !got["a"].Out || h.damageCount() != 0 {
 		t.Errorf("known %v", got)
 	}
 	write(fmt.Sprintf(`{"version":1,"servers":{"a":{"out":false,"atMs":%d},"b":{"out":true,"atMs":%d}}}`, now+1000, now+1000))
@@ -130,11 +130,11 @@
 	path = filepath.Join(bare, "sidecar-n0.state")
 	write(strings.Replace(string(raw), `"b"`, `"x"`, 1))
 	h = newHandover(bare, "n0")
-	if h.damaged() != 1 || len(h.known()) != 0 {
-		t.Errorf("damaged %d, known %v", h.damaged(), h.known())
+	if h.damageCount() != 1 || len(h.known()) != 0 {
+		t.Errorf("damaged %d, known %v", h.damageCount(), h.known())
 	}
-	if err := h.confirm(); err != nil || h.damaged() != 0 {
-		t.Errorf("confirmed: %v, damaged %d", err, h.damaged())
+	if err := h.confirmDamage(); err != nil || h.damageCount() != 0 {
+		t.Errorf("confirmed: %v, damaged %d", err, h.damageCount())
 	}
 }
 
@@ -148,7 +148,7 @@
 	if got := side.call(t, "confirm-state\n"); !strings.HasPrefix(got, "200 ") {
 		t.Errorf("confirmed: %q", got)
 	}
-	c := &console{server: func(context.Context, string, bool) error { return errNotKept{os.ErrDeadlineExceeded} }}
+	c := &console{server: func(context.Context, string, bool) error { return errNotDurable{os.ErrDeadlineExceeded} }}
 	var out strings.Builder
 	c.call(context.Background(), &out, []string{"disable-server", "x"})
 	if !strings.HasPrefix(out.String(), "202 ") || strings.Count(out.String(), "\n") != 1 {
--- a/internal/sidecar/stream.go
+++ b/internal/sidecar/stream.go
@@ -15,68 +15,68 @@
 )
 
 const (
-	bodyMost  = 32 << 20                // bytes of a request's body at most
-	bodyTime  = 2700 * time.Millisecond // a client may take this long over a request, and
-	bodyPace  = 48 << 10                // a second more for each so many bytes of its body,
-	bodyStill = 2 * time.Second         // but may not stand still for so long; a peer that connects is owed an end in 3 s
-	unread    = 15 * time.Second        // a client may leave its answer unread: the room for 64 kB/s is told in steps of 6 s
-	pieceSize = 16 << 10                // bytes of a piece of a long answer,
-	pieces    = 4                       // of which so many wait for the client
-	holdTime  = 10 * time.Millisecond   // an answer whose length is not told begins so long after its head
+	maxRequestBody   = 32 << 20                // bytes of a request's body at most
+	bodyTime         = 2700 * time.Millisecond // a client may take this long over a request, and
+	bodyPace         = 48 << 10                // a second more for each so many bytes of its body,
+	bodyStallTimeout = 2 * time.Second         // but may not stand still for so long; a peer that connects is owed an end in 3 s
+	unread           = 15 * time.Second        // a client may leave its answer unread: the room for 64 kB/s is told in steps of 6 s
+	pieceSize        = 16 << 10                // bytes of a piece of a long answer,
+	pieces           = 4                       // of which so many wait for the client
+	holdTime         = 10 * time.Millisecond   // an answer whose length is not told begins so long after its head
 )
 
 var (
-	errStopped = errors.New("its request is over")
-	errTooLong = errors.New("the body is too long")
-	errBroken  = errors.New("the server's answer broke off")
+	errStopped        = errors.New("its request is over")
+	errBodyTooLarge   = errors.New("the body is too long")
+	errAnswerCutShort = errors.New("the server's answer broke off")
 )
 
-// paced reads a request's body, and bounds the time that its client takes: it may be slow, but neither drip
+// pacedBody reads a request's body, and bounds the time that its client takes: it may be slow, but neither drip
 // nor stop. Time that passes between reads is the sidecar's own.
-type paced struct {
-	body     io.Reader
-	deadline func(time.Time) error // sets that of the connection's reads
-	waited   time.Duration         // for the client, its head included
-	n        int64                 // bytes so far
+type pacedBody struct {
+	body            io.Reader
+	setReadDeadline func(time.Time) error // sets that of the connection's reads
+	clientTime      time.Duration         // for the client, its head included
+	n               int64                 // bytes so far
 }
 
 // due is when the next byte has to come.
-func (p *paced) due(now time.Time) time.Time {
-	left := bodyTime + time.Duration(p.n)*time.Second/bodyPace - p.waited
-	return now.Add(min(left, bodyStill))
+func (p *pacedBody) due(now time.Time) time.Time {
+	left := bodyTime + time.Duration(p.n)*time.Second/bodyPace - p.clientTime
+	return now.Add(min(left, bodyStallTimeout))
 }
 
-func (p *paced) Read(b []byte) (int, error) {
+func (p *pacedBody) Read(b []byte) (int, error) {
 	now := time.Now()
-	_ = p.deadline(p.due(now)) // fails only on a closed connection, as the read then does
+	_ = p.setReadDeadline(p.due(now)) // fails only on a closed connection, as the read then does
 	n, err := p.body.Read(b)
-	p.waited += time.Since(now)
-	if p.n += int64(n); p.n > bodyMost {
-		return n, errTooLong
+	p.clientTime += time.Since(now)
+	if p.n += int64(n); p.n > maxRequestBody {
+		return n, errBodyTooLarge
 	}
 	if err == io.EOF {
-		_ = p.deadline(time.Time{}) // what the client waits for now is its answer
+		_ = p.setReadDeadline(time.Time{}) // what the client waits for now is its answer
 	}
 	return n, err
 }
 
 // upload is the part of a request's body that is not held. It is read once, by the attempt that sends it on.
 type upload struct {
-	body    *paced
-	whole   func()      // hears that the last byte has gone out
-	failed  chan error  // hears why it did not come, from the client's side
-	taken   atomic.Bool // part of it has been read
-	ended   atomic.Bool // all of it has
-	stopped atomic.Bool // nobody may read on
+	body     *pacedBody
+	onSent   func()      // hears that the last byte has gone out
+	readErr  chan error  // hears why it did not come, from the client's side
+	taken    atomic.Bool // part of it has been read
+	complete atomic.Bool // all of it has
+	stopped  atomic.Bool // nobody may read on
 
 	mu       sync.Mutex // held by a read under way
 	deadline func(time.Time) error
 }
 
 // newUpload makes the rest of a body that has come in part.
-func newUpload(body *paced) *upload {
-	u := &upload{body: body, failed: make(chan error, 1), deadline: body.deadline}
-	body.deadline = func(t time.Time) error { // a read under way may set its own behind that of interrupt
+func newUpload(body *pacedBody) *upload {
+	u := &upload{body: body, readErr: make(chan error, 1), deadline: body.setReadDeadline}
+	body.setReadDeadline = func(t time.Time) error { // a read under way may set its own behind that of interrupt
 		err := u.deadline(t)
 		if u.stopped.Load() {
 			err = u.deadline(time.Unix(1, 0))
@@ -96,9 +96,9 @@
 	n, err := u.body.Read(b)
 	switch {
 	case err == io.EOF:
-		u.ended.Store(true)
+		u.complete.Store(true)
 	case err != nil && !u.stopped.Swap(true):
-		u.failed <- err
+		u.readErr <- err
 	}
 	return n, err
 }
@@ -107,10 +107,10 @@
 // looks for its client's leaving by them.
 func (u *upload) interrupt() {
 	u.stopped.Store(true)
-	if u.ended.Load() {
+	if u.complete.Load() {
 		return
 	}
-	_ = u.body.deadline(time.Unix(1, 0)) // fails only on a closed connection
+	_ = u.body.setReadDeadline(time.Unix(1, 0)) // fails only on a closed connection
 }
 
 // stop returns once nobody reads any more: from then on the body is the handler's own again.
@@ -123,7 +123,7 @@
 // drain reads what its client still sends of a request that has its answer: a close in the middle of that could
 // take the answer from it.
 func (u *upload) drain() {
-	u.body.deadline = u.deadline
+	u.body.setReadDeadline = u.deadline
 	_, _ = io.Copy(io.Discard, u.body) // an error ends the connection, by what is left unread
 }
 
@@ -174,13 +174,13 @@
 
 func newStream(res *http.Response, c *conn, x *exchange, clock clock) *stream {
 	return &stream{
-		res: res, c: c, x: x, clock: clock, pace: policy.NewAnswerPace(clock.now(), x.deadline), due: res.ContentLength > bodyHeld,
+		res: res, c: c, x: x, clock: clock, pace: policy.NewAnswerPace(clock.now(), x.deadline), due: res.ContentLength > maxBufferedBody,
 		pieces: make(chan piece, pieces), gone: make(chan struct{}),
 	}
 }
 
-// length is what the answer tells of its body's length, or -1.
-func (s *stream) length() int64 { return s.res.ContentLength }
+// contentLength is what the answer tells of its body's length, or -1.
+func (s *stream) contentLength() int64 { return s.res.ContentLength }
 
 // waitForMore sets by when the next bytes have to come. The caller holds the lock.
 func (s *stream) waitForMore() {
@@ -244,12 +244,12 @@
 	s.held = append(s.held, p.buffer[:p.n]...)
 	p.n = 0
 	switch {
-	case err == io.EOF && len(s.held) <= bodyHeld:
+	case err == io.EOF && len(s.held) <= maxBufferedBody:
 		s.begun = true // nothing is left to begin
 		return true, true
 	case err != nil && err != io.EOF:
 		s.begun = true
-	case len(s.held) > bodyHeld || s.due && some:
+	case len(s.held) > maxBufferedBody || s.due && some:
 		s.start()
 	}
 	return s.begun, false
@@ -275,8 +275,8 @@
 	s.waitForMore()
 }
 
-// leave ends a stream that its client does not wait for any more.
-func (s *stream) leave() {
+// abort ends a stream that its client does not wait for any more.
+func (s *stream) abort() {
 	s.left.Do(func() {
 		close(s.gone)
 		s.x.cancel()
@@ -300,7 +300,7 @@
 		select {
 		case p, more := <-s.pieces:
 			if !more && s.err != nil {
-				return fmt.Errorf("%w: %w", errBroken, s.err)
+				return fmt.Errorf("%w: %w", errAnswerCutShort, s.err)
 			}
 			if !more {
 				return nil
--- a/internal/sidecar/stream_test.go
+++ b/internal/sidecar/stream_test.go
@@ -17,8 +17,8 @@
 	"time"
 )
 
-// long is a body of n bytes that differ, so that none can be lost or moved unseen.
-func long(n int) []byte {
+// patternedBody is a body of n bytes that differ, so that none can be lost or moved unseen.
+func patternedBody(n int) []byte {
 	b := make([]byte, n)
 	for i := range b {
 		b[i] = byte(i>>8 ^ i*7)
@@ -41,7 +41,7 @@
 
 // Bodies far longer than what is held of them pass whole, in every framing, and both ways.
 func TestLongBodies(t *testing.T) {
-	body := long(3 << 20)
+	body := patternedBody(3 << 20)
 	for name, answer := range map[string]func(c net.Conn, b string) error{
 		"by length": func(c net.Conn, b string) error {
 			_, err := fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(b), b)
@@ -135,7 +135,7 @@
 	s := newStub(t, func(c net.Conn, r received) bool {
 		_, err := io.WriteString(c, "HTTP/1.1 200 OK\r\n\r\n")
 		for err == nil {
-			_, err = c.Write(long(10000))
+			_, err = c.Write(patternedBody(10000))
 		}
 		close(ended)
 		return false
@@ -176,7 +176,7 @@
 		return l.Addr().String()
 	}
 	side := start(t, nil, breaks(), breaks())
-	body := string(long(8 << 20))
+	body := string(patternedBody(8 << 20))
 	res, _ := do(t, side.request(t, "POST", "/entry", body))
 	if res.StatusCode != http.StatusServiceUnavailable || reached.Load() != 1 {
 		t.Errorf("%s after %d attempts, want 503 after one: it was never written whole", res.Status, reached.Load())
@@ -206,8 +206,8 @@
 		t.Fatal(err)
 	}
 	side.figures(t, map[string]string{"pending": "1"})
-	body := long(1 << 20)
-	if _, err := io.WriteString(c, head("2", fmt.Sprintf("Content-Length: %d", len(body)))+string(body[:bodyHeld])); err != nil {
+	body := patternedBody(1 << 20)
+	if _, err := io.WriteString(c, head("2", fmt.Sprintf("Content-Length: %d", len(body)))+string(body[:maxBufferedBody])); err != nil {
 		t.Fatal(err)
 	}
 	r := bufio.NewReader(c)
@@ -215,7 +215,7 @@
 	if err != nil || res.StatusCode != http.StatusServiceUnavailable || res.ContentLength != 0 || !res.Close {
 		t.Fatalf("%+v, error %v, want a whole 503 and a close", res, err)
 	}
-	if _, err := c.Write(body[bodyHeld:]); err != nil { // a client may not have heard yet
+	if _, err := c.Write(body[maxBufferedBody:]); err != nil { // a client may not have heard yet
 		t.Fatal(err)
 	}
 	if more, err := io.ReadAll(r); err != nil || len(more) > 0 {
@@ -235,7 +235,7 @@
 			if !strings.Contains(first, "1300m") {
 				t.Fatalf("head %q", first)
 			}
-			body := long(size)
+			body := patternedBody(size)
 			if _, err := io.WriteString(c, first+string(body[:size-1])); err != nil {
 				t.Fatal(err)
 			}
@@ -255,15 +255,15 @@
 func TestPaceOfBodies(t *testing.T) {
 	now := time.Now()
 	for name, c := range map[string]struct {
-		p    paced
+		p    pacedBody
 		want time.Duration
 	}{
-		"at first":                         {paced{}, bodyStill},
-		"behind a head of 2 s":             {paced{waited: 2 * time.Second}, 700 * time.Millisecond},
-		"64 kB a second for 30 s":          {paced{waited: 30 * time.Second, n: 30 * 64 << 10}, bodyStill},
-		"a byte a second":                  {paced{waited: 2600 * time.Millisecond, n: 3}, 100 * time.Millisecond},
-		"much at once, then nothing":       {paced{n: 20 << 20}, bodyStill},
-		"half a body, then a byte a while": {paced{waited: 4 * time.Second, n: 40 << 10}, -466 * time.Millisecond},
+		"at first":                         {pacedBody{}, bodyStallTimeout},
+		"behind a head of 2 s":             {pacedBody{clientTime: 2 * time.Second}, 700 * time.Millisecond},
+		"64 kB a second for 30 s":          {pacedBody{clientTime: 30 * time.Second, n: 30 * 64 << 10}, bodyStallTimeout},
+		"a byte a second":                  {pacedBody{clientTime: 2600 * time.Millisecond, n: 3}, 100 * time.Millisecond},
+		"much at once, then nothing":       {pacedBody{n: 20 << 20}, bodyStallTimeout},
+		"half a body, then a byte a while": {pacedBody{clientTime: 4 * time.Second, n: 40 << 10}, -466 * time.Millisecond},
 	} {
 		if got := c.p.due(now).Sub(now); got < c.want-time.Millisecond || got > c.want+time.Millisecond {
 			t.Errorf("%s: due in %v, want %v", name, got, c.want)
@@ -274,7 +274,7 @@
 // After a storm of connections cut at every point, nothing of them is left.
 func TestNothingStaysBehindAStorm(t *testing.T) {
 	s := newStub(t, func(c net.Conn, r received) bool {
-		_, err := fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: 300000\r\n\r\n%s", long(300000))
+		_, err := fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: 300000\r\n\r\n%s", patternedBody(300000))
 		return err == nil
 	})
 	side := start(t, nil, s.address)
@@ -287,7 +287,7 @@
 	}
 	do(t, side.request(t, "POST", "/entry", "1"))
 	goroutines, files := runtime.NumGoroutine(), descriptors()
-	whole := head("1", "Content-Length: 200000") + string(long(200000))
+	whole := head("1", "Content-Length: 200000") + string(patternedBody(200000))
 	for i := range 60 {
 		c := side.dial(t)
 		part := whole
--- a/internal/sidecar/upstream.go
+++ b/internal/sidecar/upstream.go
@@ -25,11 +25,11 @@
 )
 
 const (
-	bodyHeld    = 64 << 10        // bytes of a body, either way, that are held at once
-	answerLimit = 512 << 10       // bytes on the wire of an answer that is held whole, and of any answer's head
-	stillTime   = 5 * time.Second // a server may stand still for so long as it takes a long body
-	interimMost = 8               // 1xx answers that are read over before the one that counts
-	idleMargin  = time.Second
+	maxBufferedBody = 64 << 10        // bytes of a body, either way, that are held at once
+	answerLimit     = 512 << 10       // bytes on the wire of an answer that is held whole, and of any answer's head
+	stillTime       = 5 * time.Second // a server may stand still for so long as it takes a long body
+	interimMost     = 8               // 1xx answers that are read over before the one that counts
+	idleMargin      = time.Second
 	// A second answer may come some milliseconds behind the first. It must find no request out on its connection.
 	quietTime = 10 * time.Millisecond
 	// A connection whose first packet is lost comes up after a second (RFC 6298, 2.1: the initial retransmission
@@ -38,28 +38,30 @@
 	lateShare = 8 // and each a dial's time-out by this behind the one before
 )
 
-// message is a request as it goes on to an upstream, but for its time-out.
-type message struct {
-	id     string // X-Request-ID, for the log
-	method string
-	url    *url.URL
-	host   string
-	header http.Header   // end-to-end ones; not changed any more
-	body   []byte        // the whole of it, or what is held
-	rest   *upload       // what follows the held part; nil: nothing does
-	length int64         // of both together; -1: not told
-	left   time.Duration // how long the client waits once its last byte has gone out, where rest follows: less what it has waited for that to begin
+// outboundRequest is a request as it goes on to an upstream, but for its time-out.
+type outboundRequest struct {
+	id       string // X-Request-ID, for the log
+	method   string
+	url      *url.URL
+	host     string
+	header   http.Header   // end-to-end ones; not changed any more
+	body     []byte        // the whole of it, or what is held
+	upload   *upload       // what follows the held part; nil: nothing does
+	length   int64         // of both together; -1: not told
+	timeLeft time.Duration // how long the client waits once its last byte has gone out, where rest follows: less what it has waited for that to begin
 
-	presence func() presence                                // whether its client is still there; nil: it has none
-	permit   func(now time.Duration, address string) error  // whether its first byte may go out there; nil: it may
-	written  func(began, now time.Duration, address string) // hears that its last byte has gone out; may be nil
+	clientPresence func() presence                                // whether its client is still there; nil: it has none
+	permit         func(now time.Duration, address string) error  // whether its first byte may go out there; nil: it may
+	written        func(began, now time.Duration, address string) // hears that its last byte has gone out; may be nil
 }
 
 // over tells whether nothing may be sent any more, as nobody is known to wait for the answer.
-func (m *message) over() bool { return m != nil && m.presence != nil && m.presence() != present }
+func (m *outboundRequest) over() bool {
+	return m != nil && m.clientPresence != nil && m.clientPresence() != present
+}
 
 // spent tells whether the message can't be sent again, as part of its body is gone.
-func (m *message) spent() bool { return m.rest != nil && m.rest.taken.Load() }
+func (m *outboundRequest) spent() bool { return m.upload != nil && m.upload.taken.Load() }
 
 // result is how an attempt ended. Where stream is set, its answer has begun, and the end is still to come.
 type result struct {
@@ -70,23 +72,23 @@
 	load   balance.Load
 }
 
-// upstream carries attempts and probes to the servers, over connections that it keeps. It is not
+// transport carries attempts and probes to the servers, over connections that it keeps. It is not
 // http.Transport because that sends again by itself when a kept connection breaks: an attempt that
 // nobody decided on.
-type upstream struct {
-	clock       clock
-	dialTimeout time.Duration
-	keep        time.Duration // connections idle for longer are not used again
-	reports     []string
-	columns     wire.Columns
-	probePath   string
-	written     atomic.Uint64                        // attempts whose last byte was written
-	yield       func(upstreams int) bool             // has clients make room for one more connection than so many
-	room        func(upstreams int) bool             // tells whether there is room for it as it is
-	quietTime   time.Duration                        // how long a connection is idle at least before it is used again
-	after       func(time.Duration) <-chan time.Time // for that
-	lateAfter   func(time.Duration) <-chan time.Time // and for when another connection is dialled beside one
-	dial        func(ctx context.Context, network, address string) (net.Conn, error)
+type transport struct {
+	clock           clock
+	dialTimeout     time.Duration
+	keep            time.Duration // connections idle for longer are not used again
+	reports         []string
+	columns         wire.Columns
+	probePath       string
+	attemptsWritten atomic.Uint64                        // attempts whose last byte was written
+	makeRoom        func(upstreams int) bool             // has clients make room for one more connection than so many
+	hasRoom         func(upstreams int) bool             // tells whether there is room for it as it is
+	quietTime       time.Duration                        // how long a connection is idle at least before it is used again
+	after           func(time.Duration) <-chan time.Time // for that
+	lateAfter       func(time.Duration) <-chan time.Time // and for when another connection is dialled beside one
+	dial            func(ctx context.Context, network, address string) (net.Conn, error)
 
 	mu      sync.Mutex
 	most    int                // connections at most
@@ -121,15 +123,15 @@
 	kept      bool             // it has carried an exchange before
 }
 
-func newUpstream(cfg *Config, c clock) *upstream {
-	u := &upstream{
+func newTransport(cfg *Config, c clock) *transport {
+	u := &transport{
 		clock: c, dialTimeout: cfg.DialTimeout, reports: cfg.Reports, columns: cfg.Columns,
 		// Well before the server closes it: a request written from then on would end as a reset.
 		keep:      cfg.ConnIdle - min(idleMargin, cfg.ConnIdle/4),
 		most:      cfg.upstreamConns(1),
 		probePath: "/alive",
-		yield:     func(int) bool { return true },
-		room:      func(int) bool { return true },
+		makeRoom:  func(int) bool { return true },
+		hasRoom:   func(int) bool { return true },
 		after:     time.After,
 		lateAfter: time.After,
 		dial:      (&net.Dialer{KeepAlive: -1}).DialContext, // no use against a silent machine; the time-outs are
@@ -200,14 +202,14 @@
 }
 
 // neverRan is the ending where the request's last byte did not go out.
-func (u *upstream) neverRan(x *exchange, m *message) balance.Ending {
+func (u *transport) neverRan(x *exchange, m *outboundRequest) balance.Ending {
 	x.mu.Lock()
 	withdrawn, cancelled := x.withdrawn, x.cancelled
 	x.mu.Unlock()
 	switch {
 	case withdrawn:
 		return balance.NotSent
-	case cancelled || m != nil && m.rest != nil && m.rest.stopped.Load():
+	case cancelled || m != nil && m.upload != nil && m.upload.stopped.Load():
 		return balance.Cancelled
 	}
 	u.count(&u.failed.unsent)
@@ -223,14 +225,14 @@
 // send starts an attempt that is given up at until; the time of one whose body still comes begins with its last
 // byte. What has not gone out at by never does; 0 is no such bound. An answer that streams has to end soon behind its
 // client's deadline, unless it is long. Its end goes to done, once, and before that the beginning of an answer that streams.
-func (u *upstream) send(address string, m *message, until, by, deadline time.Duration, done func(result)) *exchange {
+func (u *transport) send(address string, m *outboundRequest, until, by, deadline time.Duration, done func(result)) *exchange {
 	x := &exchange{by: by, deadline: deadline}
 	go func() {
 		header := maps.Clone(m.header)
 		req := &http.Request{Method: m.method, URL: m.url, Host: m.host, Header: header}
 		switch {
-		case m.rest != nil:
-			req.Body, req.ContentLength = io.NopCloser(io.MultiReader(bytes.NewReader(m.body), m.rest)), m.length
+		case m.upload != nil:
+			req.Body, req.ContentLength = io.NopCloser(io.MultiReader(bytes.NewReader(m.body), m.upload)), m.length
 		case len(m.body) > 0:
 			req.Body, req.ContentLength = io.NopCloser(bytes.NewReader(m.body)), int64(len(m.body))
 		}
@@ -253,7 +255,7 @@
 }
 
 // probe asks a server for its load report. The result goes to told, once.
-func (u *upstream) probe(address string, now time.Duration, told func(ok bool, load balance.Load)) {
+func (u *transport) probe(address string, now time.Duration, told func(ok bool, load balance.Load)) {
 	go func() {
 		req := &http.Request{
 			Method: http.MethodGet, URL: &url.URL{Path: u.probePath}, Host: address,
@@ -271,8 +273,8 @@
 // exchange sends a request, m where it is an attempt's, and reads its answer. Without a whole answer the ending says
 // what is known: NoConnection until the last byte of the request is written, as it cannot have run before. An answer
 // that is not held whole goes to begin, if there is one, and is over when exchange returns.
-func (u *upstream) exchange(
-	x *exchange, address string, req *http.Request, m *message, until time.Duration, begin func(*http.Response, *stream),
+func (u *transport) exchange(
+	x *exchange, address string, req *http.Request, m *outboundRequest, until time.Duration, begin func(*http.Response, *stream),
 ) (*http.Response, []byte, balance.Ending) {
 	c, ending := u.reach(x, address, m, until)
 	if c == nil {
@@ -280,8 +282,8 @@
 	}
 	if m != nil {
 		left := until - u.clock.now()
-		if m.rest != nil {
-			left = m.left
+		if m.upload != nil {
+			left = m.timeLeft
 		}
 		req.Header.Set("X-Timeout", strconv.FormatInt(max(1, left.Milliseconds()), 10)+"m")
 	}
@@ -290,7 +292,7 @@
 		u.discard(c)
 		return nil, nil, u.neverRan(x, m)
 	}
-	if m != nil && m.rest != nil { // the client's time has begun with its last byte
+	if m != nil && m.upload != nil { // the client's time has begun with its last byte
 		x.deadline = until
 	}
 	res, body, err := u.receive(x, c, req, until, begin)
@@ -307,11 +309,11 @@
 }
 
 // reach returns a connection on which the exchange may write at once. Where there is none the ending says why.
-func (u *upstream) reach(x *exchange, address string, m *message, until time.Duration) (*conn, balance.Ending) {
+func (u *transport) reach(x *exchange, address string, m *outboundRequest, until time.Duration) (*conn, balance.Ending) {
 	asked := u.clock.now()
 	c, err := u.connect(x, address, x.bound(until))
-	if m != nil && m.rest != nil {
-		m.left -= u.clock.now() - asked
+	if m != nil && m.upload != nil {
+		m.timeLeft -= u.clock.now() - asked
 	}
 	switch {
 	case err != nil && isOwnFailure(err):
@@ -320,8 +322,8 @@
 		return nil, u.neverRan(x, m)
 	}
 	stop := func() { c.Conn.Close() }
-	if m != nil && m.rest != nil {
-		stop = func() { c.Conn.Close(); m.rest.interrupt() }
+	if m != nil && m.upload != nil {
+		stop = func() { c.Conn.Close(); m.upload.interrupt() }
 	}
 	// Asked here, as word of a client's leaving may be behind others, and it has to go nowhere from now on.
 	if m.over() || m != nil && m.permit != nil && m.permit(u.clock.now(), address) != nil {
@@ -336,14 +338,14 @@
 
 // receive reads the answer to a request that has gone out. An error says that it has not come whole; res is not nil where
 // its head has.
-func (u *upstream) receive(
+func (u *transport) receive(
 	x *exchange, c *conn, req *http.Request, until time.Duration, begin func(*http.Response, *stream),
 ) (res *http.Response, body []byte, err error) {
 	_ = c.SetDeadline(u.clock.at(until)) // fails only on a closed connection, as the read then does
 	if res, err = c.head(req); err != nil {
 		return res, nil, err
 	}
-	if begin != nil && res.StatusCode == http.StatusOK && (res.ContentLength < 0 || res.ContentLength > bodyHeld) {
+	if begin != nil && res.StatusCode == http.StatusOK && (res.ContentLength < 0 || res.ContentLength > maxBufferedBody) {
 		body, err = newStream(res, c, x, u.clock).run(begin)
 	} else {
 		body, err = c.body(res)
@@ -355,7 +357,7 @@
 }
 
 // endingOf says how an exchange ended whose answer has not come whole, and counts that.
-func (u *upstream) endingOf(x *exchange, c *conn, res *http.Response, err error) balance.Ending {
+func (u *transport) endingOf(x *exchange, c *conn, res *http.Response, err error) balance.Ending {
 	switch {
 	case x.givenUp():
 		return balance.Cancelled
@@ -374,9 +376,9 @@
 
 // write sends a request's head and body, and returns until when its answer may take: a client's time begins with
 // its last byte. Nothing goes out behind the exchange's bound, so that a request which passes it is cut short.
-func (u *upstream) write(x *exchange, c *conn, req *http.Request, m *message, until time.Duration) (time.Duration, error) {
+func (u *transport) write(x *exchange, c *conn, req *http.Request, m *outboundRequest, until time.Duration) (time.Duration, error) {
 	began := u.clock.now()
-	if m != nil && m.rest != nil {
+	if m != nil && m.upload != nil {
 		last := time.Time{}
 		if x.by > 0 {
 			last = u.clock.at(x.by)
@@ -386,15 +388,15 @@
 			return 0, err
 		}
 		if m.over() { // its last byte has not gone out
-			m.rest.interrupt()
+			m.upload.interrupt()
 			return 0, errStopped
 		}
 		if err := out.Flush(); err != nil {
 			return 0, err
 		}
 		u.wrote(m, c, began)
-		m.rest.whole()
-		return u.clock.now() + m.left, nil
+		m.upload.onSent()
+		return u.clock.now() + m.timeLeft, nil
 	}
 	// One write: it tells whether the last byte went out.
 	var out bytes.Buffer
@@ -412,14 +414,14 @@
 }
 
 // wrote takes that the last byte of an attempt has gone out, which was begun at a moment.
-func (u *upstream) wrote(m *message, c *conn, began time.Duration) {
-	u.written.Add(1)
+func (u *transport) wrote(m *outboundRequest, c *conn, began time.Duration) {
+	u.attemptsWritten.Add(1)
 	if m.written != nil {
 		m.written(began, u.clock.now(), c.address)
 	}
 }
 
-func (u *upstream) count(of *int) {
+func (u *transport) count(of *int) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	*of++
@@ -439,15 +441,15 @@
 
 // body reads the body of an answer that is held whole.
 func (c *conn) body(res *http.Response) ([]byte, error) {
-	body, err := io.ReadAll(io.LimitReader(res.Body, bodyHeld+1))
-	if err == nil && len(body) > bodyHeld {
+	body, err := io.ReadAll(io.LimitReader(res.Body, maxBufferedBody+1))
+	if err == nil && len(body) > maxBufferedBody {
 		err = errors.New("the body is too long")
 	}
 	return body, err
 }
 
 // connect returns a kept connection that still stands, or opens one.
-func (u *upstream) connect(x *exchange, address string, until time.Duration) (*conn, error) {
+func (u *transport) connect(x *exchange, address string, until time.Duration) (*conn, error) {
 	for {
 		c, err := u.take(address)
 		if err != nil {
@@ -474,7 +476,7 @@
 // openConn opens a connection that has been counted as open already. While it is late others are dialled beside it, as
 // long as there is room without anyone's making it; the first to end decides. The rest is called off, and what comes
 // up all the same is the pool's.
-func (u *upstream) openConn(ctx context.Context, address string) (*conn, error) {
+func (u *transport) openConn(ctx context.Context, address string) (*conn, error) {
 	type ended struct {
 		c   *conn
 		err error
@@ -526,7 +528,7 @@
 )
 
 // dialAgain dials, and again after a failure of this machine's own.
-func (u *upstream) dialAgain(ctx context.Context, address string) (raw net.Conn, err error) {
+func (u *transport) dialAgain(ctx context.Context, address string) (raw net.Conn, err error) {
 	for range dialTries {
 		raw, err = u.dial(ctx, "tcp", address)
 		if err == nil || !isOwnFailure(err) {
@@ -543,7 +545,7 @@
 }
 
 // dialOnce opens a connection that has been counted as open.
-func (u *upstream) dialOnce(ctx context.Context, address string) (*conn, error) {
+func (u *transport) dialOnce(ctx context.Context, address string) (*conn, error) {
 	raw, err := u.dialAgain(ctx, address)
 	if err != nil {
 		u.mu.Lock()
@@ -559,8 +561,8 @@
 
 // another counts one more connection that is to be opened, if there is room that nobody has to make. The caller holds
 // the lock.
-func (u *upstream) another() bool {
-	if u.open >= u.most || !u.room(u.open) {
+func (u *transport) another() bool {
+	if u.open >= u.most || !u.hasRoom(u.open) {
 		return false
 	}
 	u.open++
@@ -569,7 +571,7 @@
 }
 
 // oneBeside counts one that is to be opened beside a late one, if there is room.
-func (u *upstream) oneBeside() bool {
+func (u *transport) oneBeside() bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if !u.another() {
@@ -582,7 +584,7 @@
 // openSpare opens a connection for requests to come, as all idle ones to an address have been used just now. So as many
 // are kept as its requests need within quietTime, each opened once and not for each wait, and those that are not needed
 // end by being idle. It is one at a time, with no other dialled where it is late, and nothing has to make room for it.
-func (u *upstream) openSpare(address string) {
+func (u *transport) openSpare(address string) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if u.spares[address] || !u.another() {
@@ -603,7 +605,7 @@
 }
 
 // quieten waits until a connection has rested. It returns false if the exchange is given up.
-func (u *upstream) quieten(x *exchange, address string, c *conn) bool {
+func (u *transport) quieten(x *exchange, address string, c *conn) bool {
 	now := u.clock.now()
 	if u.rested(c, now) {
 		return true
@@ -624,14 +626,14 @@
 
 // rested tells whether nothing can come on a connection any more, as it has been idle for quietTime, or nothing was
 // ever asked on it.
-func (u *upstream) rested(c *conn, now time.Duration) bool {
+func (u *transport) rested(c *conn, now time.Duration) bool {
 	return !c.kept || c.idleSince <= now-u.quietTime
 }
 
 // take returns the idle connection that was used last of those that have rested, else the one that will have been
 // first; or nil once it has counted a new one that is to be opened. At the limit an idle connection to another server
 // makes room.
-func (u *upstream) take(address string) (*conn, error) {
+func (u *transport) take(address string) (*conn, error) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	now, list := u.clock.now(), u.idle[address]
@@ -648,7 +650,7 @@
 		u.idle[address] = slices.Delete(list, i, i+1)
 		return c, nil
 	}
-	if (u.open >= u.most || !u.yield(u.open)) && !u.dropOldest() {
+	if (u.open >= u.most || !u.makeRoom(u.open)) && !u.dropOldest() {
 		return nil, errors.New("no descriptor is left for a connection")
 	}
 	u.open++
@@ -657,7 +659,7 @@
 }
 
 // idleBefore counts the connections to an address that have been idle since then or longer. The caller holds the lock.
-func (u *upstream) idleBefore(address string, then time.Duration) int {
+func (u *transport) idleBefore(address string, then time.Duration) int {
 	n := 0
 	for _, c := range u.idle[address] {
 		if c.idleSince <= then {
@@ -667,15 +669,15 @@
 	return n
 }
 
-// connections tells how many there are, in use, idle or being opened.
-func (u *upstream) connections() int {
+// connectionCount tells how many there are, in use, idle or being opened.
+func (u *transport) connectionCount() int {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return u.open
 }
 
-// share allows so many connections from now on, and closes idle ones above that.
-func (u *upstream) share(most int) {
+// setMaxConnections allows so many connections from now on, and closes idle ones above that.
+func (u *transport) setMaxConnections(most int) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.most = most
@@ -684,7 +686,7 @@
 }
 
 // dropOldest closes the connection that has been idle longest, if there is one. The caller holds the lock.
-func (u *upstream) dropOldest() bool {
+func (u *transport) dropOldest() bool {
 	oldest, since := "", time.Duration(math.MaxInt64)
 	for a, list := range u.idle {
 		if len(list) > 0 && list[0].idleSince < since {
@@ -699,7 +701,7 @@
 }
 
 // drop closes the first n idle connections to an address. The caller holds the lock.
-func (u *upstream) drop(address string, n int) {
+func (u *transport) drop(address string, n int) {
 	list := u.idle[address]
 	for _, c := range list[:n] {
 		c.Conn.Close()
@@ -713,7 +715,7 @@
 }
 
 // keepIdle puts a connection back. Where it was not used, its server has counted it as idle all the while.
-func (u *upstream) keepIdle(address string, c *conn, unused bool) {
+func (u *transport) keepIdle(address string, c *conn, unused bool) {
 	_ = c.SetDeadline(time.Time{}) // a closed one is found out before it is used
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -727,7 +729,7 @@
 }
 
 // sweep closes the connections that have been idle for too long.
-func (u *upstream) sweep() {
+func (u *transport) sweep() {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	now, next := u.clock.now(), time.Duration(math.MaxInt64)
@@ -748,13 +750,13 @@
 }
 
 // close closes the idle connections to an address.
-func (u *upstream) close(address string) {
+func (u *transport) close(address string) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.drop(address, len(u.idle[address]))
 }
 
-func (u *upstream) discard(c *conn) {
+func (u *transport) discard(c *conn) {
 	c.Conn.Close()
 	u.mu.Lock()
 	u.open--
@@ -779,7 +781,7 @@
 }
 
 // counters are for the log.
-func (u *upstream) counters() map[string]int {
+func (u *transport) counters() map[string]int {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return map[string]int{
@@ -790,7 +792,7 @@
 }
 
 // load reads a report of the form "TEXT name=value, name=value".
-func (u *upstream) load(report string) balance.Load {
+func (u *transport) load(report string) balance.Load {
 	report, ok := strings.CutPrefix(strings.TrimSpace(report), "TEXT ")
 	if !ok {
 		return balance.Load{}
--- a/internal/sidecar/upstream_test.go
+++ b/internal/sidecar/upstream_test.go
@@ -16,19 +16,19 @@
 	"arrowgw/internal/balance"
 )
 
-func testUpstream(t *testing.T) *upstream {
-	return newUpstream(testConfig(t, listed(1, "ready"), nil), newClock())
+func testTransport(t *testing.T) *transport {
+	return newTransport(testConfig(t, listed(1, "ready"), nil), newClock())
 }
 
-func testMessage(id string) *message {
-	return &message{
+func testMessage(id string) *outboundRequest {
+	return &outboundRequest{
 		method: http.MethodPost, url: &url.URL{Path: "/reading"}, host: "service.internal", body: []byte("weight"),
 		header: http.Header{"X-Request-Id": {id}, "Idempotency-Key": {"k" + id}},
 	}
 }
 
 // attempt sends one and waits for its end.
-func attempt(t *testing.T, u *upstream, address, id string, limit time.Duration) result {
+func attempt(t *testing.T, u *transport, address, id string, limit time.Duration) result {
 	t.Helper()
 	done := make(chan result, 2)
 	u.send(address, testMessage(id), u.clock.now()+limit, 0, u.clock.now()+limit, func(r result) { done <- r })
@@ -37,7 +37,7 @@
 
 // Every kind of answer has its ending; a connection is kept only behind a whole and clean one.
 func TestEndings(t *testing.T) {
-	long := strings.Repeat("x", bodyHeld+1)
+	long := strings.Repeat("x", maxBufferedBody+1)
 	atLimit := "HTTP/1.0 500 No\r\nX-A: " + strings.Repeat("x", answerLimit-29) + "\r\n\r\n" // but for two bytes of its body
 	for name, c := range map[string]struct {
 		answer string
@@ -84,7 +84,7 @@
 				}
 				return c.kept || name == "bytes left over" || name == "to be closed" || name == "headers without end"
 			})
-			u := testUpstream(t)
+			u := testTransport(t)
 			if got := attempt(t, u, s.address, "1", generous); got.ending != c.ending {
 				t.Fatalf("ending %v, want %v", got.ending, c.ending)
 			} else if got.ending == balance.Served && string(got.body) != "hi" {
@@ -106,7 +106,7 @@
 	s := newStub(t, func(c net.Conn, r received) bool {
 		return r.Header.Get("X-Request-ID") == "1" && ok(c, "hi")
 	})
-	u := testUpstream(t)
+	u := testTransport(t)
 	attempt(t, u, s.address, "1", generous)
 	if got := attempt(t, u, s.address, "2", generous); got.ending != balance.Broken {
 		t.Fatalf("ending %v, want %v", got.ending, balance.Broken)
@@ -130,7 +130,7 @@
 		}
 		return answered && r.conn > 0
 	})
-	u := testUpstream(t)
+	u := testTransport(t)
 	u.unrested() // nobody waits for one that is closed to rest
 	attempt(t, u, s.address, "1", generous)
 	close(hangUp)
@@ -149,7 +149,7 @@
 }
 
 // unrested has a request wait until quiet is closed wherever no connection has rested; waits hears of it.
-func (u *upstream) unrested() (waits chan time.Duration, quiet chan time.Time) {
+func (u *transport) unrested() (waits chan time.Duration, quiet chan time.Time) {
 	waits, quiet = make(chan time.Duration, 10), make(chan time.Time)
 	u.after = func(d time.Duration) <-chan time.Time { waits <- d; return quiet }
 	u.quietTime = u.keep // however long the test is held up, it has not passed
@@ -157,7 +157,7 @@
 }
 
 // untilIdle waits until so many connections to an address are idle.
-func (u *upstream) untilIdle(t *testing.T, address string, n int) {
+func (u *transport) untilIdle(t *testing.T, address string, n int) {
 	t.Helper()
 	for end, there := time.Now().Add(generous), -1; there != n; time.Sleep(time.Millisecond) {
 		u.mu.Lock()
@@ -184,8 +184,8 @@
 			}
 			return echo(c, r)
 		})
-		u := testUpstream(t)
-		u.room = func(int) bool { return spare }
+		u := testTransport(t)
+		u.hasRoom = func(int) bool { return spare }
 		waits, quiet := u.unrested()
 		attempt(t, u, s.address, "1", generous)
 		kept, done := u.idle[s.address][0], make(chan result, 2)
@@ -222,7 +222,7 @@
 // one at a time, and only where there is room. Whatever becomes of it, that request goes on over its own.
 func TestSpareConnection(t *testing.T) {
 	for name, c := range map[string]struct {
-		edit    func(u *upstream)
+		edit    func(u *transport)
 		happens string // to the spare one or the request while both are awaited
 		dialled int
 		open    int
@@ -232,12 +232,12 @@
 		"late":               {dialled: 2, open: 2},
 		"request given up":   {happens: "cancelled", dialled: 2, open: 2},
 		"request called off": {happens: "withdrawn", dialled: 2, open: 2},
-		"at the limit":       {edit: func(u *upstream) { u.most = 1 }, dialled: 1, open: 1},
-		"no room":            {edit: func(u *upstream) { u.room = func(int) bool { return false } }, dialled: 1, open: 1},
+		"at the limit":       {edit: func(u *transport) { u.most = 1 }, dialled: 1, open: 1},
+		"no room":            {edit: func(u *transport) { u.hasRoom = func(int) bool { return false } }, dialled: 1, open: 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := newStub(t, echo)
-			u := testUpstream(t)
+			u := testTransport(t)
 			waits, quiet := u.unrested()
 			attempt(t, u, s.address, "1", generous)
 			wait(t, "1", s.seen)
@@ -300,7 +300,7 @@
 // Two requests that wait at once have one spare connection between them; the next wait has another.
 func TestOneSpareAtATime(t *testing.T) {
 	s := newStub(t, echo)
-	u := testUpstream(t)
+	u := testTransport(t)
 	waits, quiet := u.unrested()
 	attempt(t, u, s.address, "1", generous)
 	u.mu.Lock()
@@ -340,7 +340,7 @@
 // that the others can end; else the one that will have been first. One that was given back unused has been idle all
 // the while: its server counts on.
 func TestWhichConnectionIsTaken(t *testing.T) {
-	u := testUpstream(t)
+	u := testTransport(t)
 	now := u.clock.now()
 	for name, c := range map[string]struct {
 		ages  []time.Duration
@@ -382,7 +382,7 @@
 // Nor is one used, or kept open, that has been idle for nearly as long as its server allows.
 func TestOldConnectionsAreRetired(t *testing.T) {
 	s := newStub(t, echo)
-	u := testUpstream(t)
+	u := testTransport(t)
 	attempt(t, u, s.address, "1", generous)
 	u.mu.Lock()
 	u.idle[s.address][0].idleSince -= u.keep
@@ -401,7 +401,7 @@
 
 func TestConnectionsAreReused(t *testing.T) {
 	s := newStub(t, echo)
-	u := testUpstream(t)
+	u := testTransport(t)
 	u.quietTime = 0 // each has rested when the next request comes
 	for i := range 5 {
 		attempt(t, u, s.address, fmt.Sprint(i), generous)
@@ -415,7 +415,7 @@
 // none, nothing is sent.
 func TestConnectionsStayUnderTheLimit(t *testing.T) {
 	a, b, mute := newStub(t, echo), newStub(t, echo), newStub(t, silent)
-	u := testUpstream(t)
+	u := testTransport(t)
 	u.most = 1
 	attempt(t, u, a.address, "1", generous)
 	if got := attempt(t, u, b.address, "2", generous); got.ending != balance.Served || u.open != 1 {
@@ -438,7 +438,7 @@
 	}
 	address := l.Addr().String()
 	l.Close()
-	u := testUpstream(t)
+	u := testTransport(t)
 	if got := attempt(t, u, address, "1", generous); got.ending != balance.NoConnection || u.open != 0 {
 		t.Fatalf("ending %v, %d open, want %v and none", got.ending, u.open, balance.NoConnection)
 	}
@@ -456,7 +456,7 @@
 		}
 		return false
 	})
-	u := testUpstream(t)
+	u := testTransport(t)
 	for _, id := range []string{"break", "good", "break", "cut"} {
 		attempt(t, u, s.address, id, generous)
 	}
@@ -468,7 +468,7 @@
 // A machine that vanished says nothing: only the time-out ends the attempt, and its connection goes.
 func TestSilentServer(t *testing.T) {
 	s := newStub(t, silent)
-	u := testUpstream(t)
+	u := testTransport(t)
 	if got := attempt(t, u, s.address, "1", 30*time.Millisecond); got.ending != balance.TimedOut {
 		// where the machine was too busy to send at all in that time, it never ran
 		if got.ending != balance.NoConnection || len(s.seen) > 0 {
@@ -483,7 +483,7 @@
 // A cancelled attempt closes its connection, which tells the upstream, and still has its one end.
 func TestCancelClosesTheConnection(t *testing.T) {
 	s := newStub(t, silent)
-	u := testUpstream(t)
+	u := testTransport(t)
 	done := make(chan result, 2)
 	x := u.send(s.address, testMessage("1"), u.clock.now()+generous, 0, u.clock.now()+generous, func(r result) { done <- r })
 	wait(t, "the request", s.seen)
@@ -502,7 +502,7 @@
 // waiting for a connection when it was cancelled.
 func TestCancelledBeforeItIsWritten(t *testing.T) {
 	s := newStub(t, echo)
-	u := testUpstream(t)
+	u := testTransport(t)
 	attempt(t, u, s.address, "1", generous)
 	x := new(exchange)
 	x.cancel()
@@ -526,7 +526,7 @@
 // What the upstream must have unchanged, and the time-out, which it must be told anew.
 func TestWhatGoesOn(t *testing.T) {
 	s := newStub(t, echo)
-	attempt(t, testUpstream(t), s.address, "7", generous)
+	attempt(t, testTransport(t), s.address, "7", generous)
 	r := wait(t, "the request", s.seen)
 	left, ok := duration(r.Header.Get("X-Timeout"))
 	if r.Method != http.MethodPost || r.uri != "/reading" || r.body != "weight" || r.Host != "service.internal" ||
@@ -549,7 +549,7 @@
 			_, err := fmt.Fprintf(c, "HTTP/1.1 %d X\r\nContent-Length: %d\r\n\r\n%s", status, len(report), report)
 			return err == nil
 		})
-		u := testUpstream(t)
+		u := testTransport(t)
 		done := make(chan told, 2)
 		u.probe(s.address, u.clock.now(), func(ok bool, load balance.Load) { done <- told{ok, load} })
 		got := wait(t, "the result", done)
--- a/internal/sidecar/versions.go
+++ b/internal/sidecar/versions.go
@@ -35,9 +35,9 @@
 	raw     json.RawMessage
 }
 
-// versions is what a sidecar knows of the list. Versions can be compared within a line: that of one source, until it
+// serverList is what a sidecar knows of the list. Versions can be compared within a line: that of one source, until it
 // begins anew. Whoever uses it keeps to one call at a time.
-type versions struct {
+type serverList struct {
 	source string // discovery's address
 	line   int64  // grows with each source and each beginning; of two words of a node the one of the higher line is newer
 	top    int64  // the highest version acted on in this line, or unknown
@@ -59,15 +59,15 @@
 	}
 }
 
-func newVersions(source string) *versions {
-	return &versions{
+func newVersions(source string) *serverList {
+	return &serverList{
 		source: source, top: unknown, before: unknown, entries: make(map[balance.ServerID]entry),
 		away: make(map[balance.ServerID]int64), gone: make(map[balance.ServerID]heardOf), held: make(map[balance.ServerID]heardOf),
 	}
 }
 
 // watched says that changes are enough; otherwise the whole list is needed.
-func (v *versions) watched() bool {
+func (v *serverList) watched() bool {
 	for _, until := range v.away {
 		if until <= v.top {
 			return false
@@ -77,14 +77,14 @@
 }
 
 // doubted says that changes to older words are enough for now: since this version, until it is time to judge by a whole list.
-func (v *versions) doubted(now time.Duration) (since int64, yes bool) {
+func (v *serverList) doubted(now time.Duration) (since int64, yes bool) {
 	d := &v.doubt
 	return d.top, d.open && d.whole && v.whole && now-d.since < anewAfter
 }
 
 // take takes an answer, and returns what is to be acted on: the answer as it is, but for what may not go back. An
 // answer that is older than what is acted on takes servers away, and returns none (older).
-func (v *versions) take(l listing, now time.Duration) (news listing, older bool) {
+func (v *serverList) take(l listing, now time.Duration) (news listing, older bool) {
 	if v.top != unknown && l.version < v.top {
 		if !v.anew(l, now) {
 			return v.takeAway(l, v.top), true
@@ -140,7 +140,7 @@
 }
 
 // state is what a line of the list comes to: nothing is brought back by an older word.
-func (v *versions) state(s balance.Server) balance.State {
+func (v *serverList) state(s balance.Server) balance.State {
 	_, away := v.away[s.ID]
 	if h, held := v.held[s.ID]; s.State == balance.Ready && (away || held && s.Started <= h.started) {
 		return balance.Draining
@@ -149,7 +149,7 @@
 }
 
 // name adds servers to what is told, as the list has them.
-func (v *versions) name(news *listing, ids []balance.ServerID) {
+func (v *serverList) name(news *listing, ids []balance.ServerID) {
 	at := make(map[balance.ServerID]int, len(news.servers))
 	for i, s := range news.servers {
 		at[s.ID] = i
@@ -169,7 +169,7 @@
 }
 
 // leave remembers that a server is gone. Those that went first are forgotten first.
-func (v *versions) leave(id balance.ServerID, e entry, now time.Duration) {
+func (v *serverList) leave(id balance.ServerID, e entry, now time.Duration) {
 	if _, known := v.gone[id]; known {
 		return
 	}
@@ -183,7 +183,7 @@
 
 // takeAway returns the ready servers that another word has draining or gone. They stay out until a list of a version from
 // until on names them, or all of such a one is known.
-func (v *versions) takeAway(l listing, until int64) listing {
+func (v *serverList) takeAway(l listing, until int64) listing {
 	news := listing{version: v.top, address: make(map[balance.ServerID]string)}
 	says := make(map[balance.ServerID]balance.State, len(l.servers))
 	for _, s := range l.servers {
@@ -207,7 +207,7 @@
 
 // beside takes what another process of this sidecar goes by, where that is a newer version of the same line: what it has
 // not ready is out here too, until this process is told as much.
-func (v *versions) beside(k keptList, l listing) listing {
+func (v *serverList) beside(k keptList, l listing) listing {
 	if k.Source != v.source || k.Line != v.line || v.top == unknown || l.version <= v.top {
 		return listing{}
 	}
@@ -216,7 +216,7 @@
 }
 
 // anew judges an answer that is older than what is acted on: whether discovery has begun anew, or is stale.
-func (v *versions) anew(l listing, now time.Duration) bool {
+func (v *serverList) anew(l listing, now time.Duration) bool {
 	d := &v.doubt
 	if !d.open || now < d.last || l.version < d.top && now-d.last >= anewAfter {
 		d.open, d.whole, d.top, d.words, d.since, d.last = true, false, l.version, 0, now, now
@@ -238,7 +238,7 @@
 }
 
 // begin begins a line: its versions say nothing on those before, and what was out by those stays out for a while.
-func (v *versions) begin(now time.Duration) {
+func (v *serverList) begin(now time.Duration) {
 	v.before = max(v.before, v.top)
 	v.line, v.top, v.heard, v.whole, v.until = v.line+1, unknown, 0, false, now+heldFor
 	clear(v.away)
@@ -251,7 +251,7 @@
 }
 
 // move goes on at another source.
-func (v *versions) move(source string, now time.Duration) {
+func (v *serverList) move(source string, now time.Duration) {
 	if source != v.source {
 		v.begin(now)
 		v.source, v.before = source, unknown
@@ -260,7 +260,7 @@
 
 // doubtful goes on with an older list than top's, where that can't be had: of its servers those that top's word leaves
 // ready. A short word names only servers that are not.
-func (v *versions) doubtful(older listing, short bool) {
+func (v *serverList) doubtful(older listing, short bool) {
 	top := v.entries
 	v.entries, v.whole = make(map[balance.ServerID]entry), false
 	for _, s := range older.servers {
@@ -274,8 +274,8 @@
 	}
 }
 
-// list is the whole list as it is acted on.
-func (v *versions) list() listing {
+// effectiveListing is the whole list as it is acted on.
+func (v *serverList) effectiveListing() listing {
 	l := listing{version: v.top, whole: true, address: make(map[balance.ServerID]string)}
 	for _, id := range slices.Sorted(maps.Keys(v.entries)) {
 		e := v.entries[id]
--- a/internal/sidecar/versions_test.go
+++ b/internal/sidecar/versions_test.go
@@ -69,7 +69,7 @@
 	}
 	for {
 		h := newHandover(dir, "n0") // as another process: the first still runs
-		v := h.versions(testConfig(t, entries(45, "ready"), configured), newClock().now())
+		v := h.loadServerList(testConfig(t, entries(45, "ready"), configured), newClock().now())
 		h.die()
 		if v.top == 50 {
 			break
@@ -252,17 +252,17 @@
 			case n == 1: // the process ends and starts; what it kept is what there is
 				restarts++
 				s := &handover{store: memoryStore(t), news: make(chan struct{}, 1)}
-				s.keepList(v, true)
+				s.queueList(v, true)
 				if err := s.flushList(); err != nil {
 					t.Fatal(err)
 				}
-				kept, _, ok := read[keptList](s.store, sectionList)
+				kept, _, ok := readSection[keptList](s.store, sectionList)
 				if !ok {
 					t.Fatal("nothing was kept")
 				}
 				v, renewed = recall(cfg, kept, time.Unix(0, int64(now)), now), min(renewed, 1)*now // it counts from the start again
 				clear(acted)
-				for _, e := range v.list().servers {
+				for _, e := range v.effectiveListing().servers {
 					acted[e.ID] = e
 					if taken[e.ID] && e.State == balance.Ready {
 						t.Fatalf("seed %d: a restart brings back a server that an older word took away", seed)
@@ -336,10 +336,10 @@
 		return l
 	}
 	old, next := newHandover(dir, "n0"), newHandover(dir, "n0")
-	a, b := old.versions(cfg, now), next.versions(cfg, now)
+	a, b := old.loadServerList(cfg, now), next.loadServerList(cfg, now)
 	for i, step := range []struct {
 		by      *handover
-		v       *versions
+		v       *serverList
 		version int64
 		kept    int64
 	}{
@@ -350,12 +350,12 @@
 			step.v.begin(now)
 		}
 		step.v.take(word(step.version), now)
-		step.by.keepList(step.v, true)
+		step.by.queueList(step.v, true)
 		if err := step.by.flushList(); err != nil {
 			t.Fatal(err)
 		}
 		last := newHandover(dir, "n0")
-		if got := last.versions(cfg, now).top; got != step.kept {
+		if got := last.loadServerList(cfg, now).top; got != step.kept {
 			t.Errorf("step %d: version %d is kept, want %d", i, got, step.kept)
 		}
 		last.die()
@@ -404,11 +404,11 @@
 			switch {
 			case w.version == -1:
 				s := &handover{store: memoryStore(t), news: make(chan struct{}, 1)}
-				s.keepList(v, true)
+				s.queueList(v, true)
 				if err := s.flushList(); err != nil {
 					t.Fatal(err)
 				}
-				kept, _, _ := read[keptList](s.store, sectionList)
+				kept, _, _ := readSection[keptList](s.store, sectionList)
 				v = recall(cfg, kept, time.Unix(0, int64(now)), now)
 			case w.version == -2:
 				cfg.Discovery = "127.0.0.1:2"
@@ -429,8 +429,8 @@
 				v.take(l, now)
 			}
 		}
-		if out := wording(v.list()) == "s-0@127.0.0.1:80 out"; out != c.out || v.line != c.line {
-			t.Errorf("%s: %s, line %d, want out %v, line %d", name, wording(v.list()), v.line, c.out, c.line)
+		if out := wording(v.effectiveListing()) == "s-0@127.0.0.1:80 out"; out != c.out || v.line != c.line {
+			t.Errorf("%s: %s, line %d, want out %v, line %d", name, wording(v.effectiveListing()), v.line, c.out, c.line)
 		}
 	}
 }
@@ -450,10 +450,10 @@
 	}
 	changes := func(version int64) listing { return listing{version: version} }
 	other, h := newHandover(dir, "n0"), newHandover(dir, "n0")
-	theirs := other.versions(cfg, now)
+	theirs := other.loadServerList(cfg, now)
 	heard := make(chan listing, 10)
 	d := newDiscovery(cfg, func(l listing) { heard <- l }, func() {})
-	d.versions = h.versions(cfg, now)
+	d.list = h.loadServerList(cfg, now)
 	var last []byte
 	for _, step := range []struct {
 		theirs listing // what the other process is told, if anything
@@ -473,19 +473,19 @@
 	} {
 		if step.theirs.version > 0 {
 			theirs.take(step.theirs, now)
-			other.keepList(theirs, true)
+			other.queueList(theirs, true)
 			if err := other.flushList(); err != nil {
 				t.Fatal(err)
 			}
 			h.known() // as it looks for calls by hand
-			k, l, raw, news := h.beside(last, nil)
+			k, l, raw, news := h.changedList(last, nil)
 			if last = raw; news {
-				d.beside(k, l)
+				d.applyOtherProcessList(k, l)
 			}
 		} else if again := d.take(step.ours) > 0; again != step.whole {
 			t.Errorf("version %d: the whole list is asked for: %v", step.ours.version, again)
 		}
-		if got := wording(d.versions.list()); got != step.want {
+		if got := wording(d.list.effectiveListing()); got != step.want {
 			t.Errorf("after %d and %d: %s, want %s", step.theirs.version, step.ours.version, got, step.want)
 		}
 	}
@@ -544,19 +544,19 @@
 	h, now := &handover{store: memoryStore(t), news: make(chan struct{}, 1)}, newClock().now()
 	v := newVersions(cfg.Discovery)
 	v.take(l, now)
-	h.keepList(v, true)
+	h.queueList(v, true)
 	if err := h.flushList(); err != nil {
 		t.Fatal(err)
 	}
-	if e, _ := h.store.Get(sectionList, only); len(e.Value) > 1000 {
+	if e, _ := h.store.Get(sectionList, singleKey); len(e.Value) > 1000 {
 		t.Errorf("%d bytes are kept", len(e.Value))
 	}
-	next := h.versions(cfg, now)
-	if got := wording(next.list()); next.top != 50 || next.watched() || !strings.HasPrefix(got, "s-0@127.0.0.1:1 out, s-1@127.0.0.1:2, ") || len(next.entries) != 3000 {
+	next := h.loadServerList(cfg, now)
+	if got := wording(next.effectiveListing()); next.top != 50 || next.watched() || !strings.HasPrefix(got, "s-0@127.0.0.1:1 out, s-1@127.0.0.1:2, ") || len(next.entries) != 3000 {
 		t.Errorf("version %d with %d servers: %s", next.top, len(next.entries), got)
 	}
 	next.take(l, now)
-	if got := wording(next.list()); !next.watched() || !strings.HasPrefix(got, "s-0@127.0.0.1:1 out, s-1@127.0.0.1:2, ") {
+	if got := wording(next.effectiveListing()); !next.watched() || !strings.HasPrefix(got, "s-0@127.0.0.1:1 out, s-1@127.0.0.1:2, ") {
 		t.Errorf("after the whole list: %s", got)
 	}
 }
--- a/internal/sidecar/watch_test.go
+++ b/internal/sidecar/watch_test.go
@@ -22,12 +22,12 @@
 func follower(t *testing.T, cfg *Config, dial func(ctx context.Context, network, address string) (net.Conn, error), heard func(listing)) (d *discovery, stop func()) {
 	t.Helper()
 	c := newClock()
-	l, err := newLoop(cfg, c, newUpstream(cfg, c))
+	l, err := newLoop(cfg, c, newTransport(cfg, c))
 	if err != nil {
 		t.Fatal(err)
 	}
-	d = newDiscovery(cfg, func(news listing) { heard(news); l.list(news) }, l.listFailed)
-	d.now, d.dial, d.draw, l.watch = c.now, dial, rand.New(rand.NewPCG(cfg.Seed, 0)).Float64, d.ask
+	d = newDiscovery(cfg, func(news listing) { heard(news); l.applyListing(news) }, l.discoveryFailed)
+	d.now, d.dial, d.draw, l.subscribe = c.now, dial, rand.New(rand.NewPCG(cfg.Seed, 0)).Float64, d.subscribe
 	ctx, cancel := context.WithCancel(context.Background())
 	go l.run(ctx, cfg.Known)
 	go d.run(ctx)
@@ -156,7 +156,7 @@
 								defer mu.Unlock()
 								from = time.Now()
 								for _, address := range to {
-									d.move(address)
+									d.setAddress(address)
 								}
 							}()
 						}
@@ -421,9 +421,9 @@
 		defer cancel()
 		go d.run(ctx)
 		for range 2 {
-			d.ask()
+			d.subscribe()
 			<-calls
-			d.ask() // it takes long
+			d.subscribe() // it takes long
 			end <- struct{}{}
 			if synctest.Wait(); len(calls) > 0 {
 				t.Fatal("called unasked")
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -82,7 +82,7 @@
 func (s *Settings) Count(key string) int { return s.count(key) }
 
 // Duration returns a figure in milliseconds, or 0 where there is none; see Err.
-func (s *Settings) Duration(key string) time.Duration { return Millis(s.number(key, 0)) }
+func (s *Settings) Duration(key string) time.Duration { return FromMillis(s.number(key, 0)) }
 
 // Number returns a figure, or 0 where there is none; see Err.
 func (s *Settings) Number(key string) float64 { return s.number(key, 0) }
@@ -160,7 +160,7 @@
 		case balance.HasBusy:
 			l.Busy = v
 		case balance.HasService:
-			l.Service = Millis(v)
+			l.Service = FromMillis(v)
 		case balance.HasServed:
 			l.Served = v
 		case balance.HasErrors:
@@ -179,19 +179,19 @@
 		MaxAttempts:    s.count("caps.most_tries"),
 		MayCancel:      s.flag("caps.may_cancel"),
 		MayProbe:       s.flag("caps.probes") && s.text("telemetry.how") != "silent",
-		MaxRetryAfter:  Millis(s.number("caps.max_retry_after_ms", 0)),
+		MaxRetryAfter:  FromMillis(s.number("caps.max_retry_after_ms", 0)),
 		MarksRepeat:    s.flag("client_habits.marks_retry"),
-		OrderSettle:    Millis(s.number("rules.order_settle_ms", 0)),
-		CloseWithin:    Millis(s.number("rules.let_go_in_ms", 0)),
-		Tick:           Millis(s.number("period_ms", 0)),
+		OrderSettle:    FromMillis(s.number("rules.order_settle_ms", 0)),
+		CloseWithin:    FromMillis(s.number("rules.let_go_in_ms", 0)),
+		Tick:           FromMillis(s.number("period_ms", 0)),
 		AskList:        s.text("discovery") == "ask",
-		AskWithin:      Millis(s.number("rules.ask_within_ms", 0)),
+		AskWithin:      FromMillis(s.number("rules.ask_within_ms", 0)),
 		ColdFrom:       s.number("rules.cold_from", 0),
-		ColdTime:       Millis(s.number("rules.cold_ms", 0)),
+		ColdTime:       FromMillis(s.number("rules.cold_ms", 0)),
 		ColdMultiple:   s.number("rules.fall_multiple", 0),
 		CrossZonePrice: s.number("charges.cross_zone", 0),
 		Budget: balance.RetryBudget{
-			Span:  Millis(s.number("rules.budget_span_ms", 0)),
+			Span:  FromMillis(s.number("rules.budget_span_ms", 0)),
 			Free:  s.number("rules.extra_free", 0),
 			Share: s.number("rules.further_ratio", 0),
 		},
@@ -205,12 +205,12 @@
 	for i := range s.count("classes.count") {
 		p := fmt.Sprintf("classes.%d.", i)
 		k := balance.Class{
-			Aim:        Millis(s.number(p+"aim_ms", 0)),
+			Aim:        FromMillis(s.number(p+"aim_ms", 0)),
 			AimStretch: s.number(p+"aim_stretch", 0),
-			Deadline:   Millis(s.number(p+"hard_limit_ms", 0)),
+			Deadline:   FromMillis(s.number(p+"hard_limit_ms", 0)),
 			LateShare:  s.number(p+"late_share", 0),
 			Worth:      s.number(p+"worth", 0),
-			Window:     Millis(s.number(p+"window_ms", 0)),
+			Window:     FromMillis(s.number(p+"window_ms", 0)),
 			Effect:     balance.Unsafe, // an unknown word is taken for the strictest
 			Scope:      balance.ScopeCell,
 			InOrder:    s.flag(p + "fifo_by_key"),
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -85,9 +85,9 @@
 	chunk = 1 << 20
 )
 
-// Millis turns milliseconds on the wire into a duration. What no duration can
+// FromMillis turns milliseconds on the wire into a duration. What no duration can
 // hold is cut to the ends, and a NaN is 0.
-func Millis(ms float64) time.Duration {
+func FromMillis(ms float64) time.Duration {
 	const most = 1 << 62
 	ns := math.Round(ms * 1e6)
 	switch {
@@ -137,7 +137,7 @@
 	if math.IsNaN(clock) || math.IsInf(clock, 0) {
 		return Batch{}, fmt.Errorf("batch %d: clock is not a number", b.Number)
 	}
-	b.Clock = Millis(clock)
+	b.Clock = FromMillis(clock)
 	if size > maxFrame {
 		return Batch{}, fmt.Errorf("batch %d: %d bytes claimed, at most %d are taken", b.Number, size, maxFrame)
 	}
@@ -305,7 +305,7 @@
 	for i := range entries {
 		e := Entry{Upstream: c.addr(), Area: c.u8(), Family: c.u8(), Cohort: c.u16(), Status: c.u8()}
 		e.Rating = float64(math.Float32frombits(c.u32()))
-		e.Boot = Millis(c.f64())
+		e.Boot = FromMillis(c.f64())
 		entries[i] = e
 	}
 	return page, entries, c.done(r.Code)
@@ -344,7 +344,7 @@
 	c := cursor{b: r.Fields}
 	c.u32()
 	a := Ask{Job: c.u32(), Bits: c.u16(), Key: c.u64(), Tenant: c.u32()}
-	a.Left, a.Hint, a.Kind = Millis(c.f64()), Millis(c.f64()), c.u8()
+	a.Left, a.Hint, a.Kind = FromMillis(c.f64()), FromMillis(c.f64()), c.u8()
 	return a, c.done(r.Code)
 }
 
@@ -364,7 +364,7 @@
 	c := cursor{b: r.Fields}
 	c.u32()
 	f := Finished{Job: c.u32(), Hop: c.u8(), Upstream: c.addr(), Ending: c.u16()}
-	f.Took, f.Settled, f.Pressure = Millis(c.f64()), c.u8() != 0, c.report()
+	f.Took, f.Settled, f.Pressure = FromMillis(c.f64()), c.u8() != 0, c.report()
 	return f, c.done(r.Code)
 }
 
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -187,11 +187,11 @@
 
 func TestMillis(t *testing.T) {
 	for _, d := range []time.Duration{0, time.Microsecond, 123456 * time.Microsecond, -time.Second, time.Hour} {
-		if got := Millis(ToMillis(d)); got != d {
+		if got := FromMillis(ToMillis(d)); got != d {
 			t.Errorf("%v comes back as %v", d, got)
 		}
 	}
-	if Millis(math.NaN()) != 0 || Millis(math.Inf(1)) <= 0 || Millis(math.Inf(-1)) >= 0 {
+	if FromMillis(math.NaN()) != 0 || FromMillis(math.Inf(1)) <= 0 || FromMillis(math.Inf(-1)) >= 0 {
 		t.Error("what is no number, or infinite, is not cut to a safe duration")
 	}
 }
