--- a/cmd/caperarch/main.go
+++ b/cmd/caperarch/main.go
@@ -137,7 +137,7 @@
 		}
 		told := cfg.Describe()
 		shown.Sidecar, shown.Fleet = &told, cfg.Fleet
-		for _, key := range cfg.Unknown {
+		for _, key := range cfg.UnknownKeys {
 			fmt.Fprintf(notes, "caperarch: %s: key %q means nothing to this program; it is passed over\n", config, key)
 		}
 	}
--- a/internal/conf/conf.go
+++ b/internal/conf/conf.go
@@ -51,7 +51,7 @@
 func (d Duration) String() string { return time.Duration(d).String() }
 
 // D is the time as the standard library has it.
-func (d Duration) D() time.Duration { return time.Duration(d) }
+func (d Duration) Std() time.Duration { return time.Duration(d) }
 
 // Read reads the file at path into the struct that into points to.
 func Read(path string, into any) error {
@@ -87,7 +87,7 @@
 
 // Lines tells on which line each key of a file stands, for whoever finds more wrong with one than Parse does. An entry of an array of
 // tables is a[0], a[1] and so on.
-func Lines(raw []byte) (map[string]int, error) { return linesOf(raw) }
+func KeyLines(raw []byte) (map[string]int, error) { return linesOf(raw) }
 
 // explain names the file, the line and the key that the library's error is about.
 func explain(name string, err error) error {
--- a/internal/conf/conf_test.go
+++ b/internal/conf/conf_test.go
@@ -30,8 +30,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if s.Wait.D() != 250*time.Millisecond || s.Share != 0.25 || s.Mode != "calm" || s.Inner.Count != 3 ||
-		s.Part[0].For.D() != time.Second || s.Part[1].For.D() != 2*time.Second || s.Routes["n1"] != "1:2" {
+	if s.Wait.Std() != 250*time.Millisecond || s.Share != 0.25 || s.Mode != "calm" || s.Inner.Count != 3 ||
+		s.Part[0].For.Std() != time.Second || s.Part[1].For.Std() != 2*time.Second || s.Routes["n1"] != "1:2" {
 		t.Errorf("read %+v", s)
 	}
 	var b strings.Builder
--- a/internal/conform/process.go
+++ b/internal/conform/process.go
@@ -164,7 +164,7 @@
 		started := int64(0)
 		p.zones[s.ID] = s.Zone
 		if s.Started != 0 {
-			started = time.Now().Add(s.Started.D()).UnixMilli()
+			started = time.Now().Add(s.Started.Std()).UnixMilli()
 		}
 		entries[s.ID] = fmt.Sprintf(`{"instanceId":%q,"hostPort":%q,"zone":%q,"cell":0,"lifecycle":%q,"weight":%v,"startedAtMs":%d}`,
 			s.ID, p.servers[s.ID].listener.Addr(), zones[s.Zone], s.State, s.Weight, started)
@@ -350,7 +350,7 @@
 	}
 	for name, value := range map[string]string{
 		"X-Request-ID": id, "X-Priority-Class": s.Class, "X-Tenant-Id": s.Tenant,
-		"X-Timeout": fmt.Sprintf("%dm", s.Left.D().Milliseconds()),
+		"X-Timeout": fmt.Sprintf("%dm", s.Left.Std().Milliseconds()),
 	} {
 		req.Header.Set(name, value)
 	}
@@ -497,7 +497,7 @@
 		}
 		p.dialled[name(id)] = c
 	}
-	time.Sleep(s.Pause.D())
+	time.Sleep(s.Pause.Std())
 	for _, id := range s.Up {
 		p.servers[id].up()
 	}
--- a/internal/conform/virtual.go
+++ b/internal/conform/virtual.go
@@ -119,7 +119,7 @@
 			p.late[int(e.ID)] = true
 		}
 		if s.Started != 0 {
-			e.Started = epoch + s.Started.D()
+			e.Started = epoch + s.Started.Std()
 		}
 		list = append(list, e)
 	}
@@ -185,7 +185,7 @@
 	}
 	last := p.now // whatever is still out times out, and all that was asked has its answer by then
 	for _, q := range p.asked {
-		last = max(last, q.at+q.step.Left.D()+time.Second)
+		last = max(last, q.at+q.step.Left.Std()+time.Second)
 	}
 	return p.faults, cmp.Or(p.until(last), p.allAnswered())
 }
@@ -207,7 +207,7 @@
 // step plays one step, and judges what it brought.
 func (p *player) step(s Step) error {
 	p.begin()
-	if err := p.until(max(p.now, epoch+s.At.D())); err != nil {
+	if err := p.until(max(p.now, epoch+s.At.Std())); err != nil {
 		return err
 	}
 	for _, id := range s.Up {
@@ -249,7 +249,7 @@
 func (p *player) ask(id int, s Step) error {
 	p.asked[id] = &asked{step: s, at: p.now}
 	q := balance.Request{
-		ID: balance.RequestID(id), Class: p.classes[s.Class], Tenant: p.tenants[s.Tenant], Left: s.Left.D(),
+		ID: balance.RequestID(id), Class: p.classes[s.Class], Tenant: p.tenants[s.Tenant], Left: s.Left.Std(),
 	}
 	return p.tell(event{kind: request, request: q})
 }
@@ -318,7 +318,7 @@
 				continue
 			}
 			p.mayGo(a, q)
-			q.tries = append(q.tries, try{server: a.server, at: p.now, until: min(p.now+max(0, a.d), q.at+q.step.Left.D()),
+			q.tries = append(q.tries, try{server: a.server, at: p.now, until: min(p.now+max(0, a.d), q.at+q.step.Left.Std()),
 				by: p.now + a.unsent, late: p.late[a.server]})
 			if !p.late[a.server] {
 				p.written(a.id, a.server)
@@ -340,7 +340,7 @@
 				p.fault("request %d is answered, which is not open", a.id)
 				continue
 			}
-			if late := p.now - q.at - q.step.Left.D(); late > time.Duration(figure(p.set, "rules", "answer_slack_ms")*1e6) {
+			if late := p.now - q.at - q.step.Left.Std(); late > time.Duration(figure(p.set, "rules", "answer_slack_ms")*1e6) {
 				p.fault("request %d is answered %v after its time", a.id, late)
 			}
 			if a.kind == fail {
@@ -474,7 +474,7 @@
 			return err
 		}
 		for q := p.asked[id]; q.answered == "" && len(q.tries) > 0 && !q.tries[len(q.tries)-1].over; {
-			if err := p.until(p.now + f.Took.D()); err != nil {
+			if err := p.until(p.now + f.Took.Std()); err != nil {
 				return err
 			}
 			n := len(q.tries) - 1
@@ -485,7 +485,7 @@
 				return err
 			}
 		}
-		if err := p.until(max(p.now, begun+f.Every.D())); err != nil {
+		if err := p.until(max(p.now, begun+f.Every.Std())); err != nil {
 			return err
 		}
 	}
--- a/internal/guard/guard.go
+++ b/internal/guard/guard.go
@@ -17,11 +17,11 @@
 )
 
 // Rule is an invariant.
-type Rule int
+type Invariant int
 
 // The invariants.
 const (
-	Started       Rule = iota // nothing is taken before the sidecar is ready, and no id twice
+	Started       Invariant = iota // nothing is taken before the sidecar is ready, and no id twice
 	SentWhileOpen             // nothing is sent for a request that has ended, or whose client has left
 	SentInTime                // nor behind its deadline
 	RepeatAllowed             // a request that may have run is sent again only as its class allows; beside an attempt only if it is safe
@@ -37,7 +37,7 @@
 }
 
 // String returns the rule's name in the log and among the figures.
-func (r Rule) String() string { return names[r] }
+func (r Invariant) String() string { return names[r] }
 
 const (
 	// LeftSlack is how long behind a client's leaving an attempt may begin (the operators' terms): 0.1 s, and 0.15 s for a
@@ -54,24 +54,24 @@
 )
 
 // Denied says which rule does not permit what was asked for.
-type Denied struct{ Rule Rule }
+type Denied struct{ Rule Invariant }
 
 func (d Denied) Error() string { return "not permitted: " + d.Rule.String() }
 
 // Violation is one breach of an invariant.
 type Violation struct {
-	Rule Rule
-	Name string // the request's X-Request-ID
-	Text string // what happened
+	Rule Invariant
+	RequestID string // the request's X-Request-ID
+	Detail string // what happened
 }
 
 // Request is what a Guard knows of a request from its start.
 type Request struct {
-	Name     string // X-Request-ID
+	RequestID     string // X-Request-ID
 	Deadline time.Duration
 	Effect   balance.Effect
 	Window   time.Duration // keyed only: how long repeats are dropped, from the first send on
-	Coming   bool          // its body still comes: its time begins later
+	BodyPending   bool          // its body still comes: its time begins later
 }
 
 // entry is a request in the table. It stays until it has ended and none of its attempts is out.
@@ -118,11 +118,11 @@
 func (g *Guard) Start() { g.ready.Store(true) }
 
 // Take enters a request.
-func (g *Guard) Take(id balance.RequestID, r Request) {
+func (g *Guard) Admit(id balance.RequestID, r Request) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.open[id] != nil || !g.ready.Load() {
-		g.violated(Started, r.Name, "taken before the sidecar was ready, or twice")
+		g.violated(Started, r.RequestID, "taken before the sidecar was ready, or twice")
 	}
 	g.open[id] = &entry{Request: r}
 }
@@ -132,12 +132,12 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if e := g.open[id]; e != nil {
-		e.Coming, e.Deadline = false, deadline
+		e.BodyPending, e.Deadline = false, deadline
 	}
 }
 
 // Listed takes what the server at an address is told to be. What is told twice counts from the first time on.
-func (g *Guard) Listed(now time.Duration, address string, state balance.State) {
+func (g *Guard) SetServerState(now time.Duration, address string, state balance.State) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if state == balance.Ready {
@@ -157,7 +157,7 @@
 }
 
 // Send asks whether an attempt at the server at an address may be begun, a first or a further one. Each that may has an End.
-func (g *Guard) Send(now time.Duration, id balance.RequestID, address string) error {
+func (g *Guard) PermitSend(now time.Duration, id balance.RequestID, address string) error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	e := g.open[id]
@@ -165,11 +165,11 @@
 		return g.deny(rule)
 	}
 	if e.Effect != balance.Safe && e.out > 0 || e.mayRun && !e.mayRepeat(now) {
-		g.violated(RepeatAllowed, e.Name, "a repeat was asked for that its class does not allow")
+		g.violated(RepeatAllowed, e.RequestID, "a repeat was asked for that its class does not allow")
 		return g.deny(RepeatAllowed)
 	}
 	if g.outFor(now, address) > g.grace {
-		g.violated(SentToListed, e.Name, "an attempt was asked for at a server that drains or is gone")
+		g.violated(SentToListed, e.RequestID, "an attempt was asked for at a server that drains or is gone")
 		return g.deny(SentToListed)
 	}
 	e.out++
@@ -177,7 +177,7 @@
 }
 
 // Write asks whether the first byte of an attempt may go out to an address now.
-func (g *Guard) Write(now time.Duration, id balance.RequestID, address string) error {
+func (g *Guard) PermitWrite(now time.Duration, id balance.RequestID, address string) error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	e := g.open[id]
@@ -203,13 +203,13 @@
 }
 
 // denies says which rule keeps anything from being sent for a request.
-func (e *entry) denies(now time.Duration, ready bool) (Rule, bool) {
+func (e *entry) denies(now time.Duration, ready bool) (Invariant, bool) {
 	switch {
 	case !ready:
 		return Started, true
 	case e == nil || e.answered || e.left || e.closed:
 		return SentWhileOpen, true
-	case !e.Coming && now >= e.Deadline:
+	case !e.BodyPending && now >= e.Deadline:
 		return SentInTime, true
 	}
 	return 0, false
@@ -221,7 +221,7 @@
 }
 
 // Written takes that the last byte of an attempt has gone out to an address, which was begun at a moment.
-func (g *Guard) Written(began, now time.Duration, id balance.RequestID, address string) {
+func (g *Guard) AttemptWritten(began, now time.Duration, id balance.RequestID, address string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	e := g.open[id]
@@ -229,9 +229,9 @@
 	case e == nil:
 		g.violated(SentWhileOpen, "", "an attempt was written for a request that is not held")
 	case e.left && began > e.leftAt+LeftSlack:
-		g.violated(SentWhileOpen, e.Name, fmt.Sprintf("an attempt was begun %v behind its client's leaving", began-e.leftAt))
+		g.violated(SentWhileOpen, e.RequestID, fmt.Sprintf("an attempt was begun %v behind its client's leaving", began-e.leftAt))
 	case e.mayRun && !e.mayRepeat(now):
-		g.violated(RepeatAllowed, e.Name, "a repeat went out that its class does not allow any more")
+		g.violated(RepeatAllowed, e.RequestID, "a repeat went out that its class does not allow any more")
 	}
 	if name := nameOf(e); g.outFor(began, address) > g.grace+GraceSlack {
 		g.violated(SentToListed, name, fmt.Sprintf("an attempt was begun at %s %v after that was told draining or gone", address, g.outFor(began, address)))
@@ -243,11 +243,11 @@
 	if e == nil {
 		return ""
 	}
-	return e.Name
+	return e.RequestID
 }
 
 // End takes how an attempt ended that Send had permitted, begun at sent.
-func (g *Guard) End(sent time.Duration, id balance.RequestID, ending balance.Ending) {
+func (g *Guard) AttemptEnded(sent time.Duration, id balance.RequestID, ending balance.Ending) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	e := g.open[id]
@@ -263,7 +263,7 @@
 }
 
 // Left takes that a request's client has closed its connection.
-func (g *Guard) Left(now time.Duration, id balance.RequestID) {
+func (g *Guard) ClientLeft(now time.Duration, id balance.RequestID) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if e := g.open[id]; e != nil && !e.left {
@@ -272,7 +272,7 @@
 }
 
 // Answer asks whether a request may be given its final answer now.
-func (g *Guard) Answer(now time.Duration, id balance.RequestID) error {
+func (g *Guard) PermitAnswer(now time.Duration, id balance.RequestID) error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	e := g.open[id]
@@ -284,15 +284,15 @@
 		e.settled = true
 		g.forget(id, e)
 		return g.deny(ClosedAfter)
-	case !e.Coming && !e.left && now > e.Deadline+AnswerSlack:
-		g.violated(AnsweredSoon, e.Name, fmt.Sprintf("answered %v behind its deadline", now-e.Deadline))
+	case !e.BodyPending && !e.left && now > e.Deadline+AnswerSlack:
+		g.violated(AnsweredSoon, e.RequestID, fmt.Sprintf("answered %v behind its deadline", now-e.Deadline))
 	}
 	e.answered, e.settled = true, true
 	return nil
 }
 
 // Settle takes that a request gets no answer, as its client has left.
-func (g *Guard) Settle(id balance.RequestID) {
+func (g *Guard) AnswerDropped(id balance.RequestID) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if e := g.open[id]; e != nil {
@@ -303,7 +303,7 @@
 
 // Close takes that a request's handler ends. broken says that the request has no whole answer by the fault of somebody
 // else than this process: of its client, or of a server in an answer under way.
-func (g *Guard) Close(now time.Duration, id balance.RequestID, broken bool) {
+func (g *Guard) HandlerEnded(now time.Duration, id balance.RequestID, broken bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	e := g.open[id]
@@ -311,7 +311,7 @@
 		return
 	}
 	if !e.answered && !e.left && !broken {
-		g.violated(ClosedAfter, e.Name, "closed with no answer while its client waits")
+		g.violated(ClosedAfter, e.RequestID, "closed with no answer while its client waits")
 	}
 	e.closed = true
 	g.forget(id, e)
@@ -323,7 +323,7 @@
 	defer g.mu.Unlock()
 	for _, e := range g.open {
 		if !e.left && !e.closed {
-			g.violated(ClosedAfter, e.Name, "held when the process ended")
+			g.violated(ClosedAfter, e.RequestID, "held when the process ended")
 		}
 	}
 }
@@ -335,27 +335,27 @@
 	}
 }
 
-func (g *Guard) deny(rule Rule) error {
+func (g *Guard) deny(rule Invariant) error {
 	g.denials[rule].Add(1)
 	return Denied{rule}
 }
 
-func (g *Guard) violated(rule Rule, name, text string) {
+func (g *Guard) violated(rule Invariant, name, text string) {
 	g.violations[rule].Add(1)
 	g.report(Violation{rule, name, text})
 }
 
 // Count is how often a rule was violated, and how often it denied something.
-type Count struct {
-	Rule               Rule
+type InvariantCount struct {
+	Rule               Invariant
 	Violations, Denied uint64
 }
 
 // Counts lists the counts of all rules.
-func (g *Guard) Counts() []Count {
-	all := make([]Count, rules)
+func (g *Guard) Counts() []InvariantCount {
+	all := make([]InvariantCount, rules)
 	for i := range all {
-		all[i] = Count{Rule(i), g.violations[i].Load(), g.denials[i].Load()}
+		all[i] = InvariantCount{Invariant(i), g.violations[i].Load(), g.denials[i].Load()}
 	}
 	return all
 }
--- a/internal/lab/client.go
+++ b/internal/lab/client.go
@@ -49,7 +49,7 @@
 
 func newClients(s *Scenario, c clock, h *History, n *subnet, late *lateness) *clients {
 	k := &clients{clock: c, scene: s, history: h, net: n, late: late, classes: s.classes(), count: make(map[Outcome]*counter)}
-	seconds := int(s.For.D() / time.Second)
+	seconds := int(s.For.Std() / time.Second)
 	for range k.classes {
 		k.latency = append(k.latency, hdrhistogram.New(1, 60_000_000, 3))
 	}
@@ -110,7 +110,7 @@
 			break
 		}
 		if !heeds || pause == 0 {
-			pause = k.scene.Load.Backoff.D()
+			pause = k.scene.Load.Backoff.Std()
 		}
 		if k.clock.now()+pause >= last {
 			break
--- a/internal/lab/faults.go
+++ b/internal/lab/faults.go
@@ -39,7 +39,7 @@
 func (f *faults) play(ctx context.Context, plan []Action) {
 	defer f.work.Wait()
 	for _, a := range plan {
-		if !sleep(ctx, a.At.D()-f.run.clock.now()) {
+		if !sleep(ctx, a.At.Std()-f.run.clock.now()) {
 			return
 		}
 		if err := f.run.hollow.resting(true); err != nil {
@@ -48,7 +48,7 @@
 			f.mu.Unlock()
 		}
 		f.mu.Lock()
-		f.marks = append(f.marks, Mark{At: a.At.D(), Text: a.text()})
+		f.marks = append(f.marks, Mark{At: a.At.Std(), Text: a.text()})
 		mark := len(f.marks) - 1
 		f.mu.Unlock()
 		f.work.Go(func() {
@@ -105,7 +105,7 @@
 	var all sync.WaitGroup
 	errs := make(chan error, len(a.Targets))
 	for i, target := range a.Targets {
-		if i > 0 && a.Pause > 0 && kinds[a.Do].on != "link" && kinds[a.Do].on != "discovery" && !sleep(ctx, a.Pause.D()) {
+		if i > 0 && a.Pause > 0 && kinds[a.Do].on != "link" && kinds[a.Do].on != "discovery" && !sleep(ctx, a.Pause.Std()) {
 			break
 		}
 		all.Go(func() { errs <- one(ctx, a, target) })
@@ -129,11 +129,11 @@
 	if a.Do != "busy" {
 		return nil
 	}
-	return keepBusy(ctx, f.run.processes.launch, int(a.Size), a.For.D())
+	return keepBusy(ctx, f.run.processes.launch, int(a.Size), a.For.Std())
 }
 
 // mended waits until an action's time is over; false: it is for good, or the run ends before.
-func mended(ctx context.Context, a Action) bool { return a.For > 0 && sleep(ctx, a.For.D()) }
+func mended(ctx context.Context, a Action) bool { return a.For > 0 && sleep(ctx, a.For.Std()) }
 
 func (f *faults) sidecar(ctx context.Context, a Action, i int) error {
 	p := f.run.processes
@@ -186,7 +186,7 @@
 	case "starve":
 		if a.For > 0 {
 			var cancel context.CancelFunc
-			ctx, cancel = context.WithTimeout(ctx, a.For.D())
+			ctx, cancel = context.WithTimeout(ctx, a.For.Std())
 			defer cancel()
 		}
 		p.starve(ctx, i, a.Size)
@@ -233,31 +233,31 @@
 	switch a.Do {
 	case "crash":
 		s.crash(i)
-		r.hear(list.Notice.D(), entry(world.Gone))
+		r.hear(list.Notice.Std(), entry(world.Gone))
 		if mended(ctx, a) {
-			r.hear(list.Notice.D(), fresh())
+			r.hear(list.Notice.Std(), fresh())
 			return s.start(i)
 		}
 	case "replace":
 		s.crash(i)
-		r.hear(list.Notice.D(), entry(world.Gone))
-		sleep(ctx, a.For.D())
+		r.hear(list.Notice.Std(), entry(world.Gone))
+		sleep(ctx, a.For.Std())
 		if ctx.Err() == nil {
 			i = a.Spares[slices.Index(a.Targets, i)]
-			r.hear(list.Notice.D(), fresh())
+			r.hear(list.Notice.Std(), fresh())
 			return s.start(i)
 		}
 	case "silence":
 		s.silence(i, true)
-		r.hear(list.Silence.D(), entry(world.Gone))
+		r.hear(list.Silence.Std(), entry(world.Gone))
 		if mended(ctx, a) {
 			s.silence(i, false)
-			r.hear(list.Notice.D(), fresh())
+			r.hear(list.Notice.Std(), fresh())
 		}
 	case "drain":
-		r.hear(list.Notice.D(), entry(world.Draining))
+		r.hear(list.Notice.Std(), entry(world.Draining))
 		if mended(ctx, a) {
-			r.hear(list.Notice.D(), entry(world.Ready))
+			r.hear(list.Notice.Std(), entry(world.Ready))
 		}
 	case "slow":
 		s.change(i, func(m *world.Server) { m.Slow(a.Size) })
@@ -338,7 +338,7 @@
 
 // beRude has strangers connect to a sidecar, one after the other, while the fault lasts.
 func (f *faults) beRude(ctx context.Context, a Action, sidecar int) {
-	ctx, cancel := context.WithTimeout(ctx, a.For.D())
+	ctx, cancel := context.WithTimeout(ctx, a.For.Std())
 	defer cancel()
 	h, c := f.run.history, f.run.clock
 	for n := 0; ctx.Err() == nil; n++ {
@@ -390,7 +390,7 @@
 	case "mute":
 		r.mute()
 	case "crawl":
-		r.crawl(a.Pause.D())
+		r.crawl(a.Pause.Std())
 		if mended(ctx, a) {
 			r.crawl(0)
 		}
@@ -420,12 +420,12 @@
 			case "delay":
 				w.delay = 0
 				if on {
-					w.delay = a.Pause.D()
+					w.delay = a.Pause.Std()
 				}
 			case "reorder":
 				w.jitter = 0
 				if on {
-					w.jitter = max(a.Pause.D(), time.Millisecond)
+					w.jitter = max(a.Pause.Std(), time.Millisecond)
 				}
 			case "drop":
 				w.drop = size
--- a/internal/lab/manners.go
+++ b/internal/lab/manners.go
@@ -55,7 +55,7 @@
 // shareOf is the size of a fault of the load at a moment, by the timetable; the largest, where there are several.
 func (s *Scenario) shareOf(do string, now time.Duration) (share float64) {
 	for _, f := range s.Fault {
-		if f.Do == do && now >= f.At.D() && now < f.At.D()+f.For.D() {
+		if f.Do == do && now >= f.At.Std() && now < f.At.Std()+f.For.Std() {
 			share = max(share, f.Size)
 		}
 	}
--- a/internal/lab/process.go
+++ b/internal/lab/process.go
@@ -191,8 +191,8 @@
 		"charges": map[string]any{"cross_zone": 0.03}, "client_habits": map[string]any{"marks_retry": true},
 		"classes": classes, "orgs": orgs,
 		"rules": map[string]any{
-			"answer_slack_ms": 8, "ask_within_ms": 10_000, "cold_from": s.Serve.ColdFrom, "cold_ms": ms(s.Serve.ColdTime.D()),
-			"fall_multiple": s.Serve.FallAt, "overload_for_ms": ms(s.Serve.FallFor.D()), "stop_sending_within_ms": ms(drainGrace),
+			"answer_slack_ms": 8, "ask_within_ms": 10_000, "cold_from": s.Serve.ColdFrom, "cold_ms": ms(s.Serve.ColdTime.Std()),
+			"fall_multiple": s.Serve.FallAt, "overload_for_ms": ms(s.Serve.FallFor.Std()), "stop_sending_within_ms": ms(drainGrace),
 		},
 		"telemetry": map[string]any{"how": "silent", "columns": []string{}},
 	}
--- a/internal/lab/report.go
+++ b/internal/lab/report.go
@@ -93,9 +93,9 @@
 		{"Attempts that reached each server", "attempts a second", servers},
 		{"Servers that a crowd has made slow", "servers", []curve{{"tipped", run.servers.tipped.values()}}},
 		{"Requests served by each sidecar", "requests a second", sidecars},
-		{"Sends to the ready, warm servers", "against their mean", spreadCurves(run.servers.tally, run.fits, run.scene.For.D())},
+		{"Sends to the ready, warm servers", "against their mean", spreadCurves(run.servers.tally, run.fits, run.scene.For.Std())},
 	} {
-		svg, err := drawPlot(p.unit, p.curves, run.faults.marks, run.scene.For.D())
+		svg, err := drawPlot(p.unit, p.curves, run.faults.marks, run.scene.For.Std())
 		if err != nil {
 			return nil, err
 		}
--- a/internal/lab/result.go
+++ b/internal/lab/result.go
@@ -60,7 +60,7 @@
 	s := r.scene
 	res := &Result{
 		Schema: resultSchema, Scenario: s.Name, About: s.About, Seed: o.Seed, Sidecars: s.Fleet.Sidecars, Servers: s.Fleet.Servers,
-		Commit: commit(), Program: digest(o.Program), Began: time.Now().Add(-length).UTC(), Seconds: s.For.D().Seconds(),
+		Commit: commit(), Program: digest(o.Program), Began: time.Now().Add(-length).UTC(), Seconds: s.For.Std().Seconds(),
 		Late: r.late.judge(length), Hollow: s.Fleet.Hollow,
 	}
 	for _, why := range r.hollow.late {
@@ -74,7 +74,7 @@
 	res.Figures = r.figures(lab)
 	r.spread(plan, res.Figures)
 	for _, c := range r.servers.tally {
-		res.Sends = append(res.Sends, c.values()[:int(s.For.D()/time.Second)])
+		res.Sends = append(res.Sends, c.values()[:int(s.For.Std()/time.Second)])
 	}
 	return res
 }
@@ -130,7 +130,7 @@
 	r.processes.mu.Lock()
 	f["cpu_ms"] = float64(r.processes.cpu.Milliseconds()) / n
 	f["rss_mib"], f["descriptors"], f["rss_all_mib"] = r.processes.maxRSS, float64(r.processes.maxFDs), r.processes.allRSS
-	f["written_kib_min"] = r.processes.written / 1024 / float64(s.Fleet.Sidecars) / s.For.D().Minutes()
+	f["written_kib_min"] = r.processes.written / 1024 / float64(s.Fleet.Sidecars) / s.For.Std().Minutes()
 	r.processes.mu.Unlock()
 	f["lab_cpu_ms"] = float64(lab.Milliseconds()) / n
 	var used syscall.Rusage
@@ -229,7 +229,7 @@
 		return 0, false
 	}
 	before := r.inTimeShare(1, int(first/time.Second))
-	end := int(r.scene.For.D() / time.Second)
+	end := int(r.scene.For.Std() / time.Second)
 	for i := int((last + time.Second - 1) / time.Second); i+2 <= end; i++ {
 		if r.inTimeShare(i, i+1) >= asBefore*before && r.inTimeShare(i+1, i+2) >= asBefore*before {
 			return max(0, float64(i)-last.Seconds()), true
@@ -249,7 +249,7 @@
 // slow. A run that ends sooner tells nothing of that.
 func (r *run) returned(f map[string]float64) {
 	first, last, ok := r.trouble()
-	from, end := last+returnsIn, int(r.scene.For.D()/time.Second)
+	from, end := last+returnsIn, int(r.scene.For.Std()/time.Second)
 	if !ok || int(first/time.Second) < 2 || int(from/time.Second)+2 > end {
 		return
 	}
--- a/internal/lab/roster.go
+++ b/internal/lab/roster.go
@@ -54,7 +54,7 @@
 	r := &roster{
 		clock: c, history: h, net: n, scene: s, servers: servers, changed: make(chan struct{}), muted: make(chan struct{}),
 		list: world.NewRoster(s.Fleet.Servers, firstVersion),
-		desk: world.NewDesk(s.List.Call.D(), s.List.Line.D(), s.List.Wait.D()),
+		desk: world.NewDesk(s.List.Call.Std(), s.List.Line.Std(), s.List.Wait.Std()),
 	}
 	r.list.Reserve(s.spares())
 	for range s.all() {
@@ -165,7 +165,7 @@
 func (r *roster) crawl(by time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.desk.Call = r.scene.List.Call.D() + by
+	r.desk.Call = r.scene.List.Call.Std() + by
 }
 
 // ServeHTTP is discovery's side of the protocol.
--- a/internal/lab/run.go
+++ b/internal/lab/run.go
@@ -220,7 +220,7 @@
 	before := cpuOf(syscall.RUSAGE_SELF)
 	r.clients.play(arrivals, ctx.Done())
 	failed := ctx.Err()
-	sleep(ctx, s.For.D()-r.clock.now())
+	sleep(ctx, s.For.Std()-r.clock.now())
 	if err := r.hollow.resting(true); err != nil {
 		return nil, err
 	}
--- a/internal/lab/scenario.go
+++ b/internal/lab/scenario.go
@@ -135,7 +135,7 @@
 		return nil, err
 	}
 	var err error
-	if s.lines, err = conf.Lines(raw); err != nil {
+	if s.lines, err = conf.KeyLines(raw); err != nil {
 		return nil, fmt.Errorf("%s: %w", name, err)
 	}
 	s.from = name
@@ -309,7 +309,7 @@
 			c.Aim, c.Deadline = s.Patience, s.Patience
 		}
 		if c.Effect == world.Keyed {
-			c.Window = s.Load.Within.D()
+			c.Window = s.Load.Within.Std()
 		}
 	}
 	return classes
@@ -329,7 +329,7 @@
 // arrivals draws what clients ask for.
 func (s *Scenario) arrivals(seed uint64) []world.Arrival {
 	spec := world.LoadSpec{
-		For: s.For.D(), Sidecars: s.Fleet.Sidecars, Skew: s.Load.Skew, Classes: s.classes(), Keys: s.Load.Keys, Zipf: s.Load.Zipf,
+		For: s.For.Std(), Sidecars: s.Fleet.Sidecars, Skew: s.Load.Skew, Classes: s.classes(), Keys: s.Load.Keys, Zipf: s.Load.Zipf,
 	}
 	for _, t := range tenants {
 		spec.Tenants = append(spec.Tenants, t.share)
@@ -337,7 +337,7 @@
 	spec.Rate = s.work() / spec.MeanWork().Seconds()
 	for _, f := range s.Fault {
 		if f.Do == "burst" {
-			spec.Bursts = append(spec.Bursts, world.Burst{At: f.At.D(), For: f.For.D(), Times: f.Size})
+			spec.Bursts = append(spec.Bursts, world.Burst{At: f.At.Std(), For: f.For.Std(), Times: f.Size})
 		}
 	}
 	return world.Draw(spec, seed)
@@ -386,12 +386,12 @@
 	spec := world.ServerSpec{
 		Cores: c.Cores, Speed: max(0.1, c.Speed*(1+c.Spread*rng.NormFloat64())), Slots: c.Slots, Room: c.Room,
 		Thrash: 0.3, ThrashAt: 11 * c.Cores,
-		Keys: c.Keys, KeyTime: c.KeyTime.D(), KeyGain: c.KeyGain,
-		ColdFrom: c.ColdFrom, ColdTime: c.ColdTime.D(), FallAt: c.FallAt, FallWithin: c.FallFor.D(),
+		Keys: c.Keys, KeyTime: c.KeyTime.Std(), KeyGain: c.KeyGain,
+		ColdFrom: c.ColdFrom, ColdTime: c.ColdTime.Std(), FallAt: c.FallAt, FallWithin: c.FallFor.Std(),
 		FallMean: (&world.LoadSpec{Classes: s.classes()}).MeanWork(),
-		ChokeAt:  c.ChokeAt, ChokeOver: c.ChokeOver.D(), ChokeSlow: c.ChokeSlow, ChokeRest: c.ChokeRest.D(),
-		ChokeBusy: c.ChokeBusy, ChokeMost: c.ChokeMost.D(),
-		Errors: c.Errors, CancelRunning: c.Cancel == "all", Handshake: c.Handshake.D(), Probe: 450 * time.Microsecond,
+		ChokeAt:  c.ChokeAt, ChokeOver: c.ChokeOver.Std(), ChokeSlow: c.ChokeSlow, ChokeRest: c.ChokeRest.Std(),
+		ChokeBusy: c.ChokeBusy, ChokeMost: c.ChokeMost.Std(),
+		Errors: c.Errors, CancelRunning: c.Cancel == "all", Handshake: c.Handshake.Std(), Probe: 450 * time.Microsecond,
 	}
 	return world.NewServer(spec, zone, rng.Uint64())
 }
@@ -416,7 +416,7 @@
 	if length < time.Second || length > time.Hour {
 		return fmt.Errorf("%v is no length: 1s to 1h is allowed", length)
 	}
-	by := float64(length) / float64(s.For.D())
+	by := float64(length) / float64(s.For.Std())
 	s.For = conf.Duration(length)
 	for i := range s.Fault {
 		s.Fault[i].At = conf.Duration(float64(s.Fault[i].At) * by)
--- a/internal/lab/soak.go
+++ b/internal/lab/soak.go
@@ -190,4 +190,4 @@
 }
 
 // late is how much longer than its time a client waits for its answer.
-func (l loadSpec) late() time.Duration { return conf.Duration(l.Late).D() }
+func (l loadSpec) late() time.Duration { return conf.Duration(l.Late).Std() }
--- a/internal/lab/spread.go
+++ b/internal/lab/spread.go
@@ -38,7 +38,7 @@
 	s := r.scene
 	all := make([]fit, s.Fleet.Servers+s.spares())
 	for i := range s.Fleet.Servers {
-		all[i] = fit{{0, s.For.D()}}
+		all[i] = fit{{0, s.For.Std()}}
 	}
 	without := func(server int, from, to time.Duration) {
 		var left fit
@@ -56,27 +56,27 @@
 		if kinds[a.Do].on != "server" {
 			continue
 		}
-		back := s.List.Notice.D()
+		back := s.List.Notice.Std()
 		if a.Do == "crash" || a.Do == "silence" || a.Do == "replace" {
-			back = max(back, s.Serve.ColdTime.D())
+			back = max(back, s.Serve.ColdTime.Std())
 		}
 		for i, server := range a.Targets {
-			from := a.At.D() + time.Duration(i)*a.Pause.D()
-			to := s.For.D()
+			from := a.At.Std() + time.Duration(i)*a.Pause.Std()
+			to := s.For.Std()
 			switch {
 			case a.Do == "replace":
-				if warm := from + a.For.D() + back; warm < to {
+				if warm := from + a.For.Std() + back; warm < to {
 					all[a.Spares[i]] = fit{{warm, to}}
 				}
 			case a.For > 0:
-				to = from + a.For.D() + back
+				to = from + a.For.Std() + back
 			}
 			without(server, from, to)
 		}
 	}
 	for i, u := range r.servers.all {
 		if u.pushed {
-			without(i, u.fell, s.For.D())
+			without(i, u.fell, s.For.Std())
 		}
 	}
 	return all
@@ -264,14 +264,14 @@
 // spread counts how evenly a run's sends fell: up to its first fault, and from some seconds after the last began. Herds
 // are counted from the first fault on: they come in the first moments.
 func (r *run) spread(plan []Action, f map[string]float64) {
-	length := r.scene.For.D()
+	length := r.scene.For.Std()
 	before, after := length, length
 	for i, a := range plan {
-		at := a.At.D()
+		at := a.At.Std()
 		if i == 0 {
 			before, after = min(before, at), 0
 		}
-		last := at + time.Duration(max(0, len(a.Targets)-1))*a.Pause.D()
+		last := at + time.Duration(max(0, len(a.Targets)-1))*a.Pause.Std()
 		after = max(after, last+spreadAfter)
 	}
 	sends, fits, settled := r.history.sends(), r.fits, min(spreadSettle, before/2)
@@ -291,7 +291,7 @@
 	opened := r.servers.dialled.values()
 	for second, n := range opened {
 		f["server_conns"] += n
-		if len(plan) > 0 && time.Duration(second)*time.Second >= plan[0].At.D() {
+		if len(plan) > 0 && time.Duration(second)*time.Second >= plan[0].At.Std() {
 			f["after_server_conns"] += n
 		}
 	}
--- a/internal/lab/spread_test.go
+++ b/internal/lab/spread_test.go
@@ -20,7 +20,7 @@
 		for at := 0.0; ; {
 			at += rng.ExpFloat64() / (12 * weight(server))
 			now := time.Duration(at * float64(time.Second))
-			if now > r.scene.For.D() {
+			if now > r.scene.For.Std() {
 				break
 			}
 			if !skip(now, server) {
@@ -106,7 +106,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if rate := float64(len(s.arrivals(1))) / s.For.D().Seconds() / 300; rate < 7.8 || rate > 8.2 {
+		if rate := float64(len(s.arrivals(1))) / s.For.Std().Seconds() / 300; rate < 7.8 || rate > 8.2 {
 			t.Errorf("%s: %v requests a second for each sidecar", name, rate)
 		}
 		if err := s.Resize(10, 6, 0); err != nil {
--- a/internal/lab/terminate.go
+++ b/internal/lab/terminate.go
@@ -212,7 +212,7 @@
 
 // crowd holds so many idle connections to a sidecar while a fault lasts, and opens others for those that it closes.
 func (f *faults) crowd(ctx context.Context, a Action, i int) {
-	ctx, cancel := context.WithTimeout(ctx, a.For.D())
+	ctx, cancel := context.WithTimeout(ctx, a.For.Std())
 	defer cancel()
 	h, from := f.run.history, f.run.clock.now()
 	var all sync.WaitGroup
--- a/internal/lab/upstream.go
+++ b/internal/lab/upstream.go
@@ -71,7 +71,7 @@
 }
 
 func newServers(s *Scenario, seed uint64, c clock, h *History, n *subnet) (*servers, error) {
-	seconds := int(s.For.D() / time.Second)
+	seconds := int(s.For.Std() / time.Second)
 	all := &servers{
 		clock: c, history: h, net: n,
 		dialled: newCounter(seconds), tipped: newCounter(seconds), held: newCounter(seconds),
--- a/internal/rules/document.go
+++ b/internal/rules/document.go
@@ -135,7 +135,7 @@
 }
 
 func lineOf(text []byte, key string) int {
-	lines, err := conf.Lines(text)
+	lines, err := conf.KeyLines(text)
 	if err != nil {
 		return 0
 	}
@@ -157,7 +157,7 @@
 		fail("attempts", "is %d: the settings allow %d", b.Attempts, s.Config.MaxAttempts)
 	}
 	if b.Retries.Span > 0 {
-		r.Budget = &balance.RetryBudget{Span: b.Retries.Span.D(), Free: b.Retries.Free, Share: b.Retries.Share}
+		r.Budget = &balance.RetryBudget{Span: b.Retries.Span.Std(), Free: b.Retries.Free, Share: b.Retries.Share}
 	} else if b.Retries.Free != 0 || b.Retries.Share != 0 {
 		fail("retries", "has no span")
 	}
--- a/internal/sidecar/accept.go
+++ b/internal/sidecar/accept.go
@@ -56,7 +56,7 @@
 // Accept returns the next connection that there is room for.
 func (l *clients) Accept() (net.Conn, error) {
 	for {
-		c, err := l.accept()
+		c, err := l.acceptRetrying()
 		if err != nil {
 			return nil, err
 		}
@@ -65,7 +65,7 @@
 			continue
 		}
 		k := &clientConn{Conn: c, raw: raw, clients: l, queuedSince: l.failingSince()}
-		if l.enter(k) {
+		if l.add(k) {
 			return k, nil
 		}
 		if l.reserveRefusal() {
@@ -78,7 +78,7 @@
 
 // accept returns the next connection. Whatever the system says passes, but for the end of listening: net/http would end
 // the service at most errors, and wait twice as long each time at others, up to a second.
-func (l *clients) accept() (net.Conn, error) {
+func (l *clients) acceptRetrying() (net.Conn, error) {
 	for {
 		c, err := l.clientListener.Accept()
 		if err == nil {
@@ -139,9 +139,9 @@
 // leave stops listening, for a second process that listens here too. Connections that have come but were not accepted
 // yet would be reset with the listener: Accept returns them first. Where that fails it is tried until end, as nobody else
 // can accept them.
-func (l *clients) leave(end time.Time) error {
+func (l *clients) stopListening(end time.Time) error {
 	l.mu.Lock()
-	l.leaving = true
+	l.stopping = true
 	l.mu.Unlock()
 	var err error
 	for {
--- a/internal/sidecar/byhand.go
+++ b/internal/sidecar/byhand.go
@@ -24,7 +24,7 @@
 )
 
 // handed is a server that is out by hand, or was until lately.
-type handed struct {
+type operatorCall struct {
 	Out  bool  `json:"out"`
 	AtMs int64 `json:"atMs"` // Unix time of the call
 }
@@ -38,12 +38,12 @@
 // stateFile is the form of the file for older programs, which pass over the sum.
 type stateFile struct {
 	Version int               `json:"version"`
-	Servers map[string]handed `json:"servers"`
+	Servers map[string]operatorCall `json:"servers"`
 	Sum     *uint32           `json:"sum,omitempty"` // of the servers; nil: an older program wrote it
 }
 
 // sum is the checksum of a file's servers.
-func (s *stateFile) sum() uint32 {
+func (s *stateFile) checksum() uint32 {
 	raw, err := json.Marshal(s.Servers)
 	if err != nil {
 		panic(err) // of plain fields
@@ -52,24 +52,24 @@
 }
 
 // adopt takes over what older programs have left, or a second copy of the calls where the state itself was damaged.
-func (h *handover) adopt() {
-	servers, old, err := h.older()
+func (h *sharedState) adopt() {
+	servers, old, err := h.readLegacy()
 	bare := h.store.Fresh() || len(h.store.Damage().Files) > 0
 	switch {
 	case err != nil:
 		slog.Error("state not read", "error", err)
 		if bare {
 			h.mu.Lock()
-			h.oldDamage = 1
+			h.legacyDamage = 1
 			h.mu.Unlock()
 		}
 	case old || bare:
-		h.take(servers)
+		h.mergeCalls(servers)
 	}
 }
 
 // take enters calls that are younger than what the state has of their servers.
-func (h *handover) take(servers map[string]handed) {
+func (h *sharedState) mergeCalls(servers map[string]operatorCall) {
 	known := h.inForce()
 	for instance, c := range servers {
 		if was, ok := known[instance]; ok && was.AtMs >= c.AtMs {
@@ -83,19 +83,19 @@
 
 // older reads the file for older programs. old says that one of them wrote it. With no error and no servers there is
 // nothing new.
-func (h *handover) older() (servers map[string]handed, old bool, err error) {
-	info, err := os.Stat(h.state)
+func (h *sharedState) readLegacy() (servers map[string]operatorCall, old bool, err error) {
+	info, err := os.Stat(h.legacyPath)
 	if errors.Is(err, fs.ErrNotExist) {
 		return nil, false, nil // no call was made so far
 	}
 	if err != nil {
 		return nil, false, err
 	}
-	if h.read != nil && os.SameFile(info, h.read) && info.ModTime().Equal(h.read.ModTime()) {
+	if h.legacyInfo != nil && os.SameFile(info, h.legacyInfo) && info.ModTime().Equal(h.legacyInfo.ModTime()) {
 		return nil, false, nil
 	}
-	h.read = info // told once, if it can't be used
-	f, err := os.Open(h.state)
+	h.legacyInfo = info // told once, if it can't be used
+	f, err := os.Open(h.legacyPath)
 	if err != nil {
 		return nil, false, err
 	}
@@ -108,55 +108,55 @@
 	d := json.NewDecoder(bytes.NewReader(raw))
 	d.DisallowUnknownFields() // a key with a flipped bit is no key of an older form
 	if err := d.Decode(&s); err != nil {
-		return nil, false, fmt.Errorf("%s is damaged: %w", h.state, err)
+		return nil, false, fmt.Errorf("%s is damaged: %w", h.legacyPath, err)
 	}
 	switch {
 	case s.Version != stateVersion || len(s.Servers) > stateMost:
-		return nil, false, fmt.Errorf("%s: version %d with %d servers can't be used", h.state, s.Version, len(s.Servers))
-	case s.Sum != nil && *s.Sum != s.sum():
-		return nil, false, fmt.Errorf("%s is damaged: its checksum is wrong", h.state)
+		return nil, false, fmt.Errorf("%s: version %d with %d servers can't be used", h.legacyPath, s.Version, len(s.Servers))
+	case s.Sum != nil && *s.Sum != s.checksum():
+		return nil, false, fmt.Errorf("%s is damaged: its checksum is wrong", h.legacyPath)
 	}
 	return s.Servers, s.Sum == nil, nil
 }
 
 // save enters a call, on top of those that the other process has entered, and returns once it is durable.
-func (h *handover) save(instance string, out bool, now time.Time) error {
+func (h *sharedState) persistCall(instance string, out bool, now time.Time) error {
 	h.saving.Lock()
 	defer h.saving.Unlock()
 	if h.lock != nil {
 		for tries := 0; ; tries++ { // the other process writes only for moments
-			err := fcntl(h.lock, setLock, writer, syscall.F_WRLCK)
+			err := fcntl(h.lock, ofdSetLock, writerByte, syscall.F_WRLCK)
 			if err == nil {
 				break
 			}
 			if time.Duration(tries)*time.Millisecond >= stateWait {
-				return errors.Join(fmt.Errorf("lock: %w", err), h.enterCall(instance, handed{out, now.UnixMilli()}))
+				return errors.Join(fmt.Errorf("lock: %w", err), h.enterCall(instance, operatorCall{out, now.UnixMilli()}))
 			}
 			time.Sleep(time.Millisecond)
 		}
-		defer func() { _ = fcntl(h.lock, setLock, writer, syscall.F_UNLCK) }() // fails only on a closed file
-		h.follow()
+		defer func() { _ = fcntl(h.lock, ofdSetLock, writerByte, syscall.F_UNLCK) }() // fails only on a closed file
+		h.followOthers()
 	}
-	if err := h.enterCall(instance, handed{out, now.UnixMilli()}); err != nil {
+	if err := h.enterCall(instance, operatorCall{out, now.UnixMilli()}); err != nil {
 		return err
 	}
-	h.forget(now)
-	if err := h.write(); err != nil { // only a program from before the state would miss it
+	h.dropOldEnables(now)
+	if err := h.writeLegacy(); err != nil { // only a program from before the state would miss it
 		slog.Warn("state not kept", "reason", err)
 	}
 	return nil
 }
 
 // enterCall makes a call durable. Said again, it keeps the moment at which it was said first.
-func (h *handover) enterCall(instance string, c handed) error {
+func (h *sharedState) enterCall(instance string, c operatorCall) error {
 	known := h.inForce()
 	old, ok := known[instance]
 	if h.store == nil {
-		if h.handed == nil {
-			h.handed = make(map[string]handed)
+		if h.unsavedCalls == nil {
+			h.unsavedCalls = make(map[string]operatorCall)
 		}
 		if !ok || old.Out != c.Out {
-			h.handed[instance] = c
+			h.unsavedCalls[instance] = c
 		}
 		return errors.New("there is no folder to keep it in (TMPDIR)")
 	}
@@ -174,7 +174,7 @@
 }
 
 // seeBacks notes since when this process has seen each call back.
-func (h *handover) seeBacks(now time.Time) {
+func (h *sharedState) seeBacks(now time.Time) {
 	seen := make(map[string]backSeen)
 	for instance, c := range h.inForce() {
 		if c.Out {
@@ -190,7 +190,7 @@
 
 // forget drops calls back that everybody knows of by now. How long one has been there is time of this process's own: the wall
 // clock may have been stepped since the call.
-func (h *handover) forget(now time.Time) {
+func (h *sharedState) dropOldEnables(now time.Time) {
 	h.seeBacks(now)
 	for instance, seen := range h.backs {
 		if h.store != nil && now.Sub(seen.at) > backKept {
@@ -200,51 +200,51 @@
 }
 
 // write replaces the file for older programs as a whole.
-func (h *handover) write() error {
-	if h.state == "" {
+func (h *sharedState) writeLegacy() error {
+	if h.legacyPath == "" {
 		return nil
 	}
 	s := stateFile{Version: stateVersion, Servers: h.inForce()}
-	sum := s.sum()
+	sum := s.checksum()
 	s.Sum = &sum
 	raw, err := json.Marshal(s)
 	if err != nil {
 		return err
 	}
-	next := fmt.Sprintf("%s.%d", h.state, h.mine) // a killed process leaves one such file at most
+	next := fmt.Sprintf("%s.%d", h.legacyPath, h.lockIndex) // a killed process leaves one such file at most
 	if err := os.WriteFile(next, raw, 0o600); err != nil {
 		return errors.Join(err, os.Remove(next))
 	}
-	if err := os.Rename(next, h.state); err != nil {
+	if err := os.Rename(next, h.legacyPath); err != nil {
 		return err
 	}
-	h.read, err = os.Stat(h.state)
+	h.legacyInfo, err = os.Stat(h.legacyPath)
 	return err
 }
 
 // follow takes in what the other process has kept, of this program or of an older one.
-func (h *handover) follow() {
+func (h *sharedState) followOthers() {
 	if h.store == nil {
 		return
 	}
 	if _, err := h.store.Follow(); err != nil {
 		slog.Error("state not read", "error", err)
 	}
-	servers, old, err := h.older()
+	servers, old, err := h.readLegacy()
 	switch {
 	case err != nil:
 		slog.Error("state not read", "error", err)
 	case old:
-		h.take(servers)
+		h.mergeCalls(servers)
 	}
 }
 
 // known returns the calls in force, those of the other process included.
-func (h *handover) known() map[string]handed {
+func (h *sharedState) currentCalls() map[string]operatorCall {
 	h.saving.Lock()
 	defer h.saving.Unlock()
 	if h.lock != nil {
-		h.follow()
+		h.followOthers()
 	}
 	h.seeBacks(time.Now())
 	return h.inForce()
@@ -252,14 +252,14 @@
 
 // followLate takes over the calls by hand of a folder that did not answer in time, once it does; those that were made at this
 // process meanwhile are newer. Nothing else of it counts until the next start.
-func (h *handover) followLate(ctx context.Context, calls func(map[string]handed)) {
-	if h.late == nil {
+func (h *sharedState) followLate(ctx context.Context, calls func(map[string]operatorCall)) {
+	if h.lateState == nil {
 		return
 	}
 	select {
-	case late := <-h.late:
-		owed := late.known()
-		for instance := range h.known() {
+	case late := <-h.lateState:
+		owed := late.currentCalls()
+		for instance := range h.currentCalls() {
 			delete(owed, instance)
 		}
 		slog.Warn("state came late", "calls", len(owed))
--- a/internal/sidecar/calledoff_test.go
+++ b/internal/sidecar/calledoff_test.go
@@ -32,17 +32,17 @@
 // A request whose body has gone out whole keeps its final answer as its attempt is called off: that interrupted the reads of
 // its connection, which was taken for its client's leaving.
 func TestCalledOffUploadIsAnswered(t *testing.T) {
-	s := newStub(t, func(net.Conn, received) bool { select {} })
+	s := newStub(t, func(net.Conn, stubRequest) bool { select {} })
 	f, side, serve := assembled(t, s.address, nil)
 	serve()
 	c := side.dial(t)
 	body := string(long(bodyHeld + 4<<10))
-	if _, err := io.WriteString(c, head("1", fmt.Sprintf("Content-Length: %d", len(body)))+body); err != nil {
+	if _, err := io.WriteString(c, requestHead("1", fmt.Sprintf("Content-Length: %d", len(body)))+body); err != nil {
 		t.Fatal(err)
 	}
-	wait(t, "the request", s.seen)
-	f.callOff(t, func() bool { return f.held.Load() == 0 })
-	_ = c.SetReadDeadline(time.Now().Add(generous)) // fails only on a closed one
+	wait(t, "the request", s.requests)
+	f.callOff(t, func() bool { return f.openRequests.Load() == 0 })
+	_ = c.SetReadDeadline(time.Now().Add(testTimeout)) // fails only on a closed one
 	if res, err := http.ReadResponse(bufio.NewReader(c), nil); err != nil || res.StatusCode < 500 {
 		t.Errorf("it was answered %v, error %v, want a failure or a refusal", res, err)
 	}
@@ -51,7 +51,7 @@
 // An answer that begins as its attempt is called off is no answer: its connection is closed, so that the client saw it break off.
 func TestCalledOffStreamIsNoAnswer(t *testing.T) {
 	begin := make(chan struct{})
-	s := newStub(t, func(c net.Conn, r received) bool {
+	s := newStub(t, func(c net.Conn, r stubRequest) bool {
 		<-begin
 		_, _ = fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\nthe first bytes", 2*bodyHeld)
 		_, _ = io.Copy(io.Discard, c) // until it is called off
@@ -60,13 +60,13 @@
 	f, side, serve := assembled(t, s.address, nil)
 	serve()
 	c := side.dial(t)
-	if _, err := io.WriteString(c, head("1", "Content-Length: 0")); err != nil {
+	if _, err := io.WriteString(c, requestHead("1", "Content-Length: 0")); err != nil {
 		t.Fatal(err)
 	}
-	wait(t, "the request", s.seen)
+	wait(t, "the request", s.requests)
 	err := f.loop.do(context.Background(), func(time.Duration) {
 		close(begin)
-		for end := time.Now().Add(generous); len(f.loop.events) == 0 && time.Now().Before(end); time.Sleep(time.Millisecond) {
+		for end := time.Now().Add(testTimeout); len(f.loop.events) == 0 && time.Now().Before(end); time.Sleep(time.Millisecond) {
 		}
 		for id := range f.loop.requests { // the answer's beginning waits behind this
 			f.loop.Cancel(id, 0)
--- a/internal/sidecar/clients.go
+++ b/internal/sidecar/clients.go
@@ -27,18 +27,18 @@
 	clientListener
 	clock     clock
 	upstreams func() int // connections to upstreams now
-	closed    func(closeReason)
-	read      func(fd int, p []byte) (int, error) // the system call
+	countClose    func(closeReason)
+	readFD      func(fd int, p []byte) (int, error) // the system call
 
 	mu      sync.Mutex
-	room    int           // connections with open requests at most
-	all     int           // and connections of any kind, those to upstreams included
-	leaving bool          // another process takes those that come from now on, or this one ends
+	clientShare    int           // connections with open requests at most
+	maxTotal     int           // and connections of any kind, those to upstreams included
+	stopping bool          // another process takes those that come from now on, or this one ends
 	failing time.Duration // since when accept has failed while connections may have waited; 0: it has not
 	conns   map[*clientConn]struct{}
 	peak    int    // the most at once, since the last count
 	shed    [3]int // closed to make room: silent, idle, with half a request
-	barred  int    // refused at once, as there was none
+	rejected  int    // refused at once, as there was none
 	scarce  int    // not accepted, as there was no descriptor or memory
 
 	failures      int       // of accept, for whatever reason
@@ -61,47 +61,47 @@
 
 	mu          sync.Mutex // held by each look for bytes, so that none are read of one that was found idle and is ended
 	framing     framing
-	failed      error
-	begun       bool          // bytes of a request have come that has had no answer yet
-	ended       bool          // nothing more is read
-	closed      bool          // its server has closed it
-	refused     bool          // it is closed with a refusal, as part of a request has come; it has reserved that
+	framingErr      error
+	requestBegun       bool          // bytes of a request have come that has had no answer yet
+	readsEnded       bool          // nothing more is read
+	serverClosed      bool          // its server has closed it
+	closeWithRefusal     bool          // it is closed with a refusal, as part of a request has come; it has reserved that
 	queuedSince time.Duration // since when what has come on it may have waited to be accepted; 0: no longer than it was looked for
-	refusal     sync.Once
+	refuseOnce     sync.Once
 
 	spoke atomic.Int64 // when the last of its bytes came, by the clients' clock
 
 	since  time.Time // when it was accepted, or went idle; what follows is guarded by clients.mu
-	known  bool      // a whole request has come on it
+	hadRequest  bool      // a whole request has come on it
 	spoken bool      // bytes were seen that its goroutine had not read by then
 	state  http.ConnState
 }
 
 // newClients makes the application's listener, with room for all that one process may hold.
 func newClients(cfg *Config, l clientListener, upstreams func() int) *clients {
-	k := &clients{clientListener: l, clock: newClock(), upstreams: upstreams, closed: func(closeReason) {}, read: syscall.Read, conns: make(map[*clientConn]struct{})}
-	k.share(cfg.clientConns(1), cfg.allConns(1))
+	k := &clients{clientListener: l, clock: newClock(), upstreams: upstreams, countClose: func(closeReason) {}, readFD: syscall.Read, conns: make(map[*clientConn]struct{})}
+	k.setLimits(cfg.clientConns(1), cfg.allConns(1))
 	return k
 }
 
 // at tells whether bytes of a request have come that has had no answer, and whether they are a whole one.
-func (c *clientConn) at() (begun, whole bool) {
+func (c *clientConn) requestProgress() (begun, whole bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.begun, c.begun && c.framing.between()
+	return c.requestBegun, c.requestBegun && c.framing.atBoundary()
 }
 
 // end closes a connection that no request is open on, or half of one if that is to go too. A request that comes in
 // this moment is either left unread, so that its client sends it again, or read before: then end returns false, and
 // it is served. Half a request is refused, as its rest may have been sent by now.
-func (c *clientConn) end(half bool) bool {
+func (c *clientConn) closeUnlessServing(half bool) bool {
 	c.mu.Lock()
-	c.ended = c.ended || c.closed || !c.begun || half && !c.framing.between()
-	ended := c.ended
-	if ended && c.begun && !c.refused && !c.closed { // a closed one would keep its place for good
-		c.refused = c.clients.reserveRefusal()
+	c.readsEnded = c.readsEnded || c.serverClosed || !c.requestBegun || half && !c.framing.atBoundary()
+	ended := c.readsEnded
+	if ended && c.requestBegun && !c.closeWithRefusal && !c.serverClosed { // a closed one would keep its place for good
+		c.closeWithRefusal = c.clients.reserveRefusal()
 	}
-	refused := c.refused
+	refused := c.closeWithRefusal
 	c.mu.Unlock()
 	switch { // with no lock held: it waits for a look under way
 	case !ended:
@@ -118,22 +118,22 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for c := range l.conns {
-		if (c.state == http.StateIdle || half && !c.known) && c.end(half) {
-			l.closed(closedStopping)
+		if (c.state == http.StateIdle || half && !c.hadRequest) && c.closeUnlessServing(half) {
+			l.countClose(closedStopping)
 		}
 	}
 }
 
 // stop has every answer from now on end its connection, and those end that stand idle between requests.
-func (l *clients) stop() {
+func (l *clients) startClosing() {
 	l.mu.Lock()
-	l.leaving = true
+	l.stopping = true
 	l.mu.Unlock()
 	l.endIdle(false)
 }
 
 // open is how many connections there are.
-func (l *clients) open() int {
+func (l *clients) count() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return len(l.conns)
@@ -141,13 +141,13 @@
 
 // waitClosed waits until all connections are closed, or until end.
 func (l *clients) waitClosed(end time.Time) {
-	for l.open() > 0 && time.Now().Before(end) {
+	for l.count() > 0 && time.Now().Before(end) {
 		time.Sleep(lookEvery)
 	}
 }
 
 // stateOf follows what the server makes of a connection.
-func (l *clients) stateOf(c net.Conn, s http.ConnState) {
+func (l *clients) connStateChanged(c net.Conn, s http.ConnState) {
 	k := c.(*clientConn)
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -156,11 +156,11 @@
 	case http.StateIdle:
 		k.since = time.Now()
 		k.mu.Lock()
-		k.begun = !k.framing.between()
+		k.requestBegun = !k.framing.atBoundary()
 		k.mu.Unlock()
-		if l.leaving { // its answer was under way before it could say so
-			if k.end(false) {
-				l.closed(closedStopping)
+		if l.stopping { // its answer was under way before it could say so
+			if k.closeUnlessServing(false) {
+				l.countClose(closedStopping)
 			}
 		}
 	case http.StateClosed, http.StateHijacked:
@@ -171,16 +171,16 @@
 type connKey struct{}
 
 // with makes a connection known to the handlers of its requests.
-func (l *clients) with(ctx context.Context, c net.Conn) context.Context {
+func (l *clients) connContext(ctx context.Context, c net.Conn) context.Context {
 	return context.WithValue(ctx, connKey{}, c)
 }
 
 // waited tells how long the head of the connection's first request has taken; of later ones only the body counts.
-func (l *clients) waited(ctx context.Context) time.Duration {
+func (l *clients) firstHeadTime(ctx context.Context) time.Duration {
 	k := ctx.Value(connKey{}).(*clientConn)
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if k.known {
+	if k.hadRequest {
 		return 0
 	}
 	return time.Since(k.since)
@@ -188,20 +188,20 @@
 
 // took notes that a whole request has come on the connection of ctx: it no longer makes room for
 // others. It returns false where it has done so just now.
-func (l *clients) took(ctx context.Context) bool {
+func (l *clients) requestReceived(ctx context.Context) bool {
 	k := ctx.Value(connKey{}).(*clientConn)
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if _, held := l.conns[k]; !held {
 		return false
 	}
-	k.known = true
+	k.hadRequest = true
 	return true
 }
 
 // came tells how long ago the last bytes came on ctx's connection: a request that was sent behind another lies in its
 // server's buffer while that one is answered, and its client's time runs.
-func (l *clients) came(ctx context.Context) time.Duration {
+func (l *clients) sinceLastRead(ctx context.Context) time.Duration {
 	return l.clock.now() - time.Duration(ctx.Value(connKey{}).(*clientConn).spoke.Load())
 }
 
@@ -211,24 +211,24 @@
 func (l *clients) presenceOf(ctx context.Context) presence {
 	c, ok := ctx.Value(connKey{}).(*clientConn).Conn.(syscall.Conn)
 	if !ok {
-		return present
+		return clientPresent
 	}
 	raw, err := c.SyscallConn()
 	if err != nil {
-		return departed
+		return clientGone
 	}
-	found := unsure
+	found := clientUnknown
 	if raw.Control(func(fd uintptr) { found = presenceAt(int(fd)) }) != nil {
-		return departed // this side has closed it
+		return clientGone // this side has closed it
 	}
 	return found
 }
 
 // crowded tells whether so many open requests are more than there is room for, and whether this process leaves.
-func (l *clients) crowded(open int64) (full, leaving bool) {
+func (l *clients) overLimit(open int64) (full, leaving bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return open > int64(l.room), l.leaving
+	return open > int64(l.clientShare), l.stopping
 }
 
 // counters are for the log: the connections by what they are at, and the most that there were since
@@ -236,7 +236,7 @@
 func (l *clients) counters() map[string]int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	counts := map[string]int{"peak": l.peak, "silent": l.shed[0], "idled": l.shed[1], "half": l.shed[2], "barred": l.barred, "scarce": l.scarce}
+	counts := map[string]int{"peak": l.peak, "silent": l.shed[0], "idled": l.shed[1], "half": l.shed[2], "barred": l.rejected, "scarce": l.scarce}
 	for c := range l.conns {
 		counts[c.state.String()]++
 	}
@@ -257,7 +257,7 @@
 	})
 	if errors.Is(waited, listener.ErrUnregistered) { // nobody can wait for its request, which may have come
 		c.mu.Lock()
-		c.refused = c.refused || c.clients.reserveRefusal()
+		c.closeWithRefusal = c.closeWithRefusal || c.clients.reserveRefusal()
 		c.mu.Unlock()
 	}
 	if waited != nil { // until its deadline, or it was closed
@@ -271,19 +271,19 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	switch {
-	case c.ended:
+	case c.readsEnded:
 		return 0, &net.OpError{Op: "read", Net: "tcp", Err: net.ErrClosed}
-	case c.failed != nil && len(p) == 1:
+	case c.framingErr != nil && len(p) == 1:
 		return 0, syscall.EAGAIN // net/http looks for an end while a request is open: that has its answer first
-	case c.failed != nil:
-		return 0, c.failed
+	case c.framingErr != nil:
+		return 0, c.framingErr
 	}
-	return c.look(fd, p)
+	return c.readLocked(fd, p)
 }
 
 // look takes the bytes that have come. The caller holds the lock.
-func (c *clientConn) look(fd int, p []byte) (int, error) {
-	n, err := c.clients.read(fd, p)
+func (c *clientConn) readLocked(fd int, p []byte) (int, error) {
+	n, err := c.clients.readFD(fd, p)
 	if err == syscall.EAGAIN {
 		c.queuedSince = 0
 	}
@@ -293,11 +293,11 @@
 	if n == 0 && len(p) > 0 {
 		return 0, io.EOF
 	}
-	c.begun = true
+	c.requestBegun = true
 	c.spoke.Store(int64(cmp.Or(c.queuedSince, c.clients.clock.now())))
 	c.queuedSince = 0
-	if good, bad := c.framing.follow(p[:n]); bad != nil {
-		if c.failed = bad; good == 0 && len(p) == 1 {
+	if good, bad := c.framing.advance(p[:n]); bad != nil {
+		if c.framingErr = bad; good == 0 && len(p) == 1 {
 			return 0, syscall.EAGAIN
 		}
 		if good == 0 {
@@ -309,28 +309,28 @@
 }
 
 // Write passes over failures that the system has for a moment: an answer is owed whole.
-func (c *clientConn) Write(p []byte) (int, error) { return writeThrough(c.Conn, p) }
+func (c *clientConn) Write(p []byte) (int, error) { return writeRetrying(c.Conn, p) }
 
 // Close ends a connection behind its last answer. Where bytes are left unread, that would be a reset, which can take the answer
 // with it: then the sending ends first, and they are read on for a while. On one that stands idle nothing is read: what
 // crosses its end has to come again.
 func (c *clientConn) Close() error {
 	c.mu.Lock()
-	answered, refused := c.begun && !c.ended, c.refused
-	c.closed = true
+	answered, refused := c.requestBegun && !c.readsEnded, c.closeWithRefusal
+	c.serverClosed = true
 	c.mu.Unlock()
 	switch {
 	case refused:
-		c.refusal.Do(c.closeRefused)
+		c.refuseOnce.Do(c.closeRefused)
 		return nil
-	case answered && c.discard() > 0:
+	case answered && c.discardAvailable() > 0:
 		c.linger()
 	}
 	return c.Conn.Close()
 }
 
 // discard reads what has come, up to a buffer, and tells how much that was.
-func (c *clientConn) discard() (n int) {
+func (c *clientConn) discardAvailable() (n int) {
 	if c.raw == nil {
 		return 0
 	}
@@ -351,7 +351,7 @@
 		return
 	}
 	if c.Conn.SetReadDeadline(time.Now().Add(restTime)) != nil {
-		c.discard()
+		c.discardAvailable()
 		return
 	}
 	var rest [4 << 10]byte
@@ -365,7 +365,7 @@
 }
 
 // refusal is the answer to a request of which nobody knows whether it is on its way. Trying again is harmless.
-const refusal = "HTTP/1.1 503 Service Unavailable\r\nRetry-After: 0.5\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
+const refusalResponse = "HTTP/1.1 503 Service Unavailable\r\nRetry-After: 0.5\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
 
 // refusingMost is how many connections may be closed with a refusal at once: each has a descriptor for up to restTime,
 // and until its goroutine has its turn. Others are closed at once.
@@ -388,7 +388,7 @@
 	defer c.clients.refusing.Add(-1)
 	defer c.Conn.Close()
 	_ = c.Conn.SetWriteDeadline(time.Now().Add(restTime)) // fails only on a closed one, as the next does
-	if _, err := io.WriteString(c.Conn, refusal); err == nil {
+	if _, err := io.WriteString(c.Conn, refusalResponse); err == nil {
 		c.linger()
 	}
 }
--- a/internal/sidecar/clients_test.go
+++ b/internal/sidecar/clients_test.go
@@ -27,7 +27,7 @@
 
 // Connections make room in the order of how little they are needed, and those with an open request do not.
 func TestWhoMakesRoom(t *testing.T) {
-	l := newClients(testConfig(t, listed(1, "ready"), nil), nil, noUpstreams)
+	l := newClients(testConfig(t, listAnswer(1, "ready"), nil), nil, noUpstreams)
 	names := make(map[*clientConn]string)
 	for _, c := range []struct {
 		name  string
@@ -50,15 +50,15 @@
 		near, far := net.Pipe()
 		t.Cleanup(func() { near.Close(); far.Close() })
 		k := &clientConn{Conn: near}
-		if !l.enter(k) {
+		if !l.add(k) {
 			t.Fatal("no room")
 		}
-		k.since, k.known, k.state = k.since.Add(-c.age), c.known, c.state
+		k.since, k.hadRequest, k.state = k.since.Add(-c.age), c.known, c.state
 		if c.spoke > 0 {
 			k.spoke.Store(time.Now().Add(-c.spoke).UnixNano())
 		}
-		if k.begun = c.spoke > 0 && !strings.HasPrefix(c.name, "idle"); k.begun && !strings.HasSuffix(c.name, "read") {
-			_, _ = k.framing.follow([]byte("POST")) // a good beginning
+		if k.requestBegun = c.spoke > 0 && !strings.HasPrefix(c.name, "idle"); k.requestBegun && !strings.HasSuffix(c.name, "read") {
+			_, _ = k.framing.advance([]byte("POST")) // a good beginning
 		}
 		names[k] = c.name
 	}
@@ -79,7 +79,7 @@
 
 // Clients may take the descriptors that upstreams leave, and give them back once upstreams want them.
 func TestClientsTakeWhatUpstreamsLeave(t *testing.T) {
-	cfg := testConfig(t, listed(1, "ready"), nil)
+	cfg := testConfig(t, listAnswer(1, "ready"), nil)
 	upstreams := 10
 	l := newClients(cfg, nil, func() int { return upstreams })
 	var all []*clientConn
@@ -87,25 +87,25 @@
 		near, far := net.Pipe()
 		t.Cleanup(func() { near.Close(); far.Close() })
 		k := &clientConn{Conn: near}
-		if !l.enter(k) {
+		if !l.add(k) {
 			t.Fatal("no room")
 		}
 		all = append(all, k)
 	}
-	if n := len(l.conns); n <= l.room || n+upstreams > cfg.allConns(1) {
-		t.Errorf("%d held beside %d upstreams, want more than %d and %d together at most", n, upstreams, l.room, cfg.allConns(1))
+	if n := len(l.conns); n <= l.clientShare || n+upstreams > cfg.allConns(1) {
+		t.Errorf("%d held beside %d upstreams, want more than %d and %d together at most", n, upstreams, l.clientShare, cfg.allConns(1))
 	}
-	for ; upstreams < cfg.upstreamConns(1); upstreams++ {
-		if !l.yield(upstreams) || len(l.conns)+upstreams >= cfg.allConns(1) {
+	for ; upstreams < cfg.upstreamConnLimit(1); upstreams++ {
+		if !l.makeRoomForUpstream(upstreams) || len(l.conns)+upstreams >= cfg.allConns(1) {
 			t.Fatalf("%d held beside %d upstreams and one to come", len(l.conns), upstreams)
 		}
 	}
 	for _, k := range all {
 		if _, held := l.conns[k]; held {
-			l.took(l.with(context.Background(), k))
+			l.requestReceived(l.connContext(context.Background(), k))
 		}
 	}
-	if l.yield(cfg.allConns(1)) {
+	if l.makeRoomForUpstream(cfg.allConns(1)) {
 		t.Error("connections with open requests made room")
 	}
 }
@@ -113,7 +113,7 @@
 // With limits cut by half too, what clients, upstreams, operators and the process itself may hold fits.
 func TestDescriptorsAreSetAside(t *testing.T) {
 	for _, sockets := range []float64{96, 128, 192, 1024} {
-		cfg := testConfig(t, listed(1, "ready"), func(file, _ map[string]any) {
+		cfg := testConfig(t, listAnswer(1, "ready"), func(file, _ map[string]any) {
 			file["console"] = "127.0.0.1:0"
 			file["limits"].(map[string]any)["sockets"] = sockets
 		})
@@ -130,11 +130,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	l := newClients(testConfig(t, listed(1, "ready"), nil), listener, noUpstreams)
+	l := newClients(testConfig(t, listAnswer(1, "ready"), nil), listener, noUpstreams)
 	defer l.Close()
 	var read, ended int
 	for range 500 {
-		far := dialled(t, listener.Addr().String())
+		far := dialTCP(t, listener.Addr().String())
 		near, err := l.Accept()
 		if err != nil {
 			t.Fatal(err)
@@ -144,7 +144,7 @@
 			n, _ := k.Read(make([]byte, 10))
 			got <- n
 		}()
-		go func() { went <- k.end(false) }()
+		go func() { went <- k.closeUnlessServing(false) }()
 		if _, err := far.Write([]byte("GET")); err != nil && !errors.Is(err, syscall.EPIPE) && !errors.Is(err, syscall.ECONNRESET) {
 			t.Fatal(err)
 		}
@@ -159,7 +159,7 @@
 		}
 		far.Close()
 		near.Close()
-		l.stateOf(near, http.StateClosed)
+		l.connStateChanged(near, http.StateClosed)
 	}
 	t.Logf("%d read, %d ended", read, ended)
 }
@@ -187,14 +187,14 @@
 	for _, failure := range scarce {
 		synctest.Test(t, func(t *testing.T) {
 			none := &without{failure: failure, until: time.Now().Add(3 * time.Second)}
-			l := newClients(testConfig(t, listed(1, "ready"), nil), none, noUpstreams)
+			l := newClients(testConfig(t, listAnswer(1, "ready"), nil), none, noUpstreams)
 			near, far := net.Pipe()
 			defer far.Close()
-			if !l.enter(&clientConn{Conn: near}) {
+			if !l.add(&clientConn{Conn: near}) {
 				t.Fatal("no room")
 			}
 			time.Sleep(time.Second) // it is silent
-			_, err := l.accept()
+			_, err := l.acceptRetrying()
 			if late := time.Since(none.until); !errors.Is(err, net.ErrClosed) || late < 0 || late > 10*time.Millisecond || none.calls > 1000 {
 				t.Errorf("%v: error %v %v behind the last failure, %d calls", failure, err, late, none.calls)
 			}
@@ -236,7 +236,7 @@
 		case strings.Contains(r.URL.RawQuery, "index=2"):
 			<-r.Context().Done()
 		default:
-			_, _ = io.WriteString(w, strings.ReplaceAll(listed(2, "ready", later.address), "s-0", "s-later"))
+			_, _ = io.WriteString(w, strings.ReplaceAll(listAnswer(2, "ready", later.address), "s-0", "s-later"))
 		}
 	}))
 	defer d.Close()
@@ -246,7 +246,7 @@
 	}
 	raw, err := json.Marshal(map[string]any{"name": "n0", "listen": "127.0.0.1:0", "console": "127.0.0.1:0", "discovery": d.Listener.Addr().String(),
 		"seed": "8c1f30d27a5be964", "limits": map[string]any{"memory_mb": 192, "sockets": sockets},
-		"known": json.RawMessage(listed(1, "ready", s.address)), "settings": settings})
+		"known": json.RawMessage(listAnswer(1, "ready", s.address)), "settings": settings})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -282,7 +282,7 @@
 		<-read
 		_ = child.Wait()
 	}()
-	side := &running{url: "http://" + wait(t, "its listener", listens), door: wait(t, "its console", listens)}
+	side := &testSidecar{url: "http://" + wait(t, "its listener", listens), consoleAddress: wait(t, "its console", listens)}
 
 	held := func() int {
 		all, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", child.Process.Pid))
@@ -318,14 +318,14 @@
 	wait(t, "one of the crowd to be closed", crowd)
 	served := func(id string, at *stub) {
 		t.Helper()
-		for end := time.Now().Add(generous); time.Now().Before(end); time.Sleep(time.Millisecond) {
-			res, err := (&http.Transport{DisableKeepAlives: true}).RoundTrip(side.request(t, "POST", "/entry", "1", "X-Request-ID", id))
+		for end := time.Now().Add(testTimeout); time.Now().Before(end); time.Sleep(time.Millisecond) {
+			res, err := (&http.Transport{DisableKeepAlives: true}).RoundTrip(side.newRequest(t, "POST", "/entry", "1", "X-Request-ID", id))
 			if err != nil { // a new connection may be shut unread
 				continue
 			}
 			res.Body.Close()
-			if res.StatusCode == http.StatusOK && len(at.seen) > 0 {
-				wait(t, "it", at.seen)
+			if res.StatusCode == http.StatusOK && len(at.requests) > 0 {
+				wait(t, "it", at.requests)
 				return
 			}
 		}
@@ -336,7 +336,7 @@
 		served(fmt.Sprint(i), s)
 		most = max(most, held())
 	}
-	if got := side.call(t, "show-stat\n"); !strings.Contains(got, "app.members=1\n") {
+	if got := side.callConsole(t, "show-stat\n"); !strings.Contains(got, "app.members=1\n") {
 		t.Errorf("figures %q, want one member", got)
 	}
 	up.Store(true)
@@ -367,7 +367,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	l := newClients(testConfig(t, listed(1, "ready"), nil), inner, noUpstreams)
+	l := newClients(testConfig(t, listAnswer(1, "ready"), nil), inner, noUpstreams)
 	defer l.Close()
 	far, err := net.Dial("tcp", inner.Addr().String())
 	if err != nil {
@@ -379,7 +379,7 @@
 		t.Fatal(err)
 	}
 	bad := "POST /entry HTTP/1.1\r\nHost: x\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r"
-	if _, err := io.WriteString(far, head("1", "Content-Length: 0")+bad); err != nil {
+	if _, err := io.WriteString(far, requestHead("1", "Content-Length: 0")+bad); err != nil {
 		t.Fatal(err)
 	}
 	buffer := make([]byte, 4<<10)
@@ -407,14 +407,14 @@
 func TestRefusedConnectionsAreBounded(t *testing.T) {
 	l := busyClients(t)
 	var ends []net.Conn
-	for range 4 * l.room {
+	for range 4 * l.clientShare {
 		near, far := net.Pipe()
 		t.Cleanup(func() { near.Close(); far.Close() })
 		k := &clientConn{Conn: near}
-		if !l.enter(k) {
+		if !l.add(k) {
 			t.Fatal("no room")
 		}
-		k.begun, k.framing.begun = true, true // half a head has come, and nobody reads on
+		k.requestBegun, k.framing.inHead = true, true // half a head has come, and nobody reads on
 		ends = append(ends, far)
 	}
 	open := 0
@@ -443,10 +443,10 @@
 // However full the table, making room for one connection asks the kernel of one.
 func TestMakingRoomAsksOfOne(t *testing.T) {
 	l, asked := busyClients(t), 0
-	for n := range 4 * l.room {
+	for n := range 4 * l.clientShare {
 		near, far := net.Pipe()
 		t.Cleanup(func() { near.Close(); far.Close() })
-		if !l.enter(&clientConn{Conn: near, raw: countedConn{asked: &asked}}) {
+		if !l.add(&clientConn{Conn: near, raw: countedConn{asked: &asked}}) {
 			t.Fatal("no room")
 		}
 		if asked > n+1 {
@@ -461,19 +461,19 @@
 // A connection that its server is closing already takes no place among those that are closed with a refusal: nobody
 // would give the place back.
 func TestClosingConnectionTakesNoPlace(t *testing.T) {
-	l := newClients(testConfig(t, listed(1, "ready"), nil), nil, noUpstreams)
+	l := newClients(testConfig(t, listAnswer(1, "ready"), nil), nil, noUpstreams)
 	near, far := net.Pipe()
 	t.Cleanup(func() { far.Close() })
 	k := &clientConn{Conn: near, clients: l}
-	if !l.enter(k) {
+	if !l.add(k) {
 		t.Fatal("no room")
 	}
-	k.begun = true
-	_, _ = k.framing.follow([]byte("POST")) // a good beginning
+	k.requestBegun = true
+	_, _ = k.framing.advance([]byte("POST")) // a good beginning
 	if err := k.Close(); err != nil {
 		t.Fatal(err)
 	}
-	k.end(true) // to make room: it is held until its server reports that it is closed
+	k.closeUnlessServing(true) // to make room: it is held until its server reports that it is closed
 	if n := l.refusing.Load(); n != 0 {
 		t.Errorf("%d places are taken, want none", n)
 	}
@@ -485,17 +485,17 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	l := newClients(testConfig(t, listed(1, "ready"), nil), inner, noUpstreams)
+	l := newClients(testConfig(t, listAnswer(1, "ready"), nil), inner, noUpstreams)
 	defer l.Close()
 	var looks atomic.Int64
 	first := make(chan struct{})
-	l.read = func(int, []byte) (int, error) {
+	l.readFD = func(int, []byte) (int, error) {
 		if looks.Add(1) == 1 {
 			close(first)
 		}
 		return 0, syscall.ENOMEM
 	}
-	dialled(t, inner.Addr().String())
+	dialTCP(t, inner.Addr().String())
 	near, err := l.Accept()
 	if err != nil {
 		t.Fatal(err)
@@ -506,7 +506,7 @@
 		read <- err
 	}()
 	wait(t, "the first look", first)
-	if !near.(*clientConn).end(false) {
+	if !near.(*clientConn).closeUnlessServing(false) {
 		t.Error("it makes no room")
 	}
 	if n := looks.Load(); n > momentaryTries/2 {
@@ -523,8 +523,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	l := newClients(testConfig(t, listed(1, "ready"), nil), &unregistering{inner}, noUpstreams)
-	c := dialled(t, inner.Addr().String())
+	l := newClients(testConfig(t, listAnswer(1, "ready"), nil), &unregistering{inner}, noUpstreams)
+	c := dialTCP(t, inner.Addr().String())
 	if _, err := io.WriteString(c, "GET /look HTTP/1.1\r\nHost: x\r\n\r\n"); err != nil {
 		t.Fatal(err)
 	}
@@ -538,7 +538,7 @@
 	if err := near.Close(); err != nil {
 		t.Error(err)
 	}
-	_ = c.SetReadDeadline(time.Now().Add(generous))
+	_ = c.SetReadDeadline(time.Now().Add(testTimeout))
 	res, err := http.ReadResponse(bufio.NewReader(c), nil)
 	if err != nil || res.StatusCode != http.StatusServiceUnavailable {
 		t.Errorf("the client read %v, error %v, want 503", res, err)
--- a/internal/sidecar/clock.go
+++ b/internal/sidecar/clock.go
@@ -14,6 +14,6 @@
 }
 
 // at is the moment d of this clock as a time for deadlines on connections.
-func (c clock) at(d time.Duration) time.Time {
+func (c clock) toTime(d time.Duration) time.Time {
 	return c.start.Add(d - time.Duration(c.start.UnixNano()))
 }
--- a/internal/sidecar/config.go
+++ b/internal/sidecar/config.go
@@ -36,7 +36,7 @@
 	FleetPath string // the fleet file; empty: there is none
 	Seed      uint64
 
-	Shared string // folder that a second process has too, in an upgrade; empty: none
+	SharedDir string // folder that a second process has too, in an upgrade; empty: none
 
 	MemoryMB int // the process is killed above this; 0: no limit is known
 	Sockets  int // descriptors it may hold
@@ -45,20 +45,20 @@
 	Classes map[string]int // class by name
 	Tenants map[string]int // tenant by name; empty where there are none
 	Zones   map[string]int // zone by name
-	Reports []string       // names of a load report's fields, in the order of Columns
-	Columns wire.Columns
+	LoadReportFields []string       // names of a load report's fields, in the order of Columns
+	LoadReportColumns wire.Columns
 
 	MostOpen    int           // requests held at once
-	ConnIdle    time.Duration // an upstream closes connections that stood idle so long
+	UpstreamIdleTimeout    time.Duration // an upstream closes connections that stood idle so long
 	DialTimeout time.Duration
 	Longest     time.Duration // the longest deadline of any class
 	DrainGrace  time.Duration // nothing is sent to a server so long after it is told to drain; 0: not known
 
-	Known listing // the servers as last known
+	KnownServers listing // the servers as last known
 
 	State   store.Options // its size, and in tests its disk
 	Fleet   *fleet.File   // of the parts that join sidecars; nil: this one stands alone
-	Unknown []string      // keys of the file that mean nothing to this program
+	UnknownKeys []string      // keys of the file that mean nothing to this program
 
 	path string // the file that this was read from; empty in tests
 }
@@ -128,11 +128,11 @@
 		Discovery: given(file.Discovery, "EDGE_DISCOVERY"),
 		Console:   given(file.Console, "EDGE_CONSOLE"),
 		FleetPath: given(file.Fleet, "EDGE_FLEET"),
-		Shared:    env("TMPDIR"),
+		SharedDir:    env("TMPDIR"),
 		MemoryMB:  int(file.Limits.MemoryMB),
 		Sockets:   int(file.Limits.Sockets),
 	}
-	c.Unknown = unknownKeys(raw)
+	c.UnknownKeys = unknownKeys(raw)
 	for field, address := range map[string]string{"listen": c.Listen, "discovery": c.Discovery, "console": c.Console} {
 		if _, _, err := net.SplitHostPort(address); err != nil && (field != "console" || address != "") {
 			return nil, fmt.Errorf("config: %s: %w", field, err)
@@ -155,11 +155,11 @@
 	if err != nil {
 		return nil, fmt.Errorf("config: %w", err)
 	}
-	if err := c.take(s); err != nil {
+	if err := c.applySettings(s); err != nil {
 		return nil, err
 	}
 	if len(file.Known) > 0 {
-		if c.Known, err = parseListing(file.Known, c.Zones); err != nil {
+		if c.KnownServers, err = parseListing(file.Known, c.Zones); err != nil {
 			return nil, fmt.Errorf("config: known: %w", err)
 		}
 	}
@@ -206,12 +206,12 @@
 	return Effective{
 		Name: c.Name, Listen: c.Listen, Discovery: c.Discovery, Console: c.Console, Fleet: c.FleetPath,
 		MemoryMB: c.MemoryMB, Sockets: c.Sockets, Balancers: c.Policy.Balancers, Index: c.Policy.Index,
-		Classes: byPlace(c.Classes), Tenants: byPlace(c.Tenants), Zones: byPlace(c.Zones), Known: len(c.Known.servers),
+		Classes: byPlace(c.Classes), Tenants: byPlace(c.Tenants), Zones: byPlace(c.Zones), Known: len(c.KnownServers.servers),
 	}
 }
 
 // take reads the settings: the module's own, and what the sidecar needs besides.
-func (c *Config) take(s *wire.Settings) error {
+func (c *Config) applySettings(s *wire.Settings) error {
 	var err error
 	if c.Policy, err = s.Config(); err != nil {
 		return fmt.Errorf("config: %w", err)
@@ -227,9 +227,9 @@
 	for i, zone := range strings.Split(s.Text("zones"), ",") {
 		c.Zones[zone] = i
 	}
-	c.Reports, c.Columns = strings.Split(s.Text("telemetry.columns"), ","), s.Columns()
+	c.LoadReportFields, c.LoadReportColumns = strings.Split(s.Text("telemetry.columns"), ","), s.Columns()
 	c.MostOpen = int(s.Number("caps.max_open"))
-	c.ConnIdle = s.Duration("caps.conn_idle_ms")
+	c.UpstreamIdleTimeout = s.Duration("caps.conn_idle_ms")
 	c.DialTimeout = s.Duration("caps.dial_timeout_ms")
 	c.DrainGrace = s.Duration("rules.stop_sending_within_ms")
 	for _, k := range c.Policy.Classes {
@@ -238,7 +238,7 @@
 	if err := s.Err(); err != nil {
 		return fmt.Errorf("config: %w", err)
 	}
-	for field, d := range map[string]time.Duration{"caps.conn_idle_ms": c.ConnIdle, "caps.dial_timeout_ms": c.DialTimeout} {
+	for field, d := range map[string]time.Duration{"caps.conn_idle_ms": c.UpstreamIdleTimeout, "caps.dial_timeout_ms": c.DialTimeout} {
 		if d <= 0 {
 			return fmt.Errorf("config: settings: %s is %v, a time above 0 is needed", field, d)
 		}
@@ -267,7 +267,7 @@
 // rest for the application's connections, and a reserve for what is being closed and for the process itself.
 func (c *Config) clientConns(n int) int { return c.freeFiles(n) * 3 / 8 }
 
-func (c *Config) upstreamConns(n int) int { return c.freeFiles(n) / 2 }
+func (c *Config) upstreamConnLimit(n int) int { return c.freeFiles(n) / 2 }
 
 // allConns is how many connections of both kinds one of n processes may hold.
 func (c *Config) allConns(n int) int { return c.freeFiles(n) * 15 / 16 }
--- a/internal/sidecar/console.go
+++ b/internal/sidecar/console.go
@@ -17,7 +17,7 @@
 
 const (
 	consoleConns = 12                     // callers at once; past that the one silent longest makes room
-	callTime     = 2 * time.Second        // a caller may take so long over its line
+	callReadTimeout     = 2 * time.Second        // a caller may take so long over its line
 	replyTime    = 500 * time.Millisecond // and so long to take its answer; it is owed that within 1 s
 	callLimit    = 256                    // bytes of a line
 	callRest     = 64 << 10               // bytes read behind an unusable line, so that its answer is not lost to a reset
@@ -28,12 +28,12 @@
 type console struct {
 	ready   func() bool
 	stat    func(io.Writer)
-	server  func(ctx context.Context, id string, out bool) error // takes a server out by hand, or brings it back
-	duties  func(io.Writer) error                                // who of the fleet has which duty
-	move    func(words []string) error                           // passes a duty on
-	rules   func(io.Writer) error                                // which rule set is in force, and who refused one
-	members func(io.Writer) error                                // who of the fleet is there
-	confirm func() error                                         // takes an operator's word that a damaged state has the right servers out
+	setServer  func(ctx context.Context, id string, out bool) error // takes a server out by hand, or brings it back
+	writeDuties  func(io.Writer) error                                // who of the fleet has which duty
+	moveDuty    func(words []string) error                           // passes a duty on
+	writeRules   func(io.Writer) error                                // which rule set is in force, and who refused one
+	writeMembers func(io.Writer) error                                // who of the fleet is there
+	confirmState func() error                                         // takes an operator's word that a damaged state has the right servers out
 
 	mu      sync.Mutex
 	waiting []net.Conn // callers whose line has not come, the one that waits longest first
@@ -50,8 +50,8 @@
 		conn, err := l.Accept()
 		switch {
 		case err == nil:
-			c.enter(conn)
-			c.callers.Go(func() { c.answer(ctx, conn) })
+			c.addWaiting(conn)
+			c.callers.Go(func() { c.handle(ctx, conn) })
 		case ctx.Err() != nil || errors.Is(err, net.ErrClosed):
 			return
 		default: // no descriptor is free, say: that passes
@@ -68,7 +68,7 @@
 }
 
 // enter counts a caller in, if need be at the cost of the one that has been silent longest.
-func (c *console) enter(conn net.Conn) {
+func (c *console) addWaiting(conn net.Conn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if len(c.waiting) >= consoleConns {
@@ -91,10 +91,10 @@
 }
 
 // answer hears one caller out.
-func (c *console) answer(ctx context.Context, conn net.Conn) {
+func (c *console) handle(ctx context.Context, conn net.Conn) {
 	defer conn.Close()
 	// Deadlines and writes fail only on a connection that is gone: nobody is left to tell.
-	_ = conn.SetDeadline(time.Now().Add(callTime))
+	_ = conn.SetDeadline(time.Now().Add(callReadTimeout))
 	line, err := bufio.NewReaderSize(conn, callLimit).ReadSlice('\n')
 	c.spoke(conn)
 	_ = conn.SetDeadline(time.Now().Add(replyTime))
@@ -110,13 +110,13 @@
 		return
 	}
 	w := bufio.NewWriter(conn)
-	c.call(ctx, w, strings.Fields(string(line)))
+	c.execute(ctx, w, strings.Fields(string(line)))
 	_ = conn.SetDeadline(time.Now().Add(replyTime)) // the call itself may have waited for a disk
 	_ = w.Flush()
 }
 
 // call carries out one call.
-func (c *console) call(ctx context.Context, w io.Writer, words []string) {
+func (c *console) execute(ctx context.Context, w io.Writer, words []string) {
 	name := strings.Join(words[:min(len(words), 1)], "")
 	wanted := map[string]int{"ready": 1, "show-stat": 1, "confirm-state": 1, "show-members": 1, "show-duties": 1, "show-rules": 1, "move-duty": 2, "disable-server": 2, "enable-server": 2}[name]
 	var err error
@@ -129,18 +129,18 @@
 		c.stat(w)
 		return
 	case name == "show-members" || name == "show-duties" || name == "show-rules":
-		show := map[string]func(io.Writer) error{"show-members": c.members, "show-duties": c.duties, "show-rules": c.rules}[name]
+		show := map[string]func(io.Writer) error{"show-members": c.writeMembers, "show-duties": c.writeDuties, "show-rules": c.writeRules}[name]
 		if err = show(w); err == nil {
 			return
 		}
 	case name == "move-duty":
-		err = c.move(words[1:])
+		err = c.moveDuty(words[1:])
 	case name == "ready" && !c.ready():
 		err = errors.New("no, it is stopping, or serves nothing by its rules")
 	case name == "confirm-state":
-		err = c.confirm()
+		err = c.confirmState()
 	case name == "disable-server" || name == "enable-server":
-		err = c.server(ctx, words[1], name == "disable-server")
+		err = c.setServer(ctx, words[1], name == "disable-server")
 	}
 	if kept := (errNotKept{}); errors.As(err, &kept) {
 		fmt.Fprintf(w, "202 %v\n", err)
@@ -157,7 +157,7 @@
 // they are answered, attempts where they are written; what only the loop knows is at most membersEvery old.
 func (f *front) stat(w io.Writer) {
 	for _, name := range slices.Sorted(maps.Keys(f.cfg.Classes)) {
-		ended := &f.ended[f.cfg.Classes[name]]
+		ended := &f.tallies[f.cfg.Classes[name]]
 		for _, figure := range []struct {
 			name  string
 			value uint64
@@ -168,6 +168,6 @@
 	members := f.loop.members.Load()
 	// A long body that still comes belongs to no request taken.
 	fmt.Fprintf(w, "app.upstream_requests=%d\napp.pending=%d\napp.members=%d\napp.members_unavailable=%d\napp.state_damaged=%d\napp.state_bytes=%d\n",
-		f.loop.upstream.written.Load(), f.held.Load()-f.uploads.Load(), members.listed, members.unavailable,
+		f.loop.upstream.written.Load(), f.openRequests.Load()-f.uploads.Load(), members.listed, members.unavailable,
 		f.loop.handover.damaged(), f.loop.handover.bytes())
 }
--- a/internal/sidecar/console_test.go
+++ b/internal/sidecar/console_test.go
@@ -12,21 +12,21 @@
 )
 
 // reach opens a connection to the console.
-func (s *running) reach(t *testing.T) net.Conn {
+func (s *testSidecar) dialConsole(t *testing.T) net.Conn {
 	t.Helper()
-	c, err := net.DialTimeout("tcp", s.door, generous)
+	c, err := net.DialTimeout("tcp", s.consoleAddress, testTimeout)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { c.Close() })
-	_ = c.SetDeadline(time.Now().Add(generous))
+	_ = c.SetDeadline(time.Now().Add(testTimeout))
 	return c
 }
 
 // call has one line answered by the console.
-func (s *running) call(t *testing.T, line string) string {
+func (s *testSidecar) callConsole(t *testing.T, line string) string {
 	t.Helper()
-	c := s.reach(t)
+	c := s.dialConsole(t)
 	if _, err := io.WriteString(c, line); err != nil {
 		t.Fatal(err)
 	}
@@ -38,13 +38,13 @@
 }
 
 // figures asks for the figures until they are as wanted.
-func (s *running) figures(t *testing.T, wanted map[string]string) {
+func (s *testSidecar) waitForStats(t *testing.T, wanted map[string]string) {
 	t.Helper()
 	var off string
-	for end := time.Now().Add(generous); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(testTimeout); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
 		off = ""
 		got := make(map[string]string)
-		for line := range strings.Lines(s.call(t, "show-stat\n")) {
+		for line := range strings.Lines(s.callConsole(t, "show-stat\n")) {
 			name, value, _ := strings.Cut(strings.TrimSuffix(line, "\n"), "=")
 			got[name] = value
 		}
@@ -62,7 +62,7 @@
 
 func TestConsoleCalls(t *testing.T) {
 	s := newStub(t, echo)
-	side := start(t, nil, s.address)
+	side := startSidecar(t, nil, s.address)
 	for line, want := range map[string]string{
 		"ready\n":                              "200 ",
 		"ready\r\n":                            "200 ",
@@ -77,11 +77,11 @@
 		"\x00\xff\n":                           "400 ",
 		strings.Repeat("x", 60<<10) + "\n":     "400 ",
 	} {
-		if got := side.call(t, line); !strings.HasPrefix(got, want) || strings.Count(got, "\n") != 1 {
+		if got := side.callConsole(t, line); !strings.HasPrefix(got, want) || strings.Count(got, "\n") != 1 {
 			t.Errorf("%.40q: %q, want one line that begins with %s", line, got, want)
 		}
 	}
-	half := side.reach(t)
+	half := side.dialConsole(t)
 	_, _ = io.WriteString(half, "disable-server s-")
 	_ = half.(*net.TCPConn).CloseWrite()
 	if got, _ := io.ReadAll(half); !strings.HasPrefix(string(got), "400 ") {
@@ -89,21 +89,21 @@
 	}
 	const first = "app.downstream_requests.entry.completed=0\napp.downstream_requests.entry.rejected=0\n" +
 		"app.downstream_requests.entry.failed=0\napp.downstream_requests.look.completed=0\n"
-	if got := side.call(t, "show-stat\n"); !strings.HasPrefix(got, first) || !strings.HasSuffix(got, "\nEOF\n") {
+	if got := side.callConsole(t, "show-stat\n"); !strings.HasPrefix(got, first) || !strings.HasSuffix(got, "\nEOF\n") {
 		t.Errorf("figures %q", got)
 	}
 }
 
 // Callers that say nothing keep nobody from an answer, and hold no more connections than are set aside.
 func TestSilentCallersMakeRoom(t *testing.T) {
-	side := start(t, nil, newStub(t, echo).address)
+	side := startSidecar(t, nil, newStub(t, echo).address)
 	var silent []net.Conn
 	for range 3 * consoleConns {
-		c := side.reach(t)
+		c := side.dialConsole(t)
 		_, _ = io.WriteString(c, "read")
 		silent = append(silent, c)
 	}
-	if got := side.call(t, "ready\n"); !strings.HasPrefix(got, "200 ") {
+	if got := side.callConsole(t, "ready\n"); !strings.HasPrefix(got, "200 ") {
 		t.Fatalf("ready: %q", got)
 	}
 	for _, c := range silent[:consoleConns] {
@@ -116,7 +116,7 @@
 // Each way that a request can end is counted once, and nothing stays pending.
 func TestFiguresByOutcome(t *testing.T) {
 	held := make(chan struct{})
-	s := newStub(t, func(c net.Conn, r received) bool {
+	s := newStub(t, func(c net.Conn, r stubRequest) bool {
 		switch r.body {
 		case "break":
 			return false
@@ -130,78 +130,78 @@
 		return echo(c, r)
 	})
 	defer close(held)
-	side := start(t, nil, s.address)
-	side.figures(t, map[string]string{"members": "1", "members_unavailable": "0", "pending": "0", "upstream_requests": "0"})
+	side := startSidecar(t, nil, s.address)
+	side.waitForStats(t, map[string]string{"members": "1", "members_unavailable": "0", "pending": "0", "upstream_requests": "0"})
 	for _, c := range []struct {
 		body, timeout string
 		status        int
 	}{{"err", "20000m", http.StatusBadGateway}, {"break", "20000m", http.StatusBadGateway}, {"hold", "150m", http.StatusGatewayTimeout}} {
-		do(t, side.request(t, "POST", "/entry", "fine")) // keeps the server from its rest
-		if res, _ := do(t, side.request(t, "POST", "/entry", c.body, "X-Timeout", c.timeout)); res.StatusCode != c.status {
+		sendRequest(t, side.newRequest(t, "POST", "/entry", "fine")) // keeps the server from its rest
+		if res, _ := sendRequest(t, side.newRequest(t, "POST", "/entry", c.body, "X-Timeout", c.timeout)); res.StatusCode != c.status {
 			t.Fatalf("%s: %s", c.body, res.Status)
 		}
 	}
-	if res, _ := do(t, side.request(t, "GET", "/look", "", "X-Timeout", "0m")); res.StatusCode != http.StatusServiceUnavailable {
+	if res, _ := sendRequest(t, side.newRequest(t, "GET", "/look", "", "X-Timeout", "0m")); res.StatusCode != http.StatusServiceUnavailable {
 		t.Fatalf("out of time: %s", res.Status)
 	}
 	const entry, look = "downstream_requests.entry.", "downstream_requests.look."
-	side.figures(t, map[string]string{
+	side.waitForStats(t, map[string]string{
 		entry + "completed": "3", entry + "rejected": "0", entry + "failed": "3",
 		look + "completed": "0", look + "rejected": "1", look + "failed": "0",
 		"upstream_requests": "6", "pending": "0",
 	})
 	ctx, leave := context.WithCancel(context.Background())
-	go func() { _, _ = http.DefaultClient.Do(side.request(t, "POST", "/entry", "hold").WithContext(ctx)) }()
-	side.figures(t, map[string]string{"pending": "1", "upstream_requests": "7"})
+	go func() { _, _ = http.DefaultClient.Do(side.newRequest(t, "POST", "/entry", "hold").WithContext(ctx)) }()
+	side.waitForStats(t, map[string]string{"pending": "1", "upstream_requests": "7"})
 	leave()
-	side.figures(t, map[string]string{"pending": "0", entry + "completed": "3"})
+	side.waitForStats(t, map[string]string{"pending": "0", entry + "completed": "3"})
 }
 
 // A server is unavailable while it is out by hand, while the module rests it, and once while both hold.
 func TestUnavailableByHandAndByChoice(t *testing.T) {
-	fine, bad := newStub(t, echo), newStub(t, func(c net.Conn, _ received) bool {
+	fine, bad := newStub(t, echo), newStub(t, func(c net.Conn, _ stubRequest) bool {
 		_, err := io.WriteString(c, "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n")
 		return err == nil
 	})
 	// So many balancers that a server rests for long.
-	side := start(t, func(_, settings map[string]any) { settings["balancers"] = 400.0 }, fine.address, bad.address)
+	side := startSidecar(t, func(_, settings map[string]any) { settings["balancers"] = 400.0 }, fine.address, bad.address)
 	unavailable := func(n string) {
 		t.Helper()
-		side.figures(t, map[string]string{"members": "2", "members_unavailable": n})
+		side.waitForStats(t, map[string]string{"members": "2", "members_unavailable": n})
 	}
 	unavailable("0")
-	side.call(t, "disable-server s-0\n")
+	side.callConsole(t, "disable-server s-0\n")
 	unavailable("1")
 	for range 4 { // the one that errs is left
-		do(t, side.request(t, "POST", "/entry", "1"))
+		sendRequest(t, side.newRequest(t, "POST", "/entry", "1"))
 	}
 	unavailable("2")
-	side.call(t, "disable-server s-1\n")
+	side.callConsole(t, "disable-server s-1\n")
 	unavailable("2")
-	side.call(t, "enable-server s-0\n")
+	side.callConsole(t, "enable-server s-0\n")
 	unavailable("1")
-	side.call(t, "enable-server s-1\n")
+	side.callConsole(t, "enable-server s-1\n")
 	unavailable("0")
 }
 
 // The console says no once the process is stopping, and yes while clients that connect are served.
 func TestReadyEndsWithTheStop(t *testing.T) {
 	release := make(chan struct{})
-	s := newStub(t, func(c net.Conn, r received) bool {
+	s := newStub(t, func(c net.Conn, r stubRequest) bool {
 		<-release
 		return echo(c, r)
 	})
-	side := start(t, nil, s.address)
+	side := startSidecar(t, nil, s.address)
 	c := side.dial(t)
-	if _, err := io.WriteString(c, head("1", "Content-Length: 0")); err != nil {
+	if _, err := io.WriteString(c, requestHead("1", "Content-Length: 0")); err != nil {
 		t.Fatal(err)
 	}
-	wait(t, "the request", s.seen)
-	if got := side.call(t, "ready\n"); !strings.HasPrefix(got, "200 ") {
+	wait(t, "the request", s.requests)
+	if got := side.callConsole(t, "ready\n"); !strings.HasPrefix(got, "200 ") {
 		t.Fatalf("ready: %q", got)
 	}
 	side.stop() // it ends once the request has its answer
-	for end := time.Now().Add(generous); !strings.HasPrefix(side.call(t, "ready\n"), "400 "); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); !strings.HasPrefix(side.callConsole(t, "ready\n"), "400 "); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("it is ready while it is stopping")
 		}
--- a/internal/sidecar/control.go
+++ b/internal/sidecar/control.go
@@ -15,12 +15,12 @@
 )
 
 // requests is what control tells the path of requests, and asks it. Its loop is that; in a hollow process there is none.
-type requests interface {
+type dataPlane interface {
 	list(listing)
 	listFailed()
 	fleet(context.Context, balance.Fleet) error
 	rules(context.Context, *rules.Set) error
-	calls(context.Context, map[string]handed)
+	calls(context.Context, map[string]operatorCall)
 	learned(context.Context) (balance.Learned, error)
 }
 
@@ -28,20 +28,20 @@
 // it to its fleet.
 type control struct {
 	cfg       *Config
-	path      requests
-	state     *handover
+	dataPlane      dataPlane
+	state     *sharedState
 	discovery *discovery
 	peers     *peers
-	work      *duties
-	sets      *ruleSets
+	duties      *duties
+	ruleSets      *ruleSets
 	meter     *meter.Meter
 }
 
 // newControl reads what the configuration and the state say, and sets cfg.Known to the list that counts. Nothing runs before begin.
-func newControl(cfg *Config, c clock, path requests) (k *control, err error) {
-	k = &control{cfg: cfg, path: path, meter: new(meter.Meter), state: openHandover(cfg.Shared, cfg.Name, cfg.State)}
+func newControl(cfg *Config, c clock, path dataPlane) (k *control, err error) {
+	k = &control{cfg: cfg, dataPlane: path, meter: new(meter.Meter), state: openSharedState(cfg.SharedDir, cfg.Name, cfg.State)}
 	versions := k.state.versions(cfg, c.now())
-	cfg.Known = versions.list()
+	cfg.KnownServers = versions.list()
 	k.discovery = newDiscovery(cfg, path.list, path.listFailed)
 	k.discovery.versions, k.discovery.now, k.discovery.keep = versions, c.now, k.state.keepList
 	dial := k.discovery.dial
@@ -55,40 +55,40 @@
 	if k.peers, err = newPeers(cfg, path, k.state, k.meter); err != nil {
 		return nil, err
 	}
-	if k.work, err = newDuties(cfg, k.peers, k.state); err != nil {
+	if k.duties, err = newDuties(cfg, k.peers, k.state); err != nil {
 		return nil, err
 	}
-	k.sets, err = newRuleSets(cfg, k.peers, k.work, path, k.state)
+	k.ruleSets, err = newRuleSets(cfg, k.peers, k.duties, path, k.state)
 	return k, err
 }
 
 // begin follows the sidecar's other processes and the list, and puts the rule set in force that is on the floor, before the
 // first request. share hears how many processes there are. kept is closed once all is kept, after ctx has ended.
-func (k *control) begin(ctx context.Context, kept chan<- struct{}, share func(n int)) error {
-	n := k.state.count()
+func (k *control) start(ctx context.Context, kept chan<- struct{}, share func(n int)) error {
+	n := k.state.countProcesses()
 	share(n)
 	var beside []byte
-	go k.state.watch(ctx, n, share, func(handed map[string]handed) {
-		k.path.calls(ctx, handed)
+	go k.state.watchProcesses(ctx, n, share, func(handed map[string]operatorCall) {
+		k.dataPlane.calls(ctx, handed)
 		kept, list, raw, news := k.state.beside(beside, k.cfg.Zones)
 		if beside = raw; news {
 			k.discovery.beside(kept, list)
 		}
 	})
-	go k.state.followLate(ctx, func(owed map[string]handed) { k.path.calls(ctx, owed) })
+	go k.state.followLate(ctx, func(owed map[string]operatorCall) { k.dataPlane.calls(ctx, owed) })
 	go func() {
 		defer close(kept)
-		k.state.keep(ctx, k.path.learned)
+		k.state.keep(ctx, k.dataPlane.learned)
 	}()
 	go k.discovery.run(ctx)
-	return k.sets.begin(ctx)
+	return k.ruleSets.start(ctx)
 }
 
 // run takes part in the fleet until ctx ends.
 func (k *control) run(ctx context.Context) {
 	k.peers.run(ctx)
-	k.work.run(ctx)
-	k.sets.run(ctx)
+	k.duties.run(ctx)
+	k.ruleSets.run(ctx)
 }
 
 const (
@@ -101,7 +101,7 @@
 	for {
 		select {
 		case <-signals:
-			k.sets.read()
+			k.ruleSets.pushFile()
 			k.reconfigure(ctx, path)
 		case <-ctx.Done():
 			return
@@ -135,8 +135,8 @@
 // stat writes the figures of control.
 func (k *control) stat(w io.Writer) {
 	k.peers.stat(w)
-	k.work.stat(w)
-	k.sets.stat(w)
+	k.duties.stat(w)
+	k.ruleSets.stat(w)
 	if !k.cfg.hasPeers() {
 		return
 	}
--- a/internal/sidecar/discovery_test.go
+++ b/internal/sidecar/discovery_test.go
@@ -68,7 +68,7 @@
 	say := func(body string) func(http.ResponseWriter) {
 		return func(w http.ResponseWriter) { _, _ = io.WriteString(w, body) }
 	}
-	cfg := testConfig(t, listed(40, "ready", "127.0.0.1:80"), func(file, _ map[string]any) {
+	cfg := testConfig(t, listAnswer(40, "ready", "127.0.0.1:80"), func(file, _ map[string]any) {
 		file["discovery"] = server.Listener.Addr().String()
 	})
 	heard, failed := make(chan listing, 100), make(chan struct{}, 100)
@@ -101,11 +101,11 @@
 	wait(t, "the failure", failed)
 	step("index=43&wait=1", func(w http.ResponseWriter) { w.WriteHeader(http.StatusServiceUnavailable) })
 	wait(t, "the failure", failed)
-	step("index=43&wait=1", say(listed(45, "ready", "127.0.0.1:80")))
+	step("index=43&wait=1", say(listAnswer(45, "ready", "127.0.0.1:80")))
 	news(45, true)
 	step("index=45&wait=20000", say(`{"generation":7,"reset":false,"instances":[]}`)) // stale, or begun anew
 	news(45, false)
-	step("", say(listed(8, "ready", "127.0.0.1:80"))) // 0.5 s later
+	step("", say(listAnswer(8, "ready", "127.0.0.1:80"))) // 0.5 s later
 	news(45, false)
 	for range 2 { // 1 s and 3.5 s later
 		step("index=8&wait=2000", func(w http.ResponseWriter) {
@@ -114,9 +114,9 @@
 		})
 		news(45, false)
 	}
-	step("", say(listed(8, "ready", "127.0.0.1:80")))
+	step("", say(listAnswer(8, "ready", "127.0.0.1:80")))
 	news(8, true)
-	step("index=8&wait=20000", say(listed(9, "ready", "127.0.0.1:80")))
+	step("index=8&wait=20000", say(listAnswer(9, "ready", "127.0.0.1:80")))
 	news(9, true)
 	if len(heard)+len(failed) > 0 {
 		t.Errorf("%d more lists, %d more failures", len(heard), len(failed))
@@ -136,7 +136,7 @@
 	const most, failures = time.Second, 12
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusServiceUnavailable) }))
 	defer server.Close()
-	cfg := testConfig(t, listed(40, "ready", "127.0.0.1:80"), func(file, _ map[string]any) { file["discovery"] = server.Listener.Addr().String() })
+	cfg := testConfig(t, listAnswer(40, "ready", "127.0.0.1:80"), func(file, _ map[string]any) { file["discovery"] = server.Listener.Addr().String() })
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	d := newDiscovery(cfg, func(listing) {}, func() {})
@@ -165,7 +165,7 @@
 		w.WriteHeader(http.StatusServiceUnavailable)
 	}))
 	defer server.Close()
-	cfg := testConfig(t, listed(0, "ready"), func(file, settings map[string]any) {
+	cfg := testConfig(t, listAnswer(0, "ready"), func(file, settings map[string]any) {
 		file["discovery"] = server.Listener.Addr().String()
 		settings["discovery"] = "ask"
 	})
@@ -193,7 +193,7 @@
 			place := func(generation int) string {
 				s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 					if r.URL.RawQuery == "" {
-						_, _ = io.WriteString(w, listed(generation, "ready"))
+						_, _ = io.WriteString(w, listAnswer(generation, "ready"))
 						return
 					}
 					began <- struct{}{}
@@ -203,7 +203,7 @@
 				t.Cleanup(s.Close)
 				return s.Listener.Addr().String()
 			}
-			cfg := testConfig(t, listed(0, "ready"), func(file, settings map[string]any) {
+			cfg := testConfig(t, listAnswer(0, "ready"), func(file, settings map[string]any) {
 				file["discovery"], settings["discovery"] = place(1), how
 			})
 			heard := make(chan listing, 10)
--- a/internal/sidecar/duties.go
+++ b/internal/sidecar/duties.go
@@ -25,14 +25,14 @@
 type duties struct {
 	group *duty.Group
 	peers *peers
-	state *handover
-	stop  context.CancelFunc
-	ended chan struct{}
+	state *sharedState
+	cancel  context.CancelFunc
+	done chan struct{}
 }
 
 // newDuties reads what the configuration says of duties.
-func newDuties(cfg *Config, p *peers, state *handover) (*duties, error) {
-	d := &duties{peers: p, state: state, ended: make(chan struct{})}
+func newDuties(cfg *Config, p *peers, state *sharedState) (*duties, error) {
+	d := &duties{peers: p, state: state, done: make(chan struct{})}
 	if p.group == nil || len(cfg.Fleet.Duty.Voters) == 0 {
 		return d, nil
 	}
@@ -40,7 +40,7 @@
 		return nil, errors.New("duty.voters needs a folder for what outlives the process (TMPDIR)")
 	}
 	c := duty.Config{
-		Name: cfg.Name, Start: state.store.Number(), Voters: cfg.Fleet.Duty.Voters, Lease: cfg.Fleet.Duty.Lease.D(),
+		Name: cfg.Name, Start: state.store.Number(), Voters: cfg.Fleet.Duty.Voters, Lease: cfg.Fleet.Duty.Lease.Std(),
 		Wire: p.group, Keep: keeper{state.store}, Lost: len(state.store.Damage().Files) > 0, Candidates: d.candidates,
 		Begin: func(string, uint64) {}, End: func(string) {}, // whoever acts asks before
 	}
@@ -86,13 +86,13 @@
 // run takes part until ctx ends or leave is called: from when this process has the sidecar's address among its peers, so that
 // never two processes are one voter.
 func (d *duties) run(ctx context.Context) {
-	ctx, d.stop = context.WithCancel(ctx)
+	ctx, d.cancel = context.WithCancel(ctx)
 	if d.group == nil {
-		close(d.ended)
+		close(d.done)
 		return
 	}
 	go func() {
-		defer close(d.ended)
+		defer close(d.done)
 		for d.peers.group.View().Standing == member.Waiting {
 			select {
 			case <-time.After(addressPoll):
@@ -106,17 +106,17 @@
 		}
 		d.group.Run(ctx)
 	}()
-	go d.report(ctx)
+	go d.runReport(ctx)
 }
 
 // leave gives up what this process holds, and returns once others may have it.
-func (d *duties) leave() {
-	d.stop()
-	<-d.ended
+func (d *duties) release() {
+	d.cancel()
+	<-d.done
 }
 
 // report is the duty of that name.
-func (d *duties) report(ctx context.Context) {
+func (d *duties) runReport(ctx context.Context) {
 	tick := time.NewTicker(reportEvery)
 	defer tick.Stop()
 	for {
@@ -173,7 +173,7 @@
 var errNoDuties = errors.New("there are no duties: the fleet file has no duty.voters")
 
 // move has a duty passed on, to a member if there is one named.
-func (d *duties) move(words []string) error {
+func (d *duties) moveDuty(words []string) error {
 	switch {
 	case d.group == nil:
 		return errNoDuties
--- a/internal/sidecar/framing.go
+++ b/internal/sidecar/framing.go
@@ -15,24 +15,24 @@
 // framing follows the requests on a connection: their heads, and the bodies whose length they tell.
 type framing struct {
 	line    []byte // the line of a head under way, as far as it is looked at
-	begun   bool   // the head's first line is over
+	inHead   bool   // the head's first line is over
 	lengths int    // Content-Length lines in the head
-	length  uint64 // what the last of them says
+	contentLength  uint64 // what the last of them says
 	coded   bool   // the head has Transfer-Encoding
-	body    uint64 // bytes of a body still to come
-	rest    bool   // nothing more is followed: the server closes after this request
+	bodyLeft    uint64 // bytes of a body still to come
+	unfollowed    bool   // nothing more is followed: the server closes after this request
 }
 
 // between tells whether what has come ends with a request's last byte, as far as it is followed.
-func (f *framing) between() bool { return len(f.line) == 0 && !f.begun && f.body == 0 && !f.rest }
+func (f *framing) atBoundary() bool { return len(f.line) == 0 && !f.inHead && f.bodyLeft == 0 && !f.unfollowed }
 
 // follow takes the next bytes. Where a head frames its body in two ways, or with a length that is
 // none, it returns how many bytes come before that head's end, and an error.
-func (f *framing) follow(p []byte) (int, error) {
-	for at := 0; at < len(p) && !f.rest; {
-		if f.body > 0 {
-			n := min(f.body, uint64(len(p)-at))
-			f.body -= n
+func (f *framing) advance(p []byte) (int, error) {
+	for at := 0; at < len(p) && !f.unfollowed; {
+		if f.bodyLeft > 0 {
+			n := min(f.bodyLeft, uint64(len(p)-at))
+			f.bodyLeft -= n
 			at += int(n)
 			continue
 		}
@@ -41,7 +41,7 @@
 		if !whole {
 			break
 		}
-		if err := f.take(strings.TrimSuffix(string(f.line), "\r")); err != nil {
+		if err := f.processLine(strings.TrimSuffix(string(f.line), "\r")); err != nil {
 			return at + len(part), err
 		}
 		f.line = f.line[:0]
@@ -51,17 +51,17 @@
 }
 
 // take reads one line of a head; an empty one ends it.
-func (f *framing) take(line string) error {
+func (f *framing) processLine(line string) error {
 	switch {
-	case !f.begun: // a blank line before a request is passed over, as net/http does at times
-		f.begun = line != ""
+	case !f.inHead: // a blank line before a request is passed over, as net/http does at times
+		f.inHead = line != ""
 		return nil
 	case line != "":
 		name, value, _ := strings.Cut(line, ":")
 		switch {
 		case strings.EqualFold(name, "Content-Length"):
 			var err error
-			if f.length, err = strconv.ParseUint(strings.TrimSpace(value), 10, 63); err != nil {
+			if f.contentLength, err = strconv.ParseUint(strings.TrimSpace(value), 10, 63); err != nil {
 				return errors.New("Content-Length is malformed")
 			}
 			f.lengths++
@@ -72,6 +72,6 @@
 	case f.lengths > 1 || f.lengths == 1 && f.coded:
 		return errFraming
 	}
-	*f = framing{line: f.line, body: f.length, rest: f.coded}
+	*f = framing{line: f.line, bodyLeft: f.contentLength, unfollowed: f.coded}
 	return nil
 }
--- a/internal/sidecar/front.go
+++ b/internal/sidecar/front.go
@@ -34,9 +34,9 @@
 	clock   clock
 	loop    *loop
 	clients *clients
-	held    atomic.Int64 // requests with no answer yet
+	openRequests    atomic.Int64 // requests with no answer yet
 	uploads atomic.Int64 // and of these, those whose last byte is still to come: they are not taken yet
-	ended   []tally      // those that had theirs, by class
+	tallies   []tally      // those that had theirs, by class
 	streams struct {     // answers passed on as they come, for the log
 		begun  atomic.Int64
 		now    atomic.Int64 // under way
@@ -44,12 +44,12 @@
 		still  atomic.Int64 // cut off as the client did
 	}
 	ready  atomic.Bool // no stop was asked for
-	stop   atomic.Pointer[stop]
-	serves func() bool // rules allow it
+	stopLimits   atomic.Pointer[stopLimits]
+	rulesAllow func() bool // rules allow it
 }
 
 // up is what GET /up tells.
-func (f *front) up() bool { return f.ready.Load() && f.serves() }
+func (f *front) isUp() bool { return f.ready.Load() && f.rulesAllow() }
 
 // tally counts the requests of a class by their answer.
 type tally struct{ completed, rejected, failed atomic.Uint64 }
@@ -67,7 +67,7 @@
 }
 
 func newFront(cfg *Config, c clock, l *loop, k *clients) *front {
-	return &front{cfg: cfg, clock: c, loop: l, clients: k, serves: func() bool { return true }, ended: make([]tally, len(cfg.Policy.Classes))}
+	return &front{cfg: cfg, clock: c, loop: l, clients: k, rulesAllow: func() bool { return true }, tallies: make([]tally, len(cfg.Policy.Classes))}
 }
 
 // server is the HTTP server that serves the application.
@@ -75,14 +75,14 @@
 	return &http.Server{
 		Handler: f, ReadHeaderTimeout: headTime, WriteTimeout: writeTime, IdleTimeout: clientIdle, MaxHeaderBytes: headerLimit,
 		DisableGeneralOptionsHandler: true, // it would answer OPTIONS * with 200: nobody is owed that here
-		ConnState:                    f.clients.stateOf, ConnContext: f.clients.with,
+		ConnState:                    f.clients.connStateChanged, ConnContext: f.clients.connContext,
 	}
 }
 
 // counters are for the log.
 func (f *front) counters() map[string]int {
 	counts := f.clients.counters()
-	counts["held"], counts["uploads"] = int(f.held.Load()), int(f.uploads.Load())
+	counts["held"], counts["uploads"] = int(f.openRequests.Load()), int(f.uploads.Load())
 	counts["streams"], counts["broken"] = int(f.streams.begun.Load()), int(f.streams.broken.Load())
 	counts["still"] = int(f.streams.still.Load())
 	return counts
@@ -90,7 +90,7 @@
 
 func (f *front) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path == "/up" && r.Method == http.MethodGet {
-		if !f.up() {
+		if !f.isUp() {
 			w.WriteHeader(http.StatusServiceUnavailable)
 		}
 		return
@@ -102,39 +102,39 @@
 		// What follows such a body is not checked (see framing), and HTTP/1.0 knows no chunks.
 		w.Header().Set("Connection", "close")
 	}
-	q, left, err := f.read(r)
+	q, left, err := f.parseRequest(r)
 	if err != nil {
 		reject(w, err.Error(), http.StatusBadRequest)
 		return
 	}
 	m := &message{id: r.Header.Get("X-Request-ID"), method: r.Method, url: r.URL, host: r.Host, header: endToEnd(r.Header), length: r.ContentLength, left: left}
-	if err := f.receive(w, r, m); err != nil {
+	if err := f.readBody(w, r, m); err != nil {
 		f.rejectBody(w, err)
 		return
 	}
-	f.take(w, r, q, m)
+	f.serveRequest(w, r, q, m)
 }
 
 // take takes a request on that has come, or whose held part has, and answers it.
-func (f *front) take(w http.ResponseWriter, r *http.Request, q balance.Request, m *message) {
+func (f *front) serveRequest(w http.ResponseWriter, r *http.Request, q balance.Request, m *message) {
 	arrived := f.clock.now() // the client's time began with the last byte; that of a longer body's is still to come
 	if m.rest == nil {
-		arrived -= max(0, f.clients.came(r.Context()))
+		arrived -= max(0, f.clients.sinceLastRead(r.Context()))
 	}
-	m.left = f.stop.Load().left(arrived, m.left)
-	if !f.clients.took(r.Context()) { // its connection has made room for others, and closes with a refusal
+	m.left = f.stopLimits.Load().bound(arrived, m.left)
+	if !f.clients.requestReceived(r.Context()) { // its connection has made room for others, and closes with a refusal
 		f.loop.trace.unanswered(m.id, closedRoomPartial, f.clock.now()-arrived)
 		panic(http.ErrAbortHandler)
 	}
-	defer f.held.Add(-1)
-	held := f.held.Add(1)
-	full, leaving := f.clients.crowded(held)
+	defer f.openRequests.Add(-1)
+	held := f.openRequests.Add(1)
+	full, leaving := f.clients.overLimit(held)
 	if full || leaving { // descriptors run out, or another process serves here: this one ends with its answer
 		w.Header().Set("Connection", "close")
 	}
-	barred := !f.serves() // by rules, which were not those of before
+	barred := !f.rulesAllow() // by rules, which were not those of before
 	if full && !leaving || barred || f.cfg.MostOpen > 0 && held > int64(f.cfg.MostOpen) {
-		f.reply(w, r, q.Class, answer{status: http.StatusServiceUnavailable, pause: f.pause()}, m.rest)
+		f.reply(w, r, q.Class, answer{status: http.StatusServiceUnavailable, pause: f.retryAfter()}, m.rest)
 		return
 	}
 	if m.rest != nil {
@@ -143,16 +143,16 @@
 		defer m.rest.whole()
 	}
 	m.presence = func() presence { return f.clients.presenceOf(r.Context()) }
-	if m.presence() == departed { // while the request waited to be read
+	if m.presence() == clientGone { // while the request waited to be read
 		f.abandon(m, arrived)
 	}
-	f.loop.trace.step("request taken", m.id, slog.Duration("left", m.left), slog.Int64("held", held))
-	f.await(w, r, q, m, arrived)
+	f.loop.trace.logStep("request taken", m.id, slog.Duration("left", m.left), slog.Int64("held", held))
+	f.awaitAnswer(w, r, q, m, arrived)
 }
 
 // await asks for a request's answer, and passes it on. Where the client leaves before, or breaks its body off, the
 // request ends.
-func (f *front) await(w http.ResponseWriter, r *http.Request, q balance.Request, m *message, arrived time.Duration) {
+func (f *front) awaitAnswer(w http.ResponseWriter, r *http.Request, q balance.Request, m *message, arrived time.Duration) {
 	reply, broken := make(chan answer, 1), (chan error)(nil)
 	if m.rest != nil {
 		broken = m.rest.failed
@@ -160,7 +160,7 @@
 	id, look := f.loop.ask(q, m, arrived+m.left, reply), time.NewTicker(leftEvery)
 	defer look.Stop()
 	incomplete := false // its client has not sent all of it
-	defer func() { f.loop.guard.Close(f.clock.now(), id, incomplete) }()
+	defer func() { f.loop.guard.HandlerEnded(f.clock.now(), id, incomplete) }()
 	ctx := r.Context()
 	for cancelled := ctx.Done(); ; {
 		select {
@@ -177,10 +177,10 @@
 		case <-cancelled: // net/http's word for any read that fails, also one that was interrupted
 			cancelled = nil
 		}
-		if f.clients.presenceOf(ctx) != departed {
+		if f.clients.presenceOf(ctx) != clientGone {
 			continue
 		}
-		f.loop.guard.Left(f.clock.now(), id)
+		f.loop.guard.ClientLeft(f.clock.now(), id)
 		f.loop.gone(id) // the client has closed its connection
 		if m.rest != nil {
 			m.rest.stop()
@@ -196,11 +196,11 @@
 }
 
 // receive reads a request's body into m: whole, or as far as it is held.
-func (f *front) receive(w http.ResponseWriter, r *http.Request, m *message) error {
+func (f *front) readBody(w http.ResponseWriter, r *http.Request, m *message) error {
 	if r.ContentLength > bodyMost {
 		return errTooLong
 	}
-	body := &paced{body: r.Body, deadline: http.NewResponseController(w).SetReadDeadline, waited: f.clients.waited(r.Context())}
+	body := &paced{body: r.Body, deadline: http.NewResponseController(w).SetReadDeadline, waited: f.clients.firstHeadTime(r.Context())}
 	var err error
 	if r.ContentLength >= 0 {
 		m.body = make([]byte, min(r.ContentLength, bodyHeld))
@@ -237,28 +237,28 @@
 func (f *front) reply(w http.ResponseWriter, r *http.Request, class int, a answer, rest *upload) {
 	out := http.NewResponseController(w)
 	_ = out.SetWriteDeadline(time.Now().Add(writeTime)) // fails only on a closed connection, as this and the next do
-	if _, leaving := f.clients.crowded(0); leaving {    // since the request came
+	if _, leaving := f.clients.overLimit(0); leaving {    // since the request came
 		w.Header().Set("Connection", "close")
 	}
 	switch {
 	case a.stream != nil:
-		f.pass(w, r, class, a)
+		f.sendStream(w, r, class, a)
 	case rest != nil && !rest.ended.Load():
 		rest.stop()
 		_ = out.EnableFullDuplex()            // or the answer would wait for the rest of the body
 		w.Header().Set("Connection", "close") // net/http may still read on when it takes the next request
-		f.answer(w, class, a)
+		f.sendAnswer(w, class, a)
 		_ = out.Flush()
 		rest.drain()
 	default:
-		f.answer(w, class, a)
+		f.sendAnswer(w, class, a)
 	}
 }
 
 // pass sends an answer on as it comes from its server, and is where such a one is counted. A client that gets no
 // end must see that.
-func (f *front) pass(w http.ResponseWriter, r *http.Request, class int, a answer) {
-	a.head(w)
+func (f *front) sendStream(w http.ResponseWriter, r *http.Request, class int, a answer) {
+	a.setHeaders(w)
 	if n := a.stream.length(); n >= 0 {
 		w.Header().Set("Content-Length", strconv.FormatInt(n, 10))
 	}
@@ -276,16 +276,16 @@
 			why = closedClientStalled
 		}
 		f.loop.trace.unanswered(r.Header.Get("X-Request-ID"), why, f.clock.now()-began)
-		f.ended[class].count(http.StatusBadGateway)
+		f.tallies[class].count(http.StatusBadGateway)
 		a.stream.leave()
 		panic(http.ErrAbortHandler)
 	}
-	f.ended[class].count(http.StatusOK)
+	f.tallies[class].count(http.StatusOK)
 }
 
 // read takes what a request says of itself. What is missing or malformed is an error, whose text
 // is for the client.
-func (f *front) read(r *http.Request) (q balance.Request, left time.Duration, err error) {
+func (f *front) parseRequest(r *http.Request) (q balance.Request, left time.Duration, err error) {
 	h := r.Header
 	for _, name := range []string{"X-Request-Id", "X-Priority-Class", "X-Tenant-Id", "X-Timeout", "Idempotency-Key"} {
 		if len(h[name]) > 1 { // who reads it next may take the other one
@@ -321,11 +321,11 @@
 			return q, 0, errors.New("X-Tenant-Id names no tenant")
 		}
 	}
-	if left, ok = duration(h.Get("X-Timeout")); !ok {
+	if left, ok = parseTimeout(h.Get("X-Timeout")); !ok {
 		return q, 0, errors.New("X-Timeout is missing or malformed")
 	}
 	if cost := h.Get("X-Cost"); cost != "" {
-		if q.Work, ok = duration(cost + "u"); !ok {
+		if q.Work, ok = parseTimeout(cost + "u"); !ok {
 			return q, 0, errors.New("X-Cost is malformed")
 		}
 	}
@@ -339,7 +339,7 @@
 }
 
 // duration reads a number with the unit m (milliseconds) or u (microseconds).
-func duration(text string) (time.Duration, bool) {
+func parseTimeout(text string) (time.Duration, bool) {
 	unit := time.Millisecond
 	number, ok := strings.CutSuffix(text, "m")
 	if !ok {
@@ -357,8 +357,8 @@
 }
 
 // answer sends a request's final answer, and is the one place that counts it.
-func (f *front) answer(w http.ResponseWriter, class int, a answer) {
-	f.ended[class].count(a.status)
+func (f *front) sendAnswer(w http.ResponseWriter, class int, a answer) {
+	f.tallies[class].count(a.status)
 	a.write(w)
 }
 
@@ -366,11 +366,11 @@
 func (a answer) write(w http.ResponseWriter) {
 	switch a.status {
 	case http.StatusOK:
-		a.head(w)
+		a.setHeaders(w)
 		w.Header().Set("Content-Length", strconv.Itoa(len(a.body)))
 		_, _ = w.Write(a.body) // it fails if the client has gone: nobody is left to tell
 	case http.StatusServiceUnavailable:
-		refuse(w, a.pause)
+		writeRefusal(w, a.pause)
 	default:
 		w.Header().Set("Content-Length", "0")
 		w.WriteHeader(a.status)
@@ -378,7 +378,7 @@
 }
 
 // head sets the headers of a served answer, but for its length.
-func (a answer) head(w http.ResponseWriter) {
+func (a answer) setHeaders(w http.ResponseWriter) {
 	for name, values := range endToEnd(a.header) {
 		w.Header()[name] = values
 	}
@@ -388,13 +388,13 @@
 }
 
 // pause is the advice with the front's own refusals: no longer than clients heed, and spread, as they come in crowds.
-func (f *front) pause() time.Duration {
+func (f *front) retryAfter() time.Duration {
 	most := min(time.Second, f.cfg.Policy.MaxRetryAfter)
 	return most/2 + rand.N(most/2+1)
 }
 
 // refuse answers that trying again is harmless, best after the pause.
-func refuse(w http.ResponseWriter, pause time.Duration) {
+func writeRefusal(w http.ResponseWriter, pause time.Duration) {
 	if pause > 0 {
 		w.Header().Set("Retry-After", strconv.FormatFloat(pause.Seconds(), 'f', 3, 64))
 	}
--- a/internal/sidecar/front_test.go
+++ b/internal/sidecar/front_test.go
@@ -17,21 +17,21 @@
 )
 
 func TestServed(t *testing.T) {
-	s := newStub(t, func(c net.Conn, r received) bool {
+	s := newStub(t, func(c net.Conn, r stubRequest) bool {
 		_, err := fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Type: text/hive\r\nX-Server-Load: TEXT inflight=1\r\n"+
 			"Content-Length: %d\r\n\r\n%s", len(r.body), r.body)
 		return err == nil
 	})
-	side := start(t, nil, s.address)
-	if res, _ := do(t, side.request(t, "GET", "/up", "")); res.StatusCode != http.StatusOK {
+	side := startSidecar(t, nil, s.address)
+	if res, _ := sendRequest(t, side.newRequest(t, "GET", "/up", "")); res.StatusCode != http.StatusOK {
 		t.Fatalf("GET /up: %s", res.Status)
 	}
-	req := side.request(t, "POST", "/reading/hive%2F7?scale=a%20b&x", "41.5 kg", "Idempotency-Key", "k1", "Connection", "X-Hop", "X-Hop", "1")
-	res, body := do(t, req)
+	req := side.newRequest(t, "POST", "/reading/hive%2F7?scale=a%20b&x", "41.5 kg", "Idempotency-Key", "k1", "Connection", "X-Hop", "X-Hop", "1")
+	res, body := sendRequest(t, req)
 	if res.StatusCode != http.StatusOK || body != "41.5 kg" || res.Header.Get("Content-Type") != "text/hive" {
 		t.Fatalf("%s, body %q, headers %v", res.Status, body, res.Header)
 	}
-	got := wait(t, "the request", s.seen)
+	got := wait(t, "the request", s.requests)
 	if got.Method != "POST" || got.uri != "/reading/hive%2F7?scale=a%20b&x" || got.body != "41.5 kg" ||
 		got.Header.Get("X-Request-ID") != "r1" || got.Header.Get("Idempotency-Key") != "k1" {
 		t.Errorf("the upstream had %s %s %q, headers %v", got.Method, got.uri, got.body, got.Header)
@@ -46,18 +46,18 @@
 	s := newStub(t, echo)
 	f, side, serve := assembled(t, s.address, nil)
 	var serves atomic.Bool
-	f.serves = serves.Load
+	f.rulesAllow = serves.Load
 	serve()
 	for path, pause := range map[string]bool{"/up": false, "/look": true} {
-		if res, _ := do(t, side.request(t, "GET", path, "")); res.StatusCode != http.StatusServiceUnavailable || (res.Header.Get("Retry-After") != "") != pause {
+		if res, _ := sendRequest(t, side.newRequest(t, "GET", path, "")); res.StatusCode != http.StatusServiceUnavailable || (res.Header.Get("Retry-After") != "") != pause {
 			t.Errorf("GET %s: %s, headers %v", path, res.Status, res.Header)
 		}
 	}
 	serves.Store(true)
-	if res, _ := do(t, side.request(t, "GET", "/up", "")); res.StatusCode != http.StatusOK {
+	if res, _ := sendRequest(t, side.newRequest(t, "GET", "/up", "")); res.StatusCode != http.StatusOK {
 		t.Errorf("GET /up: %s", res.Status)
 	}
-	if len(s.seen) > 0 {
+	if len(s.requests) > 0 {
 		t.Error("the server had a request that was barred")
 	}
 }
@@ -65,9 +65,9 @@
 // Bad input has a plain answer and no attempt.
 func TestBadInput(t *testing.T) {
 	s := newStub(t, echo)
-	side := start(t, nil, s.address)
+	side := startSidecar(t, nil, s.address)
 	twice := func(name string) *http.Request {
-		req := side.request(t, "POST", "/reading", "1", "Idempotency-Key", "k1")
+		req := side.newRequest(t, "POST", "/reading", "1", "Idempotency-Key", "k1")
 		req.Header.Add(name, req.Header.Get(name))
 		return req
 	}
@@ -75,36 +75,36 @@
 		status int
 		req    *http.Request
 	}{
-		"no id":             {400, side.request(t, "GET", "/look", "", "X-Request-ID", "")},
-		"no class":          {400, side.request(t, "GET", "/look", "", "X-Priority-Class", "")},
-		"unknown class":     {400, side.request(t, "GET", "/nothing", "")},
-		"two classes":       {400, side.request(t, "GET", "/look", "", "X-Priority-Class", "entry")},
-		"no tenant":         {400, side.request(t, "GET", "/look", "", "X-Tenant-Id", "")},
-		"unknown tenant":    {400, side.request(t, "GET", "/look", "", "X-Tenant-Id", "east")},
-		"no time":           {400, side.request(t, "GET", "/look", "", "X-Timeout", "")},
-		"time of no unit":   {400, side.request(t, "GET", "/look", "", "X-Timeout", "480")},
-		"time that is none": {400, side.request(t, "GET", "/look", "", "X-Timeout", "NaNm")},
-		"time below 0":      {400, side.request(t, "GET", "/look", "", "X-Timeout", "-5m")},
-		"time is up":        {503, side.request(t, "GET", "/look", "", "X-Timeout", "0m")},
-		"bad cost":          {400, side.request(t, "GET", "/look", "", "X-Cost", "cheap")},
-		"safe with a body":  {400, side.request(t, "GET", "/look", "1")},
+		"no id":             {400, side.newRequest(t, "GET", "/look", "", "X-Request-ID", "")},
+		"no class":          {400, side.newRequest(t, "GET", "/look", "", "X-Priority-Class", "")},
+		"unknown class":     {400, side.newRequest(t, "GET", "/nothing", "")},
+		"two classes":       {400, side.newRequest(t, "GET", "/look", "", "X-Priority-Class", "entry")},
+		"no tenant":         {400, side.newRequest(t, "GET", "/look", "", "X-Tenant-Id", "")},
+		"unknown tenant":    {400, side.newRequest(t, "GET", "/look", "", "X-Tenant-Id", "east")},
+		"no time":           {400, side.newRequest(t, "GET", "/look", "", "X-Timeout", "")},
+		"time of no unit":   {400, side.newRequest(t, "GET", "/look", "", "X-Timeout", "480")},
+		"time that is none": {400, side.newRequest(t, "GET", "/look", "", "X-Timeout", "NaNm")},
+		"time below 0":      {400, side.newRequest(t, "GET", "/look", "", "X-Timeout", "-5m")},
+		"time is up":        {503, side.newRequest(t, "GET", "/look", "", "X-Timeout", "0m")},
+		"bad cost":          {400, side.newRequest(t, "GET", "/look", "", "X-Cost", "cheap")},
+		"safe with a body":  {400, side.newRequest(t, "GET", "/look", "1")},
 		"two ids":           {400, twice("X-Request-Id")},
 		"two classes named": {400, twice("X-Priority-Class")},
 		"two tenants":       {400, twice("X-Tenant-Id")},
 		"two times":         {400, twice("X-Timeout")},
 		"two keys":          {400, twice("Idempotency-Key")},
-		"keyed without key": {400, side.request(t, "POST", "/reading", "1")},
-		"safe by POST":      {400, side.request(t, "POST", "/look", "")},
-		"unsafe by GET":     {400, side.request(t, "GET", "/entry", "")},
-		"keyed by PUT":      {400, side.request(t, "PUT", "/reading", "1", "Idempotency-Key", "k1")},
-		"up by POST":        {400, side.request(t, "POST", "/up", "")},
+		"keyed without key": {400, side.newRequest(t, "POST", "/reading", "1")},
+		"safe by POST":      {400, side.newRequest(t, "POST", "/look", "")},
+		"unsafe by GET":     {400, side.newRequest(t, "GET", "/entry", "")},
+		"keyed by PUT":      {400, side.newRequest(t, "PUT", "/reading", "1", "Idempotency-Key", "k1")},
+		"up by POST":        {400, side.newRequest(t, "POST", "/up", "")},
 	} {
-		if res, _ := do(t, c.req); res.StatusCode != c.status {
+		if res, _ := sendRequest(t, c.req); res.StatusCode != c.status {
 			t.Errorf("%s: %s, want %d", name, res.Status, c.status)
 		}
 	}
 	tooLong := side.dial(t)
-	if _, err := io.WriteString(tooLong, head("1", fmt.Sprintf("Content-Length: %d", bodyMost+1))); err != nil {
+	if _, err := io.WriteString(tooLong, requestHead("1", fmt.Sprintf("Content-Length: %d", bodyMost+1))); err != nil {
 		t.Fatal(err)
 	}
 	if answers, err := io.ReadAll(tooLong); err != nil || !strings.HasPrefix(string(answers), "HTTP/1.1 413 ") {
@@ -118,24 +118,24 @@
 		t.Errorf("OPTIONS *: %q, error %v, want 400 and a close", answers, err)
 	}
 	many := side.dial(t)
-	if _, err := io.WriteString(many, strings.Repeat(head("", "Content-Length: 0"), 3)); err != nil {
+	if _, err := io.WriteString(many, strings.Repeat(requestHead("", "Content-Length: 0"), 3)); err != nil {
 		t.Fatal(err)
 	}
 	if answers, _ := io.ReadAll(many); strings.Count(string(answers), "HTTP/1.1 ") != 1 { // a reset behind it is as good as a close
 		t.Errorf("three without an id: %q, want one answer and a close", answers)
 	}
-	if res, body := do(t, side.request(t, "POST", "/entry", strings.Repeat("x", bodyHeld))); res.StatusCode != 200 || body != "done r1" {
+	if res, body := sendRequest(t, side.newRequest(t, "POST", "/entry", strings.Repeat("x", bodyHeld))); res.StatusCode != 200 || body != "done r1" {
 		t.Errorf("longest body: %s %q", res.Status, body)
 	}
-	if len(s.seen) != 1 {
-		t.Errorf("the upstream had %d requests, want only the usable one", len(s.seen))
+	if len(s.requests) != 1 {
+		t.Errorf("the upstream had %d requests, want only the usable one", len(s.requests))
 	}
 }
 
 // Whoever sends without end, or in pieces, is answered with an error or closed, and nothing of it is sent on whole.
 func TestFloods(t *testing.T) {
 	s := newStub(t, echo)
-	side := start(t, nil, s.address)
+	side := startSidecar(t, nil, s.address)
 	chunk := "10000\r\n" + string(long(0x10000)) + "\r\n"
 	for name, c := range map[string]struct {
 		begin, more string
@@ -144,12 +144,12 @@
 		"a line without end":      {"GET /", strings.Repeat("x", 4096), 256},
 		"headers without end":     {"GET /look HTTP/1.1\r\nHost: service.internal\r\n", strings.Repeat("X-A: b\r\n", 512), 256},
 		"blank lines without end": {"", strings.Repeat("\r\n", 2048), 256},
-		"60 MB announced":         {head("1", "Content-Length: 60000000"), string(long(60000)), 1000},
-		"60 MB in chunks":         {head("1", "Transfer-Encoding: chunked"), chunk, 960},
+		"60 MB announced":         {requestHead("1", "Content-Length: 60000000"), string(long(60000)), 1000},
+		"60 MB in chunks":         {requestHead("1", "Transfer-Encoding: chunked"), chunk, 960},
 		"60 MB for nobody":        {"POST /nothing HTTP/1.1\r\nHost: service.internal\r\nContent-Length: 60000000\r\n\r\n", string(long(60000)), 1000},
-		"a chunk without end":     {head("1", "Transfer-Encoding: chunked") + "fffffffffffffff\r\n", string(long(1 << 16)), 960},
-		"a chunk of no size":      {head("1", "Transfer-Encoding: chunked") + "g\r\n", "x", 1},
-		"a bad one in pieces":     {"", strings.Replace(head("1", "Content-Length: 0"), "X-Timeout", "X-Time", 1), 0},
+		"a chunk without end":     {requestHead("1", "Transfer-Encoding: chunked") + "fffffffffffffff\r\n", string(long(1 << 16)), 960},
+		"a chunk of no size":      {requestHead("1", "Transfer-Encoding: chunked") + "g\r\n", "x", 1},
+		"a bad one in pieces":     {"", strings.Replace(requestHead("1", "Content-Length: 0"), "X-Timeout", "X-Time", 1), 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -176,7 +176,7 @@
 			if text := string(answers); text != "" && !strings.HasPrefix(text, "HTTP/1.1 4") && !strings.HasPrefix(text, "HTTP/1.1 5") {
 				t.Errorf("answered %.80q", text)
 			}
-			if len(s.seen) > 0 {
+			if len(s.requests) > 0 {
 				t.Error("the upstream had a whole request")
 			}
 		})
@@ -188,12 +188,12 @@
 		"480m": 480 * time.Millisecond, "250u": 250 * time.Microsecond, "0.5m": 500 * time.Microsecond, "0u": 0,
 		"99999999999999999999m": longestWait,
 	} {
-		if got, ok := duration(text); !ok || got != want {
+		if got, ok := parseTimeout(text); !ok || got != want {
 			t.Errorf("%q is %v, %v, want %v", text, got, ok, want)
 		}
 	}
 	for _, text := range []string{"", "m", "480", "480s", "1e3m", "0x5m", "1_0m", "Infm", " 5m", "5 m", "1.2.3m", "-1m", "+1m"} {
-		if got, ok := duration(text); ok {
+		if got, ok := parseTimeout(text); ok {
 			t.Errorf("%q was taken for %v", text, got)
 		}
 	}
@@ -201,22 +201,22 @@
 
 // An unsafe request that may have run has failed; nobody sends it again.
 func TestFailed(t *testing.T) {
-	s := newStub(t, func(c net.Conn, _ received) bool {
+	s := newStub(t, func(c net.Conn, _ stubRequest) bool {
 		_, err := fmt.Fprint(c, "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n")
 		return err == nil
 	})
-	side := start(t, nil, s.address)
-	if res, _ := do(t, side.request(t, "POST", "/entry", "1")); res.StatusCode != http.StatusBadGateway {
+	side := startSidecar(t, nil, s.address)
+	if res, _ := sendRequest(t, side.newRequest(t, "POST", "/entry", "1")); res.StatusCode != http.StatusBadGateway {
 		t.Errorf("%s, want 502", res.Status)
 	}
-	if len(s.seen) != 1 {
-		t.Errorf("%d attempts, want 1", len(s.seen))
+	if len(s.requests) != 1 {
+		t.Errorf("%d attempts, want 1", len(s.requests))
 	}
 }
 
 // A refusal says when to come back, in decimal seconds.
 func TestRefused(t *testing.T) {
-	side := start(t, nil) // no servers: requests wait for one, as long as that is worth it or the queue has room
+	side := startSidecar(t, nil) // no servers: requests wait for one, as long as that is worth it or the queue has room
 	const requests = 50
 	type got struct {
 		res *http.Response
@@ -224,7 +224,7 @@
 	}
 	answers := make(chan got, requests)
 	for range requests {
-		req := side.request(t, "GET", "/look", "", "X-Timeout", "500m")
+		req := side.newRequest(t, "GET", "/look", "", "X-Timeout", "500m")
 		go func() {
 			res, err := (&http.Transport{DisableKeepAlives: true}).RoundTrip(req)
 			answers <- got{res, err}
@@ -248,8 +248,8 @@
 
 // busyClients has no more than the application's share, as upstreams use theirs.
 func busyClients(t *testing.T) *clients {
-	cfg := testConfig(t, listed(1, "ready"), nil)
-	return newClients(cfg, nil, func() int { return cfg.upstreamConns(1) })
+	cfg := testConfig(t, listAnswer(1, "ready"), nil)
+	return newClients(cfg, nil, func() int { return cfg.upstreamConnLimit(1) })
 }
 
 // Connections that no request has come on make room, the first of them first, so that the
@@ -261,37 +261,37 @@
 		near, far := net.Pipe()
 		t.Cleanup(func() { near.Close(); far.Close() })
 		k := &clientConn{Conn: near}
-		if !l.enter(k) {
+		if !l.add(k) {
 			t.Fatal("no room")
 		}
 		return k, far
 	}
 	known, _ := connect()
-	if !l.took(l.with(context.Background(), known)) {
+	if !l.requestReceived(l.connContext(context.Background(), known)) {
 		t.Fatal("the known connection is not held")
 	}
 	var strangers []*clientConn
 	var ends []net.Conn
-	for range 3 * l.room {
+	for range 3 * l.clientShare {
 		k, far := connect()
 		strangers, ends = append(strangers, k), append(ends, far)
 	}
-	shed := 2*l.room + 1
+	shed := 2*l.clientShare + 1
 	for i, far := range ends[:shed] {
 		if _, err := far.Read(make([]byte, 1)); err != io.EOF {
 			t.Errorf("stranger %d: error %v, want its connection closed", i, err)
 		}
 	}
-	if l.took(l.with(context.Background(), strangers[0])) {
+	if l.requestReceived(l.connContext(context.Background(), strangers[0])) {
 		t.Error("a request is taken on a connection that was closed")
 	}
 	for _, k := range append(strangers[shed:], known) {
-		if !l.took(l.with(context.Background(), k)) {
+		if !l.requestReceived(l.connContext(context.Background(), k)) {
 			t.Error("one of the last, or the known one, is not held")
 		}
 	}
-	if len(l.conns) != l.room || l.shed[2] != shed {
-		t.Errorf("%d held, counters %v, want %d held and %d shed", len(l.conns), l.counters(), l.room, shed)
+	if len(l.conns) != l.clientShare || l.shed[2] != shed {
+		t.Errorf("%d held, counters %v, want %d held and %d shed", len(l.conns), l.counters(), l.clientShare, shed)
 	}
 }
 
@@ -299,29 +299,29 @@
 // stay within reach; past the reserve they are closed at once.
 func TestMostConnections(t *testing.T) {
 	release := make(chan struct{})
-	s := newStub(t, func(c net.Conn, r received) bool {
+	s := newStub(t, func(c net.Conn, r stubRequest) bool {
 		if r.Header.Get("X-Request-ID") == "held" {
 			<-release
 		}
 		return echo(c, r)
 	})
-	side := start(t, func(file, settings map[string]any) {
+	side := startSidecar(t, func(file, settings map[string]any) {
 		file["limits"].(map[string]any)["sockets"] = 32
 		settings["orgs"].([]any)[0].(map[string]any)["quota_per_s"] = 10000.0 // slots for all
 	}, s.address)
 	var held []*bufio.Reader
 	for range (32 - 32/4) * 3 / 8 { // a quarter is the process's own
 		c := side.dial(t)
-		if _, err := io.WriteString(c, head("held", "Content-Length: 0")); err != nil {
+		if _, err := io.WriteString(c, requestHead("held", "Content-Length: 0")); err != nil {
 			t.Fatal(err)
 		}
-		wait(t, "the request", s.seen)
+		wait(t, "the request", s.requests)
 		held = append(held, bufio.NewReader(c))
 	}
 	for range 3 { // each closes with its refusal and leaves its room to the next
-		res, _ := do(t, side.request(t, "POST", "/entry", "1", "X-Request-ID", "over"))
-		if res.StatusCode != http.StatusServiceUnavailable || !res.Close || len(s.seen) > 0 {
-			t.Errorf("%s, to be closed %v, %d attempts, want 503, closed and none", res.Status, res.Close, len(s.seen))
+		res, _ := sendRequest(t, side.newRequest(t, "POST", "/entry", "1", "X-Request-ID", "over"))
+		if res.StatusCode != http.StatusServiceUnavailable || !res.Close || len(s.requests) > 0 {
+			t.Errorf("%s, to be closed %v, %d attempts, want 503, closed and none", res.Status, res.Close, len(s.requests))
 		}
 	}
 	close(release)
@@ -337,20 +337,20 @@
 func TestConnectionsAreBounded(t *testing.T) {
 	l := busyClients(t)
 	var all []*clientConn
-	for range 2 * (l.room + l.room/6) {
+	for range 2 * (l.clientShare + l.clientShare/6) {
 		near, far := net.Pipe()
 		t.Cleanup(func() { near.Close(); far.Close() })
 		k := &clientConn{Conn: near}
-		if l.enter(k) && !l.took(l.with(context.Background(), k)) {
+		if l.add(k) && !l.requestReceived(l.connContext(context.Background(), k)) {
 			t.Fatal("a connection that has just come in is not held")
 		}
 		all = append(all, k)
 	}
-	if len(l.conns) != (l.room+l.room/6) || l.counters()["barred"] != (l.room+l.room/6) {
-		t.Errorf("%d held, counters %v, want %d held and as many barred", len(l.conns), l.counters(), (l.room + l.room/6))
+	if len(l.conns) != (l.clientShare+l.clientShare/6) || l.counters()["barred"] != (l.clientShare+l.clientShare/6) {
+		t.Errorf("%d held, counters %v, want %d held and as many barred", len(l.conns), l.counters(), (l.clientShare + l.clientShare/6))
 	}
 	for _, k := range all {
-		l.stateOf(k, http.StateClosed)
+		l.connStateChanged(k, http.StateClosed)
 	}
 	if len(l.conns) != 0 {
 		t.Errorf("%d held once all are closed", len(l.conns))
@@ -362,7 +362,7 @@
 func TestAmongFailingUpstreams(t *testing.T) {
 	var mu sync.Mutex
 	ran := make(map[string]int)
-	fails := func(c net.Conn, r received) bool {
+	fails := func(c net.Conn, r stubRequest) bool {
 		id := r.Header.Get("X-Request-ID")
 		n, _ := strconv.Atoi(id)
 		if n%5 == 0 && r.conn%2 == 0 {
@@ -384,14 +384,14 @@
 		}
 		return echo(c, r)
 	}
-	side := start(t, nil, newStub(t, fails).address, newStub(t, fails).address, newStub(t, fails).address)
-	client := http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 8}, Timeout: generous}
+	side := startSidecar(t, nil, newStub(t, fails).address, newStub(t, fails).address, newStub(t, fails).address)
+	client := http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 8}, Timeout: testTimeout}
 	var clients sync.WaitGroup
 	for worker := range 8 {
 		clients.Go(func() {
 			for i := range 25 {
 				id := strconv.Itoa(worker*25 + i)
-				res, err := client.Do(side.request(t, "POST", "/entry", "1", "X-Request-ID", id))
+				res, err := client.Do(side.newRequest(t, "POST", "/entry", "1", "X-Request-ID", id))
 				if err != nil {
 					t.Error(err)
 					return
@@ -425,37 +425,37 @@
 
 // Over caps.max_open requests are refused without an attempt.
 func TestMostOpen(t *testing.T) {
-	s := newStub(t, silent)
-	side := start(t, func(_, settings map[string]any) {
+	s := newStub(t, neverAnswer)
+	side := startSidecar(t, func(_, settings map[string]any) {
 		caps := settings["caps"].(map[string]any)
 		caps["max_open"], caps["max_retry_after_ms"] = 1, 800.0
 	}, s.address)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	first := side.request(t, "GET", "/look", "").WithContext(ctx)
+	first := side.newRequest(t, "GET", "/look", "").WithContext(ctx)
 	go func() { _, _ = http.DefaultClient.Do(first) }()
-	wait(t, "the first request", s.seen)
-	res, _ := do(t, side.request(t, "GET", "/look", ""))
+	wait(t, "the first request", s.requests)
+	res, _ := sendRequest(t, side.newRequest(t, "GET", "/look", ""))
 	if pause, _ := strconv.ParseFloat(res.Header.Get("Retry-After"), 64); res.StatusCode != http.StatusServiceUnavailable || pause < 0.4 || pause > 0.8 {
 		t.Errorf("%s, headers %v, want 503 and a pause of 0.4 to 0.8, the longest that clients heed", res.Status, res.Header)
 	}
-	if len(s.seen) > 0 {
+	if len(s.requests) > 0 {
 		t.Error("the second request had an attempt")
 	}
 }
 
 // A client that closes its connection calls its request off, as far as the upstream.
 func TestClientCloses(t *testing.T) {
-	s := newStub(t, silent)
-	side := start(t, func(_, settings map[string]any) { // no time-out may end the attempt before the test does
+	s := newStub(t, neverAnswer)
+	side := startSidecar(t, func(_, settings map[string]any) { // no time-out may end the attempt before the test does
 		look := settings["classes"].([]any)[2].(map[string]any)
-		look["aim_ms"], look["hard_limit_ms"] = 10*generous.Milliseconds(), 20*generous.Milliseconds()
+		look["aim_ms"], look["hard_limit_ms"] = 10*testTimeout.Milliseconds(), 20*testTimeout.Milliseconds()
 	}, s.address)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	req := side.request(t, "GET", "/look", "", "X-Timeout", "400000m").WithContext(ctx)
+	req := side.newRequest(t, "GET", "/look", "", "X-Timeout", "400000m").WithContext(ctx)
 	go func() { _, _ = http.DefaultClient.Do(req) }()
-	wait(t, "the request", s.seen)
+	wait(t, "the request", s.requests)
 	cancel()
 	wait(t, "the attempt's connection to close", s.closed)
 }
@@ -464,30 +464,30 @@
 // close, and the sidecar ends by itself. http.Server.Shutdown alone would refuse the newcomers.
 func TestStop(t *testing.T) {
 	release := make(chan struct{})
-	s := newStub(t, func(c net.Conn, r received) bool {
+	s := newStub(t, func(c net.Conn, r stubRequest) bool {
 		if r.Header.Get("X-Request-ID") == "held" {
 			<-release
 		}
 		return echo(c, r)
 	})
-	side := start(t, nil, s.address)
+	side := startSidecar(t, nil, s.address)
 	address := strings.TrimPrefix(side.url, "http://")
 	conn, err := net.Dial("tcp", address)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer conn.Close()
-	if err := side.request(t, "GET", "/look", "", "X-Request-ID", "held").Write(conn); err != nil {
+	if err := side.newRequest(t, "GET", "/look", "", "X-Request-ID", "held").Write(conn); err != nil {
 		t.Fatal(err)
 	}
-	wait(t, "the held request", s.seen)
+	wait(t, "the held request", s.requests)
 	side.stop()
 	for { // until the stop has begun
-		if res, _ := do(t, side.request(t, "GET", "/up", "")); res.StatusCode == http.StatusServiceUnavailable {
+		if res, _ := sendRequest(t, side.newRequest(t, "GET", "/up", "")); res.StatusCode == http.StatusServiceUnavailable {
 			break
 		}
 	}
-	if res, body := do(t, side.request(t, "GET", "/look", "", "X-Request-ID", "new")); res.StatusCode != 200 || body != "done new" {
+	if res, body := sendRequest(t, side.newRequest(t, "GET", "/look", "", "X-Request-ID", "new")); res.StatusCode != 200 || body != "done new" {
 		t.Errorf("a new connection: %s %q", res.Status, body)
 	}
 	close(release)
@@ -508,7 +508,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			s := newStub(t, echo)
-			side := start(t, nil, s.address)
+			side := startSidecar(t, nil, s.address)
 			idle, c := side.dial(t), side.dial(t)
 			r := bufio.NewReader(c)
 			for _, conn := range []net.Conn{idle, c} {
@@ -525,7 +525,7 @@
 					t.Fatalf("before: %+v, error %v", res, err)
 				}
 			}
-			whole := head("1", "Content-Length: 0")
+			whole := requestHead("1", "Content-Length: 0")
 			if _, err := io.WriteString(c, whole[:20]); err != nil {
 				t.Fatal(err)
 			}
@@ -554,7 +554,7 @@
 	t.Helper()
 	port := func(a net.Addr) string { return fmt.Sprintf("0100007F:%04X", a.(*net.TCPAddr).Port) }
 	ends := " " + port(c.RemoteAddr()) + " " + port(c.LocalAddr()) + " 01 "
-	for end := time.Now().Add(generous); time.Now().Before(end); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); time.Now().Before(end); time.Sleep(time.Millisecond) {
 		table, err := os.ReadFile("/proc/net/tcp")
 		if err != nil {
 			t.Skip(err)
@@ -569,24 +569,24 @@
 // The time of a request that was sent behind another counts from when it came, not from when that one was answered.
 func TestTimeOfWhatIsSentBehind(t *testing.T) {
 	held := make(chan struct{})
-	s := newStub(t, func(c net.Conn, r received) bool {
+	s := newStub(t, func(c net.Conn, r stubRequest) bool {
 		if r.Header.Get("X-Request-ID") == "1" {
 			<-held
 		}
 		return echo(c, r)
 	})
-	side := start(t, nil, s.address)
+	side := startSidecar(t, nil, s.address)
 	c := side.dial(t)
-	both := head("1", "Content-Length: 0") + head("2", "Content-Length: 0")
+	both := requestHead("1", "Content-Length: 0") + requestHead("2", "Content-Length: 0")
 	if _, err := io.WriteString(c, strings.ReplaceAll(both, "20000m", "5000m")); err != nil { // less than the aim
 		t.Fatal(err)
 	}
-	wait(t, "the first", s.seen)
+	wait(t, "the first", s.requests)
 	waitRead(t, c)
 	const waited = 30 * time.Millisecond
 	time.Sleep(waited)
 	close(held)
-	told, _ := duration(wait(t, "the second", s.seen).Header.Get("X-Timeout"))
+	told, _ := parseTimeout(wait(t, "the second", s.requests).Header.Get("X-Timeout"))
 	if most := 5*time.Second - waited; told > most {
 		t.Errorf("its attempt tells %v, want %v at most", told, most)
 	}
@@ -595,15 +595,15 @@
 // A request that comes late behind a stop's signal has no longer than there is until the end.
 func TestTimeLeftAtAStop(t *testing.T) {
 	for name, c := range map[string]struct {
-		stop          *stop
+		stop          *stopLimits
 		arrived, want time.Duration
 	}{
 		"no stop":  {nil, 10, 5},
-		"early":    {&stop{late: 7, due: 12}, 6, 5},
-		"late":     {&stop{late: 7, due: 12}, 9, 3},
-		"too late": {&stop{late: 7, due: 12}, 13, 0},
+		"early":    {&stopLimits{lateFrom: 7, answersDue: 12}, 6, 5},
+		"late":     {&stopLimits{lateFrom: 7, answersDue: 12}, 9, 3},
+		"too late": {&stopLimits{lateFrom: 7, answersDue: 12}, 13, 0},
 	} {
-		if got := c.stop.left(c.arrived, 5); got != c.want {
+		if got := c.stop.bound(c.arrived, 5); got != c.want {
 			t.Errorf("%s: %d left of 5, want %d", name, got, c.want)
 		}
 	}
@@ -612,9 +612,9 @@
 // Bytes left unread behind a last answer do not reset its connection.
 func TestCloseOverUnreadBytes(t *testing.T) {
 	s := newStub(t, echo)
-	side := start(t, nil, s.address)
+	side := startSidecar(t, nil, s.address)
 	c := side.dial(t)
-	if _, err := io.WriteString(c, head("1", "Connection: close\r\nContent-Length: 0")+strings.Repeat("x", 20<<10)); err != nil {
+	if _, err := io.WriteString(c, requestHead("1", "Connection: close\r\nContent-Length: 0")+strings.Repeat("x", 20<<10)); err != nil {
 		t.Fatal(err)
 	}
 	if answers, err := io.ReadAll(c); err != nil || !strings.HasSuffix(string(answers), "done 1") {
@@ -625,21 +625,21 @@
 // Whoever connects and sends nothing, or stops halfway through a head or a body, is answered or
 // closed; the connection is not held for longer than a request may take.
 func TestSilentPeersAreClosed(t *testing.T) {
-	if s := newFront(testConfig(t, listed(1, "ready"), nil), newClock(), nil, nil).server(); s.ReadHeaderTimeout <= 0 || s.ReadHeaderTimeout >= 3*time.Second {
+	if s := newFront(testConfig(t, listAnswer(1, "ready"), nil), newClock(), nil, nil).server(); s.ReadHeaderTimeout <= 0 || s.ReadHeaderTimeout >= 3*time.Second {
 		t.Errorf("a head may take %v to come in; peers are owed an end within 3 s", s.ReadHeaderTimeout)
 	}
 	for name, text := range map[string]string{
 		"nothing":          "",
 		"half a line":      "POST /ent",
 		"half a head":      "POST /entry HTTP/1.1\r\nHost: service.internal\r\n",
-		"half a body":      head("1", "Content-Length: 20") + "half",
-		"half a chunk":     head("1", "Transfer-Encoding: chunked") + "14\r\nhalf",
+		"half a body":      requestHead("1", "Content-Length: 20") + "half",
+		"half a chunk":     requestHead("1", "Transfer-Encoding: chunked") + "14\r\nhalf",
 		"bad, half a body": "POST /nothing HTTP/1.1\r\nHost: service.internal\r\nContent-Length: 20\r\n\r\nhalf",
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			s := newStub(t, echo)
-			side := start(t, nil, s.address)
+			side := startSidecar(t, nil, s.address)
 			c := side.dial(t)
 			if _, err := io.WriteString(c, text); err != nil {
 				t.Fatal(err)
@@ -648,7 +648,7 @@
 			if err != nil || len(answers) > 0 && !strings.HasPrefix(string(answers), "HTTP/1.1 40") {
 				t.Errorf("answered %q, error %v, want a close, or a 400 or 408 before it", answers, err)
 			}
-			if len(s.seen) > 0 {
+			if len(s.requests) > 0 {
 				t.Error("the upstream had a request")
 			}
 		})
@@ -658,16 +658,16 @@
 // The time to send a request in does not bound the wait for its answer.
 func TestAnswerAfterTheTimeToRead(t *testing.T) {
 	release := make(chan struct{})
-	s := newStub(t, func(c net.Conn, r received) bool {
+	s := newStub(t, func(c net.Conn, r stubRequest) bool {
 		<-release
 		return echo(c, r)
 	})
-	side := start(t, nil, s.address)
+	side := startSidecar(t, nil, s.address)
 	c := side.dial(t)
-	if _, err := io.WriteString(c, head("1", "Content-Length: 2")+"hi"); err != nil {
+	if _, err := io.WriteString(c, requestHead("1", "Content-Length: 2")+"hi"); err != nil {
 		t.Fatal(err)
 	}
-	wait(t, "the request", s.seen)
+	wait(t, "the request", s.requests)
 	silentPeer := side.dial(t)
 	if _, err := io.ReadAll(silentPeer); err != nil { // the time to read is over: one that came later is closed
 		t.Fatal(err)
@@ -682,7 +682,7 @@
 
 // A connection that nothing more comes on is closed, and leaves its descriptor to others.
 func TestIdleClientsAreClosed(t *testing.T) {
-	side := start(t, nil)
+	side := startSidecar(t, nil)
 	c := side.dial(t)
 	if _, err := io.WriteString(c, "GET /up HTTP/1.1\r\nHost: service.internal\r\n\r\n"); err != nil {
 		t.Fatal(err)
--- a/internal/sidecar/handover_test.go
+++ b/internal/sidecar/handover_test.go
@@ -15,55 +15,55 @@
 )
 
 // die ends a process as the kernel would: its lock goes with it.
-func (h *handover) die() { h.lock.Close() }
+func (h *sharedState) exit() { h.lock.Close() }
 
 // A second process is told by its lock, which dies with it; no file that a killed one leaves is taken for it.
 func TestProcessesAreCounted(t *testing.T) {
 	dir := t.TempDir()
-	counts := func(want int, all ...*handover) {
+	counts := func(want int, all ...*sharedState) {
 		t.Helper()
 		for _, h := range all {
-			if got := h.count(); got != want {
+			if got := h.countProcesses(); got != want {
 				t.Errorf("%d processes, want %d", got, want)
 			}
 		}
 	}
-	old := newHandover(dir, "n/0")
+	old := newSharedState(dir, "n/0")
 	counts(1, old)
-	next := newHandover(dir, "n/0")
-	other := newHandover(dir, "n1") // another sidecar
+	next := newSharedState(dir, "n/0")
+	other := newSharedState(dir, "n1") // another sidecar
 	counts(2, old, next)
 	counts(1, other)
-	old.die()
+	old.exit()
 	counts(1, next)
-	third := newHandover(dir, "n/0")
+	third := newSharedState(dir, "n/0")
 	counts(2, next, third)
-	next.die()
+	next.exit()
 	counts(1, third)
 }
 
 // Calls made to either process are known to both, and to the next one.
 func TestCallsAreShared(t *testing.T) {
 	dir, now := t.TempDir(), time.Now()
-	same := func(h *handover, want map[string]bool) {
+	same := func(h *sharedState, want map[string]bool) {
 		t.Helper()
 		got := make(map[string]bool)
-		for id, s := range h.known() {
+		for id, s := range h.currentCalls() {
 			got[id] = s.Out
 		}
 		if !maps.Equal(got, want) {
 			t.Errorf("known %v, want %v", got, want)
 		}
 	}
-	save := func(h *handover, id string, out bool) {
+	save := func(h *sharedState, id string, out bool) {
 		t.Helper()
-		if err := h.save(id, out, now); err != nil {
+		if err := h.persistCall(id, out, now); err != nil {
 			t.Error(err)
 		}
 	}
-	old := newHandover(dir, "n0")
+	old := newSharedState(dir, "n0")
 	save(old, "a", true)
-	next := newHandover(dir, "n0")
+	next := newSharedState(dir, "n0")
 	same(next, map[string]bool{"a": true})
 	save(next, "b", true)
 	save(old, "c", true)
@@ -71,33 +71,33 @@
 	same(old, map[string]bool{"a": true, "b": true, "c": true})
 	same(next, map[string]bool{"a": true, "b": true, "c": true})
 	save(next, "a", false)
-	old.die()
-	third := newHandover(dir, "n0")
+	old.exit()
+	third := newSharedState(dir, "n0")
 	same(third, map[string]bool{"a": false, "b": true, "c": true})
 	now = now.Add(2 * backKept)
 	save(third, "b", false) // a long ago is forgotten
-	same(newHandover(dir, "n0"), map[string]bool{"b": false, "c": true})
+	same(newSharedState(dir, "n0"), map[string]bool{"b": false, "c": true})
 }
 
 // A call back is kept for its minute though the wall clock is stepped by an hour behind it: that was counted as time passed.
 func TestSteppedClockForgetsNoCallBack(t *testing.T) {
 	for _, step := range []time.Duration{time.Hour, -time.Hour} {
-		h := newHandover(t.TempDir(), "n0")
+		h := newSharedState(t.TempDir(), "n0")
 		before := time.Now().Add(-step) // the clock's date as the call was made
-		if err := errors.Join(h.enterCall("a", handed{true, before.UnixMilli()}), h.enterCall("a", handed{false, before.UnixMilli()})); err != nil {
+		if err := errors.Join(h.enterCall("a", operatorCall{true, before.UnixMilli()}), h.enterCall("a", operatorCall{false, before.UnixMilli()})); err != nil {
 			t.Fatal(err)
 		}
-		h.known()
+		h.currentCalls()
 		now := time.Now()
-		h.forget(now.Add(backKept / 2))
+		h.dropOldEnables(now.Add(backKept / 2))
 		if _, kept := h.inForce()["a"]; !kept {
 			t.Errorf("stepped by %v: the call back is forgotten half a minute behind it", step)
 		}
-		h.forget(now.Add(2 * backKept))
+		h.dropOldEnables(now.Add(2 * backKept))
 		if _, kept := h.inForce()["a"]; kept {
 			t.Errorf("stepped by %v: the call back is kept for two minutes", step)
 		}
-		h.die()
+		h.exit()
 	}
 }
 
@@ -112,14 +112,14 @@
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		h := newHandover(dir, "n0")
-		if got := h.known(); len(got) != 0 {
+		h := newSharedState(dir, "n0")
+		if got := h.currentCalls(); len(got) != 0 {
 			t.Errorf("%s: known %v", name, got)
 		}
-		if err := h.save("b", true, time.Now()); err != nil {
+		if err := h.persistCall("b", true, time.Now()); err != nil {
 			t.Errorf("%s: %v", name, err)
 		}
-		if got := newHandover(dir, "n0").known(); len(got) != 1 || !got["b"].Out {
+		if got := newSharedState(dir, "n0").currentCalls(); len(got) != 1 || !got["b"].Out {
 			t.Errorf("%s: known to the next %v", name, got)
 		}
 	}
@@ -131,12 +131,12 @@
 	if err := os.WriteFile(filepath.Join(dir, "sidecar-n0.kept"), nil, 0o600); err != nil { // in the way
 		t.Fatal(err)
 	}
-	h := newHandover(dir, "n0")
+	h := newSharedState(dir, "n0")
 	var kept errNotKept
 	if err := h.saved("a", true, time.Now()); !errors.As(err, &kept) {
 		t.Errorf("error %v", err)
 	}
-	if got := h.known(); !got["a"].Out {
+	if got := h.currentCalls(); !got["a"].Out {
 		t.Errorf("known %v", got)
 	}
 	if err := os.Remove(filepath.Join(dir, "sidecar-n0.kept")); err != nil {
@@ -145,10 +145,10 @@
 	if err := h.saved("a", true, time.Now()); err != nil { // said again, it is kept
 		t.Error(err)
 	}
-	if got := newHandover(dir, "n0").known(); !got["a"].Out {
+	if got := newSharedState(dir, "n0").currentCalls(); !got["a"].Out {
 		t.Errorf("known to the next %v", got)
 	}
-	if h := newHandover(filepath.Join(dir, "missing"), "n0"); h.count() != 1 || h.save("a", true, time.Now()) != nil {
+	if h := newSharedState(filepath.Join(dir, "missing"), "n0"); h.countProcesses() != 1 || h.persistCall("a", true, time.Now()) != nil {
 		t.Error("without its folder it is not a process alone")
 	}
 }
@@ -156,21 +156,21 @@
 // A process hears of a second one, of the calls made to that, and of its end.
 func TestSecondProcessIsWatched(t *testing.T) {
 	dir := t.TempDir()
-	h := newHandover(dir, "n0")
+	h := newSharedState(dir, "n0")
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
 	numbers, out := make(chan int, 100), make(chan bool, 10000)
-	go h.watch(ctx, h.count(), func(n int) { numbers <- n }, func(all map[string]handed) { out <- all["a"].Out })
-	next := newHandover(dir, "n0")
+	go h.watchProcesses(ctx, h.countProcesses(), func(n int) { numbers <- n }, func(all map[string]operatorCall) { out <- all["a"].Out })
+	next := newSharedState(dir, "n0")
 	if n := wait(t, "the second process", numbers); n != 2 {
 		t.Fatalf("%d processes, want 2", n)
 	}
-	if err := next.save("a", true, time.Now()); err != nil {
+	if err := next.persistCall("a", true, time.Now()); err != nil {
 		t.Fatal(err)
 	}
 	for !wait(t, "the call", out) {
 	}
-	next.die()
+	next.exit()
 	if n := wait(t, "its end", numbers); n != 1 {
 		t.Fatalf("%d processes, want 1", n)
 	}
@@ -184,9 +184,9 @@
 		t.Fatal(err)
 	}
 	address := listener.Addr().String()
-	first := newClients(testConfig(t, listed(1, "ready"), nil), listener, noUpstreams)
+	first := newClients(testConfig(t, listAnswer(1, "ready"), nil), listener, noUpstreams)
 	for range 5 {
-		c := dialled(t, address)
+		c := dialTCP(t, address)
 		if _, err := io.WriteString(c, "x"); err != nil {
 			t.Fatal(err)
 		}
@@ -196,7 +196,7 @@
 		t.Fatal(err)
 	}
 	defer second.Close()
-	if err := first.leave(time.Now().Add(generous)); err != nil {
+	if err := first.stopListening(time.Now().Add(testTimeout)); err != nil {
 		t.Fatal(err)
 	}
 	for i := range 5 {
@@ -214,7 +214,7 @@
 		t.Errorf("past the queue: %v, want %v", err, net.ErrClosed)
 	}
 	for i := range 10 {
-		dialled(t, address)
+		dialTCP(t, address)
 		if c, err := second.Accept(); err != nil {
 			t.Fatalf("connection %d at the second: %v", i, err)
 		} else {
@@ -225,17 +225,17 @@
 
 // Beside a second process each keeps to its part: idle connections above it are closed.
 func TestSharesShrinkAndGrow(t *testing.T) {
-	cfg := testConfig(t, listed(1, "ready"), func(file, _ map[string]any) { file["console"] = "127.0.0.1:0" })
+	cfg := testConfig(t, listAnswer(1, "ready"), func(file, _ map[string]any) { file["console"] = "127.0.0.1:0" })
 	for n := 1; n <= 2; n++ {
 		room := cfg.clientConns(n)
-		if all := n * (max(room+room/6+cfg.upstreamConns(n), cfg.allConns(n)) + cfg.ownFiles()); all > cfg.Sockets {
+		if all := n * (max(room+room/6+cfg.upstreamConnLimit(n), cfg.allConns(n)) + cfg.ownFiles()); all > cfg.Sockets {
 			t.Errorf("%d processes hold up to %d descriptors of %d", n, all, cfg.Sockets)
 		}
 	}
 	u := testUpstream(t)
 	s := newStub(t, echo)
 	for i := range 4 {
-		u.idle[s.address] = append(u.idle[s.address], &conn{Conn: dialled(t, s.address), idleSince: time.Duration(i)})
+		u.idle[s.address] = append(u.idle[s.address], &conn{Conn: dialTCP(t, s.address), idleSince: time.Duration(i)})
 		u.open++
 	}
 	u.share(1)
@@ -243,18 +243,18 @@
 		t.Errorf("%d open, %d idle, want 1", u.open, len(u.idle[s.address]))
 	}
 	l := newClients(cfg, nil, noUpstreams)
-	for range l.room {
+	for range l.clientShare {
 		a, b := net.Pipe()
 		defer b.Close()
-		l.enter(&clientConn{Conn: a})
+		l.add(&clientConn{Conn: a})
 	}
-	l.share(cfg.clientConns(2), cfg.clientConns(2))
+	l.setLimits(cfg.clientConns(2), cfg.clientConns(2))
 	if len(l.conns) != cfg.clientConns(2) {
 		t.Errorf("%d clients held, want %d", len(l.conns), cfg.clientConns(2))
 	}
 }
 
-func dialled(t *testing.T, address string) net.Conn {
+func dialTCP(t *testing.T, address string) net.Conn {
 	t.Helper()
 	c, err := net.Dial("tcp", address)
 	if err != nil {
@@ -267,13 +267,13 @@
 // A process that starts again is ready and serves by the list that it has, whatever discovery does, and with a state
 // that is damaged.
 func TestReadyWhateverIsAway(t *testing.T) {
-	answers := map[string]func(net.Conn, received) bool{
-		"discovery silent": silent,
-		"discovery busy": func(c net.Conn, _ received) bool {
+	answers := map[string]func(net.Conn, stubRequest) bool{
+		"discovery silent": neverAnswer,
+		"discovery busy": func(c net.Conn, _ stubRequest) bool {
 			_, err := io.WriteString(c, "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")
 			return err == nil
 		},
-		"half an answer": func(c net.Conn, _ received) bool {
+		"half an answer": func(c net.Conn, _ stubRequest) bool {
 			_, err := io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 1000\r\n\r\n{\"generation\":9,")
 			return err == nil
 		},
@@ -286,18 +286,18 @@
 				if answer != nil {
 					discovery = newStub(t, answer).address
 				}
-				cfg := testConfig(t, listed(1, "ready", s.address), func(file, settings map[string]any) {
+				cfg := testConfig(t, listAnswer(1, "ready", s.address), func(file, settings map[string]any) {
 					file["discovery"], settings["discovery"] = discovery, how
 				})
-				cfg.Shared = t.TempDir()
+				cfg.SharedDir = t.TempDir()
 				if answer == nil {
-					h := newHandover(cfg.Shared, cfg.Name)
-					if err := h.save("b", true, time.Now()); err != nil {
+					h := newSharedState(cfg.SharedDir, cfg.Name)
+					if err := h.persistCall("b", true, time.Now()); err != nil {
 						t.Fatal(err)
 					}
-					h.die()
+					h.exit()
 					damaged := 0
-					if err := filepath.WalkDir(cfg.Shared, func(path string, e os.DirEntry, err error) error {
+					if err := filepath.WalkDir(cfg.SharedDir, func(path string, e os.DirEntry, err error) error {
 						if err != nil || e.IsDir() || strings.HasSuffix(path, ".lock") {
 							return err
 						}
@@ -307,11 +307,11 @@
 						t.Fatalf("%d files damaged, %v", damaged, err)
 					}
 				}
-				side := startWith(t, cfg)
-				if got := side.call(t, "ready\n"); !strings.HasPrefix(got, "200 ") {
+				side := startSidecarWith(t, cfg)
+				if got := side.callConsole(t, "ready\n"); !strings.HasPrefix(got, "200 ") {
 					t.Errorf("ready: %q", got)
 				}
-				if res, _ := do(t, side.request(t, "GET", "/look", "")); res.StatusCode != http.StatusOK {
+				if res, _ := sendRequest(t, side.newRequest(t, "GET", "/look", "")); res.StatusCode != http.StatusOK {
 					t.Errorf("a request: %d", res.StatusCode)
 				}
 			})
@@ -324,24 +324,24 @@
 func TestCallByHandBindsBothProcessesFromItsYes(t *testing.T) {
 	out, other := newStub(t, echo), newStub(t, echo)
 	shared := t.TempDir()
-	begin := func() *running {
-		cfg := testConfig(t, listed(1, "ready", out.address, other.address), nil)
-		cfg.Shared = shared
-		return startWith(t, cfg)
+	begin := func() *testSidecar {
+		cfg := testConfig(t, listAnswer(1, "ready", out.address, other.address), nil)
+		cfg.SharedDir = shared
+		return startSidecarWith(t, cfg)
 	}
 	first := begin()
-	first.figures(t, map[string]string{"members": "2"})
+	first.waitForStats(t, map[string]string{"members": "2"})
 	second := begin()
-	second.figures(t, map[string]string{"members": "2"})
-	if answer := second.call(t, "disable-server s-0\n"); !strings.HasPrefix(answer, "200") {
+	second.waitForStats(t, map[string]string{"members": "2"})
+	if answer := second.callConsole(t, "disable-server s-0\n"); !strings.HasPrefix(answer, "200") {
 		t.Fatalf("disable-server: %q", answer)
 	}
 	for range 20 {
-		if res, _ := do(t, first.request(t, "GET", "/look", "")); res.StatusCode != http.StatusOK {
+		if res, _ := sendRequest(t, first.newRequest(t, "GET", "/look", "")); res.StatusCode != http.StatusOK {
 			t.Errorf("answered %s", res.Status)
 		}
 	}
-	if n := len(out.seen); n > 0 {
+	if n := len(out.requests); n > 0 {
 		t.Errorf("%d requests went to the server behind the yes", n)
 	}
 }
--- a/internal/sidecar/hollow.go
+++ b/internal/sidecar/hollow.go
@@ -43,7 +43,7 @@
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	h.stop = stop
-	if err := h.control.begin(ctx, h.kept, func(int) {}); err != nil {
+	if err := h.control.start(ctx, h.kept, func(int) {}); err != nil {
 		stop()
 		return nil, err
 	}
@@ -72,11 +72,11 @@
 	left := make(chan struct{})
 	go func() {
 		defer close(left)
-		h.control.peers.draining(false, h.control.work)
+		h.control.peers.startDraining(false, h.control.duties)
 	}()
 	select {
 	case <-left:
-	case <-time.After(leaveWait):
+	case <-time.After(leaveTimeout):
 	}
 	h.control.peers.leave()
 	h.end()
@@ -94,7 +94,7 @@
 func (h *Hollow) Move(discovery string) { h.control.discovery.move(discovery) }
 
 // ReadRules has it read its file of rules again, as a reload does.
-func (h *Hollow) ReadRules() { h.control.sets.read() }
+func (h *Hollow) ReadRules() { h.control.ruleSets.pushFile() }
 
 // Members is what it sees of its fleet, without the members one by one.
 func (h *Hollow) Members() (v member.View) {
@@ -112,7 +112,7 @@
 
 // Rules is how its rule set stands.
 func (h *Hollow) Rules() (s rules.Status) {
-	if n := h.control.sets.node; n != nil {
+	if n := h.control.ruleSets.node; n != nil {
 		s = n.Status()
 	}
 	return s
@@ -139,7 +139,7 @@
 func (absent) listFailed()                                {}
 func (absent) fleet(context.Context, balance.Fleet) error { return nil }
 func (absent) rules(context.Context, *rules.Set) error    { return nil }
-func (absent) calls(context.Context, map[string]handed)   {}
+func (absent) calls(context.Context, map[string]operatorCall)   {}
 func (a absent) learned(context.Context) (balance.Learned, error) {
 	return balance.Learned{At: a.clock.now(), Rate: a.rate}, nil
 }
--- a/internal/sidecar/late_test.go
+++ b/internal/sidecar/late_test.go
@@ -45,16 +45,16 @@
 		ending    balance.Ending
 	}{
 		"time-out":          {until: 20 * time.Millisecond, ending: balance.NoConnection},
-		"bound":             {until: generous, by: 20 * time.Millisecond, ending: balance.NoConnection},
-		"bound behind both": {until: 20 * time.Millisecond, by: generous, ending: balance.NoConnection},
-		"withdrawn":         {until: generous, happens: (*exchange).withdraw, ending: balance.NotSent},
-		"then cancelled":    {until: generous, happens: func(x *exchange) { x.withdraw(); x.cancel() }, ending: balance.NotSent},
-		"cancelled":         {until: generous, happens: (*exchange).cancel, ending: balance.Cancelled},
+		"bound":             {until: testTimeout, by: 20 * time.Millisecond, ending: balance.NoConnection},
+		"bound behind both": {until: 20 * time.Millisecond, by: testTimeout, ending: balance.NoConnection},
+		"withdrawn":         {until: testTimeout, happens: (*exchange).withdraw, ending: balance.NotSent},
+		"then cancelled":    {until: testTimeout, happens: func(x *exchange) { x.withdraw(); x.cancel() }, ending: balance.NotSent},
+		"cancelled":         {until: testTimeout, happens: (*exchange).cancel, ending: balance.Cancelled},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := newStub(t, echo)
 			u := testUpstream(t)
-			u.dialTimeout = 2 * generous
+			u.dialTimeout = 2 * testTimeout
 			dialled, _ := u.late(s.address)
 			done, now := make(chan result, 1), u.clock.now()
 			if c.by > 0 {
@@ -69,8 +69,8 @@
 				t.Errorf("ending %v, want %v", got.ending, c.ending)
 			}
 			u.dial = (&net.Dialer{}).DialContext
-			attempt(t, u, s.address, "2", generous)
-			if r := wait(t, "the next request", s.seen); r.Header.Get("X-Request-ID") != "2" {
+			attempt(t, u, s.address, "2", testTimeout)
+			if r := wait(t, "the next request", s.requests); r.Header.Get("X-Request-ID") != "2" {
 				t.Errorf("request %s went out", r.Header.Get("X-Request-ID"))
 			}
 		})
@@ -80,11 +80,11 @@
 // What is being written, or was, is not withdrawn.
 func TestWithdrawnTooLate(t *testing.T) {
 	answer := make(chan struct{})
-	s := newStub(t, func(c net.Conn, r received) bool { <-answer; return echo(c, r) })
+	s := newStub(t, func(c net.Conn, r stubRequest) bool { <-answer; return echo(c, r) })
 	u := testUpstream(t)
 	done := make(chan result, 1)
-	x := u.send(s.address, testMessage("1"), u.clock.now()+generous, 0, u.clock.now()+generous, func(r result) { done <- r })
-	wait(t, "the request", s.seen)
+	x := u.send(s.address, testMessage("1"), u.clock.now()+testTimeout, 0, u.clock.now()+testTimeout, func(r result) { done <- r })
+	wait(t, "the request", s.requests)
 	x.withdraw()
 	close(answer)
 	if got := wait(t, "its end", done); got.ending != balance.Served {
@@ -126,7 +126,7 @@
 			m, by := testMessage("1"), u.clock.now()+50*time.Millisecond
 			m.body, m.length = long(bodyHeld), bodyHeld
 			if name == "long" {
-				body := &paced{body: slow{u.clock.at(by + time.Millisecond)}, deadline: func(time.Time) error { return nil }}
+				body := &paced{body: slow{u.clock.toTime(by + time.Millisecond)}, deadline: func(time.Time) error { return nil }}
 				m.rest, m.length = newUpload(body), bodyHeld+3
 				m.rest.whole = func() { t.Error("the last byte went out") }
 			}
@@ -137,7 +137,7 @@
 				}
 			}()
 			done := make(chan result, 1)
-			u.send(l.Addr().String(), m, u.clock.now()+2*generous, by, u.clock.now()+2*generous, func(r result) { done <- r })
+			u.send(l.Addr().String(), m, u.clock.now()+2*testTimeout, by, u.clock.now()+2*testTimeout, func(r result) { done <- r })
 			server := wait(t, "the connection", accepted)
 			defer server.Close()
 			if name == "long" { // it reads, and the client is slow; else the client is quick, and nobody reads
@@ -160,27 +160,27 @@
 func TestDrainMeetsALateConnection(t *testing.T) {
 	late, other := newStub(t, echo), newStub(t, echo)
 	l := idleLoop(t, late.address)
-	l.upstream.dialTimeout = 2 * generous
+	l.upstream.dialTimeout = 2 * testTimeout
 	dialled, _ := l.upstream.late(late.address)
 	reply := make(chan answer, 1)
-	l.ask(balance.Request{Class: 1}, testMessage("1"), l.now+generous, reply)
+	l.ask(balance.Request{Class: 1}, testMessage("1"), l.now+testTimeout, reply)
 	l.next(t)
 	wait(t, "its call for a connection", dialled)
 	l.take(listing{servers: []balance.Server{{ID: serverID("s-0"), State: balance.Draining, Weight: 1},
 		{ID: serverID("s-1"), State: balance.Ready, Weight: 1}},
 		address: map[balance.ServerID]string{serverID("s-0"): late.address, serverID("s-1"): other.address}}, balance.ListDelta)
 	l.next(t) // its attempt ends
-	wait(t, "the request at the other server", other.seen)
+	wait(t, "the request at the other server", other.requests)
 	l.next(t)
-	if a := wait(t, "its answer", reply); a.status != http.StatusOK || len(late.seen) > 0 {
-		t.Errorf("status %d, %d requests at the server that drains", a.status, len(late.seen))
+	if a := wait(t, "its answer", reply); a.status != http.StatusOK || len(late.requests) > 0 {
+		t.Errorf("status %d, %d requests at the server that drains", a.status, len(late.requests))
 	}
 }
 
 // assembled is the application's side before one server, with a listener that nobody serves yet.
-func assembled(t *testing.T, address string, edit func(file, settings map[string]any)) (*front, *running, func()) {
+func assembled(t *testing.T, address string, edit func(file, settings map[string]any)) (*front, *testSidecar, func()) {
 	t.Helper()
-	cfg := testConfig(t, listed(1, "ready", address), edit)
+	cfg := testConfig(t, listAnswer(1, "ready", address), edit)
 	c := newClock()
 	l, err := newLoop(cfg, c, newUpstream(cfg, c))
 	if err != nil {
@@ -193,14 +193,14 @@
 		t.Fatal(err)
 	}
 	k := newClients(cfg, listener, l.upstream.connections)
-	k.share(8, 16)
+	k.setLimits(8, 16)
 	f := newFront(cfg, c, l, k)
 	l.guard.Start()
 	f.ready.Store(true)
 	server := f.server()
 	t.Cleanup(func() { server.Close() })
-	return f, &running{url: "http://" + listener.Addr().String()}, func() {
-		go l.run(ctx, cfg.Known)
+	return f, &testSidecar{url: "http://" + listener.Addr().String()}, func() {
+		go l.run(ctx, cfg.KnownServers)
 		go server.Serve(k)
 	}
 }
@@ -209,13 +209,13 @@
 // whatever it has sent that is still to be read: a close behind that shows to no reader.
 func TestClientLeavesWhileItWaits(t *testing.T) {
 	body := string(long(bodyHeld + 4<<10))
-	short := head("1", "Content-Length: 0")
+	short := requestHead("1", "Content-Length: 0")
 	for name, sends := range map[string][2]string{ // at once, and when its attempt waits
 		"nothing more":    {short, ""},
 		"one byte more":   {short, "G"},
-		"requests behind": {short, strings.Repeat(head("2", "Content-Length: 0"), 40)},
-		"a long body":     {head("1", fmt.Sprintf("Content-Length: %d", len(body))) + body, ""},
-		"half of one":     {head("1", fmt.Sprintf("Content-Length: %d", len(body)+1<<10)) + body, ""},
+		"requests behind": {short, strings.Repeat(requestHead("2", "Content-Length: 0"), 40)},
+		"a long body":     {requestHead("1", fmt.Sprintf("Content-Length: %d", len(body))) + body, ""},
+		"half of one":     {requestHead("1", fmt.Sprintf("Content-Length: %d", len(body)+1<<10)) + body, ""},
 	} {
 		for _, mayCancel := range []bool{true, false} {
 			t.Run(fmt.Sprintf("%s, cancel %v", name, mayCancel), func(t *testing.T) {
@@ -223,9 +223,9 @@
 				f, side, serve := assembled(t, s.address, func(_, settings map[string]any) {
 					settings["caps"].(map[string]any)["may_cancel"] = mayCancel
 					entry := settings["classes"].([]any)[1].(map[string]any) // no time-out may end it before the test does
-					entry["aim_ms"], entry["hard_limit_ms"] = 10*generous.Milliseconds(), 10*generous.Milliseconds()
+					entry["aim_ms"], entry["hard_limit_ms"] = 10*testTimeout.Milliseconds(), 10*testTimeout.Milliseconds()
 				})
-				f.loop.upstream.dialTimeout = 2 * generous
+				f.loop.upstream.dialTimeout = 2 * testTimeout
 				dialled, free := f.loop.upstream.late(s.address)
 				serve()
 				c := side.dial(t)
@@ -237,11 +237,11 @@
 					t.Fatal(err)
 				}
 				c.Close()
-				f.until(t, "the request to be let go", func() bool { return f.held.Load() == 0 })
+				f.until(t, "the request to be let go", func() bool { return f.openRequests.Load() == 0 })
 				close(free)
 				f.until(t, "its attempt to end", func() bool { return len(f.loop.requests) == 0 })
-				if len(s.seen) > 0 {
-					t.Errorf("request %s was sent on", wait(t, "it", s.seen).Header.Get("X-Request-ID"))
+				if len(s.requests) > 0 {
+					t.Errorf("request %s was sent on", wait(t, "it", s.requests).Header.Get("X-Request-ID"))
 				}
 			})
 		}
@@ -251,7 +251,7 @@
 // until waits for something that the loop's goroutine tells.
 func (f *front) until(t *testing.T, what string, holds func() bool) {
 	t.Helper()
-	for end, there := time.Now().Add(generous), false; !there; time.Sleep(time.Millisecond) {
+	for end, there := time.Now().Add(testTimeout), false; !there; time.Sleep(time.Millisecond) {
 		if err := f.loop.do(context.Background(), func(time.Duration) { there = holds() }); err != nil {
 			t.Fatal(err)
 		}
@@ -266,7 +266,7 @@
 	s := newStub(t, echo)
 	f, side, serve := assembled(t, s.address, nil)
 	c := side.dial(t)
-	if _, err := io.WriteString(c, head("1", "Content-Length: 0")); err != nil {
+	if _, err := io.WriteString(c, requestHead("1", "Content-Length: 0")); err != nil {
 		t.Fatal(err)
 	}
 	c.Close()
@@ -300,7 +300,7 @@
 		for how, leave := range leaves {
 			t.Run(at+" "+how, func(t *testing.T) {
 				held, turnAway := make(chan struct{}), at == "further"
-				answer := func(c net.Conn, r received) bool {
+				answer := func(c net.Conn, r stubRequest) bool {
 					if !turnAway {
 						return echo(c, r)
 					}
@@ -312,14 +312,14 @@
 				one, other := newStub(t, answer), newStub(t, answer)
 				f, side, serve := assembled(t, one.address, func(file, settings map[string]any) {
 					if at != "connecting" {
-						file["known"] = json.RawMessage(listed(1, "ready", one.address, other.address))
+						file["known"] = json.RawMessage(listAnswer(1, "ready", one.address, other.address))
 					}
 					settings["caps"].(map[string]any)["may_cancel"] = false
 				})
 				l, posted := f.loop, func(n int) func() bool { return func() bool { return len(f.loop.events) >= n } }
 				dialled, free := make(chan struct{}, 1), make(chan struct{})
 				if at == "connecting" {
-					l.upstream.dialTimeout = 2 * generous
+					l.upstream.dialTimeout = 2 * testTimeout
 					dialled, free = l.upstream.late(one.address)
 				}
 				serve()
@@ -328,7 +328,7 @@
 				defer begin()
 				eventually(t, "the loop to stand still", func() bool { return len(l.events) == 0 })
 				send := func() {
-					if _, err := io.WriteString(c, head("1", "Content-Length: 0")); err != nil {
+					if _, err := io.WriteString(c, requestHead("1", "Content-Length: 0")); err != nil {
 						t.Fatal(err)
 					}
 				}
@@ -340,9 +340,9 @@
 					begin()
 					send()
 					select {
-					case <-one.seen:
-					case <-other.seen:
-					case <-time.After(generous):
+					case <-one.requests:
+					case <-other.requests:
+					case <-time.After(testTimeout):
 						t.Fatal("no first attempt")
 					}
 					begin = l.occupy()
@@ -370,7 +370,7 @@
 				}
 				end()
 				f.until(t, "its attempt to end", func() bool { return len(l.requests) == 0 })
-				if n := len(one.seen) + len(other.seen); n > 0 {
+				if n := len(one.requests) + len(other.requests); n > 0 {
 					t.Errorf("%d attempts behind the client's leaving", n)
 				}
 			})
@@ -394,7 +394,7 @@
 			time.Sleep(30 * time.Millisecond)
 			most := m.left - (u.clock.now() - begun)
 			close(free)
-			if told, _ := duration(wait(t, "the request", s.seen).Header.Get("X-Timeout")); told > most {
+			if told, _ := parseTimeout(wait(t, "the request", s.requests).Header.Get("X-Timeout")); told > most {
 				t.Errorf("it tells %v, want %v at most", told, most)
 			}
 		})
@@ -457,19 +457,19 @@
 				}
 				return (&net.Dialer{}).DialContext(context.WithoutCancel(ctx), network, to)
 			}
-			if got := attempt(t, u, s.address, "1", generous); got.ending != c.ending {
+			if got := attempt(t, u, s.address, "1", testTimeout); got.ending != c.ending {
 				t.Errorf("ending %v, want %v", got.ending, c.ending)
 			}
 			open, idle := -1, -1 // those called off end by themselves
-			for end := time.Now().Add(generous); (open != c.open || idle != c.open) && time.Now().Before(end); {
+			for end := time.Now().Add(testTimeout); (open != c.open || idle != c.open) && time.Now().Before(end); {
 				time.Sleep(time.Millisecond)
 				u.mu.Lock()
 				open, idle = u.open, len(u.idle[s.address])
 				u.mu.Unlock()
 			}
-			if n := int(dials.Load()); n != c.dials || open != c.open || idle != c.open || len(s.seen) > 1 {
+			if n := int(dials.Load()); n != c.dials || open != c.open || idle != c.open || len(s.requests) > 1 {
 				t.Errorf("%d dials, %d open, %d idle, %d requests, want %d, %d, all, one at most", n, open, idle,
-					len(s.seen), c.dials, c.open)
+					len(s.requests), c.dials, c.open)
 			}
 		})
 	}
@@ -480,13 +480,13 @@
 	s := newStub(t, echo)
 	l := idleLoop(t, s.address)
 	r, _ := l.hold(7)
-	r.message.left = generous
+	r.message.left = testTimeout
 	r.message.rest = newUpload(&paced{body: strings.NewReader("end"), deadline: func(time.Time) error { return nil }})
 	r.message.rest.whole, r.message.length = func() {}, int64(len(r.message.body))+3
-	l.now += generous / 2 // as if others had failed
+	l.now += testTimeout / 2 // as if others had failed
 	l.Send(7, serverID("s-0"), 0, 0)
-	if told, _ := duration(wait(t, "the request", s.seen).Header.Get("X-Timeout")); told > generous/2 {
-		t.Errorf("it tells %v, want %v at most", told, generous/2)
+	if told, _ := parseTimeout(wait(t, "the request", s.requests).Header.Get("X-Timeout")); told > testTimeout/2 {
+		t.Errorf("it tells %v, want %v at most", told, testTimeout/2)
 	}
 	l.next(t)
 }
@@ -500,17 +500,17 @@
 	m.length = int64(len(m.body)) + 3
 	m.presence = func() presence {
 		if asked++; asked > 1 {
-			return departed
+			return clientGone
 		}
-		return present
+		return clientPresent
 	}
 	done := make(chan result, 1)
-	u.send(s.address, m, u.clock.now()+generous, 0, u.clock.now()+generous, func(r result) { done <- r })
+	u.send(s.address, m, u.clock.now()+testTimeout, 0, u.clock.now()+testTimeout, func(r result) { done <- r })
 	if got := wait(t, "its end", done); got.ending != balance.Cancelled {
 		t.Errorf("ending %v, want %v", got.ending, balance.Cancelled)
 	}
 	wait(t, "its connection to close", s.closed)
-	if len(s.seen) > 0 {
+	if len(s.requests) > 0 {
 		t.Error("its server had it whole")
 	}
 }
@@ -518,7 +518,7 @@
 // eventually waits for something to hold.
 func eventually(t *testing.T, what string, holds func() bool) {
 	t.Helper()
-	for end := time.Now().Add(generous); !holds(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); !holds(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatalf("waited in vain for %s", what)
 		}
--- a/internal/sidecar/loop.go
+++ b/internal/sidecar/loop.go
@@ -28,7 +28,7 @@
 	clock    clock
 	b        *policy.Balancer
 	upstream *upstream
-	handover *handover             // keeps the calls by hand
+	handover *sharedState             // keeps the calls by hand
 	watch    func()                // subscribes to the list
 	clients  func() map[string]int // counters of the application's side
 	asked    func() map[string]int // and of discovery's
@@ -82,7 +82,7 @@
 		clock: c, upstream: up, watch: func() {}, most: cfg.Policy.MaxAttempts, classes: cfg.Policy.Classes,
 		clients:  func() map[string]int { return nil },
 		asked:    func() map[string]int { return nil },
-		handover: new(handover),
+		handover: new(sharedState),
 		trace:    newTrace(),
 		guard:    guard.New(logViolation, cfg.DrainGrace),
 		bounded:  func(_, left time.Duration) time.Duration { return left },
@@ -132,7 +132,7 @@
 	if err != nil {
 		slog.Error("by hand not kept", "server", instance, "out", out, "error", err)
 	}
-	if out && err == nil && l.handover.countWithin(countLimit) > 1 { // it binds the other process too, from the yes on
+	if out && err == nil && l.handover.countProcessesWithin(countTimeout) > 1 { // it binds the other process too, from the yes on
 		l.awaitOther(ctx)
 	}
 	return err
@@ -141,7 +141,7 @@
 // awaitOther waits until the other process has taken over the calls that were kept by now, also where it may be held up.
 func (l *loop) awaitOther(ctx context.Context) {
 	select {
-	case <-time.After(alonePoll + togetherPoll + otherHeldUp):
+	case <-time.After(soloPollInterval + upgradePollInterval + processStallMargin):
 	case <-ctx.Done():
 	}
 }
@@ -166,7 +166,7 @@
 func (l *loop) share(n int) { l.post(func(time.Duration) { l.b.Share(n) }) }
 
 // calls takes over what was called for at the other process.
-func (l *loop) calls(ctx context.Context, handed map[string]handed) {
+func (l *loop) calls(ctx context.Context, handed map[string]operatorCall) {
 	_ = l.do(ctx, func(now time.Duration) { // fails only as all ends
 		for instance, s := range handed {
 			l.byHand(now, instance, s.Out, time.Duration(s.AtMs)*time.Millisecond)
@@ -214,7 +214,7 @@
 func (l *loop) run(ctx context.Context, known listing) {
 	l.now = l.clock.now()
 	l.b.Start(l.now)
-	for instance, s := range l.handover.known() { // one that is back is taken out first, for it is cold
+	for instance, s := range l.handover.currentCalls() { // one that is back is taken out first, for it is cold
 		l.byHand(l.now, instance, true, 0)
 		l.byHand(l.now, instance, s.Out, time.Duration(s.AtMs)*time.Millisecond)
 	}
@@ -312,11 +312,11 @@
 	}
 	for address := range gone {
 		l.upstream.close(address)
-		l.guard.Listed(l.now, address, balance.Gone)
+		l.guard.SetServerState(l.now, address, balance.Gone)
 	}
 	for _, s := range news.servers {
 		if address, listed := l.address[s.ID]; listed {
-			l.guard.Listed(l.now, address, stateAt(ready[address]))
+			l.guard.SetServerState(l.now, address, stateAt(ready[address]))
 		}
 	}
 	l.b.List(l.now, kind, news.servers)
@@ -335,9 +335,9 @@
 func (l *loop) ask(q balance.Request, m *message, deadline time.Duration, reply chan<- answer) balance.RequestID {
 	q.ID = balance.RequestID(l.lastID.Add(1))
 	class := l.classes[q.Class]
-	l.guard.Take(q.ID, guard.Request{Name: m.id, Deadline: deadline, Effect: class.Effect, Window: class.Window, Coming: m.rest != nil})
-	m.permit = func(now time.Duration, address string) error { return l.guard.Write(now, q.ID, address) }
-	m.written = func(began, now time.Duration, address string) { l.guard.Written(began, now, q.ID, address) }
+	l.guard.Admit(q.ID, guard.Request{RequestID: m.id, Deadline: deadline, Effect: class.Effect, Window: class.Window, BodyPending: m.rest != nil})
+	m.permit = func(now time.Duration, address string) error { return l.guard.PermitWrite(now, q.ID, address) }
+	m.written = func(began, now time.Duration, address string) { l.guard.AttemptWritten(began, now, q.ID, address) }
 	if m.rest != nil {
 		q.Coming = true
 		whole := m.rest.whole
@@ -349,8 +349,8 @@
 	if look := m.presence; look != nil {
 		m.presence = func() presence {
 			found := look()
-			if found == departed {
-				l.guard.Left(l.clock.now(), q.ID)
+			if found == clientGone {
+				l.guard.ClientLeft(l.clock.now(), q.ID)
 				l.gone(q.ID) // ahead of the end of the attempt that finds it out, or the module would make another
 			}
 			return found
@@ -394,8 +394,8 @@
 	r.over = true
 	switch {
 	case a == nil:
-		l.guard.Settle(id)
-	case l.guard.Answer(l.now, id) == nil:
+		l.guard.AnswerDropped(id)
+	case l.guard.PermitAnswer(l.now, id) == nil:
 		r.reply <- *a
 	}
 	if r.out == 0 {
@@ -431,9 +431,9 @@
 // and settles the request.
 func (l *loop) ended(id balance.RequestID, number int, sent time.Duration, res result) {
 	r := l.requests[id]
-	l.guard.End(sent, id, res.ending)
+	l.guard.AttemptEnded(sent, id, res.ending)
 	r.timedOut, r.ending = res.ending == balance.TimedOut, res.ending
-	l.trace.step("attempt ended", r.message.id, slog.Int("number", number), slog.String("ending", res.ending.String()))
+	l.trace.logStep("attempt ended", r.message.id, slog.Int("number", number), slog.String("ending", res.ending.String()))
 	if res.ending == balance.Served && !r.over {
 		l.finish(id, r, &answer{status: http.StatusOK, header: res.header, body: res.body})
 	}
@@ -451,7 +451,7 @@
 	r.out++
 	address := l.address[to]
 	never := r.over || number >= l.most || left <= 0 || timeout < 0 || unsent < 0 || address == ""
-	if spent := r.message.spent(); never || spent || l.guard.Send(l.now, id, address) != nil {
+	if spent := r.message.spent(); never || spent || l.guard.PermitSend(l.now, id, address) != nil {
 		r.attempts = append(r.attempts, nil)
 		l.notSent = append(l.notSent, balance.Outcome{ID: id, Attempt: number, Ending: balance.NotSent, Spent: spent})
 		return
@@ -466,7 +466,7 @@
 		r.message.left = min(r.message.left, left)
 	}
 	sent := l.now
-	l.trace.attempt(r.message.id, number, r.ending, address, timeout)
+	l.trace.logAttempt(r.message.id, number, r.ending, address, timeout)
 	r.attempts = append(r.attempts, l.upstream.send(address, r.message, l.now+timeout, unsent, r.deadline, func(res result) {
 		l.post(func(time.Duration) {
 			if res.stream != nil {
@@ -481,7 +481,7 @@
 // Refuse ends a request; trying again is harmless.
 func (l *loop) Refuse(id balance.RequestID, pause time.Duration, why balance.Reason) {
 	if r := l.requests[id]; r != nil && !r.over {
-		l.trace.refused(r.message.id, why, len(r.attempts))
+		l.trace.logRefused(r.message.id, why, len(r.attempts))
 		l.finish(id, r, &answer{status: http.StatusServiceUnavailable, pause: pause})
 	}
 }
@@ -496,7 +496,7 @@
 	if r.timedOut || r.out > 0 {
 		status = http.StatusGatewayTimeout
 	}
-	l.trace.gaveUp(r.message.id, why, len(r.attempts))
+	l.trace.logFailed(r.message.id, why, len(r.attempts))
 	l.finish(id, r, &answer{status: status})
 }
 
--- a/internal/sidecar/loop_test.go
+++ b/internal/sidecar/loop_test.go
@@ -13,7 +13,7 @@
 // idleLoop is a loop whose goroutine is the test itself, with one server in its list.
 func idleLoop(t *testing.T, address string) *loop {
 	t.Helper()
-	cfg := testConfig(t, listed(1, "ready", address), nil)
+	cfg := testConfig(t, listAnswer(1, "ready", address), nil)
 	c := newClock()
 	l, err := newLoop(cfg, c, newUpstream(cfg, c))
 	if err != nil {
@@ -22,7 +22,7 @@
 	l.now = c.now()
 	l.guard.Start()
 	l.b.Start(l.now)
-	l.take(cfg.Known, balance.ListCached)
+	l.take(cfg.KnownServers, balance.ListCached)
 	return l
 }
 
@@ -38,8 +38,8 @@
 // hold enters a request that the module does not know, so that the test can decide for it.
 func (l *loop) hold(id balance.RequestID) (*request, chan answer) {
 	reply := make(chan answer, 1)
-	l.guard.Take(id, guard.Request{Name: "held", Deadline: l.now + generous, Effect: balance.Safe})
-	r := &request{message: testMessage("1"), reply: reply, deadline: l.now + generous}
+	l.guard.Admit(id, guard.Request{RequestID: "held", Deadline: l.now + testTimeout, Effect: balance.Safe})
+	r := &request{message: testMessage("1"), reply: reply, deadline: l.now + testTimeout}
 	l.requests[id] = r
 	return r, reply
 }
@@ -48,7 +48,7 @@
 // what other attempts bring, changes nothing. Each attempt has one Outcome, then the entry goes.
 func TestOneAnswerForEachRequest(t *testing.T) {
 	release := make(chan struct{})
-	s := newStub(t, func(c net.Conn, r received) bool {
+	s := newStub(t, func(c net.Conn, r stubRequest) bool {
 		if r.conn > 0 {
 			<-release
 		}
@@ -81,11 +81,11 @@
 
 // An Outcome comes after the answer too, for an attempt that is called off.
 func TestOutcomeAfterTheAnswer(t *testing.T) {
-	s := newStub(t, silent)
+	s := newStub(t, neverAnswer)
 	l := idleLoop(t, s.address)
 	r, reply := l.hold(7)
 	l.Send(7, serverID("s-0"), 0, 0)
-	wait(t, "the request", s.seen)
+	wait(t, "the request", s.requests)
 	l.Fail(7, balance.OutOfTime)
 	if a := wait(t, "the answer", reply); a.status != http.StatusGatewayTimeout {
 		t.Errorf("status %d, want 504", a.status)
@@ -103,7 +103,7 @@
 
 // Sends past caps.most_tries, past the deadline or to a server that is not listed are not carried out.
 func TestNotSent(t *testing.T) {
-	s := newStub(t, silent)
+	s := newStub(t, neverAnswer)
 	l := idleLoop(t, s.address)
 	l.hold(7)
 	to := serverID("s-0")
@@ -114,7 +114,7 @@
 	l.hold(8)
 	l.Send(8, serverID("unheard of"), 0, 0)
 	l.Send(8, to, -time.Second, 0)
-	l.now += 2 * generous
+	l.now += 2 * testTimeout
 	l.Send(8, to, 0, 0)
 	want := []balance.Outcome{
 		{ID: 7, Attempt: 3, Ending: balance.NotSent}, {ID: 8, Attempt: 0, Ending: balance.NotSent},
@@ -129,7 +129,7 @@
 		}
 	}
 	for range 3 {
-		wait(t, "a request", s.seen)
+		wait(t, "a request", s.requests)
 	}
 	for i := range 3 {
 		l.Cancel(7, i)
@@ -139,12 +139,12 @@
 
 // A client that closes its connection is owed nothing more; its attempts are called off.
 func TestClientGone(t *testing.T) {
-	s := newStub(t, silent)
+	s := newStub(t, neverAnswer)
 	l := idleLoop(t, s.address)
 	reply := make(chan answer, 1)
-	id := l.ask(balance.Request{Class: 0}, testMessage("1"), l.now+generous, reply)
+	id := l.ask(balance.Request{Class: 0}, testMessage("1"), l.now+testTimeout, reply)
 	l.next(t)
-	wait(t, "the request", s.seen)
+	wait(t, "the request", s.requests)
 	l.gone(id)
 	l.next(t)
 	l.next(t) // the end of its attempt
@@ -185,7 +185,7 @@
 		}
 		last = now
 	}
-	if got := c.at(last).Sub(c.start); got != last-time.Duration(c.start.UnixNano()) {
+	if got := c.toTime(last).Sub(c.start); got != last-time.Duration(c.start.UnixNano()) {
 		t.Errorf("the moment %v is %v after the start", last, got)
 	}
 }
--- a/internal/sidecar/momentary.go
+++ b/internal/sidecar/momentary.go
@@ -47,7 +47,7 @@
 
 // writeThrough writes all of p, and goes on behind failures that the system has for a moment. It returns how many bytes
 // have gone out.
-func writeThrough(w io.Writer, p []byte) (done int, err error) {
+func writeRetrying(w io.Writer, p []byte) (done int, err error) {
 	for tries := 0; ; tries++ {
 		n, err := w.Write(p[done:])
 		done += n
@@ -75,24 +75,24 @@
 type presence int
 
 const (
-	present  presence = iota
-	departed          // it has closed its connection, or its sending side
-	unsure            // the system would not tell: nothing is sent for it, and nothing is taken from it
+	clientPresent  presence = iota
+	clientGone          // it has closed its connection, or its sending side
+	clientUnknown            // the system would not tell: nothing is sent for it, and nothing is taken from it
 )
 
 // looks is how often the system is asked for a client's presence, in each of two ways.
-const looks = 3
+const pollAttempts = 3
 
 // presenceAt tells whether the other side of a connection has ended its sending, or all of it. Where poll fails the state
 // of the connection is read instead: an error is no sign that the client is there.
 func presenceAt(fd int) presence {
 	of := func(left bool) presence {
 		if left {
-			return departed
+			return clientGone
 		}
-		return present
+		return clientPresent
 	}
-	for range looks {
+	for range pollAttempts {
 		p := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLRDHUP}}
 		if _, err := unix.Poll(p, 0); err == nil {
 			return of(p[0].Revents != 0)
@@ -101,5 +101,5 @@
 			return of(info.State != unix.BPF_TCP_ESTABLISHED)
 		}
 	}
-	return unsure
+	return clientUnknown
 }
--- a/internal/sidecar/peers.go
+++ b/internal/sidecar/peers.go
@@ -34,16 +34,16 @@
 type peers struct {
 	group *member.Group
 	cfg   *Config
-	path  requests
-	state *handover
+	dataPlane  dataPlane
+	state *sharedState
 
-	barred   func() bool // by rules: it serves nothing, and is given no duties
+	rulesBar   func() bool // by rules: it serves nothing, and is given no duties
 	stopping atomic.Bool
 }
 
 // newPeers reads what the configuration and the state say of the fleet.
-func newPeers(cfg *Config, path requests, state *handover, counts *meter.Meter) (*peers, error) {
-	p := &peers{cfg: cfg, path: path, state: state, barred: func() bool { return false }}
+func newPeers(cfg *Config, path dataPlane, state *sharedState, counts *meter.Meter) (*peers, error) {
+	p := &peers{cfg: cfg, dataPlane: path, state: state, rulesBar: func() bool { return false }}
 	if !cfg.hasPeers() {
 		return p, nil
 	}
@@ -54,8 +54,8 @@
 	}
 	c := member.Config{
 		Name: cfg.Name, Start: uint64(time.Now().UnixMilli()), Version: revision(), Digest: cfg.digest(),
-		Listen: listen, Cluster: m.Cluster, Seeds: m.Seeds, Routes: cfg.Fleet.Routes, Probe: m.Probe.D(),
-		Expect: cfg.Policy.Balancers, Forget: m.Forget.D(), Index: cfg.Policy.Index, Tells: cfg.Fleet.Spread.Share,
+		Listen: listen, Cluster: m.Cluster, Seeds: m.Seeds, Routes: cfg.Fleet.Routes, Probe: m.Probe.Std(),
+		Expect: cfg.Policy.Balancers, Forget: m.Forget.Std(), Index: cfg.Policy.Index, Tells: cfg.Fleet.Spread.Share,
 		Meter: counts, Kinds: map[byte]meter.Kind{duty.CallStream: meter.Duties, duty.RaftStream: meter.Duties, rules.Stream: meter.Rules},
 	}
 	for zone, i := range cfg.Zones {
@@ -111,15 +111,15 @@
 	if p.group == nil {
 		return
 	}
-	if !p.barred() {
+	if !p.rulesBar() {
 		p.group.Say(member.Serving)
 	}
 	go p.group.Run(ctx)
-	go p.follow(ctx)
+	go p.syncFleet(ctx)
 }
 
 // follow tells the module who is there, and has the state keep by whom a later process can join.
-func (p *peers) follow(ctx context.Context) {
+func (p *peers) syncFleet(ctx context.Context) {
 	tick := time.NewTicker(peersEvery)
 	defer tick.Stop()
 	var keptAt time.Time
@@ -136,7 +136,7 @@
 		switch {
 		case p.stopping.Load():
 			phase = member.Draining
-		case p.barred():
+		case p.rulesBar():
 			phase = member.Starting
 		case v.Starved: // it is given no duties
 			phase = member.Starved
@@ -146,14 +146,14 @@
 			p.group.Say(member.Draining)
 		}
 		if p.cfg.Fleet.Spread.Share {
-			l, err := p.path.learned(ctx)
+			l, err := p.dataPlane.learned(ctx)
 			if err != nil {
 				return // it ends
 			}
 			p.group.Tell(l.Rate)
 		}
-		if f, ok := p.fleet(v, told); ok {
-			if p.path.fleet(ctx, f) != nil {
+		if f, ok := p.fleetUpdate(v, told); ok {
+			if p.dataPlane.fleet(ctx, f) != nil {
 				return
 			}
 			told = f
@@ -172,7 +172,7 @@
 
 // fleet is what the module is to be told of a view, if anything, where it was last told that. A process that stood still lately has
 // an old view. One that is no member any more, as another has its name, is not reckoned with by the others, and goes by nobody's traffic.
-func (p *peers) fleet(v member.View, told balance.Fleet) (f balance.Fleet, ok bool) {
+func (p *peers) fleetUpdate(v member.View, told balance.Fleet) (f balance.Fleet, ok bool) {
 	switch {
 	case v.Standing != member.Member && len(told.Sharers) > 0:
 		told.Sharers, told.Agreed = nil, false
@@ -200,12 +200,12 @@
 
 // draining gives up this process's duties and tells the others that it stops; or, where another has taken over, lets that one
 // have the name.
-func (p *peers) draining(replaced bool, work *duties) {
+func (p *peers) startDraining(replaced bool, work *duties) {
 	if p.group != nil && !replaced {
 		p.stopping.Store(true)
 		p.group.Say(member.Draining)
 	}
-	work.leave()
+	work.release()
 	if p.group != nil && replaced {
 		p.group.Close()
 	}
--- a/internal/sidecar/room.go
+++ b/internal/sidecar/room.go
@@ -11,24 +11,24 @@
 const silentTime = 250 * time.Millisecond
 
 // share takes the application's share of the descriptors as the room, and what it may hold together with upstreams.
-func (l *clients) share(room, all int) {
+func (l *clients) setLimits(room, all int) {
 	upstreams := l.upstreams()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.room, l.all = room, all
-	for len(l.conns) > l.allowed(upstreams) && l.shedOne(closedRoomPartial) {
+	l.clientShare, l.maxTotal = room, all
+	for len(l.conns) > l.softLimit(upstreams) && l.shedOne(closedRoomPartial) {
 	}
 }
 
 // allowed is how many connections may be held while others can make room: the application's share at least, and
 // what upstreams leave but for some that they may soon want. The caller holds the lock.
-func (l *clients) allowed(upstreams int) int { return max(l.room, l.all-upstreams-l.room/6) }
+func (l *clients) softLimit(upstreams int) int { return max(l.clientShare, l.maxTotal-upstreams-l.clientShare/6) }
 
 // yield makes room for one more connection to an upstream, beside so many. It returns false if there is none.
-func (l *clients) yield(upstreams int) bool {
+func (l *clients) makeRoomForUpstream(upstreams int) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for len(l.conns)+upstreams >= l.all {
+	for len(l.conns)+upstreams >= l.maxTotal {
 		if !l.shedOne(closedRoomPartial) {
 			return false
 		}
@@ -37,20 +37,20 @@
 }
 
 // spare tells whether there is room for one more connection to an upstream, beside so many.
-func (l *clients) spare(upstreams int) bool {
+func (l *clients) hasRoomForUpstream(upstreams int) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return len(l.conns)+upstreams < l.all
+	return len(l.conns)+upstreams < l.maxTotal
 }
 
 // enter counts a connection in, if need be at the cost of another. It returns false if there is no room.
-func (l *clients) enter(k *clientConn) bool {
+func (l *clients) add(k *clientConn) bool {
 	upstreams := l.upstreams()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if len(l.conns) >= l.allowed(upstreams) && !l.shedOne(closedRoomPartial) && len(l.conns) >= l.room+l.room/6 {
-		l.barred++
-		l.closed(closedNoRoom)
+	if len(l.conns) >= l.softLimit(upstreams) && !l.shedOne(closedRoomPartial) && len(l.conns) >= l.clientShare+l.clientShare/6 {
+		l.rejected++
+		l.countClose(closedNoRoom)
 		return false
 	}
 	k.since, k.clients = time.Now(), l
@@ -79,16 +79,16 @@
 		if c == nil {
 			continue
 		}
-		if kind == closedRoomPartial && c.unread() { // asked of the one alone: the kernel's answer takes its time
+		if kind == closedRoomPartial && c.hasUnread() { // asked of the one alone: the kernel's answer takes its time
 			c.spoken = true
 			return l.shedOne(last)
 		}
-		if !c.end(kind == closedRoomPartial) { // its request has come just now
+		if !c.closeUnlessServing(kind == closedRoomPartial) { // its request has come just now
 			return l.shedOne(last)
 		}
 		delete(l.conns, c)
 		l.shed[kind-closedRoomSilent]++
-		l.closed(kind)
+		l.countClose(kind)
 		return true
 	}
 	return false
@@ -98,22 +98,22 @@
 // the lock of the clients.
 func (c *clientConn) roomKind(now time.Time, clock time.Duration) (kind closeReason, waited time.Duration, ok bool) {
 	waited = now.Sub(c.since)
-	begun, whole := c.at()
+	begun, whole := c.requestProgress()
 	switch {
-	case c.known && c.state != http.StateIdle, whole:
+	case c.hadRequest && c.state != http.StateIdle, whole:
 		return 0, 0, false
 	case begun:
 		return closedRoomPartial, clock - time.Duration(c.spoke.Load()), true
 	case waited <= silentTime:
 		return closedRoomPartial, waited, !c.spoken
-	case c.known:
+	case c.hadRequest:
 		return closedRoomIdle, waited, true
 	}
 	return closedRoomSilent, waited, true
 }
 
 // unread tells whether bytes have come that nobody has read so far.
-func (c *clientConn) unread() bool {
+func (c *clientConn) hasUnread() bool {
 	if c.raw == nil {
 		return false
 	}
