--- a/internal/sidecar/rules.go
+++ b/internal/sidecar/rules.go
@@ -25,7 +25,7 @@
 }
 
 // newRuleSets reads what is kept of rules. Nothing is in force before begin.
-func newRuleSets(cfg *Config, p *peers, work *duties, path requests, state *handover) (*ruleSets, error) {
+func newRuleSets(cfg *Config, p *peers, work *duties, path dataPlane, state *sharedState) (*ruleSets, error) {
 	s := &ruleSets{peers: p}
 	if work.group == nil || cfg.Fleet.Rules.File == "" {
 		return s, nil
@@ -39,12 +39,12 @@
 	keep := keeper{state.store}
 	s.node = rules.New(rules.Config{
 		Name: cfg.Name, Start: state.store.Number(), Keep: keep, Damaged: len(state.store.Damage().Files) > 0, Wire: p.group,
-		Voters:  &voters{group: work.group, fence: duty.Fence{Keep: keep}},
+		Voters:  &dutyVoters{group: work.group, fence: duty.Fence{Keep: keep}},
 		Members: p.forRules,
 		Read:    func(text []byte) (*rules.Set, error) { return rules.Read(text, against) },
 		Force:   path.rules,
 	})
-	p.barred = func() bool { return !s.node.Serves() }
+	p.rulesBar = func() bool { return !s.node.Serves() }
 	return s, nil
 }
 
@@ -59,16 +59,16 @@
 }
 
 // voters are the duties' voters as rules want them.
-type voters struct {
+type dutyVoters struct {
 	group *duty.Group
 	fence duty.Fence
 }
 
 // Holds implements rules.Voters.
-func (v *voters) Holds() (uint64, bool) { return v.group.Holds(dutyRules) }
+func (v *dutyVoters) Holds() (uint64, bool) { return v.group.Holds(dutyRules) }
 
 // Holder implements rules.Voters.
-func (v *voters) Holder() (string, error) {
+func (v *dutyVoters) Holder() (string, error) {
 	t, err := v.group.Table()
 	for _, h := range t.Holdings {
 		if h.Duty == dutyRules {
@@ -79,13 +79,13 @@
 }
 
 // Entered implements rules.Voters.
-func (v *voters) Entered() (rules.Floor, error) {
+func (v *dutyVoters) Entered() (rules.Floor, error) {
 	e, err := v.group.Entered(dutyRules)
 	return rules.Floor{Version: e.Version, Digest: e.Digest, Token: e.Token}, err
 }
 
 // Enter implements rules.Voters.
-func (v *voters) Enter(f rules.Floor) (refused, err error) {
+func (v *dutyVoters) Enter(f rules.Floor) (refused, err error) {
 	err = v.group.Enter(dutyRules, f.Token, f.Version, f.Digest)
 	if errors.Is(err, duty.ErrNotEntered) {
 		return err, nil
@@ -94,10 +94,10 @@
 }
 
 // Fence implements rules.Voters.
-func (v *voters) Fence(token uint64) (bool, error) { return v.fence.Pass(dutyRules, token) }
+func (v *dutyVoters) Fence(token uint64) (bool, error) { return v.fence.Pass(dutyRules, token) }
 
 // begin puts the floor's set in force; the loop runs, and no request has come.
-func (s *ruleSets) begin(ctx context.Context) error {
+func (s *ruleSets) start(ctx context.Context) error {
 	if s.node == nil {
 		return nil
 	}
@@ -109,12 +109,12 @@
 	if s.node == nil {
 		return
 	}
-	s.read()
+	s.pushFile()
 	go s.node.Run(ctx)
 }
 
 // read takes the file, which need not be there.
-func (s *ruleSets) read() {
+func (s *ruleSets) pushFile() {
 	if s.node == nil {
 		return
 	}
@@ -138,7 +138,7 @@
 }
 
 // serves says whether requests may be served.
-func (s *ruleSets) serves() bool {
+func (s *ruleSets) mayServe() bool {
 	return s.node == nil || s.node.Serves()
 }
 
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -12,7 +12,7 @@
 
 const (
 	lingerTime = 500 * time.Millisecond // new connections go on coming for so long after a stop is asked for
-	leaveWait  = time.Second            // the end waits no longer for duties to be passed on
+	leaveTimeout  = time.Second            // the end waits no longer for duties to be passed on
 	lookEvery  = 5 * time.Millisecond   // how often it is seen whether all connections are closed
 
 	// The platform may kill a process once the longest deadline and 0.7 s have passed behind the signal. Final answers
@@ -20,7 +20,7 @@
 	answerMargin = 500 * time.Millisecond // behind the longest deadline all answers are due,
 	exitMargin   = 640 * time.Millisecond // and the process ends
 	lastLook     = 40 * time.Millisecond  // it waits so much longer for what came in the last moment
-	killedFrom   = 3 * time.Second        // a longer deadline counts as this
+	maxStopDeadline   = 3 * time.Second        // a longer deadline counts as this
 )
 
 // Run listens and serves until ctx ends and everything taken by then is answered. On each signal from
@@ -61,27 +61,27 @@
 	l, discovery := p.loop, p.control.discovery
 	l.watch, l.asked, l.handover = discovery.ask, discovery.counters, p.control.state
 	p.clients = newClients(cfg, nil, p.upstreams.connections)
-	p.upstreams.yield, p.upstreams.room = p.clients.yield, p.clients.spare
+	p.upstreams.yield, p.upstreams.room = p.clients.makeRoomForUpstream, p.clients.hasRoomForUpstream
 	p.front = newFront(cfg, c, l, p.clients)
-	l.clients, p.clients.closed = p.front.counters, l.trace.closed
-	l.bounded = func(now, left time.Duration) time.Duration { return p.front.stop.Load().left(now, left) }
-	p.front.serves = p.control.sets.serves
+	l.clients, p.clients.countClose = p.front.counters, l.trace.countClose
+	l.bounded = func(now, left time.Duration) time.Duration { return p.front.stopLimits.Load().bound(now, left) }
+	p.front.rulesAllow = p.control.ruleSets.mayServe
 	return p, nil
 }
 
 // share takes how many processes this sidecar has: its limits are theirs together.
-func (p *parts) share(n int) {
+func (p *parts) setProcessCount(n int) {
 	limitMemory(p.cfg.MemoryMB, n)
-	p.upstreams.share(p.cfg.upstreamConns(n))
-	p.clients.share(p.cfg.clientConns(n), p.cfg.allConns(n))
+	p.upstreams.share(p.cfg.upstreamConnLimit(n))
+	p.clients.setLimits(p.cfg.clientConns(n), p.cfg.allConns(n))
 	p.loop.share(n)
 }
 
 // console is the operators' door to the parts.
 func (p *parts) console() *console {
 	return &console{
-		ready: p.front.up, rules: p.control.sets.show, server: p.loop.server, confirm: p.control.state.confirm,
-		members: p.control.peers.show, duties: p.control.work.show, move: p.control.work.move, stat: p.stat,
+		ready: p.front.isUp, writeRules: p.control.ruleSets.show, setServer: p.loop.server, confirmState: p.control.state.confirm,
+		writeMembers: p.control.peers.show, writeDuties: p.control.duties.show, moveDuty: p.control.duties.moveDuty, stat: p.stat,
 	}
 }
 
@@ -111,14 +111,14 @@
 		stop()
 		waitAtMost(kept, saveWait) // what is kept last may wait for a disk; the end does not
 	}()
-	go p.loop.run(running, cfg.Known)
-	if err := p.control.begin(running, kept, p.share); err != nil {
+	go p.loop.run(running, cfg.KnownServers)
+	if err := p.control.start(running, kept, p.setProcessCount); err != nil {
 		return err
 	}
 	if p.clients.clientListener, err = open(); err != nil {
 		return err
 	}
-	slog.Info("serving", "name", cfg.Name, "listen", p.clients.Addr(), "servers", len(cfg.Known.servers))
+	slog.Info("serving", "name", cfg.Name, "listen", p.clients.Addr(), "servers", len(cfg.KnownServers.servers))
 	p.loop.guard.Start()
 	p.front.ready.Store(true)
 	p.control.run(running)
@@ -133,20 +133,20 @@
 	case err := <-served:
 		return err
 	case <-ctx.Done():
-		return p.stop(served)
+		return p.shutdown(served)
 	}
 }
 
 // stop ends the service, and passes on what others of the fleet can take over.
-func (p *parts) stop(served <-chan error) error {
-	replaced := p.loop.handover.countWithin(countLimit) > 1
+func (p *parts) shutdown(served <-chan error) error {
+	replaced := p.loop.handover.countProcessesWithin(countTimeout) > 1
 	left := make(chan struct{})
 	go func() { // what this process holds for its clients does not wait for that
 		defer close(left)
-		p.control.peers.draining(replaced, p.control.work)
+		p.control.peers.startDraining(replaced, p.control.duties)
 	}()
 	defer func() {
-		waitAtMost(left, leaveWait) // the others find out by themselves
+		waitAtMost(left, leaveTimeout) // the others find out by themselves
 		p.control.peers.leave()
 	}()
 	return p.front.drain(served, p.cfg.Longest, replaced)
@@ -162,15 +162,15 @@
 
 // stop is what a request has to know of a stop under way: from late on requests are bounded, by the moment at which all
 // answers are due.
-type stop struct{ late, due time.Duration }
+type stopLimits struct{ lateFrom, answersDue time.Duration }
 
 // left bounds the time of a request that arrives late: no answer could reach its client behind the end. One that has come
 // before has its deadline before the end anyway.
-func (s *stop) left(arrived, left time.Duration) time.Duration {
-	if s == nil || arrived < s.late {
+func (s *stopLimits) bound(arrived, left time.Duration) time.Duration {
+	if s == nil || arrived < s.lateFrom {
 		return left
 	}
-	return max(0, min(left, s.due-arrived))
+	return max(0, min(left, s.answersDue-arrived))
 }
 
 // drain ends the service without losing a request. Clients still connect for a while, and send on what they have: so
@@ -183,23 +183,23 @@
 func (f *front) drain(served <-chan error, longest time.Duration, replaced bool) error {
 	began, now := time.Now(), f.clock.now()
 	end := began.Add(longest + exitMargin)
-	due := min(longest, killedFrom) + answerMargin
-	f.stop.Store(&stop{late: now + answerMargin, due: now + due})
-	slog.Info("stopping", "held", f.held.Load(), "replaced", replaced)
+	due := min(longest, maxStopDeadline) + answerMargin
+	f.stopLimits.Store(&stopLimits{lateFrom: now + answerMargin, answersDue: now + due})
+	slog.Info("stopping", "held", f.openRequests.Load(), "replaced", replaced)
 	f.ready.Store(false)
 	leave := func() { // nobody else can accept what waits here: only from then on no answer could reach its client
-		if err := f.clients.leave(began.Add(due)); err != nil {
+		if err := f.clients.stopListening(began.Add(due)); err != nil {
 			slog.Error("connections may be lost", "error", err)
 		}
 	}
 	if replaced {
 		leave()
 	} else {
-		f.clients.stop()
+		f.clients.startClosing()
 	}
 	time.Sleep(min(lingerTime, time.Until(end)))
 	if replaced {
-		f.clients.stop()
+		f.clients.startClosing()
 	} else {
 		leave()
 	}
@@ -214,6 +214,6 @@
 		time.Sleep(lookEvery)
 	}
 	f.loop.guard.Stop()
-	slog.Info("stopped", "held", f.held.Load())
+	slog.Info("stopped", "held", f.openRequests.Load())
 	return nil
 }
--- a/internal/sidecar/state.go
+++ b/internal/sidecar/state.go
@@ -29,7 +29,7 @@
 
 // The sections of the state and, where a section has one value, its key.
 const (
-	sectionCalls   = "calls"   // by instanceId: handed
+	sectionCalls   = "calls"   // by instanceId: operatorCall
 	sectionList    = "list"    // keptList
 	sectionLearned = "learned" // keptLearned
 	only           = "all"
@@ -143,7 +143,7 @@
 
 // keepList has the list kept as it is now, soon: whoever follows discovery must not wait for a disk. What takes servers
 // away is made durable at once.
-func (h *handover) keepList(v *versions, durable bool) {
+func (h *sharedState) keepList(v *versions, durable bool) {
 	if h.store == nil || v.top == unknown {
 		return
 	}
@@ -184,10 +184,10 @@
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	durable = durable || h.nextList != nil && h.nextList.durable
-	h.nextList = &keepNext{raw, k, durable}
+	durable = durable || h.pendingList != nil && h.pendingList.durable
+	h.pendingList = &keepNext{raw, k, durable}
 	select {
-	case h.news <- struct{}{}:
+	case h.listChanged <- struct{}{}:
 	default:
 	}
 }
@@ -203,10 +203,10 @@
 }
 
 // flushList keeps the list that came last, where no other process of this sidecar has kept a newer one.
-func (h *handover) flushList() error {
+func (h *sharedState) flushList() error {
 	h.mu.Lock()
-	next := h.nextList
-	h.nextList = nil
+	next := h.pendingList
+	h.pendingList = nil
 	h.mu.Unlock()
 	if next == nil {
 		return nil
@@ -234,15 +234,15 @@
 	if err != nil { // the folder may fail for a while: it is still to be kept, unless there is a newer one
 		h.mu.Lock()
 		defer h.mu.Unlock()
-		if h.nextList == nil {
-			h.nextList = next
+		if h.pendingList == nil {
+			h.pendingList = next
 		}
 	}
 	return err
 }
 
 // beside returns the list that this sidecar's processes have kept last, where it is another than the one before.
-func (h *handover) beside(before []byte, zones map[string]int) (k keptList, l listing, raw []byte, news bool) {
+func (h *sharedState) beside(before []byte, zones map[string]int) (k keptList, l listing, raw []byte, news bool) {
 	if h.store == nil {
 		return k, l, nil, false
 	}
@@ -255,7 +255,7 @@
 }
 
 // versions returns what a process before this one knew of the list, or else what the configuration does.
-func (h *handover) versions(cfg *Config, now time.Duration) *versions {
+func (h *sharedState) versions(cfg *Config, now time.Duration) *versions {
 	var kept keptList
 	var at time.Time
 	if h.store != nil {
@@ -267,7 +267,7 @@
 // recall begins with the newer of the list that was kept at some moment and the configuration's. Where that is the
 // configuration's as the kept one is too old to be served from, what that says against servers still holds.
 func recall(cfg *Config, kept keptList, at time.Time, now time.Duration) *versions {
-	v, known := newVersions(cfg.Discovery), cfg.Known
+	v, known := newVersions(cfg.Discovery), cfg.KnownServers
 	known.whole = true
 	l, err := listing{}, error(nil)
 	if len(kept.Answer) > 0 {
@@ -317,7 +317,7 @@
 }
 
 // learned returns what a process before this one had learned; the module judges what of it still holds.
-func (h *handover) learned() (balance.Learned, bool) {
+func (h *sharedState) learned() (balance.Learned, bool) {
 	if h.store == nil {
 		return balance.Learned{}, false
 	}
@@ -326,7 +326,7 @@
 }
 
 // keep keeps what the module learns until ctx ends, and then makes it durable. It never holds the loop up.
-func (h *handover) keep(ctx context.Context, ask func(context.Context) (balance.Learned, error)) {
+func (h *sharedState) keep(ctx context.Context, ask func(context.Context) (balance.Learned, error)) {
 	if h.store == nil {
 		return
 	}
@@ -345,7 +345,7 @@
 		}
 		failing = err != nil
 	}
-	news, rest := h.news, (<-chan time.Time)(nil)
+	news, rest := h.listChanged, (<-chan time.Time)(nil)
 	for {
 		select {
 		case <-news:
@@ -353,7 +353,7 @@
 			news, rest = nil, time.After(listEvery)
 			continue
 		case <-rest:
-			news, rest = h.news, nil
+			news, rest = h.listChanged, nil
 			continue
 		case <-tick.C:
 		case <-ctx.Done():
@@ -383,10 +383,10 @@
 }
 
 // damaged says in how many places the state was found damaged and no operator has confirmed it since.
-func (h *handover) damaged() int {
+func (h *sharedState) damaged() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	n := h.oldDamage
+	n := h.legacyDamage
 	if h.store != nil {
 		n += len(h.store.Damage().Files)
 	}
@@ -394,7 +394,7 @@
 }
 
 // confirm takes an operator's word that the servers that are out now are the right ones.
-func (h *handover) confirm() error {
+func (h *sharedState) confirm() error {
 	if h.store == nil {
 		return errors.New("there is no state")
 	}
@@ -403,12 +403,12 @@
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.oldDamage = 0
+	h.legacyDamage = 0
 	return nil
 }
 
 // bytes is the size of the state's file.
-func (h *handover) bytes() int {
+func (h *sharedState) bytes() int {
 	if h.store == nil {
 		return 0
 	}
@@ -416,16 +416,16 @@
 }
 
 // saved saves a call by hand, and waits for that only as long as a caller at the console may be kept waiting.
-func (h *handover) saved(instance string, out bool, at time.Time) error {
+func (h *sharedState) saved(instance string, out bool, at time.Time) error {
 	select {
-	case h.saves <- struct{}{}:
+	case h.pendingSaves <- struct{}{}:
 	default:
 		return errNotKept{errors.New("the disk is stuck")}
 	}
 	done := make(chan error, 1)
 	go func() {
-		defer func() { <-h.saves }()
-		done <- h.save(instance, out, at)
+		defer func() { <-h.pendingSaves }()
+		done <- h.persistCall(instance, out, at)
 	}()
 	select {
 	case err := <-done:
@@ -439,13 +439,13 @@
 }
 
 // calls returns the calls in force.
-func (h *handover) inForce() map[string]handed {
+func (h *sharedState) inForce() map[string]operatorCall {
 	if h.store == nil {
-		return maps.Clone(h.handed)
+		return maps.Clone(h.unsavedCalls)
 	}
-	all := make(map[string]handed)
+	all := make(map[string]operatorCall)
 	for instance, e := range h.store.All(sectionCalls) {
-		var c handed
+		var c operatorCall
 		if err := json.Unmarshal(e.Value, &c); err != nil {
 			slog.Error("state not read", "error", fmt.Errorf("section %s, key %s: %w", sectionCalls, instance, err))
 			continue
--- a/internal/sidecar/state_test.go
+++ b/internal/sidecar/state_test.go
@@ -20,12 +20,12 @@
 // What a process kept is what the next one goes by: the list, what was learned, and who is out.
 func TestNextProcessGoesByWhatWasKept(t *testing.T) {
 	dir := t.TempDir()
-	cfg := testConfig(t, listed(1, "ready", "127.0.0.1:1"), nil)
-	h, now := newHandover(dir, "n0"), newClock().now()
+	cfg := testConfig(t, listAnswer(1, "ready", "127.0.0.1:1"), nil)
+	h, now := newSharedState(dir, "n0"), newClock().now()
 	if v := h.versions(cfg, now); v.top != 1 || !v.watched() {
 		t.Errorf("without a kept list: version %d", v.top)
 	}
-	l, err := parseListing([]byte(listed(7, "ready", "127.0.0.1:2", "127.0.0.1:3")), cfg.Zones)
+	l, err := parseListing([]byte(listAnswer(7, "ready", "127.0.0.1:2", "127.0.0.1:3")), cfg.Zones)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -47,9 +47,9 @@
 	wait(t, "the module is asked again", asked) // so that the first answer is kept
 	stop()
 	<-done
-	h.die()
+	h.exit()
 
-	next := newHandover(dir, "n0")
+	next := newSharedState(dir, "n0")
 	if learned, ok := next.learned(); !ok || !reflect.DeepEqual(learned, told) {
 		t.Errorf("learned %+v, %v, want %+v", learned, ok, told)
 	}
@@ -66,7 +66,7 @@
 		"kept long ago":             {1, cfg.Discovery, 2 * listKept, 8, "s-0@127.0.0.1:1 out"},
 		"kept in the future":        {1, cfg.Discovery, -2 * listKept, 8, "s-0@127.0.0.1:1 out"},
 	} {
-		cfg.Known.version, cfg.Discovery = c.known, c.source
+		cfg.KnownServers.version, cfg.Discovery = c.known, c.source
 		at := newClock().now() + c.later
 		v := next.versions(cfg, at)
 		if got := wording(v.list()); got != c.want || v.top != c.top {
@@ -88,50 +88,50 @@
 	}
 	now := time.Now().UnixMilli()
 	write(fmt.Sprintf(`{"version":1,"servers":{"a":{"out":true,"atMs":%d}}}`, now))
-	h := newHandover(dir, "n0")
-	if got := h.known(); !got["a"].Out || h.damaged() != 0 {
+	h := newSharedState(dir, "n0")
+	if got := h.currentCalls(); !got["a"].Out || h.damaged() != 0 {
 		t.Errorf("known %v", got)
 	}
 	write(fmt.Sprintf(`{"version":1,"servers":{"a":{"out":false,"atMs":%d},"b":{"out":true,"atMs":%d}}}`, now+1000, now+1000))
-	if got := h.known(); got["a"].Out || !got["b"].Out { // an older process beside this one was told
+	if got := h.currentCalls(); got["a"].Out || !got["b"].Out { // an older process beside this one was told
 		t.Errorf("known %v", got)
 	}
-	if err := h.save("c", true, time.Now()); err != nil {
+	if err := h.persistCall("c", true, time.Now()); err != nil {
 		t.Fatal(err)
 	}
 	raw, err := os.ReadFile(path)
 	var old struct { // as an older program reads it
 		Version int               `json:"version"`
-		Servers map[string]handed `json:"servers"`
+		Servers map[string]operatorCall `json:"servers"`
 	}
 	if err != nil || json.Unmarshal(raw, &old) != nil || old.Version != 1 || !old.Servers["b"].Out || !old.Servers["c"].Out {
 		t.Errorf("written for older programs: %s, error %v", raw, err)
 	}
-	h.die()
+	h.exit()
 	for bit := range len(raw) * 8 { // its own file damaged takes nobody in or out, as the state has the truth
 		flipped := append([]byte(nil), raw...)
 		flipped[bit/8] ^= 1 << (bit % 8)
 		write(string(flipped))
 		if bit%64 != 0 {
-			h := &handover{state: path}
-			servers, older, err := h.older()
+			h := &sharedState{legacyPath: path}
+			servers, older, err := h.readLegacy()
 			if err == nil && older || err == nil && !reflect.DeepEqual(servers, old.Servers) {
 				t.Fatalf("bit %d: read as %v, by an older program %v", bit, servers, older)
 			}
 			continue
 		}
-		next := newHandover(dir, "n0")
-		if got := next.known(); got["a"].Out || !got["b"].Out || !got["c"].Out || len(got) != 3 {
+		next := newSharedState(dir, "n0")
+		if got := next.currentCalls(); got["a"].Out || !got["b"].Out || !got["c"].Out || len(got) != 3 {
 			t.Fatalf("bit %d: known %v", bit, got)
 		}
-		next.die()
+		next.exit()
 	}
 	bare := t.TempDir()
 	path = filepath.Join(bare, "sidecar-n0.state")
 	write(strings.Replace(string(raw), `"b"`, `"x"`, 1))
-	h = newHandover(bare, "n0")
-	if h.damaged() != 1 || len(h.known()) != 0 {
-		t.Errorf("damaged %d, known %v", h.damaged(), h.known())
+	h = newSharedState(bare, "n0")
+	if h.damaged() != 1 || len(h.currentCalls()) != 0 {
+		t.Errorf("damaged %d, known %v", h.damaged(), h.currentCalls())
 	}
 	if err := h.confirm(); err != nil || h.damaged() != 0 {
 		t.Errorf("confirmed: %v, damaged %d", err, h.damaged())
@@ -141,16 +141,16 @@
 // On the console: a damaged state is told until it is confirmed, and a call that is not kept is told apart.
 func TestConsoleTellsOfTheState(t *testing.T) {
 	s := newStub(t, echo)
-	side := start(t, nil, s.address)
-	if got := side.call(t, "show-stat\n"); !strings.Contains(got, "app.state_damaged=0\n") || strings.Contains(got, "app.state_bytes=0\n") {
+	side := startSidecar(t, nil, s.address)
+	if got := side.callConsole(t, "show-stat\n"); !strings.Contains(got, "app.state_damaged=0\n") || strings.Contains(got, "app.state_bytes=0\n") {
 		t.Errorf("figures %q", got)
 	}
-	if got := side.call(t, "confirm-state\n"); !strings.HasPrefix(got, "200 ") {
+	if got := side.callConsole(t, "confirm-state\n"); !strings.HasPrefix(got, "200 ") {
 		t.Errorf("confirmed: %q", got)
 	}
-	c := &console{server: func(context.Context, string, bool) error { return errNotKept{os.ErrDeadlineExceeded} }}
+	c := &console{setServer: func(context.Context, string, bool) error { return errNotKept{os.ErrDeadlineExceeded} }}
 	var out strings.Builder
-	c.call(context.Background(), &out, []string{"disable-server", "x"})
+	c.execute(context.Background(), &out, []string{"disable-server", "x"})
 	if !strings.HasPrefix(out.String(), "202 ") || strings.Count(out.String(), "\n") != 1 {
 		t.Errorf("not kept: %q", &out)
 	}
@@ -203,36 +203,36 @@
 func TestStuckDiskHoldsNothingUp(t *testing.T) {
 	s := newStub(t, echo)
 	d := &stuckDisk{free: make(chan struct{}), waits: make(chan struct{}, 1)}
-	side := startOn(t, d, nil, s.address)
-	if got := side.call(t, "ready\n"); !strings.HasPrefix(got, "200 ") {
+	side := startSidecarOnDisk(t, d, nil, s.address)
+	if got := side.callConsole(t, "ready\n"); !strings.HasPrefix(got, "200 ") {
 		t.Fatalf("ready: %q", got)
 	}
 	d.stuck.Store(true)
-	if got := side.call(t, "disable-server s-9\n"); !strings.HasPrefix(got, "400 ") {
+	if got := side.callConsole(t, "disable-server s-9\n"); !strings.HasPrefix(got, "400 ") {
 		t.Errorf("of a server that there is not: %q", got)
 	}
-	if got := side.call(t, "disable-server s-0\n"); !strings.HasPrefix(got, "202 ") {
+	if got := side.callConsole(t, "disable-server s-0\n"); !strings.HasPrefix(got, "202 ") {
 		t.Errorf("not kept: %q", got)
 	}
 	wait(t, "a sync that hangs", d.waits)
-	if got := side.call(t, "enable-server s-0\n"); !strings.HasPrefix(got, "202 ") {
+	if got := side.callConsole(t, "enable-server s-0\n"); !strings.HasPrefix(got, "202 ") {
 		t.Errorf("not kept: %q", got)
 	}
 	for range 20 {
-		if res, _ := do(t, side.request(t, "GET", "/look", "")); res.StatusCode != 200 {
+		if res, _ := sendRequest(t, side.newRequest(t, "GET", "/look", "")); res.StatusCode != 200 {
 			t.Errorf("a request while the disk hangs: %d", res.StatusCode)
 		}
 	}
-	if got := side.call(t, "ready\n"); !strings.HasPrefix(got, "200 ") {
+	if got := side.callConsole(t, "ready\n"); !strings.HasPrefix(got, "200 ") {
 		t.Errorf("ready while the disk hangs: %q", got)
 	}
-	if got := side.call(t, "show-stat\n"); !strings.Contains(got, "app.members=1\napp.members_unavailable=0\n") {
+	if got := side.callConsole(t, "show-stat\n"); !strings.Contains(got, "app.members=1\napp.members_unavailable=0\n") {
 		t.Errorf("figures while the disk hangs: %q", got)
 	}
 	d.stuck.Store(false)
 	close(d.free)
 	for got := ""; !strings.HasPrefix(got, "200 "); {
-		got = side.call(t, "disable-server s-0\n")
+		got = side.callConsole(t, "disable-server s-0\n")
 	}
 	side.stop()
 	if err := wait(t, "the end", side.ended); err != nil {
@@ -256,24 +256,24 @@
 // Calls in a folder that can't be read as a process begins are taken in once it can be.
 func TestUnreadCallsAreTakenInLater(t *testing.T) {
 	dir := t.TempDir()
-	before := newHandover(dir, "n0")
-	if err := before.save("s-1", true, time.Now()); err != nil {
+	before := newSharedState(dir, "n0")
+	if err := before.persistCall("s-1", true, time.Now()); err != nil {
 		t.Fatal(err)
 	}
-	before.die()
+	before.exit()
 	if err := os.Remove(filepath.Join(dir, "sidecar-n0.state")); err != nil { // the copy for older programs
 		t.Fatal(err)
 	}
 	disk := blindFS{blind: new(atomic.Bool)}
 	disk.blind.Store(true)
-	h := openHandover(dir, "n0", store.Options{FS: disk})
-	if len(h.known()) > 0 {
+	h := openSharedState(dir, "n0", store.Options{FS: disk})
+	if len(h.currentCalls()) > 0 {
 		t.Fatal("the folder could be read")
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	heard := make(chan map[string]handed, 100)
-	go h.watch(ctx, 1, func(int) {}, func(calls map[string]handed) { heard <- calls })
+	heard := make(chan map[string]operatorCall, 100)
+	go h.watchProcesses(ctx, 1, func(int) {}, func(calls map[string]operatorCall) { heard <- calls })
 	disk.blind.Store(false)
 	for !wait(t, "the call", heard)["s-1"].Out {
 	}
--- a/internal/sidecar/stream.go
+++ b/internal/sidecar/stream.go
@@ -139,7 +139,7 @@
 		until = s.last
 	}
 	_ = s.conn.SetWriteDeadline(until) // fails only on a closed connection
-	return writeThrough(s.conn, b)
+	return writeRetrying(s.conn, b)
 }
 
 // piecePool has the buffers that long answers go through.
@@ -184,7 +184,7 @@
 
 // waitForMore sets by when the next bytes have to come. The caller holds the lock.
 func (s *stream) waitForMore() {
-	_ = s.c.SetReadDeadline(s.clock.at(s.pace.Wait(s.clock.now()))) // fails only on a closed connection, as the read then does
+	_ = s.c.SetReadDeadline(s.clock.toTime(s.pace.Wait(s.clock.now()))) // fails only on a closed connection, as the read then does
 }
 
 // run reads the answer from its connection. One that ends before it has begun is returned whole; else begin hears
--- a/internal/sidecar/stream_test.go
+++ b/internal/sidecar/stream_test.go
@@ -58,13 +58,13 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			s := newStub(t, func(c net.Conn, r received) bool { return answer(c, r.body) == nil })
-			side := start(t, nil, s.address)
-			if res, got := do(t, side.request(t, "POST", "/entry", string(body))); res.StatusCode != 200 || got != string(body) {
+			s := newStub(t, func(c net.Conn, r stubRequest) bool { return answer(c, r.body) == nil })
+			side := startSidecar(t, nil, s.address)
+			if res, got := sendRequest(t, side.newRequest(t, "POST", "/entry", string(body))); res.StatusCode != 200 || got != string(body) {
 				t.Errorf("by length: %s with %d bytes, want the %d sent", res.Status, len(got), len(body))
 			}
 			c := side.dial(t)
-			if _, err := io.WriteString(c, head("1", "Transfer-Encoding: chunked\r\nExpect: 100-continue")); err != nil {
+			if _, err := io.WriteString(c, requestHead("1", "Transfer-Encoding: chunked\r\nExpect: 100-continue")); err != nil {
 				t.Fatal(err)
 			}
 			r := bufio.NewReader(c)
@@ -81,7 +81,7 @@
 			if got, err := io.ReadAll(res.Body); err != nil || !bytes.Equal(got, body) {
 				t.Errorf("in chunks: %s with %d bytes, error %v, want the %d sent", res.Status, len(got), err, len(body))
 			}
-			side.figures(t, map[string]string{"downstream_requests.entry.completed": "2", "pending": "0"})
+			side.waitForStats(t, map[string]string{"downstream_requests.entry.completed": "2", "pending": "0"})
 		})
 	}
 }
@@ -96,7 +96,7 @@
 			t.Run(fmt.Sprint(name, " whole ", whole), func(t *testing.T) {
 				t.Parallel()
 				heard := make(chan struct{})
-				s := newStub(t, func(conn net.Conn, r received) bool {
+				s := newStub(t, func(conn net.Conn, r stubRequest) bool {
 					_, _ = fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\n%s\r\n\r\n%s", c.head, c.first)
 					<-heard
 					_, err := io.WriteString(conn, c.rest[:len(c.rest)-1])
@@ -107,8 +107,8 @@
 					return false
 				})
 				// The deadline passes while the answer is under way: that doesn't end it.
-				side := start(t, nil, s.address)
-				res, err := http.DefaultClient.Do(side.request(t, "POST", "/entry", "1"))
+				side := startSidecar(t, nil, s.address)
+				res, err := http.DefaultClient.Do(side.newRequest(t, "POST", "/entry", "1"))
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -117,13 +117,13 @@
 				if _, err := io.ReadFull(res.Body, first); err != nil || string(first) != "first" {
 					t.Fatalf("%q, error %v", first, err)
 				}
-				side.figures(t, map[string]string{"pending": "1"})
+				side.waitForStats(t, map[string]string{"pending": "1"})
 				close(heard)
 				if _, err := io.ReadAll(res.Body); (err == nil) != whole {
 					t.Errorf("the answer ends with %v", err)
 				}
 				outcome := map[bool]string{true: "completed", false: "failed"}[whole]
-				side.figures(t, map[string]string{"downstream_requests.entry." + outcome: "1", "pending": "0"})
+				side.waitForStats(t, map[string]string{"downstream_requests.entry." + outcome: "1", "pending": "0"})
 			})
 		}
 	}
@@ -132,7 +132,7 @@
 // A client that leaves in the middle of a long answer ends it at its server too, whose answer has no end.
 func TestClientLeavesLongAnswer(t *testing.T) {
 	ended := make(chan struct{})
-	s := newStub(t, func(c net.Conn, r received) bool {
+	s := newStub(t, func(c net.Conn, r stubRequest) bool {
 		_, err := io.WriteString(c, "HTTP/1.1 200 OK\r\n\r\n")
 		for err == nil {
 			_, err = c.Write(long(10000))
@@ -140,9 +140,9 @@
 		close(ended)
 		return false
 	})
-	side := start(t, nil, s.address)
+	side := startSidecar(t, nil, s.address)
 	c := side.dial(t)
-	if _, err := io.WriteString(c, head("1", "Content-Length: 0")); err != nil {
+	if _, err := io.WriteString(c, requestHead("1", "Content-Length: 0")); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := io.ReadFull(c, make([]byte, 1<<20)); err != nil {
@@ -150,7 +150,7 @@
 	}
 	c.Close()
 	wait(t, "the end at its server", ended)
-	side.figures(t, map[string]string{"pending": "0"})
+	side.waitForStats(t, map[string]string{"pending": "0"})
 }
 
 // A body that can't be sent again is sent once; one of which nothing has gone by is sent to the next server.
@@ -175,9 +175,9 @@
 		}()
 		return l.Addr().String()
 	}
-	side := start(t, nil, breaks(), breaks())
+	side := startSidecar(t, nil, breaks(), breaks())
 	body := string(long(8 << 20))
-	res, _ := do(t, side.request(t, "POST", "/entry", body))
+	res, _ := sendRequest(t, side.newRequest(t, "POST", "/entry", body))
 	if res.StatusCode != http.StatusServiceUnavailable || reached.Load() != 1 {
 		t.Errorf("%s after %d attempts, want 503 after one: it was never written whole", res.Status, reached.Load())
 	}
@@ -187,10 +187,10 @@
 		t.Fatal(err)
 	}
 	refuses.Close()
-	s := newStub(t, func(c net.Conn, r received) bool { return ok(c, fmt.Sprint(len(r.body))) })
-	side = start(t, nil, refuses.Addr().String(), s.address)
+	s := newStub(t, func(c net.Conn, r stubRequest) bool { return ok(c, fmt.Sprint(len(r.body))) })
+	side = startSidecar(t, nil, refuses.Addr().String(), s.address)
 	for range 4 { // the turns reach both
-		if res, got := do(t, side.request(t, "POST", "/entry", body)); res.StatusCode != 200 || got != fmt.Sprint(len(body)) {
+		if res, got := sendRequest(t, side.newRequest(t, "POST", "/entry", body)); res.StatusCode != 200 || got != fmt.Sprint(len(body)) {
 			t.Errorf("%s %q, want 200 and %d", res.Status, got, len(body))
 		}
 	}
@@ -198,16 +198,16 @@
 
 // A request refused while its body still comes has its whole answer at once.
 func TestRefusedInTheMiddleOfItsBody(t *testing.T) {
-	side := start(t, func(_, settings map[string]any) {
+	side := startSidecar(t, func(_, settings map[string]any) {
 		settings["caps"].(map[string]any)["max_open"] = 1.0
-	}, newStub(t, silent).address)
+	}, newStub(t, neverAnswer).address)
 	c, first := side.dial(t), side.dial(t)
-	if _, err := io.WriteString(first, head("1", "Content-Length: 0")); err != nil {
+	if _, err := io.WriteString(first, requestHead("1", "Content-Length: 0")); err != nil {
 		t.Fatal(err)
 	}
-	side.figures(t, map[string]string{"pending": "1"})
+	side.waitForStats(t, map[string]string{"pending": "1"})
 	body := long(1 << 20)
-	if _, err := io.WriteString(c, head("2", fmt.Sprintf("Content-Length: %d", len(body)))+string(body[:bodyHeld])); err != nil {
+	if _, err := io.WriteString(c, requestHead("2", fmt.Sprintf("Content-Length: %d", len(body)))+string(body[:bodyHeld])); err != nil {
 		t.Fatal(err)
 	}
 	r := bufio.NewReader(c)
@@ -228,10 +228,10 @@
 	for name, size := range map[string]int{"held": 100, "long": 200 << 10} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			s := newStub(t, func(c net.Conn, r received) bool { return ok(c, fmt.Sprint(len(r.body))) })
-			side := start(t, nil, s.address)
+			s := newStub(t, func(c net.Conn, r stubRequest) bool { return ok(c, fmt.Sprint(len(r.body))) })
+			side := startSidecar(t, nil, s.address)
 			c := side.dial(t)
-			first := strings.Replace(head("1", fmt.Sprintf("Content-Length: %d", size)), "X-Timeout: 20000m", "X-Timeout: 1300m", 1)
+			first := strings.Replace(requestHead("1", fmt.Sprintf("Content-Length: %d", size)), "X-Timeout: 20000m", "X-Timeout: 1300m", 1)
 			if !strings.Contains(first, "1300m") {
 				t.Fatalf("head %q", first)
 			}
@@ -273,11 +273,11 @@
 
 // After a storm of connections cut at every point, nothing of them is left.
 func TestNothingStaysBehindAStorm(t *testing.T) {
-	s := newStub(t, func(c net.Conn, r received) bool {
+	s := newStub(t, func(c net.Conn, r stubRequest) bool {
 		_, err := fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: 300000\r\n\r\n%s", long(300000))
 		return err == nil
 	})
-	side := start(t, nil, s.address)
+	side := startSidecar(t, nil, s.address)
 	descriptors := func() int {
 		all, err := os.ReadDir("/proc/self/fd")
 		if err != nil {
@@ -285,9 +285,9 @@
 		}
 		return len(all)
 	}
-	do(t, side.request(t, "POST", "/entry", "1"))
+	sendRequest(t, side.newRequest(t, "POST", "/entry", "1"))
 	goroutines, files := runtime.NumGoroutine(), descriptors()
-	whole := head("1", "Content-Length: 200000") + string(long(200000))
+	whole := requestHead("1", "Content-Length: 200000") + string(long(200000))
 	for i := range 60 {
 		c := side.dial(t)
 		part := whole
@@ -304,7 +304,7 @@
 		c.Close()
 	}
 	const some = 12 // kept connections to the server, timers
-	for end := time.Now().Add(generous); ; time.Sleep(20 * time.Millisecond) {
+	for end := time.Now().Add(testTimeout); ; time.Sleep(20 * time.Millisecond) {
 		g, f := runtime.NumGoroutine(), descriptors()
 		if g <= goroutines+some && f <= files+some {
 			break
@@ -313,11 +313,11 @@
 			t.Fatalf("%d goroutines and %d descriptors, %d and %d before", g, f, goroutines, files)
 		}
 	}
-	side.figures(t, map[string]string{"pending": "0"})
-	ctx, cancel := context.WithTimeout(context.Background(), generous)
+	side.waitForStats(t, map[string]string{"pending": "0"})
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	for status := 0; status != http.StatusOK; {
-		res, err := http.DefaultClient.Do(side.request(t, "POST", "/entry", "1").WithContext(ctx))
+		res, err := http.DefaultClient.Do(side.newRequest(t, "POST", "/entry", "1").WithContext(ctx))
 		if err != nil {
 			t.Fatalf("error %v, want 200", err)
 		}
--- a/internal/sidecar/stub_test.go
+++ b/internal/sidecar/stub_test.go
@@ -17,10 +17,10 @@
 )
 
 // generous bounds every wait: tests wait for events, and only a broken program waits this long.
-const generous = 20 * time.Second
+const testTimeout = 20 * time.Second
 
 // received is a request as a stub upstream read it.
-type received struct {
+type stubRequest struct {
 	*http.Request
 	uri  string
 	body string
@@ -31,18 +31,18 @@
 // that returns false the connection is closed.
 type stub struct {
 	address string
-	seen    chan received
+	requests    chan stubRequest
 	closed  chan int // connections that the other side has closed or that broke
 }
 
-func newStub(t *testing.T, answer func(c net.Conn, r received) bool) *stub {
+func newStub(t *testing.T, answer func(c net.Conn, r stubRequest) bool) *stub {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { l.Close() })
-	s := &stub{address: l.Addr().String(), seen: make(chan received, 1000), closed: make(chan int, 1000)}
+	s := &stub{address: l.Addr().String(), requests: make(chan stubRequest, 1000), closed: make(chan int, 1000)}
 	go func() {
 		for n := 0; ; n++ {
 			c, err := l.Accept()
@@ -55,7 +55,7 @@
 	return s
 }
 
-func (s *stub) serve(c net.Conn, n int, answer func(net.Conn, received) bool) {
+func (s *stub) serve(c net.Conn, n int, answer func(net.Conn, stubRequest) bool) {
 	defer c.Close()
 	r := bufio.NewReader(c)
 	for {
@@ -69,9 +69,9 @@
 			s.closed <- n
 			return
 		}
-		got := received{req, req.RequestURI, string(body), n}
+		got := stubRequest{req, req.RequestURI, string(body), n}
 		if req.Header.Get("X-Request-ID") != "" {
-			s.seen <- got
+			s.requests <- got
 		}
 		if !answer(c, got) {
 			return
@@ -86,10 +86,10 @@
 }
 
 // echo answers with the request's own id.
-func echo(c net.Conn, r received) bool { return ok(c, "done "+r.Header.Get("X-Request-ID")) }
+func echo(c net.Conn, r stubRequest) bool { return ok(c, "done "+r.Header.Get("X-Request-ID")) }
 
 // silent never answers.
-func silent(net.Conn, received) bool { return true }
+func neverAnswer(net.Conn, stubRequest) bool { return true }
 
 // wait returns what comes on a channel.
 func wait[T any](t *testing.T, what string, c <-chan T) T {
@@ -97,7 +97,7 @@
 	select {
 	case v := <-c:
 		return v
-	case <-time.After(generous):
+	case <-time.After(testTimeout):
 		t.Fatalf("waited in vain for %s", what)
 		panic("not reached")
 	}
@@ -114,7 +114,7 @@
  "telemetry":{"how":"pull","columns":["failed_ps","svc_ms","served_ps","busy_reqs"]}}`
 
 // listed is discovery's answer for some addresses.
-func listed(generation int, lifecycle string, addresses ...string) string {
+func listAnswer(generation int, lifecycle string, addresses ...string) string {
 	var entries []string
 	for i, a := range addresses {
 		entries = append(entries, fmt.Sprintf(
@@ -151,23 +151,23 @@
 }
 
 // running is a whole sidecar over loopback.
-type running struct {
+type testSidecar struct {
 	url   string
-	door  string // the console's address
+	consoleAddress  string // the console's address
 	stop  func()
 	ended chan error
 }
 
 // start serves with the stubs' addresses as the list of servers, which discovery repeats.
-func start(t *testing.T, edit func(file, settings map[string]any), addresses ...string) *running {
+func startSidecar(t *testing.T, edit func(file, settings map[string]any), addresses ...string) *testSidecar {
 	t.Helper()
-	return startOn(t, nil, edit, addresses...)
+	return startSidecarOnDisk(t, nil, edit, addresses...)
 }
 
 // startOn is start with the state on a disk of the test's.
-func startOn(t *testing.T, disk store.FS, edit func(file, settings map[string]any), addresses ...string) *running {
+func startSidecarOnDisk(t *testing.T, disk store.FS, edit func(file, settings map[string]any), addresses ...string) *testSidecar {
 	t.Helper()
-	list := listed(1, "ready", addresses...)
+	list := listAnswer(1, "ready", addresses...)
 	d := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.RawQuery != "" { // a watch: nothing changes
 			<-r.Context().Done()
@@ -182,12 +182,12 @@
 			edit(file, settings)
 		}
 	})
-	cfg.Shared, cfg.State.FS = t.TempDir(), disk
-	return startWith(t, cfg)
+	cfg.SharedDir, cfg.State.FS = t.TempDir(), disk
+	return startSidecarWith(t, cfg)
 }
 
 // startWith serves by a configuration.
-func startWith(t *testing.T, cfg *Config) *running {
+func startSidecarWith(t *testing.T, cfg *Config) *testSidecar {
 	t.Helper()
 	l, err := listen(context.Background(), cfg.Listen, true)
 	if err != nil {
@@ -198,7 +198,7 @@
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	s := &running{url: "http://" + l.Addr().String(), door: door.Addr().String(), stop: cancel, ended: make(chan error, 1)}
+	s := &testSidecar{url: "http://" + l.Addr().String(), consoleAddress: door.Addr().String(), stop: cancel, ended: make(chan error, 1)}
 	go func() { s.ended <- serve(ctx, cfg, func() (clientListener, error) { return l, nil }, door, nil) }()
 	t.Cleanup(func() {
 		cancel()
@@ -208,7 +208,7 @@
 }
 
 // request is a usable request of a class; change edits it before it is sent.
-func (s *running) request(t *testing.T, method, path, body string, headers ...string) *http.Request {
+func (s *testSidecar) newRequest(t *testing.T, method, path, body string, headers ...string) *http.Request {
 	t.Helper()
 	req, err := http.NewRequest(method, s.url+path, strings.NewReader(body))
 	if err != nil {
@@ -231,9 +231,9 @@
 }
 
 // do sends a request on a connection of its own and returns the answer with its body.
-func do(t *testing.T, req *http.Request) (*http.Response, string) {
+func sendRequest(t *testing.T, req *http.Request) (*http.Response, string) {
 	t.Helper()
-	client := http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: generous}
+	client := http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: testTimeout}
 	res, err := client.Do(req)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/sidecar/trace.go
+++ b/internal/sidecar/trace.go
@@ -45,7 +45,7 @@
 // trace tells the log and the counters what becomes of each request, by its id. Ordinary steps are at level debug;
 // requests that end with no answer are at level info, at a bounded rate. Its methods are safe for concurrent use.
 type trace struct {
-	lines      *rate.Limiter
+	limiter      *rate.Limiter
 	unlogged   atomic.Uint64 // lines left out by the limiter
 	closes     [closeReasons]atomic.Uint64
 	refusals   []atomic.Uint64 // by balance.Reason
@@ -55,14 +55,14 @@
 
 func newTrace() *trace {
 	return &trace{
-		lines:    rate.NewLimiter(tracedPerSecond, tracedAtOnce),
+		limiter:    rate.NewLimiter(tracedPerSecond, tracedAtOnce),
 		refusals: make([]atomic.Uint64, len(balance.Reasons())), failures: make([]atomic.Uint64, len(balance.Reasons())),
 		retryAfter: make([]atomic.Uint64, balance.NotSent+1),
 	}
 }
 
 // step logs an ordinary step in the life of a request.
-func (t *trace) step(what, id string, attributes ...slog.Attr) {
+func (t *trace) logStep(what, id string, attributes ...slog.Attr) {
 	logger := slog.Default()
 	if !logger.Enabled(context.Background(), slog.LevelDebug) {
 		return
@@ -71,12 +71,12 @@
 }
 
 // closed counts the end of a client's connection that no answer ended.
-func (t *trace) closed(why closeReason) { t.closes[why].Add(1) }
+func (t *trace) countClose(why closeReason) { t.closes[why].Add(1) }
 
 // unanswered counts and logs the end of a request that had no whole answer.
 func (t *trace) unanswered(id string, why closeReason, age time.Duration) {
-	t.closed(why)
-	if !t.lines.Allow() {
+	t.countClose(why)
+	if !t.limiter.Allow() {
 		t.unlogged.Add(1)
 		return
 	}
@@ -84,23 +84,23 @@
 }
 
 // refused counts and logs a refusal that the decision module made.
-func (t *trace) refused(id string, why balance.Reason, attempts int) {
+func (t *trace) logRefused(id string, why balance.Reason, attempts int) {
 	t.refusals[why].Add(1)
-	t.step("request refused", id, slog.String("why", why.String()), slog.Int("attempts", attempts))
+	t.logStep("request refused", id, slog.String("why", why.String()), slog.Int("attempts", attempts))
 }
 
 // gaveUp counts and logs a failure that the decision module made.
-func (t *trace) gaveUp(id string, why balance.Reason, attempts int) {
+func (t *trace) logFailed(id string, why balance.Reason, attempts int) {
 	t.failures[why].Add(1)
-	t.step("request failed", id, slog.String("why", why.String()), slog.Int("attempts", attempts))
+	t.logStep("request failed", id, slog.String("why", why.String()), slog.Int("attempts", attempts))
 }
 
 // attempt logs an attempt, and counts it by the ending of the one before where there was one.
-func (t *trace) attempt(id string, number int, before balance.Ending, address string, timeout time.Duration) {
+func (t *trace) logAttempt(id string, number int, before balance.Ending, address string, timeout time.Duration) {
 	if number > 0 && before >= 0 && int(before) < len(t.retryAfter) {
 		t.retryAfter[before].Add(1)
 	}
-	t.step("attempt", id, slog.Int("number", number), slog.String("address", address), slog.Duration("timeout", timeout))
+	t.logStep("attempt", id, slog.Int("number", number), slog.String("address", address), slog.Duration("timeout", timeout))
 }
 
 // stat writes the counters among the figures of the console.
@@ -140,7 +140,7 @@
 
 // logViolation logs a breach of an invariant.
 func logViolation(v guard.Violation) {
-	slog.Error("invariant violated", "rule", v.Rule.String(), "id", v.Name, "what", v.Text)
+	slog.Error("invariant violated", "rule", v.Rule.String(), "id", v.RequestID, "what", v.Detail)
 }
 
 // guardStat writes a guard's counters among the figures of the console.
--- a/internal/sidecar/upstream.go
+++ b/internal/sidecar/upstream.go
@@ -56,7 +56,7 @@
 }
 
 // over tells whether nothing may be sent any more, as nobody is known to wait for the answer.
-func (m *message) over() bool { return m != nil && m.presence != nil && m.presence() != present }
+func (m *message) over() bool { return m != nil && m.presence != nil && m.presence() != clientPresent }
 
 // spent tells whether the message can't be sent again, as part of its body is gone.
 func (m *message) spent() bool { return m.rest != nil && m.rest.taken.Load() }
@@ -123,10 +123,10 @@
 
 func newUpstream(cfg *Config, c clock) *upstream {
 	u := &upstream{
-		clock: c, dialTimeout: cfg.DialTimeout, reports: cfg.Reports, columns: cfg.Columns,
+		clock: c, dialTimeout: cfg.DialTimeout, reports: cfg.LoadReportFields, columns: cfg.LoadReportColumns,
 		// Well before the server closes it: a request written from then on would end as a reset.
-		keep:      cfg.ConnIdle - min(idleMargin, cfg.ConnIdle/4),
-		most:      cfg.upstreamConns(1),
+		keep:      cfg.UpstreamIdleTimeout - min(idleMargin, cfg.UpstreamIdleTimeout/4),
+		most:      cfg.upstreamConnLimit(1),
 		probePath: "/alive",
 		yield:     func(int) bool { return true },
 		room:      func(int) bool { return true },
@@ -339,7 +339,7 @@
 func (u *upstream) receive(
 	x *exchange, c *conn, req *http.Request, until time.Duration, begin func(*http.Response, *stream),
 ) (res *http.Response, body []byte, err error) {
-	_ = c.SetDeadline(u.clock.at(until)) // fails only on a closed connection, as the read then does
+	_ = c.SetDeadline(u.clock.toTime(until)) // fails only on a closed connection, as the read then does
 	if res, err = c.head(req); err != nil {
 		return res, nil, err
 	}
@@ -379,7 +379,7 @@
 	if m != nil && m.rest != nil {
 		last := time.Time{}
 		if x.by > 0 {
-			last = u.clock.at(x.by)
+			last = u.clock.toTime(x.by)
 		}
 		out := bufio.NewWriterSize(steady{c, last}, pieceSize)
 		if err := req.Write(out); err != nil {
@@ -401,8 +401,8 @@
 	if err := req.Write(&out); err != nil {
 		return 0, err
 	}
-	_ = c.SetDeadline(u.clock.at(x.bound(until))) // fails only on a closed connection, as the write then does
-	if _, err := writeThrough(c, out.Bytes()); err != nil {
+	_ = c.SetDeadline(u.clock.toTime(x.bound(until))) // fails only on a closed connection, as the write then does
+	if _, err := writeRetrying(c, out.Bytes()); err != nil {
 		return 0, err
 	}
 	if m != nil {
--- a/internal/sidecar/upstream_test.go
+++ b/internal/sidecar/upstream_test.go
@@ -17,7 +17,7 @@
 )
 
 func testUpstream(t *testing.T) *upstream {
-	return newUpstream(testConfig(t, listed(1, "ready"), nil), newClock())
+	return newUpstream(testConfig(t, listAnswer(1, "ready"), nil), newClock())
 }
 
 func testMessage(id string) *message {
@@ -74,7 +74,7 @@
 		"broken":              {"", balance.Broken, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := newStub(t, func(conn net.Conn, r received) bool {
+			s := newStub(t, func(conn net.Conn, r stubRequest) bool {
 				if r.conn > 0 {
 					return ok(conn, "again")
 				}
@@ -85,7 +85,7 @@
 				return c.kept || name == "bytes left over" || name == "to be closed" || name == "headers without end"
 			})
 			u := testUpstream(t)
-			if got := attempt(t, u, s.address, "1", generous); got.ending != c.ending {
+			if got := attempt(t, u, s.address, "1", testTimeout); got.ending != c.ending {
 				t.Fatalf("ending %v, want %v", got.ending, c.ending)
 			} else if got.ending == balance.Served && string(got.body) != "hi" {
 				t.Fatalf("body %q, want hi", got.body)
@@ -93,8 +93,8 @@
 			if idle := len(u.idle[s.address]); idle != 0 != c.kept || u.open != idle {
 				t.Errorf("%d connections idle, %d open, want one kept: %v", idle, u.open, c.kept)
 			}
-			if len(s.seen) != 1 {
-				t.Errorf("the upstream had %d requests, want one", len(s.seen))
+			if len(s.requests) != 1 {
+				t.Errorf("the upstream had %d requests, want one", len(s.requests))
 			}
 		})
 	}
@@ -103,16 +103,16 @@
 // A kept connection that breaks behind the request's last byte: it may have run, so it must not be
 // sent again by anything but the module. http.Transport does, also for a POST with Idempotency-Key.
 func TestNothingIsSentAgain(t *testing.T) {
-	s := newStub(t, func(c net.Conn, r received) bool {
+	s := newStub(t, func(c net.Conn, r stubRequest) bool {
 		return r.Header.Get("X-Request-ID") == "1" && ok(c, "hi")
 	})
 	u := testUpstream(t)
-	attempt(t, u, s.address, "1", generous)
-	if got := attempt(t, u, s.address, "2", generous); got.ending != balance.Broken {
+	attempt(t, u, s.address, "1", testTimeout)
+	if got := attempt(t, u, s.address, "2", testTimeout); got.ending != balance.Broken {
 		t.Fatalf("ending %v, want %v", got.ending, balance.Broken)
 	}
-	if first, second := wait(t, "1", s.seen), wait(t, "2", s.seen); first.conn != second.conn || len(s.seen) > 0 {
-		t.Fatalf("connections %d and %d, %d more requests; want one connection and no more", first.conn, second.conn, len(s.seen))
+	if first, second := wait(t, "1", s.requests), wait(t, "2", s.requests); first.conn != second.conn || len(s.requests) > 0 {
+		t.Fatalf("connections %d and %d, %d more requests; want one connection and no more", first.conn, second.conn, len(s.requests))
 	}
 }
 
@@ -121,7 +121,7 @@
 func TestStaleConnectionIsNotUsed(t *testing.T) {
 	hangUp := make(chan struct{})
 	gone := make(chan struct{})
-	s := newStub(t, func(c net.Conn, r received) bool {
+	s := newStub(t, func(c net.Conn, r stubRequest) bool {
 		answered := echo(c, r)
 		if r.conn == 0 {
 			<-hangUp
@@ -132,15 +132,15 @@
 	})
 	u := testUpstream(t)
 	u.unrested() // nobody waits for one that is closed to rest
-	attempt(t, u, s.address, "1", generous)
+	attempt(t, u, s.address, "1", testTimeout)
 	close(hangUp)
 	wait(t, "the server to close", gone)
-	for end := time.Now().Add(generous); u.idle[s.address][0].usable(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); u.idle[s.address][0].usable(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) { // the news has long crossed the loopback
 			t.Fatal("the closed connection passes for usable")
 		}
 	}
-	if got := attempt(t, u, s.address, "2", generous); got.ending != balance.Served {
+	if got := attempt(t, u, s.address, "2", testTimeout); got.ending != balance.Served {
 		t.Fatalf("ending %v, want %v", got.ending, balance.Served)
 	}
 	if u.stale != 1 || u.dialled != 2 || u.open != 1 {
@@ -159,7 +159,7 @@
 // untilIdle waits until so many connections to an address are idle.
 func (u *upstream) untilIdle(t *testing.T, address string, n int) {
 	t.Helper()
-	for end, there := time.Now().Add(generous), -1; there != n; time.Sleep(time.Millisecond) {
+	for end, there := time.Now().Add(testTimeout), -1; there != n; time.Sleep(time.Millisecond) {
 		u.mu.Lock()
 		there = len(u.idle[address])
 		u.mu.Unlock()
@@ -176,7 +176,7 @@
 	const more = "HTTP/1.1 503 No\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n"
 	for _, spare := range []bool{true, false} {
 		first := make(chan net.Conn, 1)
-		s := newStub(t, func(c net.Conn, r received) bool {
+		s := newStub(t, func(c net.Conn, r stubRequest) bool {
 			if r.conn == 0 && r.Header.Get("X-Request-ID") == "1" {
 				first <- c
 			} else if r.conn == 0 { // with no pause the request is here before the second answer
@@ -187,9 +187,9 @@
 		u := testUpstream(t)
 		u.room = func(int) bool { return spare }
 		waits, quiet := u.unrested()
-		attempt(t, u, s.address, "1", generous)
+		attempt(t, u, s.address, "1", testTimeout)
 		kept, done := u.idle[s.address][0], make(chan result, 2)
-		u.send(s.address, testMessage("2"), u.clock.now()+generous, 0, u.clock.now()+generous, func(r result) { done <- r })
+		u.send(s.address, testMessage("2"), u.clock.now()+testTimeout, 0, u.clock.now()+testTimeout, func(r result) { done <- r })
 		select {
 		case <-waits:
 			if spare {
@@ -198,7 +198,7 @@
 			if _, err := wait(t, "the first connection", first).Write([]byte(more)); err != nil {
 				t.Fatal(err)
 			}
-			for end := time.Now().Add(generous); kept.usable(); time.Sleep(time.Millisecond) {
+			for end := time.Now().Add(testTimeout); kept.usable(); time.Sleep(time.Millisecond) {
 				if time.Now().After(end) {
 					t.Fatal("the second answer has not come")
 				}
@@ -206,7 +206,7 @@
 			close(quiet)
 		case r := <-done:
 			done <- r
-		case <-time.After(generous):
+		case <-time.After(testTimeout):
 			t.Fatal("the second request neither waits nor ends")
 		}
 		if r := wait(t, "its end", done); r.ending != balance.Served || string(r.body) != "done 2" {
@@ -239,8 +239,8 @@
 			s := newStub(t, echo)
 			u := testUpstream(t)
 			waits, quiet := u.unrested()
-			attempt(t, u, s.address, "1", generous)
-			wait(t, "1", s.seen)
+			attempt(t, u, s.address, "1", testTimeout)
+			wait(t, "1", s.requests)
 			first := u.idle[s.address][0]
 			dialled, up := make(chan struct{}, 10), make(chan error, 10)
 			dial := u.dial
@@ -255,7 +255,7 @@
 				c.edit(u)
 			}
 			done := make(chan result, 2)
-			x := u.send(s.address, testMessage("2"), u.clock.now()+generous, 0, u.clock.now()+generous, func(r result) { done <- r })
+			x := u.send(s.address, testMessage("2"), u.clock.now()+testTimeout, 0, u.clock.now()+testTimeout, func(r result) { done <- r })
 			wait(t, "the request to wait", waits)
 			want := balance.Served
 			if c.dialled > 1 {
@@ -265,7 +265,7 @@
 			case "opened": // the next request goes over it, before the one that waits
 				up <- nil
 				u.untilIdle(t, s.address, 1)
-				if got := attempt(t, u, s.address, "3", generous); got.ending != balance.Served || wait(t, "3", s.seen).conn != 1 {
+				if got := attempt(t, u, s.address, "3", testTimeout); got.ending != balance.Served || wait(t, "3", s.requests).conn != 1 {
 					t.Errorf("the next request: ending %v, want it served over the spare connection", got.ending)
 				}
 			case "fails":
@@ -290,7 +290,7 @@
 			if u.dialled != c.dialled || u.open != c.open || len(dialled) > 0 || !slices.Contains(u.idle[s.address], first) {
 				t.Errorf("dialled %d and %d more, open %d, want %d and %d with the first kept", u.dialled, len(dialled), u.open, c.dialled, c.open)
 			}
-			if want == balance.Served && wait(t, "2", s.seen).conn != 0 || len(s.seen) > 0 {
+			if want == balance.Served && wait(t, "2", s.requests).conn != 0 || len(s.requests) > 0 {
 				t.Error("the request that waited was not sent over its own connection, or one given up was sent")
 			}
 		})
@@ -302,7 +302,7 @@
 	s := newStub(t, echo)
 	u := testUpstream(t)
 	waits, quiet := u.unrested()
-	attempt(t, u, s.address, "1", generous)
+	attempt(t, u, s.address, "1", testTimeout)
 	u.mu.Lock()
 	u.open++
 	u.mu.Unlock()
@@ -314,7 +314,7 @@
 	dialled, free := u.late(s.address)
 	done := make(chan result, 3)
 	for _, id := range []string{"2", "3"} {
-		u.send(s.address, testMessage(id), u.clock.now()+generous, 0, u.clock.now()+generous, func(r result) { done <- r })
+		u.send(s.address, testMessage(id), u.clock.now()+testTimeout, 0, u.clock.now()+testTimeout, func(r result) { done <- r })
 		wait(t, "the request to wait", waits)
 	}
 	wait(t, "the call for a spare connection", dialled)
@@ -324,8 +324,8 @@
 	u.mu.Unlock()
 	close(free)
 	u.untilIdle(t, s.address, 1)
-	attempt(t, u, s.address, "4", generous)
-	u.send(s.address, testMessage("5"), u.clock.now()+generous, 0, u.clock.now()+generous, func(r result) { done <- r })
+	attempt(t, u, s.address, "4", testTimeout)
+	u.send(s.address, testMessage("5"), u.clock.now()+testTimeout, 0, u.clock.now()+testTimeout, func(r result) { done <- r })
 	wait(t, "the request to wait", waits)
 	wait(t, "the call for a second spare connection", dialled)
 	close(quiet)
@@ -383,17 +383,17 @@
 func TestOldConnectionsAreRetired(t *testing.T) {
 	s := newStub(t, echo)
 	u := testUpstream(t)
-	attempt(t, u, s.address, "1", generous)
+	attempt(t, u, s.address, "1", testTimeout)
 	u.mu.Lock()
 	u.idle[s.address][0].idleSince -= u.keep
 	u.mu.Unlock()
 	u.sweep()
 	wait(t, "the old connection to close", s.closed)
-	attempt(t, u, s.address, "2", generous)
+	attempt(t, u, s.address, "2", testTimeout)
 	u.mu.Lock()
 	u.idle[s.address][0].idleSince -= u.keep
 	u.mu.Unlock()
-	attempt(t, u, s.address, "3", generous)
+	attempt(t, u, s.address, "3", testTimeout)
 	if u.dialled != 3 || u.open != 1 {
 		t.Errorf("dialled %d, open %d, want 3, 1", u.dialled, u.open)
 	}
@@ -404,7 +404,7 @@
 	u := testUpstream(t)
 	u.quietTime = 0 // each has rested when the next request comes
 	for i := range 5 {
-		attempt(t, u, s.address, fmt.Sprint(i), generous)
+		attempt(t, u, s.address, fmt.Sprint(i), testTimeout)
 	}
 	if u.dialled != 1 {
 		t.Errorf("%d connections for five requests one after the other, want 1", u.dialled)
@@ -414,17 +414,17 @@
 // At the limit on descriptors an idle connection to another server makes room; where there is
 // none, nothing is sent.
 func TestConnectionsStayUnderTheLimit(t *testing.T) {
-	a, b, mute := newStub(t, echo), newStub(t, echo), newStub(t, silent)
+	a, b, mute := newStub(t, echo), newStub(t, echo), newStub(t, neverAnswer)
 	u := testUpstream(t)
 	u.most = 1
-	attempt(t, u, a.address, "1", generous)
-	if got := attempt(t, u, b.address, "2", generous); got.ending != balance.Served || u.open != 1 {
+	attempt(t, u, a.address, "1", testTimeout)
+	if got := attempt(t, u, b.address, "2", testTimeout); got.ending != balance.Served || u.open != 1 {
 		t.Errorf("ending %v, %d open, want served over the one connection", got.ending, u.open)
 	}
 	done := make(chan result, 1)
-	x := u.send(mute.address, testMessage("3"), u.clock.now()+generous, 0, u.clock.now()+generous, func(r result) { done <- r })
-	wait(t, "the request", mute.seen)
-	if got := attempt(t, u, a.address, "4", generous); got.ending != balance.NoConnection {
+	x := u.send(mute.address, testMessage("3"), u.clock.now()+testTimeout, 0, u.clock.now()+testTimeout, func(r result) { done <- r })
+	wait(t, "the request", mute.requests)
+	if got := attempt(t, u, a.address, "4", testTimeout); got.ending != balance.NoConnection {
 		t.Errorf("ending %v, want %v", got.ending, balance.NoConnection)
 	}
 	x.cancel()
@@ -439,7 +439,7 @@
 	address := l.Addr().String()
 	l.Close()
 	u := testUpstream(t)
-	if got := attempt(t, u, address, "1", generous); got.ending != balance.NoConnection || u.open != 0 {
+	if got := attempt(t, u, address, "1", testTimeout); got.ending != balance.NoConnection || u.open != 0 {
 		t.Fatalf("ending %v, %d open, want %v and none", got.ending, u.open, balance.NoConnection)
 	}
 }
@@ -447,7 +447,7 @@
 // What went wrong is counted by its kind, so that the log tells a server that closes what was kept
 // from one that breaks new connections or answers nonsense.
 func TestFailuresAreCounted(t *testing.T) {
-	s := newStub(t, func(c net.Conn, r received) bool {
+	s := newStub(t, func(c net.Conn, r stubRequest) bool {
 		switch id := r.Header.Get("X-Request-ID"); id {
 		case "good":
 			return ok(c, "hi")
@@ -458,7 +458,7 @@
 	})
 	u := testUpstream(t)
 	for _, id := range []string{"break", "good", "break", "cut"} {
-		attempt(t, u, s.address, id, generous)
+		attempt(t, u, s.address, id, testTimeout)
 	}
 	if want := (failures{reset: 1, resetKept: 1, unreadable: 1}); u.failed != want {
 		t.Errorf("counted %+v, want %+v", u.failed, want)
@@ -467,11 +467,11 @@
 
 // A machine that vanished says nothing: only the time-out ends the attempt, and its connection goes.
 func TestSilentServer(t *testing.T) {
-	s := newStub(t, silent)
+	s := newStub(t, neverAnswer)
 	u := testUpstream(t)
 	if got := attempt(t, u, s.address, "1", 30*time.Millisecond); got.ending != balance.TimedOut {
 		// where the machine was too busy to send at all in that time, it never ran
-		if got.ending != balance.NoConnection || len(s.seen) > 0 {
+		if got.ending != balance.NoConnection || len(s.requests) > 0 {
 			t.Fatalf("ending %v, want %v", got.ending, balance.TimedOut)
 		}
 	}
@@ -482,11 +482,11 @@
 
 // A cancelled attempt closes its connection, which tells the upstream, and still has its one end.
 func TestCancelClosesTheConnection(t *testing.T) {
-	s := newStub(t, silent)
+	s := newStub(t, neverAnswer)
 	u := testUpstream(t)
 	done := make(chan result, 2)
-	x := u.send(s.address, testMessage("1"), u.clock.now()+generous, 0, u.clock.now()+generous, func(r result) { done <- r })
-	wait(t, "the request", s.seen)
+	x := u.send(s.address, testMessage("1"), u.clock.now()+testTimeout, 0, u.clock.now()+testTimeout, func(r result) { done <- r })
+	wait(t, "the request", s.requests)
 	x.cancel()
 	x.cancel()
 	if got := wait(t, "its end", done); got.ending != balance.Cancelled {
@@ -503,12 +503,12 @@
 func TestCancelledBeforeItIsWritten(t *testing.T) {
 	s := newStub(t, echo)
 	u := testUpstream(t)
-	attempt(t, u, s.address, "1", generous)
+	attempt(t, u, s.address, "1", testTimeout)
 	x := new(exchange)
 	x.cancel()
 	req := &http.Request{Method: http.MethodGet, URL: &url.URL{Path: "/look"}, Header: http.Header{"X-Request-Id": {"2"}}}
 	for i := range 2 { // over the kept connection, then over a new one
-		if _, _, ending := u.exchange(x, s.address, req, testMessage("2"), u.clock.now()+generous, nil); ending != balance.Cancelled {
+		if _, _, ending := u.exchange(x, s.address, req, testMessage("2"), u.clock.now()+testTimeout, nil); ending != balance.Cancelled {
 			t.Errorf("ending %v, want %v", ending, balance.Cancelled)
 		}
 		x.cancel() // once more: the connection is not its own any more
@@ -517,8 +517,8 @@
 		}
 		u.close(s.address)
 	}
-	attempt(t, u, s.address, "3", generous)
-	if wait(t, "1", s.seen); wait(t, "3", s.seen).Header.Get("X-Request-ID") != "3" {
+	attempt(t, u, s.address, "3", testTimeout)
+	if wait(t, "1", s.requests); wait(t, "3", s.requests).Header.Get("X-Request-ID") != "3" {
 		t.Error("the cancelled request went out")
 	}
 }
@@ -526,11 +526,11 @@
 // What the upstream must have unchanged, and the time-out, which it must be told anew.
 func TestWhatGoesOn(t *testing.T) {
 	s := newStub(t, echo)
-	attempt(t, testUpstream(t), s.address, "7", generous)
-	r := wait(t, "the request", s.seen)
-	left, ok := duration(r.Header.Get("X-Timeout"))
+	attempt(t, testUpstream(t), s.address, "7", testTimeout)
+	r := wait(t, "the request", s.requests)
+	left, ok := parseTimeout(r.Header.Get("X-Timeout"))
 	if r.Method != http.MethodPost || r.uri != "/reading" || r.body != "weight" || r.Host != "service.internal" ||
-		r.Header.Get("X-Request-ID") != "7" || r.Header.Get("Idempotency-Key") != "k7" || !ok || left <= 0 || left > generous {
+		r.Header.Get("X-Request-ID") != "7" || r.Header.Get("Idempotency-Key") != "k7" || !ok || left <= 0 || left > testTimeout {
 		t.Errorf("%s %s %q for %s, headers %v", r.Method, r.uri, r.body, r.Host, r.Header)
 	}
 }
@@ -541,7 +541,7 @@
 		load balance.Load
 	}
 	for status, want := range map[int]bool{200: true, 503: false} {
-		s := newStub(t, func(c net.Conn, r received) bool {
+		s := newStub(t, func(c net.Conn, r stubRequest) bool {
 			report := "TEXT inflight=7, busy_reqs=7, served_ps=2.5, svc_ms=40, failed_ps=oops"
 			if r.uri != "/metrics/load" {
 				report = ""
--- a/internal/sidecar/versions_test.go
+++ b/internal/sidecar/versions_test.go
@@ -36,7 +36,7 @@
 func TestRestartBringsNoDrainedServerBack(t *testing.T) {
 	a, b := newStub(t, echo), newStub(t, echo)
 	entries := func(version int, first string) string {
-		return strings.Replace(listed(version, "ready", a.address, b.address), `"ready"`, `"`+first+`"`, 1)
+		return strings.Replace(listAnswer(version, "ready", a.address, b.address), `"ready"`, `"`+first+`"`, 1)
 	}
 	var mu sync.Mutex
 	answer := entries(50, "draining")
@@ -57,20 +57,20 @@
 	}))
 	t.Cleanup(d.Close)
 	configured := func(file, _ map[string]any) { file["discovery"] = d.Listener.Addr().String() }
-	run := func(dir string) *running {
+	run := func(dir string) *testSidecar {
 		cfg := testConfig(t, entries(45, "ready"), configured)
-		cfg.Shared = dir
-		return startWith(t, cfg)
+		cfg.SharedDir = dir
+		return startSidecarWith(t, cfg)
 	}
 	dir, killed := t.TempDir(), t.TempDir()
 	first := run(dir)
 	for got := ""; !strings.Contains(got, "app.members_unavailable=1\n"); { // acted on
-		got = first.call(t, "show-stat\n")
+		got = first.callConsole(t, "show-stat\n")
 	}
 	for {
-		h := newHandover(dir, "n0") // as another process: the first still runs
+		h := newSharedState(dir, "n0") // as another process: the first still runs
 		v := h.versions(testConfig(t, entries(45, "ready"), configured), newClock().now())
-		h.die()
+		h.exit()
 		if v.top == 50 {
 			break
 		}
@@ -88,11 +88,11 @@
 	wait(t, "a call", asked)
 	wait(t, "the next call: the answer is acted on", asked)
 	for i := range 20 {
-		if res, _ := do(t, second.request(t, "GET", "/look", "")); res.StatusCode != 200 {
+		if res, _ := sendRequest(t, second.newRequest(t, "GET", "/look", "")); res.StatusCode != 200 {
 			t.Errorf("request %d: %d", i, res.StatusCode)
 		}
 	}
-	if n := len(a.seen); n > 0 {
+	if n := len(a.requests); n > 0 {
 		t.Errorf("%d of 20 requests went to the server that drains", n)
 	}
 }
@@ -251,7 +251,7 @@
 				renewed = now
 			case n == 1: // the process ends and starts; what it kept is what there is
 				restarts++
-				s := &handover{store: memoryStore(t), news: make(chan struct{}, 1)}
+				s := &sharedState{store: memoryStore(t), listChanged: make(chan struct{}, 1)}
 				s.keepList(v, true)
 				if err := s.flushList(); err != nil {
 					t.Fatal(err)
@@ -327,18 +327,18 @@
 // Of two processes' lists the newer is kept, whichever writes last; a line that began later goes before its versions.
 func TestNewerOfTwoListsIsKept(t *testing.T) {
 	dir, now := t.TempDir(), newClock().now()
-	cfg := testConfig(t, listed(1, "ready", "127.0.0.1:1"), nil)
+	cfg := testConfig(t, listAnswer(1, "ready", "127.0.0.1:1"), nil)
 	word := func(version int64) listing {
-		l, err := parseListing([]byte(listed(int(version), "ready", "127.0.0.1:2")), nil)
+		l, err := parseListing([]byte(listAnswer(int(version), "ready", "127.0.0.1:2")), nil)
 		if err != nil {
 			t.Fatal(err)
 		}
 		return l
 	}
-	old, next := newHandover(dir, "n0"), newHandover(dir, "n0")
+	old, next := newSharedState(dir, "n0"), newSharedState(dir, "n0")
 	a, b := old.versions(cfg, now), next.versions(cfg, now)
 	for i, step := range []struct {
-		by      *handover
+		by      *sharedState
 		v       *versions
 		version int64
 		kept    int64
@@ -354,11 +354,11 @@
 		if err := step.by.flushList(); err != nil {
 			t.Fatal(err)
 		}
-		last := newHandover(dir, "n0")
+		last := newSharedState(dir, "n0")
 		if got := last.versions(cfg, now).top; got != step.kept {
 			t.Errorf("step %d: version %d is kept, want %d", i, got, step.kept)
 		}
-		last.die()
+		last.exit()
 	}
 }
 
@@ -403,7 +403,7 @@
 			now := zero + w.at
 			switch {
 			case w.version == -1:
-				s := &handover{store: memoryStore(t), news: make(chan struct{}, 1)}
+				s := &sharedState{store: memoryStore(t), listChanged: make(chan struct{}, 1)}
 				s.keepList(v, true)
 				if err := s.flushList(); err != nil {
 					t.Fatal(err)
@@ -439,9 +439,9 @@
 // in between doesn't bring the server back, and that version's does as it says.
 func TestOtherProcessDrains(t *testing.T) {
 	dir, now := t.TempDir(), newClock().now()
-	cfg := testConfig(t, listed(50, "ready", "127.0.0.1:1", "127.0.0.1:2"), nil)
+	cfg := testConfig(t, listAnswer(50, "ready", "127.0.0.1:1", "127.0.0.1:2"), nil)
 	whole := func(version int, first string) listing {
-		text := strings.Replace(listed(version, "ready", "127.0.0.1:1", "127.0.0.1:2"), `"ready"`, `"`+first+`"`, 1)
+		text := strings.Replace(listAnswer(version, "ready", "127.0.0.1:1", "127.0.0.1:2"), `"ready"`, `"`+first+`"`, 1)
 		l, err := parseListing([]byte(text), nil)
 		if err != nil {
 			t.Fatal(err)
@@ -449,7 +449,7 @@
 		return l
 	}
 	changes := func(version int64) listing { return listing{version: version} }
-	other, h := newHandover(dir, "n0"), newHandover(dir, "n0")
+	other, h := newSharedState(dir, "n0"), newSharedState(dir, "n0")
 	theirs := other.versions(cfg, now)
 	heard := make(chan listing, 10)
 	d := newDiscovery(cfg, func(l listing) { heard <- l }, func() {})
@@ -477,7 +477,7 @@
 			if err := other.flushList(); err != nil {
 				t.Fatal(err)
 			}
-			h.known() // as it looks for calls by hand
+			h.currentCalls() // as it looks for calls by hand
 			k, l, raw, news := h.beside(last, nil)
 			if last = raw; news {
 				d.beside(k, l)
@@ -501,24 +501,24 @@
 	d := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		select {
 		case <-one:
-			_, _ = io.WriteString(w, listed(60, "draining", s.address))
+			_, _ = io.WriteString(w, listAnswer(60, "draining", s.address))
 		case <-r.Context().Done():
 		}
 	}))
 	t.Cleanup(d.Close)
 	dir := t.TempDir()
-	run := func() *running {
-		cfg := testConfig(t, listed(50, "ready", s.address), func(file, _ map[string]any) { file["discovery"] = d.Listener.Addr().String() })
-		cfg.Shared = dir
-		return startWith(t, cfg)
+	run := func() *testSidecar {
+		cfg := testConfig(t, listAnswer(50, "ready", s.address), func(file, _ map[string]any) { file["discovery"] = d.Listener.Addr().String() })
+		cfg.SharedDir = dir
+		return startSidecarWith(t, cfg)
 	}
-	both := []*running{run(), run()}
-	end := time.Now().Add(generous)
+	both := []*testSidecar{run(), run()}
+	end := time.Now().Add(testTimeout)
 	see := func(figures string) {
 		t.Helper()
 		for _, side := range both {
 			for got := ""; !strings.Contains(got, figures); {
-				if got = side.call(t, "show-stat\n"); time.Now().After(end) {
+				if got = side.callConsole(t, "show-stat\n"); time.Now().After(end) {
 					t.Fatalf("waited in vain for %q: %s", figures, got)
 				}
 			}
@@ -536,12 +536,12 @@
 	for i := range 3000 {
 		addresses = append(addresses, fmt.Sprintf("127.0.0.1:%d", 1+i))
 	}
-	cfg := testConfig(t, listed(45, "ready", addresses...), nil)
-	l, err := parseListing([]byte(strings.Replace(listed(50, "ready", addresses...), `"ready"`, `"draining"`, 1)), nil)
+	cfg := testConfig(t, listAnswer(45, "ready", addresses...), nil)
+	l, err := parseListing([]byte(strings.Replace(listAnswer(50, "ready", addresses...), `"ready"`, `"draining"`, 1)), nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	h, now := &handover{store: memoryStore(t), news: make(chan struct{}, 1)}, newClock().now()
+	h, now := &sharedState{store: memoryStore(t), listChanged: make(chan struct{}, 1)}, newClock().now()
 	v := newVersions(cfg.Discovery)
 	v.take(l, now)
 	h.keepList(v, true)
--- a/internal/sidecar/watch_test.go
+++ b/internal/sidecar/watch_test.go
@@ -29,7 +29,7 @@
 	d = newDiscovery(cfg, func(news listing) { heard(news); l.list(news) }, l.listFailed)
 	d.now, d.dial, d.draw, l.watch = c.now, dial, rand.New(rand.NewPCG(cfg.Seed, 0)).Float64, d.ask
 	ctx, cancel := context.WithCancel(context.Background())
-	go l.run(ctx, cfg.Known)
+	go l.run(ctx, cfg.KnownServers)
 	go d.run(ctx)
 	return d, cancel
 }
@@ -121,7 +121,7 @@
 		t.Run(row.name, func(t *testing.T) {
 			for seed := range 20 {
 				synctest.Test(t, func(t *testing.T) {
-					cfg := testConfig(t, listed(1, "ready", "127.0.0.1:80"), func(file, settings map[string]any) {
+					cfg := testConfig(t, listAnswer(1, "ready", "127.0.0.1:80"), func(file, settings map[string]any) {
 						file["seed"], settings["discovery"] = strconv.Itoa(seed+1), row.how
 						rules := settings["rules"].(map[string]any)
 						rules["stop_sending_within_ms"], rules["ask_within_ms"] = float64(row.grace), 10000.0
@@ -175,7 +175,7 @@
 							case "none":
 								ok(c, `{"generation":1,"reset":false,"instances":[]}`)
 							case "news":
-								ok(c, strings.Replace(listed(2, "draining", "127.0.0.1:80"), "true", strconv.FormatBool(since == unknown), 1))
+								ok(c, strings.Replace(listAnswer(2, "draining", "127.0.0.1:80"), "true", strconv.FormatBool(since == unknown), 1))
 							case "hold":
 								_, _ = io.Copy(io.Discard, in) // until the other side gives up
 							case "full":
@@ -184,7 +184,7 @@
 							case "busy":
 								fmt.Fprint(c, "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")
 							case "half", "stuck":
-								news := listed(2, "draining", "127.0.0.1:80")
+								news := listAnswer(2, "draining", "127.0.0.1:80")
 								fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(news), news[:len(news)/2])
 								if what == "half" {
 									return
@@ -192,7 +192,7 @@
 								_, _ = io.Copy(io.Discard, in)
 							case "late":
 								time.Sleep(wait + answerTime)
-								ok(c, strings.Replace(listed(2, "draining", "127.0.0.1:80"), "true", "false", 1))
+								ok(c, strings.Replace(listAnswer(2, "draining", "127.0.0.1:80"), "true", "false", 1))
 							case "cut":
 								return
 							}
@@ -314,13 +314,13 @@
 							return
 						}
 						var text string
-						locked(func() { text = listed(int(version), "draining", "127.0.0.1:80") })
+						locked(func() { text = listAnswer(int(version), "draining", "127.0.0.1:80") })
 						ok(c, strings.Replace(text, "true", "false", 1))
 						last = time.Now()
 					}
 				}
 				for i := range fleet.n {
-					cfg := testConfig(t, listed(1, "ready", "127.0.0.1:80"), func(file, settings map[string]any) {
+					cfg := testConfig(t, listAnswer(1, "ready", "127.0.0.1:80"), func(file, settings map[string]any) {
 						file["seed"], settings["discovery"] = strconv.Itoa(i+1), "ask"
 						settings["balancers"], settings["me"] = fleet.n, i
 						settings["rules"].(map[string]any)["ask_within_ms"] = 10000.0
@@ -402,7 +402,7 @@
 func TestFailureSettlesWhatWasAsked(t *testing.T) {
 	quiet(t)
 	synctest.Test(t, func(t *testing.T) {
-		cfg := testConfig(t, listed(0, "ready"), func(_, settings map[string]any) { settings["discovery"] = "ask" })
+		cfg := testConfig(t, listAnswer(0, "ready"), func(_, settings map[string]any) { settings["discovery"] = "ask" })
 		calls, end := make(chan struct{}, 10), make(chan struct{})
 		d := newDiscovery(cfg, func(listing) {}, func() {})
 		d.dial = func(context.Context, string, string) (net.Conn, error) {
