--- a/internal/guard/guard.go
+++ b/internal/guard/guard.go
@@ -22,13 +22,13 @@
 // The invariants.
 const (
 	Started       Invariant = iota // nothing is taken before the sidecar is ready, and no id twice
-	SentWhileOpen             // nothing is sent for a request that has ended, or whose client has left
-	SentInTime                // nor behind its deadline
-	RepeatAllowed             // a request that may have run is sent again only as its class allows; beside an attempt only if it is safe
-	AnsweredOnce              // one final answer
-	AnsweredSoon              // at AnswerSlack behind the deadline at the latest
-	ClosedAfter               // a client that waits is not closed on without an answer
-	SentToListed              // nothing is sent to a server that was told draining or gone longer than the grace ago
+	SentWhileOpen                  // nothing is sent for a request that has ended, or whose client has left
+	SentInTime                     // nor behind its deadline
+	RepeatAllowed                  // a request that may have run is sent again only as its class allows; beside an attempt only if it is safe
+	AnsweredOnce                   // one final answer
+	AnsweredSoon                   // at AnswerSlack behind the deadline at the latest
+	ClosedAfter                    // a client that waits is not closed on without an answer
+	SentToListed                   // nothing is sent to a server that was told draining or gone longer than the grace ago
 	rules
 )
 
@@ -60,18 +60,18 @@
 
 // Violation is one breach of an invariant.
 type Violation struct {
-	Rule Invariant
+	Rule      Invariant
 	RequestID string // the request's X-Request-ID
-	Detail string // what happened
+	Detail    string // what happened
 }
 
 // Request is what a Guard knows of a request from its start.
 type Request struct {
-	RequestID     string // X-Request-ID
-	Deadline time.Duration
-	Effect   balance.Effect
-	Window   time.Duration // keyed only: how long repeats are dropped, from the first send on
-	BodyPending   bool          // its body still comes: its time begins later
+	RequestID   string // X-Request-ID
+	Deadline    time.Duration
+	Effect      balance.Effect
+	Window      time.Duration // keyed only: how long repeats are dropped, from the first send on
+	BodyPending bool          // its body still comes: its time begins later
 }
 
 // entry is a request in the table. It stays until it has ended and none of its attempts is out.
--- a/internal/guard/guard_test.go
+++ b/internal/guard/guard_test.go
@@ -38,8 +38,8 @@
 	for name, c := range map[string]struct {
 		request  Request
 		live     func(l *life) error // and what it was denied at last
-		denied   Invariant                // -1: nothing
-		violated Invariant                // -1: none
+		denied   Invariant           // -1: nothing
+		violated Invariant           // -1: none
 	}{
 		"an ordinary life": {ordinary, func(l *life) error {
 			err := errors.Join(l.PermitSend(1*ms, 1, server), l.PermitWrite(2*ms, 1, server))
--- a/internal/sidecar/byhand.go
+++ b/internal/sidecar/byhand.go
@@ -37,9 +37,9 @@
 
 // stateFile is the form of the file for older programs, which pass over the sum.
 type stateFile struct {
-	Version int               `json:"version"`
+	Version int                     `json:"version"`
 	Servers map[string]operatorCall `json:"servers"`
-	Sum     *uint32           `json:"sum,omitempty"` // of the servers; nil: an older program wrote it
+	Sum     *uint32                 `json:"sum,omitempty"` // of the servers; nil: an older program wrote it
 }
 
 // sum is the checksum of a file's servers.
--- a/internal/sidecar/clients.go
+++ b/internal/sidecar/clients.go
@@ -25,21 +25,21 @@
 // upstreams have no use for now, and are closed when that changes.
 type clients struct {
 	clientListener
-	clock     clock
-	upstreams func() int // connections to upstreams now
-	countClose    func(closeReason)
-	readFD      func(fd int, p []byte) (int, error) // the system call
-
-	mu      sync.Mutex
-	clientShare    int           // connections with open requests at most
-	maxTotal     int           // and connections of any kind, those to upstreams included
-	stopping bool          // another process takes those that come from now on, or this one ends
-	failing time.Duration // since when accept has failed while connections may have waited; 0: it has not
-	conns   map[*clientConn]struct{}
-	peak    int    // the most at once, since the last count
-	shed    [3]int // closed to make room: silent, idle, with half a request
-	rejected  int    // refused at once, as there was none
-	scarce  int    // not accepted, as there was no descriptor or memory
+	clock      clock
+	upstreams  func() int // connections to upstreams now
+	countClose func(closeReason)
+	readFD     func(fd int, p []byte) (int, error) // the system call
+
+	mu          sync.Mutex
+	clientShare int           // connections with open requests at most
+	maxTotal    int           // and connections of any kind, those to upstreams included
+	stopping    bool          // another process takes those that come from now on, or this one ends
+	failing     time.Duration // since when accept has failed while connections may have waited; 0: it has not
+	conns       map[*clientConn]struct{}
+	peak        int    // the most at once, since the last count
+	shed        [3]int // closed to make room: silent, idle, with half a request
+	rejected    int    // refused at once, as there was none
+	scarce      int    // not accepted, as there was no descriptor or memory
 
 	failures      int       // of accept, for whatever reason
 	failureLogged time.Time // when the last of them was logged
@@ -59,22 +59,22 @@
 	raw     syscall.RawConn
 	clients *clients
 
-	mu          sync.Mutex // held by each look for bytes, so that none are read of one that was found idle and is ended
-	framing     framing
-	framingErr      error
-	requestBegun       bool          // bytes of a request have come that has had no answer yet
+	mu               sync.Mutex // held by each look for bytes, so that none are read of one that was found idle and is ended
+	framing          framing
+	framingErr       error
+	requestBegun     bool          // bytes of a request have come that has had no answer yet
 	readsEnded       bool          // nothing more is read
-	serverClosed      bool          // its server has closed it
-	closeWithRefusal     bool          // it is closed with a refusal, as part of a request has come; it has reserved that
-	queuedSince time.Duration // since when what has come on it may have waited to be accepted; 0: no longer than it was looked for
-	refuseOnce     sync.Once
+	serverClosed     bool          // its server has closed it
+	closeWithRefusal bool          // it is closed with a refusal, as part of a request has come; it has reserved that
+	queuedSince      time.Duration // since when what has come on it may have waited to be accepted; 0: no longer than it was looked for
+	refuseOnce       sync.Once
 
 	spoke atomic.Int64 // when the last of its bytes came, by the clients' clock
 
-	since  time.Time // when it was accepted, or went idle; what follows is guarded by clients.mu
-	hadRequest  bool      // a whole request has come on it
-	spoken bool      // bytes were seen that its goroutine had not read by then
-	state  http.ConnState
+	since      time.Time // when it was accepted, or went idle; what follows is guarded by clients.mu
+	hadRequest bool      // a whole request has come on it
+	spoken     bool      // bytes were seen that its goroutine had not read by then
+	state      http.ConnState
 }
 
 // newClients makes the application's listener, with room for all that one process may hold.
--- a/internal/sidecar/config.go
+++ b/internal/sidecar/config.go
@@ -41,23 +41,23 @@
 	MemoryMB int // the process is killed above this; 0: no limit is known
 	Sockets  int // descriptors it may hold
 
-	Policy  balance.Config
-	Classes map[string]int // class by name
-	Tenants map[string]int // tenant by name; empty where there are none
-	Zones   map[string]int // zone by name
-	LoadReportFields []string       // names of a load report's fields, in the order of Columns
+	Policy            balance.Config
+	Classes           map[string]int // class by name
+	Tenants           map[string]int // tenant by name; empty where there are none
+	Zones             map[string]int // zone by name
+	LoadReportFields  []string       // names of a load report's fields, in the order of Columns
 	LoadReportColumns wire.Columns
 
-	MostOpen    int           // requests held at once
-	UpstreamIdleTimeout    time.Duration // an upstream closes connections that stood idle so long
-	DialTimeout time.Duration
-	Longest     time.Duration // the longest deadline of any class
-	DrainGrace  time.Duration // nothing is sent to a server so long after it is told to drain; 0: not known
+	MostOpen            int           // requests held at once
+	UpstreamIdleTimeout time.Duration // an upstream closes connections that stood idle so long
+	DialTimeout         time.Duration
+	Longest             time.Duration // the longest deadline of any class
+	DrainGrace          time.Duration // nothing is sent to a server so long after it is told to drain; 0: not known
 
 	KnownServers listing // the servers as last known
 
-	State   store.Options // its size, and in tests its disk
-	Fleet   *fleet.File   // of the parts that join sidecars; nil: this one stands alone
+	State       store.Options // its size, and in tests its disk
+	Fleet       *fleet.File   // of the parts that join sidecars; nil: this one stands alone
 	UnknownKeys []string      // keys of the file that mean nothing to this program
 
 	path string // the file that this was read from; empty in tests
@@ -128,7 +128,7 @@
 		Discovery: given(file.Discovery, "EDGE_DISCOVERY"),
 		Console:   given(file.Console, "EDGE_CONSOLE"),
 		FleetPath: given(file.Fleet, "EDGE_FLEET"),
-		SharedDir:    env("TMPDIR"),
+		SharedDir: env("TMPDIR"),
 		MemoryMB:  int(file.Limits.MemoryMB),
 		Sockets:   int(file.Limits.Sockets),
 	}
--- a/internal/sidecar/console.go
+++ b/internal/sidecar/console.go
@@ -16,21 +16,21 @@
 )
 
 const (
-	consoleConns = 12                     // callers at once; past that the one silent longest makes room
-	callReadTimeout     = 2 * time.Second        // a caller may take so long over its line
-	replyTime    = 500 * time.Millisecond // and so long to take its answer; it is owed that within 1 s
-	callLimit    = 256                    // bytes of a line
-	callRest     = 64 << 10               // bytes read behind an unusable line, so that its answer is not lost to a reset
+	consoleConns    = 12                     // callers at once; past that the one silent longest makes room
+	callReadTimeout = 2 * time.Second        // a caller may take so long over its line
+	replyTime       = 500 * time.Millisecond // and so long to take its answer; it is owed that within 1 s
+	callLimit       = 256                    // bytes of a line
+	callRest        = 64 << 10               // bytes read behind an unusable line, so that its answer is not lost to a reset
 )
 
 // console is the operators' door: one line to a connection, one answer, and a close. It stands apart from
 // the clients' side, so that neither load there nor silent callers here keep an answer back.
 type console struct {
-	ready   func() bool
-	stat    func(io.Writer)
-	setServer  func(ctx context.Context, id string, out bool) error // takes a server out by hand, or brings it back
+	ready        func() bool
+	stat         func(io.Writer)
+	setServer    func(ctx context.Context, id string, out bool) error // takes a server out by hand, or brings it back
 	writeDuties  func(io.Writer) error                                // who of the fleet has which duty
-	moveDuty    func(words []string) error                           // passes a duty on
+	moveDuty     func(words []string) error                           // passes a duty on
 	writeRules   func(io.Writer) error                                // which rule set is in force, and who refused one
 	writeMembers func(io.Writer) error                                // who of the fleet is there
 	confirmState func() error                                         // takes an operator's word that a damaged state has the right servers out
--- a/internal/sidecar/control.go
+++ b/internal/sidecar/control.go
@@ -28,12 +28,12 @@
 // it to its fleet.
 type control struct {
 	cfg       *Config
-	dataPlane      dataPlane
+	dataPlane dataPlane
 	state     *sharedState
 	discovery *discovery
 	peers     *peers
-	duties      *duties
-	ruleSets      *ruleSets
+	duties    *duties
+	ruleSets  *ruleSets
 	meter     *meter.Meter
 }
 
--- a/internal/sidecar/duties.go
+++ b/internal/sidecar/duties.go
@@ -23,11 +23,11 @@
 
 // duties is this sidecar's part in its fleet's duties. Where the fleet file has no duty.voters there is none.
 type duties struct {
-	group *duty.Group
-	peers *peers
-	state *sharedState
-	cancel  context.CancelFunc
-	done chan struct{}
+	group  *duty.Group
+	peers  *peers
+	state  *sharedState
+	cancel context.CancelFunc
+	done   chan struct{}
 }
 
 // newDuties reads what the configuration says of duties.
--- a/internal/sidecar/framing.go
+++ b/internal/sidecar/framing.go
@@ -14,17 +14,19 @@
 
 // framing follows the requests on a connection: their heads, and the bodies whose length they tell.
 type framing struct {
-	line    []byte // the line of a head under way, as far as it is looked at
-	inHead   bool   // the head's first line is over
-	lengths int    // Content-Length lines in the head
-	contentLength  uint64 // what the last of them says
-	coded   bool   // the head has Transfer-Encoding
-	bodyLeft    uint64 // bytes of a body still to come
+	line          []byte // the line of a head under way, as far as it is looked at
+	inHead        bool   // the head's first line is over
+	lengths       int    // Content-Length lines in the head
+	contentLength uint64 // what the last of them says
+	coded         bool   // the head has Transfer-Encoding
+	bodyLeft      uint64 // bytes of a body still to come
 	unfollowed    bool   // nothing more is followed: the server closes after this request
 }
 
 // between tells whether what has come ends with a request's last byte, as far as it is followed.
-func (f *framing) atBoundary() bool { return len(f.line) == 0 && !f.inHead && f.bodyLeft == 0 && !f.unfollowed }
+func (f *framing) atBoundary() bool {
+	return len(f.line) == 0 && !f.inHead && f.bodyLeft == 0 && !f.unfollowed
+}
 
 // follow takes the next bytes. Where a head frames its body in two ways, or with a length that is
 // none, it returns how many bytes come before that head's end, and an error.
--- a/internal/sidecar/front.go
+++ b/internal/sidecar/front.go
@@ -30,21 +30,21 @@
 
 // front is the application's side.
 type front struct {
-	cfg     *Config
-	clock   clock
-	loop    *loop
-	clients *clients
-	openRequests    atomic.Int64 // requests with no answer yet
-	uploads atomic.Int64 // and of these, those whose last byte is still to come: they are not taken yet
-	tallies   []tally      // those that had theirs, by class
-	streams struct {     // answers passed on as they come, for the log
+	cfg          *Config
+	clock        clock
+	loop         *loop
+	clients      *clients
+	openRequests atomic.Int64 // requests with no answer yet
+	uploads      atomic.Int64 // and of these, those whose last byte is still to come: they are not taken yet
+	tallies      []tally      // those that had theirs, by class
+	streams      struct {     // answers passed on as they come, for the log
 		begun  atomic.Int64
 		now    atomic.Int64 // under way
 		broken atomic.Int64 // by their server, or cut off as it stood still
 		still  atomic.Int64 // cut off as the client did
 	}
-	ready  atomic.Bool // no stop was asked for
-	stopLimits   atomic.Pointer[stopLimits]
+	ready      atomic.Bool // no stop was asked for
+	stopLimits atomic.Pointer[stopLimits]
 	rulesAllow func() bool // rules allow it
 }
 
@@ -237,7 +237,7 @@
 func (f *front) reply(w http.ResponseWriter, r *http.Request, class int, a answer, rest *upload) {
 	out := http.NewResponseController(w)
 	_ = out.SetWriteDeadline(time.Now().Add(writeTime)) // fails only on a closed connection, as this and the next do
-	if _, leaving := f.clients.overLimit(0); leaving {    // since the request came
+	if _, leaving := f.clients.overLimit(0); leaving {  // since the request came
 		w.Header().Set("Connection", "close")
 	}
 	switch {
--- a/internal/sidecar/handover.go
+++ b/internal/sidecar/handover.go
@@ -19,8 +19,8 @@
 	soloPollInterval    = 250 * time.Millisecond // how often a process looks for a second one
 	upgradePollInterval = 50 * time.Millisecond  // and, beside one, for calls made to that
 	processStallMargin  = 150 * time.Millisecond // for which the second process may be held up besides
-	unreadPoll   = time.Second            // and whether a folder that could not be read can be read by now
-	folderWait   = 4 * time.Second        // for a folder that does not answer; a start has 6 s
+	unreadPoll          = time.Second            // and whether a folder that could not be read can be read by now
+	folderWait          = 4 * time.Second        // for a folder that does not answer; a start has 6 s
 )
 
 // handover is what a sidecar's processes share in $TMPDIR: who runs, the state (docs/state.md), and a file by which
@@ -29,33 +29,35 @@
 //
 // Its zero value is such a process.
 type sharedState struct {
-	lock  *os.File // nil: this process stands alone
-	lockIndex  int64    // the byte of it that this process holds
-	legacyPath string   // path of the file for older programs
-	store *store.Store
+	lock         *os.File // nil: this process stands alone
+	lockIndex    int64    // the byte of it that this process holds
+	legacyPath   string   // path of the file for older programs
+	store        *store.Store
 	pendingSaves chan struct{} // calls that wait for the disk
 	listChanged  chan struct{} // there is a list to be kept
 
-	saving sync.Mutex        // one call is saved after the other; it may wait for a disk
-	legacyInfo   fs.FileInfo       // the older programs' file as last read; nil: there was none
+	saving       sync.Mutex              // one call is saved after the other; it may wait for a disk
+	legacyInfo   fs.FileInfo             // the older programs' file as last read; nil: there was none
 	unsavedCalls map[string]operatorCall // by instanceId, where there is no store
 
 	backs map[string]backSeen // calls back in force, by instanceId
 
 	lateState <-chan *sharedState // what its folder holds, once that answers; nil: it did in time
 
-	counting sync.Mutex
-	otherProcesses   [maxProcesses]bool // other processes that run, as the system told last
-	counted  atomic.Int64    // how many processes that makes; 0: nobody has counted yet
+	counting       sync.Mutex
+	otherProcesses [maxProcesses]bool // other processes that run, as the system told last
+	counted        atomic.Int64       // how many processes that makes; 0: nobody has counted yet
 
-	mu        sync.Mutex
+	mu           sync.Mutex
 	pendingList  *keepNext // the list that is to be kept next; nil: there is no news
 	legacyDamage int       // 1: the older programs' file was all there was, and it is damaged
 }
 
 // newHandover enters this process among a sidecar's, in dir. What is missing or unusable there is told in
 // the log and keeps no process from its start.
-func newSharedState(dir, name string) *sharedState { return openSharedState(dir, name, store.Options{}) }
+func newSharedState(dir, name string) *sharedState {
+	return openSharedState(dir, name, store.Options{})
+}
 
 // openHandover is newHandover with the options of the state that are not its own to choose. A folder that does not answer is
 // waited for no longer than folderWait: see followLate.
--- a/internal/sidecar/hollow.go
+++ b/internal/sidecar/hollow.go
@@ -135,11 +135,11 @@
 	rate  float64
 }
 
-func (absent) list(listing)                               {}
-func (absent) listFailed()                                {}
-func (absent) fleet(context.Context, balance.Fleet) error { return nil }
-func (absent) rules(context.Context, *rules.Set) error    { return nil }
-func (absent) calls(context.Context, map[string]operatorCall)   {}
+func (absent) list(listing)                                   {}
+func (absent) listFailed()                                    {}
+func (absent) fleet(context.Context, balance.Fleet) error     { return nil }
+func (absent) rules(context.Context, *rules.Set) error        { return nil }
+func (absent) calls(context.Context, map[string]operatorCall) {}
 func (a absent) learned(context.Context) (balance.Learned, error) {
 	return balance.Learned{At: a.clock.now(), Rate: a.rate}, nil
 }
--- a/internal/sidecar/loop.go
+++ b/internal/sidecar/loop.go
@@ -28,7 +28,7 @@
 	clock    clock
 	b        *policy.Balancer
 	upstream *upstream
-	handover *sharedState             // keeps the calls by hand
+	handover *sharedState          // keeps the calls by hand
 	watch    func()                // subscribes to the list
 	clients  func() map[string]int // counters of the application's side
 	asked    func() map[string]int // and of discovery's
--- a/internal/sidecar/momentary.go
+++ b/internal/sidecar/momentary.go
@@ -75,9 +75,9 @@
 type presence int
 
 const (
-	clientPresent  presence = iota
-	clientGone          // it has closed its connection, or its sending side
-	clientUnknown            // the system would not tell: nothing is sent for it, and nothing is taken from it
+	clientPresent presence = iota
+	clientGone             // it has closed its connection, or its sending side
+	clientUnknown          // the system would not tell: nothing is sent for it, and nothing is taken from it
 )
 
 // looks is how often the system is asked for a client's presence, in each of two ways.
--- a/internal/sidecar/peers.go
+++ b/internal/sidecar/peers.go
@@ -32,12 +32,12 @@
 // peers is this sidecar's part in its fleet: it ties membership to the module, the state and the console. Where the
 // fleet file has no member.listen there is none, and nothing is done.
 type peers struct {
-	group *member.Group
-	cfg   *Config
-	dataPlane  dataPlane
-	state *sharedState
+	group     *member.Group
+	cfg       *Config
+	dataPlane dataPlane
+	state     *sharedState
 
-	rulesBar   func() bool // by rules: it serves nothing, and is given no duties
+	rulesBar func() bool // by rules: it serves nothing, and is given no duties
 	stopping atomic.Bool
 }
 
--- a/internal/sidecar/processlock.go
+++ b/internal/sidecar/processlock.go
@@ -10,13 +10,13 @@
 )
 
 const (
-	enterTries = 50 // of the lock file: the system may fail for a moment
-	enterPause = 10 * time.Millisecond
+	enterTries   = 50 // of the lock file: the system may fail for a moment
+	enterPause   = 10 * time.Millisecond
 	countTimeout = 50 * time.Millisecond // the end of a process waits no longer to hear of others
 
 	// The bytes of the lock file: one for each process, and one for whoever writes the state file.
 	maxProcesses = 4
-	writerByte    = maxProcesses
+	writerByte   = maxProcesses
 
 	// Open-file-description locks, which package syscall does not name. They die with their holder, as
 	// the file is closed then, and one can be asked for without taking it.
--- a/internal/sidecar/room.go
+++ b/internal/sidecar/room.go
@@ -22,7 +22,9 @@
 
 // allowed is how many connections may be held while others can make room: the application's share at least, and
 // what upstreams leave but for some that they may soon want. The caller holds the lock.
-func (l *clients) softLimit(upstreams int) int { return max(l.clientShare, l.maxTotal-upstreams-l.clientShare/6) }
+func (l *clients) softLimit(upstreams int) int {
+	return max(l.clientShare, l.maxTotal-upstreams-l.clientShare/6)
+}
 
 // yield makes room for one more connection to an upstream, beside so many. It returns false if there is none.
 func (l *clients) makeRoomForUpstream(upstreams int) bool {
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -11,16 +11,16 @@
 )
 
 const (
-	lingerTime = 500 * time.Millisecond // new connections go on coming for so long after a stop is asked for
-	leaveTimeout  = time.Second            // the end waits no longer for duties to be passed on
-	lookEvery  = 5 * time.Millisecond   // how often it is seen whether all connections are closed
+	lingerTime   = 500 * time.Millisecond // new connections go on coming for so long after a stop is asked for
+	leaveTimeout = time.Second            // the end waits no longer for duties to be passed on
+	lookEvery    = 5 * time.Millisecond   // how often it is seen whether all connections are closed
 
 	// The platform may kill a process once the longest deadline and 0.7 s have passed behind the signal. Final answers
 	// are due well before, as the process may be held up for 0.15 s; only then it ends by itself.
-	answerMargin = 500 * time.Millisecond // behind the longest deadline all answers are due,
-	exitMargin   = 640 * time.Millisecond // and the process ends
-	lastLook     = 40 * time.Millisecond  // it waits so much longer for what came in the last moment
-	maxStopDeadline   = 3 * time.Second        // a longer deadline counts as this
+	answerMargin    = 500 * time.Millisecond // behind the longest deadline all answers are due,
+	exitMargin      = 640 * time.Millisecond // and the process ends
+	lastLook        = 40 * time.Millisecond  // it waits so much longer for what came in the last moment
+	maxStopDeadline = 3 * time.Second        // a longer deadline counts as this
 )
 
 // Run listens and serves until ctx ends and everything taken by then is answered. On each signal from
--- a/internal/sidecar/state_test.go
+++ b/internal/sidecar/state_test.go
@@ -101,7 +101,7 @@
 	}
 	raw, err := os.ReadFile(path)
 	var old struct { // as an older program reads it
-		Version int               `json:"version"`
+		Version int                     `json:"version"`
 		Servers map[string]operatorCall `json:"servers"`
 	}
 	if err != nil || json.Unmarshal(raw, &old) != nil || old.Version != 1 || !old.Servers["b"].Out || !old.Servers["c"].Out {
--- a/internal/sidecar/stub_test.go
+++ b/internal/sidecar/stub_test.go
@@ -30,9 +30,9 @@
 // stub is an upstream that hands each request to answer, with the connection to answer on. If
 // that returns false the connection is closed.
 type stub struct {
-	address string
-	requests    chan stubRequest
-	closed  chan int // connections that the other side has closed or that broke
+	address  string
+	requests chan stubRequest
+	closed   chan int // connections that the other side has closed or that broke
 }
 
 func newStub(t *testing.T, answer func(c net.Conn, r stubRequest) bool) *stub {
@@ -152,10 +152,10 @@
 
 // running is a whole sidecar over loopback.
 type testSidecar struct {
-	url   string
-	consoleAddress  string // the console's address
-	stop  func()
-	ended chan error
+	url            string
+	consoleAddress string // the console's address
+	stop           func()
+	ended          chan error
 }
 
 // start serves with the stubs' addresses as the list of servers, which discovery repeats.
--- a/internal/sidecar/trace.go
+++ b/internal/sidecar/trace.go
@@ -45,7 +45,7 @@
 // trace tells the log and the counters what becomes of each request, by its id. Ordinary steps are at level debug;
 // requests that end with no answer are at level info, at a bounded rate. Its methods are safe for concurrent use.
 type trace struct {
-	limiter      *rate.Limiter
+	limiter    *rate.Limiter
 	unlogged   atomic.Uint64 // lines left out by the limiter
 	closes     [closeReasons]atomic.Uint64
 	refusals   []atomic.Uint64 // by balance.Reason
@@ -55,7 +55,7 @@
 
 func newTrace() *trace {
 	return &trace{
-		limiter:    rate.NewLimiter(tracedPerSecond, tracedAtOnce),
+		limiter:  rate.NewLimiter(tracedPerSecond, tracedAtOnce),
 		refusals: make([]atomic.Uint64, len(balance.Reasons())), failures: make([]atomic.Uint64, len(balance.Reasons())),
 		retryAfter: make([]atomic.Uint64, balance.NotSent+1),
 	}
