--- a/internal/sidecar/upstream.go
+++ b/internal/sidecar/upstream.go
@@ -57,7 +57,7 @@
 
 // over tells whether nothing may be sent any more, as nobody is known to wait for the answer.
 func (m *outboundRequest) over() bool {
-	return m != nil && m.clientPresence != nil && m.clientPresence() != present
+	return m != nil && m.clientPresence != nil && m.clientPresence() != clientPresent
 }
 
 // spent tells whether the message can't be sent again, as part of its body is gone.
@@ -125,10 +125,10 @@
 
 func newTransport(cfg *Config, c clock) *transport {
 	u := &transport{
-		clock: c, dialTimeout: cfg.DialTimeout, reports: cfg.Reports, columns: cfg.Columns,
+		clock: c, dialTimeout: cfg.DialTimeout, reports: cfg.LoadReportFields, columns: cfg.LoadReportColumns,
 		// Well before the server closes it: a request written from then on would end as a reset.
-		keep:      cfg.ConnIdle - min(idleMargin, cfg.ConnIdle/4),
-		most:      cfg.upstreamConns(1),
+		keep:      cfg.UpstreamIdleTimeout - min(idleMargin, cfg.UpstreamIdleTimeout/4),
+		most:      cfg.upstreamConnLimit(1),
 		probePath: "/alive",
 		makeRoom:  func(int) bool { return true },
 		hasRoom:   func(int) bool { return true },
@@ -341,7 +341,7 @@
 func (u *transport) receive(
 	x *exchange, c *conn, req *http.Request, until time.Duration, begin func(*http.Response, *stream),
 ) (res *http.Response, body []byte, err error) {
-	_ = c.SetDeadline(u.clock.at(until)) // fails only on a closed connection, as the read then does
+	_ = c.SetDeadline(u.clock.toTime(until)) // fails only on a closed connection, as the read then does
 	if res, err = c.head(req); err != nil {
 		return res, nil, err
 	}
@@ -381,7 +381,7 @@
 	if m != nil && m.upload != nil {
 		last := time.Time{}
 		if x.by > 0 {
-			last = u.clock.at(x.by)
+			last = u.clock.toTime(x.by)
 		}
 		out := bufio.NewWriterSize(steady{c, last}, pieceSize)
 		if err := req.Write(out); err != nil {
@@ -403,8 +403,8 @@
 	if err := req.Write(&out); err != nil {
 		return 0, err
 	}
-	_ = c.SetDeadline(u.clock.at(x.bound(until))) // fails only on a closed connection, as the write then does
-	if _, err := writeThrough(c, out.Bytes()); err != nil {
+	_ = c.SetDeadline(u.clock.toTime(x.bound(until))) // fails only on a closed connection, as the write then does
+	if _, err := writeRetrying(c, out.Bytes()); err != nil {
 		return 0, err
 	}
 	if m != nil {
