--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -97,11 +97,11 @@
 // Withdraw has nothing to do: no attempt is unwritten once its CallOut is.
 func (i *instance) Withdraw(balance.RequestID, int) {}
 
-func (i *instance) Wake(d time.Duration)      { i.host.reply.SetAlarm(i.number, d, 0) }
-func (i *instance) Probe(to balance.ServerID) { i.host.reply.Inspect(i.number, wire.Upstream(to)) }
-func (i *instance) Close(to balance.ServerID) { i.host.reply.Release(i.number, wire.Upstream(to)) }
-func (i *instance) WatchList()                { i.host.reply.Tail(i.number, true) }
-func (i *instance) Log(line string)           { i.host.reply.WriteLog(i.number, line) }
+func (i *instance) Wake(d time.Duration)          { i.host.reply.SetAlarm(i.number, d, 0) }
+func (i *instance) Probe(to balance.ServerID)     { i.host.reply.Inspect(i.number, wire.Upstream(to)) }
+func (i *instance) CloseIdle(to balance.ServerID) { i.host.reply.Release(i.number, wire.Upstream(to)) }
+func (i *instance) WatchList()                    { i.host.reply.Tail(i.number, true) }
+func (i *instance) Log(line string)               { i.host.reply.WriteLog(i.number, line) }
 
 // batch hands the events of one batch to their instances, in order.
 func (h *host) batch(b wire.Batch) error {
@@ -210,9 +210,9 @@
 		if err != nil {
 			return err
 		}
-		r := balance.Request{ID: balance.RequestID(a.Job), Class: int(a.Kind), Tenant: int(a.Tenant), Left: a.Left}
+		r := balance.Request{ID: balance.RequestID(a.Job), Class: int(a.Kind), Tenant: int(a.Tenant), TimeLeft: a.Left}
 		r.Key = a.Key
-		r.Repeat = a.Bits&wire.BitRepeat != 0
+		r.ClientRetry = a.Bits&wire.BitRepeat != 0
 		if a.Bits&wire.BitHint != 0 {
 			r.Work = a.Hint
 		}
@@ -239,7 +239,7 @@
 		if err != nil {
 			return err
 		}
-		i.b.StreamBegun(now, balance.RequestID(job), int(hop))
+		i.b.StreamStarted(now, balance.RequestID(job), int(hop))
 	case wire.EvCheckResult:
 		up, end, report, err := rec.CheckResult()
 		if err != nil {
@@ -266,7 +266,7 @@
 	case wire.FleetCached:
 		k = balance.ListCached
 	case wire.FleetFailed:
-		i.b.List(now, balance.ListFailed, nil)
+		i.b.UpdateServers(now, balance.ListFailed, nil)
 		return nil
 	default:
 		return nil // a kind of a later version
@@ -275,7 +275,7 @@
 	if !ok {
 		return fmt.Errorf("instance %d: list %d was never sent", i.number, page)
 	}
-	i.b.List(now, k, list)
+	i.b.UpdateServers(now, k, list)
 	return nil
 }
 
--- a/internal/balance/balance.go
+++ b/internal/balance/balance.go
@@ -11,14 +11,14 @@
 // ServerID names a server; it stays the same when the server restarts.
 type ServerID uint64
 
-// Effect says what repeating a request of a class may do.
-type Effect int
+// Idempotency says what repeating a request of a class may do.
+type Idempotency int
 
 // The effects of a class.
 const (
-	Safe   Effect = iota // may be repeated and refused at will
-	Keyed                // repeats are dropped within a group of servers, for a while
-	Unsafe               // must never run twice
+	Safe   Idempotency = iota // may be repeated and refused at will
+	Keyed                     // repeats are dropped within a group of servers, for a while
+	Unsafe                    // must never run twice
 )
 
 // Scope is the group of servers that drops repeats of a keyed request.
@@ -33,15 +33,15 @@
 
 // Class describes one kind of request.
 type Class struct {
-	Aim        time.Duration // answers within this earn full worth
-	AimStretch float64       // the aim grows by this multiple of the request's expected work
-	Deadline   time.Duration // the client's whole wait, over all its tries
-	LateShare  float64       // share of the worth that an answer after the aim still earns
-	Worth      float64
-	Effect     Effect
-	Scope      Scope         // keyed only
-	Window     time.Duration // keyed only: how long repeats are dropped, from the first send on
-	InOrder    bool          // requests of such classes that share a Request.Key run one at a time, in order
+	Aim         time.Duration // answers within this earn full worth
+	AimStretch  float64       // the aim grows by this multiple of the request's expected work
+	Deadline    time.Duration // the client's whole wait, over all its tries
+	LateShare   float64       // share of the worth that an answer after the aim still earns
+	Worth       float64
+	Idempotency Idempotency
+	Scope       Scope         // keyed only
+	DedupWindow time.Duration // keyed only: how long repeats are dropped, from the first send on
+	InOrder     bool          // requests of such classes that share a Request.Key run one at a time, in order
 }
 
 // Tenant is one customer with a share of the service.
@@ -60,7 +60,7 @@
 
 // Config holds the settings a Balancer starts with; it does not change them.
 type Config struct {
-	Balancers int // balancers that send to the same servers, this one included; until Balancer.Fleet tells otherwise
+	Balancers int // balancers that send to the same servers, this one included; until Balancer.SetFleet tells otherwise
 	Index     int // this balancer's number among them, from 0
 	Zone      int // the zone this balancer is in
 	Classes   []Class
@@ -68,11 +68,11 @@
 
 	Slots int // slots of this balancer over all compartments; 0 derives them from the rest
 
-	MaxAttempts   int           // attempts for one request at most
-	MayCancel     bool          // Host.Cancel may be used
-	MayProbe      bool          // Host.Probe may be used
-	MaxRetryAfter time.Duration // the longest pause that clients heed
-	MarksRepeat   bool          // clients mark their own further tries: Request.Repeat
+	MaxAttempts        int           // attempts for one request at most
+	MayCancel          bool          // Host.Cancel may be used
+	MayProbe           bool          // Host.Probe may be used
+	MaxRetryAfter      time.Duration // the longest pause that clients heed
+	ClientsMarkRetries bool          // clients mark their own further tries: Request.ClientRetry
 
 	Budget      RetryBudget   // the zero value: no limit
 	OrderSettle time.Duration // a key rests this long after an attempt that may still be running
@@ -125,14 +125,14 @@
 
 // Request is one client request.
 type Request struct {
-	ID     RequestID
-	Class  int
-	Tenant int
-	Key    uint64        // what it is about; 0: nothing in particular
-	Left   time.Duration // until the client gives up
-	Work   time.Duration // expected work; 0 where unknown
-	Repeat bool          // known to be a client's own further try
-	Coming bool          // its body still comes: its time begins with BodyEnded
+	ID          RequestID
+	Class       int
+	Tenant      int
+	Key         uint64        // what it is about; 0: nothing in particular
+	TimeLeft    time.Duration // until the client gives up
+	Work        time.Duration // expected work; 0 where unknown
+	ClientRetry bool          // known to be a client's own further try
+	BodyPending bool          // its body still comes: its time begins with BodyEnded
 }
 
 // Ending says how an attempt ended.
@@ -154,12 +154,12 @@
 
 // Outcome is the end of one attempt.
 type Outcome struct {
-	ID      RequestID
-	Attempt int // numbered from 0 in the order of Host.Send for this request
-	Ending  Ending
-	Settled bool // the request is over; nothing more is owed for it
-	Spent   bool // the request can't be sent again: part of its body is gone
-	Load    Load // the server's report, where one came along
+	ID        RequestID
+	Attempt   int // numbered from 0 in the order of Host.Send for this request
+	Ending    Ending
+	Settled   bool // the request is over; nothing more is owed for it
+	BodySpent bool // the request can't be sent again: part of its body is gone
+	Load      Load // the server's report, where one came along
 }
 
 // LoadFields is a set of the fields of a Load.
@@ -195,11 +195,11 @@
 
 // LearnedServer is a server of which there is something to tell.
 type LearnedServer struct {
-	ID     ServerID
-	Fails  int           // attempts that failed lately
-	Silent time.Duration // it has not answered since; 0: it has
-	WarmAt time.Duration // cold until then
-	Strain float64       // time that its answers take, against the usual; failures count too
+	ID           ServerID
+	Failures     int           // attempts that failed lately
+	SilentSince  time.Duration // it has not answered since; 0: it has
+	WarmAt       time.Duration // cold until then
+	LatencyRatio float64       // time that its answers take, against the usual; failures count too
 }
 
 // Fleet is who else sends to the same servers, as far as that is known.
@@ -240,10 +240,10 @@
 	// Wake asks for a call of Balancer.Wake after d.
 	Wake(d time.Duration)
 	// Close closes the idle connections to a server.
-	Close(to ServerID)
+	CloseIdle(to ServerID)
 	// Probe asks a server for a load report; Balancer.Probed brings it.
 	Probe(to ServerID)
-	// WatchList subscribes to the server list; Balancer.List brings changes.
+	// WatchList subscribes to the server list; Balancer.UpdateServers brings changes.
 	WatchList()
 	// Log writes a line for the people on call.
 	Log(line string)
--- a/internal/balance/check.go
+++ b/internal/balance/check.go
@@ -30,9 +30,9 @@
 		return fmt.Errorf("config: MaxRetryAfter, Tick, AskWithin or ColdTime is negative")
 	}
 	for i, c := range cfg.Classes {
-		if c.Aim <= 0 || c.Deadline <= 0 || c.Window < 0 {
-			return fmt.Errorf("config: Classes[%d]: Aim %v, Deadline %v or Window %v is unusable",
-				i, c.Aim, c.Deadline, c.Window)
+		if c.Aim <= 0 || c.Deadline <= 0 || c.DedupWindow < 0 {
+			return fmt.Errorf("config: Classes[%d]: Aim %v, Deadline %v or DedupWindow %v is unusable",
+				i, c.Aim, c.Deadline, c.DedupWindow)
 		}
 		if negative(c.AimStretch) || negative(c.LateShare) || negative(c.Worth) {
 			return fmt.Errorf("config: Classes[%d]: AimStretch, LateShare or Worth is negative or no number", i)
--- a/internal/balance/rules.go
+++ b/internal/balance/rules.go
@@ -17,12 +17,12 @@
 	Zones       map[int]float64      // the same for all servers of a zone; both multiples count
 }
 
-// MultipleMost bounds a multiple of a weight: it is 0, or from 1/MultipleMost to MultipleMost. Beyond these,
+// MaxWeightMultiple bounds a multiple of a weight: it is 0, or from 1/MaxWeightMultiple to MaxWeightMultiple. Beyond these,
 // turns are so rare or so frequent that exclusion, or another server list, is what is meant.
-const MultipleMost = 1000
+const MaxWeightMultiple = 1000
 
-// SpanMost bounds a budget's span: a time is kept for each request of it.
-const SpanMost = 10 * time.Minute
+// MaxBudgetSpan bounds a budget's span: a time is kept for each request of it.
+const MaxBudgetSpan = 10 * time.Minute
 
 // Check returns an error that names the first field that a Balancer with these settings, which were checked
 // themselves, cannot take. It changes nothing.
@@ -40,21 +40,21 @@
 		if err := r.Budget.check(); err != nil {
 			return fmt.Errorf("rules: %w", err)
 		}
-		if r.Budget.Span > SpanMost {
-			return fmt.Errorf("rules: Budget: Span %v is over %v", r.Budget.Span, SpanMost)
+		if r.Budget.Span > MaxBudgetSpan {
+			return fmt.Errorf("rules: Budget: Span %v is over %v", r.Budget.Span, MaxBudgetSpan)
 		}
 	}
 	if id, m, ok := unusable(r.Servers); ok {
-		return fmt.Errorf("rules: Servers[%x] is %v, 0 or from 1/%d to %d is needed", uint64(id), m, MultipleMost, MultipleMost)
+		return fmt.Errorf("rules: Servers[%x] is %v, 0 or from 1/%d to %d is needed", uint64(id), m, MaxWeightMultiple, MaxWeightMultiple)
 	}
 	if z, m, ok := unusable(r.Zones); ok {
-		return fmt.Errorf("rules: Zones[%d] is %v, 0 or from 1/%d to %d is needed", z, m, MultipleMost, MultipleMost)
+		return fmt.Errorf("rules: Zones[%d] is %v, 0 or from 1/%d to %d is needed", z, m, MaxWeightMultiple, MaxWeightMultiple)
 	}
 	return nil
 }
 
-// Over returns the settings as the set changes them.
-func (r Rules) Over(c Config) Config {
+// ApplyTo returns the settings as the set changes them.
+func (r Rules) ApplyTo(c Config) Config {
 	c.MaxAttempts = cmp.Or(r.MaxAttempts, c.MaxAttempts)
 	if r.Budget != nil {
 		c.Budget = *r.Budget
@@ -65,8 +65,8 @@
 	return c
 }
 
-// Multiple returns the set's multiple of a server's weight: 1 where it does not name the server or its zone.
-func (r Rules) Multiple(s Server) float64 {
+// WeightMultiple returns the set's multiple of a server's weight: 1 where it does not name the server or its zone.
+func (r Rules) WeightMultiple(s Server) float64 {
 	m := 1.0
 	if by, ok := r.Servers[s.ID]; ok {
 		m = by
@@ -80,7 +80,7 @@
 // unusable finds the multiple that cannot be used, the one with the lowest key where there are several.
 func unusable[K ServerID | int](multiples map[K]float64) (key K, multiple float64, found bool) {
 	for k, m := range multiples {
-		if m != 0 && !(m >= 1.0/MultipleMost && m <= MultipleMost) && (!found || k < key) {
+		if m != 0 && !(m >= 1.0/MaxWeightMultiple && m <= MaxWeightMultiple) && (!found || k < key) {
 			key, multiple, found = k, m, true
 		}
 	}
--- a/internal/conform/module.go
+++ b/internal/conform/module.go
@@ -32,7 +32,7 @@
 func (m *module) Fail(id balance.RequestID, _ balance.Reason) { m.add(action{kind: fail, id: int(id)}) }
 func (m *module) Cancel(id balance.RequestID, _ int)          { m.add(action{kind: cancel, id: int(id)}) }
 func (m *module) Wake(d time.Duration)                        { m.add(action{kind: timer, d: d}) }
-func (m *module) Close(balance.ServerID)                      {}
+func (m *module) CloseIdle(balance.ServerID)                  {}
 func (m *module) Probe(balance.ServerID)                      {}
 func (m *module) WatchList()                                  { m.add(action{kind: watch}) }
 func (m *module) Log(string)                                  {}
@@ -66,7 +66,7 @@
 	case wake:
 		m.b.Wake(now)
 	case list:
-		m.b.List(now, e.list, e.servers)
+		m.b.UpdateServers(now, e.list, e.servers)
 	case gone:
 		m.b.ClientGone(now, e.request.ID)
 	}
--- a/internal/conform/simhost.go
+++ b/internal/conform/simhost.go
@@ -107,7 +107,7 @@
 	switch e.kind {
 	case request:
 		q := e.request
-		return s.exchange(now, record(wire.EvAsk, uint32(1), id, uint16(0), q.Key, uint32(q.Tenant), wire.ToMillis(q.Left), float64(0), uint8(q.Class)))
+		return s.exchange(now, record(wire.EvAsk, uint32(1), id, uint16(0), q.Key, uint32(q.Tenant), wire.ToMillis(q.TimeLeft), float64(0), uint8(q.Class)))
 	case outcome:
 		o := e.outcome
 		code := map[balance.Ending]uint16{
--- a/internal/conform/virtual.go
+++ b/internal/conform/virtual.go
@@ -249,7 +249,7 @@
 func (p *player) ask(id int, s Step) error {
 	p.asked[id] = &asked{step: s, at: p.now}
 	q := balance.Request{
-		ID: balance.RequestID(id), Class: p.classes[s.Class], Tenant: p.tenants[s.Tenant], Left: s.Left.D(),
+		ID: balance.RequestID(id), Class: p.classes[s.Class], Tenant: p.tenants[s.Tenant], TimeLeft: s.Left.D(),
 	}
 	return p.tell(event{kind: request, request: q})
 }
--- a/internal/guard/guard.go
+++ b/internal/guard/guard.go
@@ -69,7 +69,7 @@
 type Request struct {
 	Name     string // X-Request-ID
 	Deadline time.Duration
-	Effect   balance.Effect
+	Effect   balance.Idempotency
 	Window   time.Duration // keyed only: how long repeats are dropped, from the first send on
 	Coming   bool          // its body still comes: its time begins later
 }
--- a/internal/rules/document.go
+++ b/internal/rules/document.go
@@ -181,8 +181,8 @@
 		}
 	}
 	multiple := func(key string, weight float64) {
-		if weight != 0 && weight < 1.0/balance.MultipleMost {
-			fail(key, "is %v: 0, or 1/%d at the least", weight, balance.MultipleMost)
+		if weight != 0 && weight < 1.0/balance.MaxWeightMultiple {
+			fail(key, "is %v: 0, or 1/%d at the least", weight, balance.MaxWeightMultiple)
 		}
 	}
 	servers, zones := make(map[string]float64), make(map[string]float64)
--- a/internal/sidecar/config_test.go
+++ b/internal/sidecar/config_test.go
@@ -15,7 +15,7 @@
 		t.Errorf("config %+v", c)
 	}
 	p := c.Policy
-	if p.MaxAttempts != 3 || p.Classes[0].Effect != balance.Keyed || p.Classes[1].Effect != balance.Unsafe ||
+	if p.MaxAttempts != 3 || p.Classes[0].Idempotency != balance.Keyed || p.Classes[1].Idempotency != balance.Unsafe ||
 		p.Tenants[1].Quota != 50 || p.ColdTime != 5*time.Second || p.Reports&balance.HasInFlight == 0 {
 		t.Errorf("the module's config %+v", p)
 	}
--- a/internal/sidecar/front.go
+++ b/internal/sidecar/front.go
@@ -304,7 +304,7 @@
 		return q, 0, errors.New("the path is of another class than X-Priority-Class")
 	}
 	method := http.MethodPost
-	if f.cfg.Policy.Classes[q.Class].Effect == balance.Safe {
+	if f.cfg.Policy.Classes[q.Class].Idempotency == balance.Safe {
 		method = http.MethodGet
 	}
 	if r.Method != method {
@@ -313,7 +313,7 @@
 	if method == http.MethodGet && r.ContentLength != 0 {
 		return q, 0, errors.New("a request of the class has no body")
 	}
-	if f.cfg.Policy.Classes[q.Class].Effect == balance.Keyed && h.Get("Idempotency-Key") == "" {
+	if f.cfg.Policy.Classes[q.Class].Idempotency == balance.Keyed && h.Get("Idempotency-Key") == "" {
 		return q, 0, errors.New("Idempotency-Key is missing")
 	}
 	if len(f.cfg.Tenants) > 0 {
@@ -334,7 +334,7 @@
 		_, _ = io.WriteString(sum, key) // a hash takes everything
 		q.Key = sum.Sum64()
 	}
-	q.Repeat = h.Get("X-Retried") == "1"
+	q.ClientRetry = h.Get("X-Retried") == "1"
 	return q, left, nil
 }
 
--- a/internal/sidecar/loop.go
+++ b/internal/sidecar/loop.go
@@ -107,7 +107,7 @@
 	}
 	l.membersAt = l.now
 	var m members
-	m.listed, m.unavailable = l.b.Members(l.now)
+	m.listed, m.unavailable = l.b.ServerCounts(l.now)
 	l.members.Store(&m)
 }
 
@@ -117,7 +117,7 @@
 	id, known := serverID(instance), make(chan bool, 1)
 	if err := l.do(ctx, func(time.Duration) {
 		_, listed := l.address[id]
-		known <- listed || l.b.Out(id)
+		known <- listed || l.b.Disabled(id)
 	}); err != nil {
 		return err
 	}
@@ -154,16 +154,16 @@
 
 // fleet tells the module who is there.
 func (l *loop) fleet(ctx context.Context, f balance.Fleet) error {
-	return l.do(ctx, func(now time.Duration) { l.b.Fleet(now, f) })
+	return l.do(ctx, func(now time.Duration) { l.b.SetFleet(now, f) })
 }
 
 // rules puts a rule set in force.
 func (l *loop) rules(ctx context.Context, set *rules.Set) error {
-	return l.do(ctx, func(now time.Duration) { l.b.Rules(now, set.Rules) })
+	return l.do(ctx, func(now time.Duration) { l.b.SetRules(now, set.Rules) })
 }
 
 // share takes how many processes this sidecar has.
-func (l *loop) share(n int) { l.post(func(time.Duration) { l.b.Share(n) }) }
+func (l *loop) share(n int) { l.post(func(time.Duration) { l.b.SetProcessCount(n) }) }
 
 // calls takes over what was called for at the other process.
 func (l *loop) calls(ctx context.Context, handed map[string]handed) {
@@ -177,14 +177,14 @@
 // byHand has the module take a server out or back, as of the moment at. Said again, it changes nothing.
 func (l *loop) byHand(now time.Duration, instance string, out bool, at time.Duration) {
 	id := serverID(instance)
-	if l.b.Out(id) == out {
+	if l.b.Disabled(id) == out {
 		return
 	}
 	at = min(at, now) // another process of before a step of the wall clock may have a later one
 	if out {
-		l.b.TakeOut(now, id)
+		l.b.Disable(now, id)
 	} else {
-		l.b.BringBack(now, id, at)
+		l.b.Enable(now, id, at)
 	}
 	slog.Info("by hand", "server", instance, "out", out)
 	l.membersAt = 0 // to be published at once
@@ -221,7 +221,7 @@
 	known.whole = true
 	l.take(known, balance.ListCached)
 	if before, ok := l.handover.learned(); ok {
-		l.b.Recall(l.now, before)
+		l.b.RestoreLearned(l.now, before)
 	}
 	counters := time.NewTicker(countersEvery)
 	defer counters.Stop()
@@ -282,7 +282,7 @@
 }
 
 func (l *loop) listFailed() {
-	l.post(func(now time.Duration) { l.b.List(now, balance.ListFailed, nil) })
+	l.post(func(now time.Duration) { l.b.UpdateServers(now, balance.ListFailed, nil) })
 }
 
 func (l *loop) take(news listing, kind balance.ListKind) {
@@ -319,7 +319,7 @@
 			l.guard.Listed(l.now, address, stateAt(ready[address]))
 		}
 	}
-	l.b.List(l.now, kind, news.servers)
+	l.b.UpdateServers(l.now, kind, news.servers)
 }
 
 // stateAt is what an address is: ready where any server that is listed there is.
@@ -335,11 +335,11 @@
 func (l *loop) ask(q balance.Request, m *message, deadline time.Duration, reply chan<- answer) balance.RequestID {
 	q.ID = balance.RequestID(l.lastID.Add(1))
 	class := l.classes[q.Class]
-	l.guard.Take(q.ID, guard.Request{Name: m.id, Deadline: deadline, Effect: class.Effect, Window: class.Window, Coming: m.rest != nil})
+	l.guard.Take(q.ID, guard.Request{Name: m.id, Deadline: deadline, Effect: class.Idempotency, Window: class.DedupWindow, Coming: m.rest != nil})
 	m.permit = func(now time.Duration, address string) error { return l.guard.Write(now, q.ID, address) }
 	m.written = func(began, now time.Duration, address string) { l.guard.Written(began, now, q.ID, address) }
 	if m.rest != nil {
-		q.Coming = true
+		q.BodyPending = true
 		whole := m.rest.whole
 		m.rest.whole = func() {
 			whole()
@@ -357,7 +357,7 @@
 		}
 	}
 	l.post(func(now time.Duration) {
-		q.Left = deadline - now
+		q.TimeLeft = deadline - now
 		l.requests[q.ID] = &request{message: m, deadline: deadline, reply: reply}
 		l.b.Request(now, q)
 	})
@@ -424,7 +424,7 @@
 	}
 	r.attempts[number], r.stream = nil, res.stream
 	l.finish(id, r, &answer{status: http.StatusOK, header: res.header, stream: res.stream})
-	l.b.StreamBegun(l.now, id, number)
+	l.b.StreamStarted(l.now, id, number)
 }
 
 // ended takes the end of an attempt. The first answer of an upstream goes to the client at once
@@ -437,7 +437,7 @@
 	if res.ending == balance.Served && !r.over {
 		l.finish(id, r, &answer{status: http.StatusOK, header: res.header, body: res.body})
 	}
-	l.outcome(balance.Outcome{ID: id, Attempt: number, Ending: res.ending, Load: res.load, Spent: r.message.spent()})
+	l.outcome(balance.Outcome{ID: id, Attempt: number, Ending: res.ending, Load: res.load, BodySpent: r.message.spent()})
 }
 
 // Send starts an attempt, given up after timeout or at the client's deadline, and written within unsent if at all.
@@ -453,7 +453,7 @@
 	never := r.over || number >= l.most || left <= 0 || timeout < 0 || unsent < 0 || address == ""
 	if spent := r.message.spent(); never || spent || l.guard.Send(l.now, id, address) != nil {
 		r.attempts = append(r.attempts, nil)
-		l.notSent = append(l.notSent, balance.Outcome{ID: id, Attempt: number, Ending: balance.NotSent, Spent: spent})
+		l.notSent = append(l.notSent, balance.Outcome{ID: id, Attempt: number, Ending: balance.NotSent, BodySpent: spent})
 		return
 	}
 	if timeout == 0 || timeout > left {
@@ -540,7 +540,7 @@
 }
 
 // Close closes the idle connections to a server.
-func (l *loop) Close(to balance.ServerID) { l.upstream.close(l.address[to]) }
+func (l *loop) CloseIdle(to balance.ServerID) { l.upstream.close(l.address[to]) }
 
 // WatchList subscribes to the server list.
 func (l *loop) WatchList() { l.watch() }
--- a/internal/sidecar/size_test.go
+++ b/internal/sidecar/size_test.go
@@ -83,7 +83,7 @@
 func (*still) Cancel(balance.RequestID, int)                                            {}
 func (*still) Withdraw(balance.RequestID, int)                                          {}
 func (*still) Wake(time.Duration)                                                       {}
-func (*still) Close(balance.ServerID)                                                   {}
+func (*still) CloseIdle(balance.ServerID)                                               {}
 func (*still) Probe(balance.ServerID)                                                   {}
 func (*still) WatchList()                                                               {}
 func (*still) Log(string)                                                               {}
@@ -106,14 +106,14 @@
 				b.Fatal(err)
 			}
 			m.Start(0)
-			m.List(0, balance.ListFull, l.servers)
+			m.UpdateServers(0, balance.ListFull, l.servers)
 			return m, host
 		}
 		b.Run(fmt.Sprintf("%d/list", n), func(b *testing.B) {
 			kept := grown(func() any { m, _ := begin(); return m })
 			m, _ := begin()
 			for b.Loop() {
-				m.List(0, balance.ListFull, l.servers)
+				m.UpdateServers(0, balance.ListFull, l.servers)
 			}
 			b.ReportMetric(kept/float64(n), "kept-bytes/server")
 		})
@@ -122,7 +122,7 @@
 			for i := 0; b.Loop(); i++ {
 				s := l.servers[i/2%n]
 				s.State = []balance.State{balance.Draining, balance.Ready}[i%2]
-				m.List(0, balance.ListDelta, []balance.Server{s})
+				m.UpdateServers(0, balance.ListDelta, []balance.Server{s})
 			}
 		})
 		b.Run(fmt.Sprintf("%d/request", n), func(b *testing.B) {
@@ -131,7 +131,7 @@
 			for b.Loop() {
 				now += gap
 				id++
-				m.Request(now, balance.Request{ID: id, Left: 3 * time.Second})
+				m.Request(now, balance.Request{ID: id, TimeLeft: 3 * time.Second})
 				m.Outcome(now+time.Millisecond, balance.Outcome{ID: id, Ending: balance.Served, Settled: true})
 				m.Wake(now + 2*time.Millisecond)
 			}
--- a/internal/sidecar/state.go
+++ b/internal/sidecar/state.go
@@ -98,7 +98,7 @@
 func learned(l balance.Learned) keptLearned {
 	k := keptLearned{AtMs: millis(l.At), Rate: l.Rate}
 	for _, s := range l.Servers {
-		k.Servers = append(k.Servers, keptServer{uint64(s.ID), s.Fails, millis(s.Silent), millis(s.WarmAt), s.Strain})
+		k.Servers = append(k.Servers, keptServer{uint64(s.ID), s.Failures, millis(s.SilentSince), millis(s.WarmAt), s.LatencyRatio})
 	}
 	return k
 }
@@ -108,7 +108,7 @@
 	l := balance.Learned{At: fromMillis(k.AtMs), Rate: k.Rate}
 	for _, s := range k.Servers {
 		l.Servers = append(l.Servers, balance.LearnedServer{
-			ID: balance.ServerID(s.ID), Fails: s.Fails, Silent: fromMillis(s.SilentMs), WarmAt: fromMillis(s.WarmAtMs), Strain: s.Strain,
+			ID: balance.ServerID(s.ID), Failures: s.Fails, SilentSince: fromMillis(s.SilentMs), WarmAt: fromMillis(s.WarmAtMs), LatencyRatio: s.Strain,
 		})
 	}
 	return l
--- a/internal/sidecar/state_test.go
+++ b/internal/sidecar/state_test.go
@@ -34,7 +34,7 @@
 	v.take(listing{version: 8, servers: []balance.Server{{ID: serverID("s-0"), State: balance.Gone}}}, now)
 	h.keepList(v, true)
 	told := balance.Learned{At: time.Duration(time.Now().UnixMilli()) * time.Millisecond, Rate: 120, Servers: []balance.LearnedServer{
-		{ID: serverID("s-1"), Fails: 3, Silent: 5 * time.Second, WarmAt: 9 * time.Second, Strain: 7.5},
+		{ID: serverID("s-1"), Failures: 3, SilentSince: 5 * time.Second, WarmAt: 9 * time.Second, LatencyRatio: 7.5},
 	}}
 	ctx, stop := context.WithCancel(context.Background())
 	asked := make(chan bool, 100)
--- a/internal/sidecar/stream.go
+++ b/internal/sidecar/stream.go
@@ -161,7 +161,7 @@
 	begin func(*http.Response, *stream) // hears that the answer has begun
 
 	mu    sync.Mutex
-	pace  policy.AnswerPace
+	pace  policy.StallDetector
 	begun bool
 	due   bool   // it is to begin with its next byte
 	held  []byte // what came before it began
@@ -174,7 +174,7 @@
 
 func newStream(res *http.Response, c *conn, x *exchange, clock clock) *stream {
 	return &stream{
-		res: res, c: c, x: x, clock: clock, pace: policy.NewAnswerPace(clock.now(), x.deadline), due: res.ContentLength > bodyHeld,
+		res: res, c: c, x: x, clock: clock, pace: policy.NewStallDetector(clock.now(), x.deadline), due: res.ContentLength > bodyHeld,
 		pieces: make(chan piece, pieces), gone: make(chan struct{}),
 	}
 }
@@ -184,7 +184,7 @@
 
 // waitForMore sets by when the next bytes have to come. The caller holds the lock.
 func (s *stream) waitForMore() {
-	_ = s.c.SetReadDeadline(s.clock.at(s.pace.Wait(s.clock.now()))) // fails only on a closed connection, as the read then does
+	_ = s.c.SetReadDeadline(s.clock.at(s.pace.StartRead(s.clock.now()))) // fails only on a closed connection, as the read then does
 }
 
 // run reads the answer from its connection. One that ends before it has begun is returned whole; else begin hears
@@ -236,7 +236,7 @@
 func (s *stream) came(p *piece, err error) (begun, whole bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.pace.Came(s.clock.now(), p.n)
+	s.pace.BytesReceived(s.clock.now(), p.n)
 	if s.begun {
 		return true, false
 	}
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -173,23 +173,23 @@
 // Config turns the settings into the module's own.
 func (s *Settings) Config() (balance.Config, error) {
 	c := balance.Config{
-		Balancers:      s.count("balancers"),
-		Index:          s.count("me"),
-		Zone:           s.count("zone"),
-		MaxAttempts:    s.count("caps.most_tries"),
-		MayCancel:      s.flag("caps.may_cancel"),
-		MayProbe:       s.flag("caps.probes") && s.text("telemetry.how") != "silent",
-		MaxRetryAfter:  Millis(s.number("caps.max_retry_after_ms", 0)),
-		MarksRepeat:    s.flag("client_habits.marks_retry"),
-		OrderSettle:    Millis(s.number("rules.order_settle_ms", 0)),
-		CloseWithin:    Millis(s.number("rules.let_go_in_ms", 0)),
-		Tick:           Millis(s.number("period_ms", 0)),
-		AskList:        s.text("discovery") == "ask",
-		AskWithin:      Millis(s.number("rules.ask_within_ms", 0)),
-		ColdFrom:       s.number("rules.cold_from", 0),
-		ColdTime:       Millis(s.number("rules.cold_ms", 0)),
-		ColdMultiple:   s.number("rules.fall_multiple", 0),
-		CrossZonePrice: s.number("charges.cross_zone", 0),
+		Balancers:          s.count("balancers"),
+		Index:              s.count("me"),
+		Zone:               s.count("zone"),
+		MaxAttempts:        s.count("caps.most_tries"),
+		MayCancel:          s.flag("caps.may_cancel"),
+		MayProbe:           s.flag("caps.probes") && s.text("telemetry.how") != "silent",
+		MaxRetryAfter:      Millis(s.number("caps.max_retry_after_ms", 0)),
+		ClientsMarkRetries: s.flag("client_habits.marks_retry"),
+		OrderSettle:        Millis(s.number("rules.order_settle_ms", 0)),
+		CloseWithin:        Millis(s.number("rules.let_go_in_ms", 0)),
+		Tick:               Millis(s.number("period_ms", 0)),
+		AskList:            s.text("discovery") == "ask",
+		AskWithin:          Millis(s.number("rules.ask_within_ms", 0)),
+		ColdFrom:           s.number("rules.cold_from", 0),
+		ColdTime:           Millis(s.number("rules.cold_ms", 0)),
+		ColdMultiple:       s.number("rules.fall_multiple", 0),
+		CrossZonePrice:     s.number("charges.cross_zone", 0),
 		Budget: balance.RetryBudget{
 			Span:  Millis(s.number("rules.budget_span_ms", 0)),
 			Free:  s.number("rules.extra_free", 0),
@@ -205,21 +205,21 @@
 	for i := range s.count("classes.count") {
 		p := fmt.Sprintf("classes.%d.", i)
 		k := balance.Class{
-			Aim:        Millis(s.number(p+"aim_ms", 0)),
-			AimStretch: s.number(p+"aim_stretch", 0),
-			Deadline:   Millis(s.number(p+"hard_limit_ms", 0)),
-			LateShare:  s.number(p+"late_share", 0),
-			Worth:      s.number(p+"worth", 0),
-			Window:     Millis(s.number(p+"window_ms", 0)),
-			Effect:     balance.Unsafe, // an unknown word is taken for the strictest
-			Scope:      balance.ScopeCell,
-			InOrder:    s.flag(p + "fifo_by_key"),
+			Aim:         Millis(s.number(p+"aim_ms", 0)),
+			AimStretch:  s.number(p+"aim_stretch", 0),
+			Deadline:    Millis(s.number(p+"hard_limit_ms", 0)),
+			LateShare:   s.number(p+"late_share", 0),
+			Worth:       s.number(p+"worth", 0),
+			DedupWindow: Millis(s.number(p+"window_ms", 0)),
+			Idempotency: balance.Unsafe, // an unknown word is taken for the strictest
+			Scope:       balance.ScopeCell,
+			InOrder:     s.flag(p + "fifo_by_key"),
 		}
 		switch s.text(p + "semantics") {
 		case "free":
-			k.Effect = balance.Safe
+			k.Idempotency = balance.Safe
 		case "guarded":
-			k.Effect = balance.Keyed
+			k.Idempotency = balance.Keyed
 		}
 		switch s.text(p + "dedup_scope") {
 		case "all":
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -242,10 +242,10 @@
 		!c.AskList || c.ColdFrom != 0.32 || c.CrossZonePrice != 0.03 {
 		t.Errorf("config %+v", c)
 	}
-	if k := c.Classes[0]; k.Effect != balance.Keyed || k.Scope != balance.ScopeCell || k.Window != 600*time.Millisecond {
+	if k := c.Classes[0]; k.Idempotency != balance.Keyed || k.Scope != balance.ScopeCell || k.DedupWindow != 600*time.Millisecond {
 		t.Errorf("class 0 %+v", k)
 	}
-	if c.Classes[1].Effect != balance.Unsafe {
+	if c.Classes[1].Idempotency != balance.Unsafe {
 		t.Error("an unknown effect is not taken for the strictest")
 	}
 	if b := (balance.RetryBudget{Span: 10 * time.Second, Free: 1, Share: 0.2}); c.Budget != b ||
--- a/internal/world/depth.go
+++ b/internal/world/depth.go
@@ -15,7 +15,7 @@
 	Request(now time.Duration, q balance.Request)
 	Outcome(now time.Duration, o balance.Outcome)
 	Wake(now time.Duration)
-	List(now time.Duration, kind balance.ListKind, servers []balance.Server)
+	UpdateServers(now time.Duration, kind balance.ListKind, servers []balance.Server)
 }
 
 // Cause is how attempts fail at the lowest service.
@@ -158,7 +158,7 @@
 				return c.load, fmt.Errorf("level %d: %w", level, err)
 			}
 			s.b.Start(0)
-			s.b.List(0, balance.ListFull, list)
+			s.b.UpdateServers(0, balance.ListFull, list)
 			all = append(all, s)
 		}
 		below = all
@@ -207,7 +207,7 @@
 func (s *chainSidecar) call(until time.Duration, client chainClient, answer func(balance.Ending)) {
 	s.last++
 	s.calls[s.last] = &chainCall{until: until, client: client, answer: answer}
-	s.b.Request(s.c.now, balance.Request{ID: s.last, Left: until - s.c.now})
+	s.b.Request(s.c.now, balance.Request{ID: s.last, TimeLeft: until - s.c.now})
 }
 
 // arrive is an attempt at a server.
@@ -299,7 +299,7 @@
 func (s *chainSidecar) Withdraw(balance.RequestID, int) {}
 
 // Close implements balance.Host.
-func (s *chainSidecar) Close(balance.ServerID) {}
+func (s *chainSidecar) CloseIdle(balance.ServerID) {}
 
 // Probe implements balance.Host.
 func (s *chainSidecar) Probe(balance.ServerID) {}
--- a/internal/world/depth_test.go
+++ b/internal/world/depth_test.go
@@ -45,7 +45,7 @@
 }
 
 func (p *plain) Request(now time.Duration, q balance.Request) {
-	p.until[q.ID] = now + q.Left
+	p.until[q.ID] = now + q.TimeLeft
 	p.send(q.ID)
 }
 
@@ -63,14 +63,14 @@
 	delete(p.tries, o.ID)
 }
 
-func (p *plain) Start(time.Duration)                                    {}
-func (p *plain) Wake(time.Duration)                                     {}
-func (p *plain) List(time.Duration, balance.ListKind, []balance.Server) {}
+func (p *plain) Start(time.Duration)                                             {}
+func (p *plain) Wake(time.Duration)                                              {}
+func (p *plain) UpdateServers(time.Duration, balance.ListKind, []balance.Server) {}
 
 func chainOf(depth, attempts int, share float64) world.ChainSpec {
 	return world.ChainSpec{
 		Depth: depth, Width: 4, Rate: 50,
-		Class: balance.Class{Aim: s, Deadline: 3 * s, Worth: 1, Effect: balance.Safe, Window: 3 * s},
+		Class: balance.Class{Aim: s, Deadline: 3 * s, Worth: 1, Idempotency: balance.Safe, DedupWindow: 3 * s},
 		Limit: balance.Config{MaxAttempts: attempts, MaxRetryAfter: s, ColdFrom: 0.2, ColdTime: 10 * s, ColdMultiple: 4},
 		Hop:   100 * time.Microsecond, Work: ms,
 		Cause: world.Errs, Share: share, From: 5 * s, For: 10 * s, Told: true, Relay: world.RelayError,
@@ -130,14 +130,14 @@
 	for _, c := range []struct {
 		depth, attempts int
 		cause           world.Cause
-		effect          balance.Effect
+		effect          balance.Idempotency
 		share           float64
 	}{
 		{1, 3, world.Errs, balance.Safe, 0.1}, {3, 3, world.Errs, balance.Safe, 0.2}, {5, 6, world.Turns, balance.Unsafe, 0.2},
 		{8, 3, world.Turns, balance.Safe, 0.2}, {11, 6, world.Errs, balance.Keyed, 0.2},
 	} {
 		spec := chainOf(c.depth, c.attempts, c.share)
-		spec.Cause, spec.Class.Effect = c.cause, c.effect
+		spec.Cause, spec.Class.Idempotency = c.cause, c.effect
 		bound := spec.Rate * float64(spec.Width) // requests a second, from level to level
 		for range c.depth {
 			bound = bound*(1+budget.Share) + float64(spec.Width)*budget.Free/budget.Span.Seconds()
@@ -251,11 +251,11 @@
 			}
 		}
 	}
-	for _, effect := range []balance.Effect{balance.Safe, balance.Keyed, balance.Unsafe} {
+	for _, effect := range []balance.Idempotency{balance.Safe, balance.Keyed, balance.Unsafe} {
 		for _, cause := range []world.Cause{world.Errs, world.Turns} {
 			for _, budgeted := range []bool{false, true} {
 				spec := chainOf(0, 3, 0.3)
-				spec.Cause, spec.Class.Effect = cause, effect
+				spec.Cause, spec.Class.Idempotency = cause, effect
 				if budgeted {
 					spec.Limit.Budget = balance.RetryBudget{Span: 10 * s, Free: 10, Share: 0.1}
 				}
@@ -277,7 +277,7 @@
 	}
 	for _, cause := range []world.Cause{world.Errs, world.Hangs} {
 		spec := chainOf(0, 3, 0.3)
-		spec.Cause, spec.Work, spec.Class.Aim, spec.Class.Deadline, spec.Limit.MarksRepeat = cause, 10*ms, 400*ms, 500*ms, true
+		spec.Cause, spec.Work, spec.Class.Aim, spec.Class.Deadline, spec.Limit.ClientsMarkRetries = cause, 10*ms, 400*ms, 500*ms, true
 		row(fmt.Sprintf("%s 30%%, 3 attempts, 10 ms a server, 0.5 s, told on, marked", cause), spec, 3)
 	}
 	for _, bad := range []int{1, 2} {
@@ -290,7 +290,7 @@
 	for _, share := range []float64{0.01, 0.02, 0.05, 0.1} {
 		for _, marked := range []bool{false, true} { // clients' own later tries are, so that none is guessed from the time left
 			spec := chainOf(0, 3, share)
-			spec.Cause, spec.Rate, spec.Limit.MarksRepeat = world.Hangs, world.Planned.Calls/float64(world.Planned.Sidecars), marked
+			spec.Cause, spec.Rate, spec.Limit.ClientsMarkRetries = world.Hangs, world.Planned.Calls/float64(world.Planned.Sidecars), marked
 			row(fmt.Sprintf("hangs %.0f%%, 3 attempts, 142 calls a second, marked %v", 100*share, marked), spec, 3)
 		}
 	}
--- a/policy/away_test.go
+++ b/policy/away_test.go
@@ -38,7 +38,7 @@
 				}
 				if now%(50*ms) == 0 {
 					id++
-					b.Request(now, balance.Request{ID: id, Class: safeClass, Left: left})
+					b.Request(now, balance.Request{ID: id, Class: safeClass, TimeLeft: left})
 				}
 				for ; seen < len(h.sends); seen++ {
 					end(b, now, h.sends[seen].id, 0, balance.Served)
@@ -74,5 +74,5 @@
 	for i := range list {
 		list[i].Started = now
 	}
-	b.List(now, balance.ListFull, list)
+	b.UpdateServers(now, balance.ListFull, list)
 }
--- a/policy/cold_test.go
+++ b/policy/cold_test.go
@@ -117,12 +117,12 @@
 	begin := func(p *process, now time.Duration) {
 		if w.byHand {
 			for i := range w.colds {
-				p.b.TakeOut(now, list[i].ID)
-				p.b.BringBack(now, list[i].ID, coldStart)
+				p.b.Disable(now, list[i].ID)
+				p.b.Enable(now, list[i].ID, coldStart)
 			}
 			return
 		}
-		p.b.List(now, balance.ListDelta, list[:w.colds])
+		p.b.UpdateServers(now, balance.ListDelta, list[:w.colds])
 	}
 	for now := time.Duration(0); now < coldStart+w.coldTime; now += tick {
 		if now == coldStart && !w.byHand {
@@ -147,11 +147,11 @@
 				if w.byHand {
 					begin(n, now)
 				}
-				b.List(now, balance.ListCached, list)
-				b.Recall(now, old[i].b.Learned(now))
+				b.UpdateServers(now, balance.ListCached, list)
+				b.RestoreLearned(now, old[i].b.Learned(now))
 				if w.twice {
-					b.Share(2)
-					old[i].b.Share(2)
+					b.SetProcessCount(2)
+					old[i].b.SetProcessCount(2)
 				}
 				all = append(all, n)
 			}
@@ -159,7 +159,7 @@
 		if w.twice && now == coldStart+w.restart+2*time.Second {
 			all = all[w.balancers:]
 			for _, p := range all {
-				p.b.Share(1)
+				p.b.SetProcessCount(1)
 			}
 		}
 		for _, p := range all {
@@ -186,7 +186,7 @@
 			}
 			for n := rng.ExpFloat64(); n < p.rate*tick.Seconds(); n += rng.ExpFloat64() {
 				id++
-				p.b.Request(now, balance.Request{ID: id, Left: 800 * ms})
+				p.b.Request(now, balance.Request{ID: id, TimeLeft: 800 * ms})
 				if rng.IntN(5) == 0 {
 					p.b.ClientGone(now, id)
 				}
@@ -276,9 +276,9 @@
 				entry.Started = now - 2*time.Hour
 				first = append(first, entry)
 			}
-			b.List(now, balance.ListFull, first)
+			b.UpdateServers(now, balance.ListFull, first)
 			entry.Started = c.started
-			b.List(now, c.kind, []balance.Server{entry})
+			b.UpdateServers(now, c.kind, []balance.Server{entry})
 			left := b.server(2).warmAt - now
 			if cold := left > cfg.ColdTime/4; cold != (c.warmAt > 0) || left > cfg.ColdTime {
 				t.Errorf("it is cold for %v more", left)
@@ -298,7 +298,7 @@
 		}
 		now := start + time.Second + ahead
 		b.Start(now)
-		b.List(now, balance.ListFull, []balance.Server{{ID: 1, State: balance.Ready, Weight: 1, Started: start}})
+		b.UpdateServers(now, balance.ListFull, []balance.Server{{ID: 1, State: balance.Ready, Weight: 1, Started: start}})
 		if s := b.server(1); s.warmAt <= now {
 			t.Errorf("the clock is %v ahead: a server that started a second ago is held for warm", ahead)
 		}
--- a/policy/example_test.go
+++ b/policy/example_test.go
@@ -21,7 +21,7 @@
 func (sidecar) Cancel(id balance.RequestID, attempt int)    {}
 func (sidecar) Withdraw(id balance.RequestID, attempt int)  {}
 func (sidecar) Wake(d time.Duration)                        {} // call b.Wake after d
-func (sidecar) Close(to balance.ServerID)                   {}
+func (sidecar) CloseIdle(to balance.ServerID)               {}
 func (sidecar) Probe(to balance.ServerID)                   {}
 func (sidecar) WatchList()                                  {}
 func (sidecar) Log(line string)                             { fmt.Println(line) }
@@ -31,7 +31,7 @@
 		Balancers:   1,
 		MaxAttempts: 2,
 		Slots:       1,
-		Classes:     []balance.Class{{Aim: time.Second, Deadline: 2 * time.Second, Worth: 1, Effect: balance.Unsafe}},
+		Classes:     []balance.Class{{Aim: time.Second, Deadline: 2 * time.Second, Worth: 1, Idempotency: balance.Unsafe}},
 	}, 42, sidecar{})
 	if err != nil {
 		fmt.Println(err)
@@ -39,9 +39,9 @@
 	}
 	now := time.Duration(0) // since any moment the program picks
 	b.Start(now)
-	b.List(now, balance.ListFull, []balance.Server{{ID: 7, State: balance.Ready, Weight: 1}})
+	b.UpdateServers(now, balance.ListFull, []balance.Server{{ID: 7, State: balance.Ready, Weight: 1}})
 	for id := range balance.RequestID(3) { // one slot, one queue place: the third is refused
-		b.Request(now, balance.Request{ID: id, Left: 2 * time.Second})
+		b.Request(now, balance.Request{ID: id, TimeLeft: 2 * time.Second})
 	}
 	now += 80 * time.Millisecond
 	b.Outcome(now, balance.Outcome{ID: 0, Attempt: 0, Ending: balance.Served, Settled: true})
--- a/policy/fleet_test.go
+++ b/policy/fleet_test.go
@@ -41,11 +41,11 @@
 		fresh.Balancers = int(math.Round(c.want))
 		same, _ := start(t, fresh, ready(1, 2))
 		now := time.Minute
-		b.Fleet(now, agreed(10, 0))
-		b.Fleet(now, c.told)
+		b.SetFleet(now, agreed(10, 0))
+		b.SetFleet(now, c.told)
 		for end := now + c.after; now < end; {
 			now += c.every
-			b.Fleet(now, c.told)
+			b.SetFleet(now, c.told)
 		}
 		if math.Abs(b.fleet-c.want) > 1e-9 {
 			t.Errorf("%s: %v count, want %v", what, b.fleet, c.want)
@@ -69,7 +69,7 @@
 		for i := range 400 {
 			now := time.Duration(i) * 7 * ms
 			if told && i%10 == 0 {
-				b.Fleet(now, balance.Fleet{Present: 12, Agreed: i%20 == 0})
+				b.SetFleet(now, balance.Fleet{Present: 12, Agreed: i%20 == 0})
 			}
 			ask(b, now, balance.RequestID(i), i%5)
 			if i%3 > 0 {
@@ -89,7 +89,7 @@
 		ask(b, 0, balance.RequestID(i), safeClass)
 	}
 	held := len(h.sends)
-	b.Fleet(ms, balance.Fleet{Present: 500})
+	b.SetFleet(ms, balance.Fleet{Present: 500})
 	if free, places := b.SlotsFree(0), b.QueueFree(0); free != 0 || places < 0 {
 		t.Errorf("%d slots and %d places free behind a wall that shrank below what it holds", free, places)
 	}
--- a/policy/hand_test.go
+++ b/policy/hand_test.go
@@ -11,8 +11,8 @@
 // Guards against sends of any kind to a server that is taken out by hand, whatever the list says of it meanwhile.
 func TestTakenOutByHandStaysOut(t *testing.T) {
 	b, h := start(t, testConfig(), ready(1, 2))
-	b.TakeOut(0, 1)
-	b.TakeOut(0, 1) // twice is once
+	b.Disable(0, 1)
+	b.Disable(0, 1) // twice is once
 	now, id := time.Duration(0), balance.RequestID(0)
 	serve := func(what string, ending balance.Ending) {
 		t.Helper()
@@ -29,20 +29,20 @@
 	}
 	serve("taken out", balance.Served)
 	serve("with retries", balance.TurnedAway)
-	b.List(now, balance.ListFull, ready(1, 2))
+	b.UpdateServers(now, balance.ListFull, ready(1, 2))
 	serve("in a whole list", balance.Served)
-	b.List(now, balance.ListDelta, []balance.Server{{ID: 1, State: balance.Draining, Weight: 1}})
-	b.List(now, balance.ListDelta, []balance.Server{{ID: 1, State: balance.Ready, Weight: 1, Started: now}})
+	b.UpdateServers(now, balance.ListDelta, []balance.Server{{ID: 1, State: balance.Draining, Weight: 1}})
+	b.UpdateServers(now, balance.ListDelta, []balance.Server{{ID: 1, State: balance.Ready, Weight: 1, Started: now}})
 	serve("restarted", balance.Served)
-	b.List(now, balance.ListDelta, []balance.Server{{ID: 1, State: balance.Gone, Weight: 1}})
-	b.List(now, balance.ListDelta, ready(1))
+	b.UpdateServers(now, balance.ListDelta, []balance.Server{{ID: 1, State: balance.Gone, Weight: 1}})
+	b.UpdateServers(now, balance.ListDelta, ready(1))
 	serve("gone and back", balance.Served)
-	if listed, unavailable := b.Members(now); listed != 2 || unavailable != 1 {
+	if listed, unavailable := b.ServerCounts(now); listed != 2 || unavailable != 1 {
 		t.Errorf("%d members, %d unavailable, want 2 and 1", listed, unavailable)
 	}
-	b.BringBack(now, 1, now)
-	if listed, unavailable := b.Members(now); listed != 2 || unavailable != 0 || b.Out(1) {
-		t.Errorf("after one call back: %d members, %d unavailable, out %v", listed, unavailable, b.Out(1))
+	b.Enable(now, 1, now)
+	if listed, unavailable := b.ServerCounts(now); listed != 2 || unavailable != 0 || b.Disabled(1) {
+		t.Errorf("after one call back: %d members, %d unavailable, out %v", listed, unavailable, b.Disabled(1))
 	}
 }
 
@@ -50,7 +50,7 @@
 func TestTakeOutLeavesWhatRuns(t *testing.T) {
 	b, h := start(t, testConfig(), ready(1))
 	ask(b, 0, 1, safeClass)
-	b.TakeOut(ms, 1)
+	b.Disable(ms, 1)
 	if len(h.cancelled) != 0 {
 		t.Fatal("what ran there was called off")
 	}
@@ -60,7 +60,7 @@
 	if len(h.sends) != 1 {
 		t.Fatalf("sends %v, want only the first", h.sends)
 	}
-	b.List(30*ms, balance.ListDelta, ready(2))
+	b.UpdateServers(30*ms, balance.ListDelta, ready(2))
 	if h.sentTo(2) == 0 || h.sentTo(1) != 1 {
 		t.Fatalf("sends %v, want what waited at the other server", h.sends)
 	}
@@ -69,7 +69,7 @@
 // Guards against a server that is never used again after the call back, or is met with its full share at once.
 func TestBroughtBackCold(t *testing.T) {
 	b, h := start(t, testConfig(), ready(1, 2, 3, 4))
-	b.TakeOut(0, 1)
+	b.Disable(0, 1)
 	var id balance.RequestID
 	serve := func(from, to time.Duration) int {
 		before := h.sentTo(1)
@@ -82,7 +82,7 @@
 		return h.sentTo(1) - before
 	}
 	serve(0, time.Second)
-	b.BringBack(time.Second, 1, time.Second)
+	b.Enable(time.Second, 1, time.Second)
 	if n := serve(time.Second, 2*time.Second); n == 0 || n > 8 {
 		t.Errorf("%d sends in the first second, want some, but fewer than a warm server's 12", n)
 	}
@@ -94,14 +94,14 @@
 // A server that is out and not listed can be called back; listed again, it is as cold as the call back made it.
 func TestBroughtBackUnlisted(t *testing.T) {
 	b, _ := start(t, testConfig(), ready(1, 2))
-	b.TakeOut(0, 1)
-	b.List(0, balance.ListDelta, []balance.Server{{ID: 1, State: balance.Gone, Weight: 1}})
-	b.BringBack(time.Second, 1, time.Second)
-	b.List(2*time.Second, balance.ListDelta, ready(1))
+	b.Disable(0, 1)
+	b.UpdateServers(0, balance.ListDelta, []balance.Server{{ID: 1, State: balance.Gone, Weight: 1}})
+	b.Enable(time.Second, 1, time.Second)
+	b.UpdateServers(2*time.Second, balance.ListDelta, ready(1))
 	if s := b.server(1); s == nil || !s.mayServe(2*time.Second) || s.warmAt != 9*time.Second {
 		t.Errorf("listed again: %+v, want it in service and cold until 9s", s)
 	}
-	b.BringBack(20*time.Second, 2, 20*time.Second) // was never out
+	b.Enable(20*time.Second, 2, 20*time.Second) // was never out
 	if s := b.server(2); s.warmAt != 0 {
 		t.Error("a call back of a server that was not out made it cold")
 	}
@@ -111,9 +111,9 @@
 func TestProcessesShareColdServers(t *testing.T) {
 	sends := func(n int) int {
 		b, h := start(t, testConfig(), ready(1))
-		b.Share(n)
+		b.SetProcessCount(n)
 		ended := 0
-		b.List(0, balance.ListDelta, []balance.Server{{ID: 1, State: balance.Ready, Weight: 1, Started: 1}})
+		b.UpdateServers(0, balance.ListDelta, []balance.Server{{ID: 1, State: balance.Ready, Weight: 1, Started: 1}})
 		for i := range 50 {
 			now := time.Duration(i) * 20 * ms
 			ask(b, now, balance.RequestID(i), safeClass)
@@ -153,8 +153,8 @@
 	const now = time.Hour
 	cfg := testConfig()
 	cfg.ColdTime = 8 * time.Second
-	dead := balance.LearnedServer{ID: 2, Fails: 5, Silent: now - 10*time.Second, Strain: failStrain}
-	cold := balance.LearnedServer{ID: 2, WarmAt: now + 4*time.Second, Strain: 1}
+	dead := balance.LearnedServer{ID: 2, Failures: 5, SilentSince: now - 10*time.Second, LatencyRatio: failStrain}
+	cold := balance.LearnedServer{ID: 2, WarmAt: now + 4*time.Second, LatencyRatio: 1}
 	for _, c := range []struct {
 		name   string
 		at     time.Duration
@@ -170,14 +170,14 @@
 		{"a cold one goes on warming", now - time.Second, cold, 0, false, now + 4*time.Second},
 		{"also when that is older", now - time.Minute, cold, 0, false, now + 4*time.Second},
 		{"no longer than a start takes", now - time.Second, balance.LearnedServer{ID: 2, WarmAt: 9 * now}, 0, false, now + 8*time.Second},
-		{"nonsense does no harm", now - time.Second, balance.LearnedServer{ID: 2, Fails: -9, Silent: -5, Strain: math.NaN()}, 0, false, 0},
-		{"nor do servers that nobody knows", now - time.Second, balance.LearnedServer{ID: 77, Fails: 5}, 0, false, 0},
+		{"nonsense does no harm", now - time.Second, balance.LearnedServer{ID: 2, Failures: -9, SilentSince: -5, LatencyRatio: math.NaN()}, 0, false, 0},
+		{"nor do servers that nobody knows", now - time.Second, balance.LearnedServer{ID: 77, Failures: 5}, 0, false, 0},
 	} {
 		list := ready(1, 2)
 		list[1].Started = c.since
 		b, _ := start(t, cfg, nil)
-		b.List(now, balance.ListFull, list)
-		b.Recall(now, balance.Learned{At: c.at, Rate: 70, Servers: []balance.LearnedServer{c.learnt}})
+		b.UpdateServers(now, balance.ListFull, list)
+		b.RestoreLearned(now, balance.Learned{At: c.at, Rate: 70, Servers: []balance.LearnedServer{c.learnt}})
 		s := b.server(2)
 		if rests := s.rested > now; rests != c.rests || s.warmAt != c.warmAt || s.fails < 0 || !(s.strain > 0) || s.silent < 0 {
 			t.Errorf("%s: rests %v, warm at %v, %d fails, strain %v", c.name, rests, s.warmAt, s.fails, s.strain)
@@ -189,7 +189,7 @@
 	b, _ := start(t, cfg, ready(1, 2))
 	b.server(2).fails, b.server(2).strain = 3, 6
 	l := b.Learned(time.Second)
-	if len(l.Servers) != 1 || l.Servers[0].ID != 2 || l.Servers[0].Fails != 3 || l.At != time.Second {
+	if len(l.Servers) != 1 || l.Servers[0].ID != 2 || l.Servers[0].Failures != 3 || l.At != time.Second {
 		t.Errorf("learned %+v", l)
 	}
 }
--- a/policy/helpers_test.go
+++ b/policy/helpers_test.go
@@ -76,7 +76,7 @@
 	h.note("probe %d", to)
 }
 
-func (h *fakeHost) Close(to balance.ServerID) {
+func (h *fakeHost) CloseIdle(to balance.ServerID) {
 	h.closes = append(h.closes, to)
 	h.note("close %d", to)
 }
@@ -112,8 +112,8 @@
 )
 
 func testConfig() balance.Config {
-	class := func(e balance.Effect, s balance.Scope) balance.Class {
-		return balance.Class{Aim: time.Second, Deadline: 3 * time.Second, Worth: 1, Effect: e, Scope: s, Window: 700 * ms}
+	class := func(e balance.Idempotency, s balance.Scope) balance.Class {
+		return balance.Class{Aim: time.Second, Deadline: 3 * time.Second, Worth: 1, Idempotency: e, Scope: s, DedupWindow: 700 * ms}
 	}
 	return balance.Config{
 		Balancers: 2,
@@ -157,13 +157,13 @@
 		t.Fatalf("New: %v", err)
 	}
 	b.Start(0)
-	b.List(0, balance.ListFull, list)
+	b.UpdateServers(0, balance.ListFull, list)
 	return b, h
 }
 
 // ask hands in a request of tenant 0.
 func ask(b *Balancer, now time.Duration, id balance.RequestID, class int) {
-	b.Request(now, balance.Request{ID: id, Class: class, Left: 2 * time.Second})
+	b.Request(now, balance.Request{ID: id, Class: class, TimeLeft: 2 * time.Second})
 }
 
 // end ends an attempt of a request.
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -8,10 +8,10 @@
 // and counted in state.go.
 //
 // Times are durations since a fixed moment of the embedding program's choice; they must never go back, and
-// all calls for one Balancer come from one goroutine, in the order of what happened: New, Start, List with
-// the servers known so far, then the others as they occur. Each Host.Send brings exactly one Outcome, also
-// after the request has been answered; each Host.Wake one call of Wake, late rather than never. A request is
-// answered once: by an Outcome with Settled set, or by Host.Refuse or Host.Fail.
+// all calls for one Balancer come from one goroutine, in the order of what happened: New, Start,
+// UpdateServers with the servers known so far, then the others as they occur. Each Host.Send brings exactly
+// one Outcome, also after the request has been answered; each Host.Wake one call of Wake, late rather than
+// never. A request is answered once: by an Outcome with Settled set, or by Host.Refuse or Host.Fail.
 //
 // Bad input does no harm: a request that names no class or tenant, or has no time left, is refused;
 // an outcome, probe or departure of something unknown is passed over, and so is a repeated one.
@@ -152,17 +152,18 @@
 	if len(b.cfg.Tenants) == 0 {
 		q.Tenant = 0 // the one for all
 	}
-	if min(q.Class, q.Tenant) < 0 || q.Class >= len(b.classes) || q.Tenant >= len(b.parts) || q.Left <= 0 {
+	if min(q.Class, q.Tenant) < 0 || q.Class >= len(b.classes) || q.Tenant >= len(b.parts) || q.TimeLeft <= 0 {
 		b.count.Refused++
 		b.host.Refuse(q.ID, 0, balance.Unusable)
 		return
 	}
-	r := &request{id: q.ID, class: &b.classes[q.Class], home: &b.parts[q.Tenant], coming: q.Coming}
-	r.deadline = now + min(q.Left, time.Hour)
+	r := &request{id: q.ID, class: &b.classes[q.Class], home: &b.parts[q.Tenant], coming: q.BodyPending}
+	r.deadline = now + min(q.TimeLeft, time.Hour)
 	r.useful, r.wanted = r.deadline, min(r.deadline, now+r.class.Aim)
 	if stretch := r.class.AimStretch; r.class.LateShare == 0 && (stretch == 0 || q.Work > 0) {
 		begun := now // the first try
-		if first := r.class.usual(q.Left, !q.Repeat); !first && (q.Repeat || !b.cfg.MarksRepeat) {
+		if first := r.class.usual(q.TimeLeft, !q.ClientRetry); !first &&
+			(q.ClientRetry || !b.cfg.ClientsMarkRetries) {
 			begun = min(now, r.deadline-r.class.Deadline) // a later one has what is left of all its client's time
 		}
 		r.useful = min(r.deadline, begun+r.class.Aim+time.Duration(stretch*float64(q.Work)))
@@ -227,7 +228,7 @@
 	if o.Ending == balance.TurnedAway || o.Ending == balance.NoConnection || o.Ending == balance.NotSent {
 		a.state = neverRan
 	}
-	r.spent = r.spent || o.Spent
+	r.spent = r.spent || o.BodySpent
 	b.paced(r, a, false)
 	b.hold(r, a.to, -1)
 	if r.line != nil && slices.Contains(unsettled, o.Ending) {
@@ -269,9 +270,9 @@
 	}
 }
 
-// StreamBegun takes that the answer of an attempt has begun to stream: the client owns it now. It counts as
+// StreamStarted takes that the answer of an attempt has begun to stream: the client owns it now. It counts as
 // answered; a place of its tenant's it keeps until its Outcome.
-func (b *Balancer) StreamBegun(now time.Duration, id balance.RequestID, n int) {
+func (b *Balancer) StreamStarted(now time.Duration, id balance.RequestID, n int) {
 	r := b.requests[id]
 	if r == nil || r.begun || n < 0 || n >= len(r.attempts) || r.attempts[n].state != inFlight {
 		return
@@ -318,7 +319,7 @@
 		b.closeAt = 0
 		for _, s := range b.servers {
 			if !s.stands() {
-				b.host.Close(s.ID)
+				b.host.CloseIdle(s.ID)
 			}
 		}
 	}
@@ -435,12 +436,12 @@
 // mayRepeat says whether the class allows an attempt now, on s or (nil) on some server.
 func (r *request) mayRepeat(now time.Duration, s *server) bool {
 	first, scope := r.ran(), r.class.Scope
-	if first == nil || r.class.Effect == balance.Safe {
+	if first == nil || r.class.Idempotency == balance.Safe {
 		return true
 	}
 	dropped := s == nil || scope == balance.ScopeAll ||
 		s.Zone == first.to.Zone && (scope == balance.ScopeZone || s.Cell == first.to.Cell)
-	return dropped && r.class.Effect == balance.Keyed && now < first.sent+r.class.Window
+	return dropped && r.class.Idempotency == balance.Keyed && now < first.sent+r.class.DedupWindow
 }
 
 // mayGo is the gate: whether the rules let a request go to a server now.
@@ -478,7 +479,7 @@
 // close closes idle connections to a server that drains (rule 7): now and, as one may be opening, once more.
 func (b *Balancer) close(now time.Duration, s *server) {
 	if b.cfg.CloseWithin > 0 {
-		b.host.Close(s.ID)
+		b.host.CloseIdle(s.ID)
 		b.closeAt = cmp.Or(b.closeAt, now+b.cfg.CloseWithin/2)
 		b.wake(now, b.closeAt-now)
 	}
@@ -489,8 +490,8 @@
 // for the wire: the first attempt went out later than sent, from which this counts.
 func (b *Balancer) send(now time.Duration, r *request, s *server) {
 	unsent := time.Duration(0)
-	if first := r.ran(); first != nil && r.class.Effect == balance.Keyed {
-		unsent = first.sent + r.class.Window - now
+	if first := r.ran(); first != nil && r.class.Idempotency == balance.Keyed {
+		unsent = first.sent + r.class.DedupWindow - now
 	}
 	s.coldAt = now + b.coldGap(now, s)
 	r.attempts = append(r.attempts, attempt{to: s, sent: now})
@@ -515,14 +516,14 @@
 	return time.Duration(b.share) * gap
 }
 
-// Share says how many processes act as this balancer, as an upgrade runs two for a while. Each then keeps to
-// its part of what cold servers may be sent, and leaves the probes that nothing waits for.
-func (b *Balancer) Share(n int) { b.share = max(1, n) }
+// SetProcessCount says how many processes act as this balancer, as an upgrade runs two for a while. Each then
+// keeps to its part of what cold servers may be sent, and leaves the probes that nothing waits for.
+func (b *Balancer) SetProcessCount(n int) { b.share = max(1, n) }
 
-// Fleet takes who else sends to the same servers. Cold servers' parts, walls, reach and rests go by how
+// SetFleet takes who else sends to the same servers. Cold servers' parts, walls, reach and rests go by how
 // many there are, and more is the safe side of each: too many of them keep us to less than our part, too
 // few push servers over. So more count at once; fewer only while all agree, without the silent, and slowly.
-func (b *Balancer) Fleet(now time.Duration, f balance.Fleet) {
+func (b *Balancer) SetFleet(now time.Duration, f balance.Fleet) {
 	least := b.fleet
 	if f.Agreed {
 		least *= math.Exp2(-float64(min(now-b.fleetAt, fleetEvery)) / float64(fleetHalf))
@@ -536,14 +537,14 @@
 	}
 }
 
-// Rules puts a rule set in force, in place of the one before; the empty one restores the settings. What was
-// sent ends under what it was sent by. One that Check refuses changes nothing.
-func (b *Balancer) Rules(now time.Duration, r balance.Rules) {
+// SetRules puts a rule set in force, in place of the one before; the empty one restores the settings. What
+// was sent ends under what it was sent by. One that Check refuses changes nothing.
+func (b *Balancer) SetRules(now time.Duration, r balance.Rules) {
 	if err := r.Check(b.settings); err != nil {
 		b.host.Log(err.Error())
 		return
 	}
-	b.rules, b.cfg = r, r.Over(b.settings)
+	b.rules, b.cfg = r, r.ApplyTo(b.settings)
 	b.wall()
 	b.weigh(now)
 }
@@ -762,8 +763,8 @@
 	s.rested = now + b.backoff(time.Duration(sharers*float64(restEach)), s.fails-restAfter)
 }
 
-// List takes news of the server list.
-func (b *Balancer) List(now time.Duration, kind balance.ListKind, entries []balance.Server) {
+// UpdateServers takes news of the server list.
+func (b *Balancer) UpdateServers(now time.Duration, kind balance.ListKind, entries []balance.Server) {
 	switch {
 	case kind == balance.ListFailed:
 		b.askAt = now + b.backoff(firstPause, b.askFails) // news count 6 s behind a return, refused calls or not
@@ -826,18 +827,18 @@
 	}
 }
 
-// TakeOut keeps everything new from a server until BringBack, whatever the list says of it meanwhile and
+// Disable keeps everything new from a server until Enable, whatever the list says of it meanwhile and
 // whether it is listed or not. What runs there finishes. Taken out twice, it is out once.
-func (b *Balancer) TakeOut(now time.Duration, id balance.ServerID) {
+func (b *Balancer) Disable(now time.Duration, id balance.ServerID) {
 	b.away[id] = true
 	if s := b.server(id); s != nil && !s.away {
 		b.weigh(now)
 	}
 }
 
-// BringBack ends TakeOut, as of the moment at. Operators restart servers meanwhile, and the list tells that
+// Enable ends Disable, as of the moment at. Operators restart servers meanwhile, and the list tells that
 // late: so the server comes back as a cold one, with its turn next.
-func (b *Balancer) BringBack(now time.Duration, id balance.ServerID, at time.Duration) {
+func (b *Balancer) Enable(now time.Duration, id balance.ServerID, at time.Duration) {
 	if !b.away[id] {
 		return
 	}
@@ -925,8 +926,8 @@
 	switch {
 	case r.over:
 		return
-	case r.ran() == nil, r.class.Effect == balance.Safe,
-		r.class.Effect == balance.Keyed && r.class.Scope == balance.ScopeAll:
+	case r.ran() == nil, r.class.Idempotency == balance.Safe,
+		r.class.Idempotency == balance.Keyed && r.class.Scope == balance.ScopeAll:
 		b.count.Refused++
 		pause := time.Duration((1 + b.rng.Float64()) * float64(b.pace)) // spread: not all at once
 		b.host.Refuse(r.id, min(b.cfg.MaxRetryAfter, pause), why)
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -27,7 +27,7 @@
 	if b.SlotsFree(1) != 2 {
 		t.Fatalf("tenant 1 lost slots to tenant 0")
 	}
-	b.Request(0, balance.Request{ID: 20, Class: safeClass, Tenant: 1, Left: 2 * time.Second})
+	b.Request(0, balance.Request{ID: 20, Class: safeClass, Tenant: 1, TimeLeft: 2 * time.Second})
 	if len(h.sends) != 7 {
 		t.Fatalf("the other compartment did not send past the full one")
 	}
@@ -41,7 +41,7 @@
 func TestLateTriesGiveWay(t *testing.T) {
 	b, h := start(t, testConfig(), ready(1, 2))
 	left := func(id balance.RequestID, d time.Duration) {
-		b.Request(0, balance.Request{ID: id, Class: safeClass, Left: d})
+		b.Request(0, balance.Request{ID: id, Class: safeClass, TimeLeft: d})
 	}
 	left(1, 2800*ms) // first tries come with this much of the class's 3 s
 	left(2, 2500*ms) // begun half a second ago
@@ -65,7 +65,7 @@
 		if id >= 20 {
 			left = 2200 * ms
 		}
-		b.Request(now, balance.Request{ID: id, Class: safeClass, Left: left})
+		b.Request(now, balance.Request{ID: id, Class: safeClass, TimeLeft: left})
 		end(b, now+5*ms, id, 0, balance.Served)
 	}
 	if last := h.sends[len(h.sends)-1]; last.timeout != time.Second {
@@ -80,7 +80,7 @@
 	try := func(id balance.RequestID, left time.Duration) bool {
 		now := time.Duration(id) * 20 * ms
 		b.crowd, b.crowdAt = 0.2, now // answers are slow: what is late is refused
-		b.Request(now, balance.Request{ID: id, Class: safeClass, Left: left})
+		b.Request(now, balance.Request{ID: id, Class: safeClass, TimeLeft: left})
 		end(b, now+5*ms, id, 0, balance.Served)
 		_, refused := h.refused[id]
 		return !refused
@@ -104,11 +104,11 @@
 
 func TestUnmarkedTriesAreFirstTriesWhereClientsMark(t *testing.T) {
 	cfg := testConfig()
-	cfg.MarksRepeat = true
+	cfg.ClientsMarkRetries = true
 	b, h := start(t, cfg, ready(1, 2))
-	b.Request(0, balance.Request{ID: 1, Class: safeClass, Left: 2800 * ms})
-	b.Request(0, balance.Request{ID: 2, Class: safeClass, Left: 2500 * ms})
-	b.Request(0, balance.Request{ID: 3, Class: safeClass, Left: 2500 * ms, Repeat: true})
+	b.Request(0, balance.Request{ID: 1, Class: safeClass, TimeLeft: 2800 * ms})
+	b.Request(0, balance.Request{ID: 2, Class: safeClass, TimeLeft: 2500 * ms})
+	b.Request(0, balance.Request{ID: 3, Class: safeClass, TimeLeft: 2500 * ms, ClientRetry: true})
 	if h.sends[1].timeout != time.Second || h.sends[2].timeout != 500*ms {
 		t.Fatalf("sends %v: want only the marked one cut", h.sends)
 	}
@@ -137,7 +137,7 @@
 	if len(h.refused) != 0 {
 		t.Fatal("refused with over twice the usual time left")
 	}
-	b.List(760*ms, balance.ListFull, ready(1))
+	b.UpdateServers(760*ms, balance.ListFull, ready(1))
 	if _, refused := h.refused[1]; !refused {
 		t.Fatalf("sent %v with less than twice the usual time left after a wait", h.sends)
 	}
@@ -179,7 +179,7 @@
 	b, h := start(t, cfg, ready(1, 2))
 	ask(b, 0, 1, safeClass)
 	ask(b, 0, 2, keyedAll)
-	b.Request(0, balance.Request{ID: 3, Class: keyedCell, Left: 300 * ms})
+	b.Request(0, balance.Request{ID: 3, Class: keyedCell, TimeLeft: 300 * ms})
 	if got := h.sends[0].timeout; got != time.Second {
 		t.Errorf("time-out %v, want the aim", got)
 	}
@@ -277,7 +277,7 @@
 		ask(b, 0, id, safeClass)
 		end(b, ms, id, 0, balance.Served)
 	}
-	b.List(ms, balance.ListDelta, []balance.Server{{ID: 3, State: balance.Gone}})
+	b.UpdateServers(ms, balance.ListDelta, []balance.Server{{ID: 3, State: balance.Gone}})
 	h.sends = nil
 	ask(b, 2*ms, 1, keyedZone) // it is the turn of server 2, in zone 1
 	if h.sends[0].to != 2 {
@@ -311,7 +311,7 @@
 func TestDrainingServerGetsNothingMore(t *testing.T) {
 	for _, state := range []balance.State{balance.Draining, balance.Gone} {
 		b, h := start(t, testConfig(), ready(1, 2))
-		b.List(10*ms, balance.ListDelta, []balance.Server{{ID: 1, State: state, Weight: 1}})
+		b.UpdateServers(10*ms, balance.ListDelta, []balance.Server{{ID: 1, State: state, Weight: 1}})
 		for id := range balance.RequestID(10) {
 			ask(b, 10*ms, id, safeClass)
 			end(b, 20*ms, id, 0, balance.Served)
@@ -321,7 +321,7 @@
 		}
 	}
 	b, h := start(t, testConfig(), ready(1, 2))
-	b.List(10*ms, balance.ListFull, ready(2)) // absent from a full list
+	b.UpdateServers(10*ms, balance.ListFull, ready(2)) // absent from a full list
 	for id := range balance.RequestID(4) {
 		ask(b, 10*ms, id, safeClass)
 	}
@@ -337,7 +337,7 @@
 		list := ready(1, 2)
 		b, h := start(t, cfg, list)
 		list[0].Started = 10 * time.Second // restarted under the same id
-		b.List(10*time.Second, balance.ListDelta, list[:1])
+		b.UpdateServers(10*time.Second, balance.ListDelta, list[:1])
 		id := balance.RequestID(0)
 		sends := map[bool]int{} // by whether in the first window
 		for now := 10 * time.Second; now < 20*time.Second; now += 2 * ms {
@@ -578,7 +578,7 @@
 	cfg := testConfig()
 	cfg.MayProbe, cfg.Reports = true, balance.HasInFlight
 	b, h := start(t, cfg, ready(1, 2, 3, 4))
-	b.List(ms, balance.ListFull, ready(1))
+	b.UpdateServers(ms, balance.ListFull, ready(1))
 	b.Probed(ms, 1, true, balance.Load{Has: balance.HasInFlight, InFlight: 0})
 	for id := range balance.RequestID(6) {
 		ask(b, ms, id, safeClass)
@@ -601,14 +601,14 @@
 		t.Fatalf("asked %d times at the start", h.asks)
 	}
 	gaps, last, asked := []time.Duration{}, time.Duration(0), 1
-	b.List(0, balance.ListFailed, nil)
+	b.UpdateServers(0, balance.ListFailed, nil)
 	for now := 10 * ms; now < 40*time.Second; now += 10 * ms {
 		b.Wake(now)
 		if h.asks > asked {
 			asked = h.asks
 			gaps = append(gaps, now-last)
 			last = now
-			b.List(now, balance.ListFailed, nil)
+			b.UpdateServers(now, balance.ListFailed, nil)
 		}
 	}
 	if len(gaps) < 4 || slices.Max(gaps) >= cfg.AskWithin || gaps[0] >= gaps[len(gaps)-1] {
@@ -617,7 +617,7 @@
 	if b.server(1) == nil {
 		t.Fatal("a failed call dropped the old list")
 	}
-	b.List(40*time.Second, balance.ListFull, ready(1))
+	b.UpdateServers(40*time.Second, balance.ListFull, ready(1))
 	for now := 40 * time.Second; now < 60*time.Second; now += 10 * ms {
 		b.Wake(now)
 	}
@@ -657,11 +657,11 @@
 
 func TestOddEventsArePassedOver(t *testing.T) {
 	b, h := start(t, testConfig(), ready(1, 2))
-	b.Request(0, balance.Request{ID: 1, Class: 99, Left: time.Second})
-	b.Request(0, balance.Request{ID: 2, Class: -1, Left: time.Second})
-	b.Request(0, balance.Request{ID: 3, Tenant: 7, Left: time.Second})
-	b.Request(0, balance.Request{ID: 4, Left: 0})
-	b.Request(0, balance.Request{ID: 5, Left: -time.Second})
+	b.Request(0, balance.Request{ID: 1, Class: 99, TimeLeft: time.Second})
+	b.Request(0, balance.Request{ID: 2, Class: -1, TimeLeft: time.Second})
+	b.Request(0, balance.Request{ID: 3, Tenant: 7, TimeLeft: time.Second})
+	b.Request(0, balance.Request{ID: 4, TimeLeft: 0})
+	b.Request(0, balance.Request{ID: 5, TimeLeft: -time.Second})
 	if len(h.refused) != 5 || len(h.sends) != 0 {
 		t.Fatalf("refused %d, sent %d; want 5 and 0", len(h.refused), len(h.sends))
 	}
@@ -671,7 +671,7 @@
 	end(b, 0, 6, -1, balance.Served)
 	end(b, 0, 77, 0, balance.Served)
 	b.ClientGone(0, 77)
-	b.StreamBegun(0, 77, 0)
+	b.StreamStarted(0, 77, 0)
 	b.BodyEnded(0, 77, time.Second)
 	if len(h.sends) != 1 || b.SlotsFree(0) != 5 {
 		t.Fatalf("sends %d, slots free %d; want 1 and 5", len(h.sends), b.SlotsFree(0))
@@ -699,7 +699,7 @@
 func TestStreamIsLeftAlone(t *testing.T) {
 	b, h := start(t, testConfig(), ready(1, 2))
 	ask(b, 0, 1, safeClass)
-	b.StreamBegun(0, 1, 0)
+	b.StreamStarted(0, 1, 0)
 	for now := time.Duration(0); now < 10*time.Second; now += 10 * ms {
 		b.Wake(now)
 	}
@@ -724,7 +724,7 @@
 			t.Fatal(err)
 		}
 		b.Start(0)
-		b.List(0, balance.ListCached, ready(1))
+		b.UpdateServers(0, balance.ListCached, ready(1))
 		for now := 100 * ms; now <= 2*time.Second+100*ms; now += 100 * ms {
 			b.Wake(now)
 			if now == time.Second {
@@ -744,7 +744,7 @@
 		t.Fatal(err)
 	}
 	b.Start(0)
-	b.List(0, balance.ListCached, nil)
+	b.UpdateServers(0, balance.ListCached, nil)
 	if h.asks != 1 {
 		t.Errorf("asked %d times with nothing known, want once and at once", h.asks)
 	}
@@ -767,8 +767,8 @@
 			end(b, now+2*ms, id, 1, balance.Served)
 		}
 		if id%100 == 0 {
-			b.List(now, balance.ListDelta, []balance.Server{{ID: balance.ServerID(1000 + id), State: balance.Ready, Weight: 1}})
-			b.List(now, balance.ListDelta, []balance.Server{{ID: balance.ServerID(1000 + id), State: balance.Gone}})
+			b.UpdateServers(now, balance.ListDelta, []balance.Server{{ID: balance.ServerID(1000 + id), State: balance.Ready, Weight: 1}})
+			b.UpdateServers(now, balance.ListDelta, []balance.Server{{ID: balance.ServerID(1000 + id), State: balance.Gone}})
 		}
 		b.Wake(now + 3*ms)
 		for ; ended < len(h.sends); ended++ { // those that had to wait too
@@ -799,7 +799,7 @@
 	}
 	cfg.Tenants, cfg.Balancers = nil, 4 // no tenants and no quota: one compartment, sized by the first list
 	b, h := start(t, cfg, ready(1, 2))
-	b.Request(0, balance.Request{ID: 1, Tenant: 5, Left: time.Second})
+	b.Request(0, balance.Request{ID: 1, Tenant: 5, TimeLeft: time.Second})
 	if len(b.parts) != 1 || b.slots != 7 || len(h.sends) != 1 {
 		t.Fatalf("without tenants: %d compartments, %d slots, %d sends", len(b.parts), b.slots, len(h.sends))
 	}
@@ -913,7 +913,7 @@
 			t.Fatal(err)
 		}
 		b.Start(began)
-		b.List(began, balance.ListFull, ready(1, 2))
+		b.UpdateServers(began, balance.ListFull, ready(1, 2))
 		ask(b, began+20*ms, 1, safeClass)
 		if b.rate < 49 || b.rate > 51 { // half of the quotas
 			t.Errorf("started at %v: %.1f requests a second after the first, want about 50", began, b.rate)
@@ -968,7 +968,7 @@
 				b.server(id).due = math.Inf(1) // the others are down: all would go to the cold one
 			}
 		}
-		b.List(10*time.Second, balance.ListDelta, []balance.Server{{ID: 5, State: balance.Ready, Weight: 1, Started: 10 * time.Second}})
+		b.UpdateServers(10*time.Second, balance.ListDelta, []balance.Server{{ID: 5, State: balance.Ready, Weight: 1, Started: 10 * time.Second}})
 		for i := range 400 {
 			now := 10*time.Second + time.Duration(i)*10*ms
 			before := h.sentTo(5)
@@ -1015,10 +1015,10 @@
 func TestRequestsOfOneKeyGoInTurn(t *testing.T) {
 	b, h := start(t, inOrder(100*ms), ready(1, 2, 3))
 	for id := range balance.RequestID(3) {
-		b.Request(0, balance.Request{ID: id, Key: 9, Left: 2 * time.Second})
+		b.Request(0, balance.Request{ID: id, Key: 9, TimeLeft: 2 * time.Second})
 	}
-	b.Request(0, balance.Request{ID: 3, Key: 8, Left: 2 * time.Second})
-	b.Request(0, balance.Request{ID: 4, Left: 2 * time.Second})
+	b.Request(0, balance.Request{ID: 3, Key: 8, TimeLeft: 2 * time.Second})
+	b.Request(0, balance.Request{ID: 4, TimeLeft: 2 * time.Second})
 	if got := sentIDs(h); !slices.Equal(got, []balance.RequestID{0, 3, 4}) {
 		t.Fatalf("sent %v, want the first of each key", got)
 	}
@@ -1049,10 +1049,10 @@
 	cfg.Tenants, cfg.Slots = nil, 10 // two queue places
 	b, h := start(t, cfg, ready(1, 2))
 	for id := range balance.RequestID(2) {
-		b.Request(0, balance.Request{ID: id, Key: 9, Left: 2 * time.Second})
+		b.Request(0, balance.Request{ID: id, Key: 9, TimeLeft: 2 * time.Second})
 	}
 	for id := balance.RequestID(2); b.Counters().Queued < 2; id++ {
-		b.Request(0, balance.Request{ID: id, Left: 2 * time.Second})
+		b.Request(0, balance.Request{ID: id, TimeLeft: 2 * time.Second})
 	}
 	n := len(h.sends)
 	end(b, ms, h.sends[n-1].id, 0, balance.Served)
@@ -1121,7 +1121,7 @@
 	cfg.CloseWithin = 300 * ms
 	b, h := start(t, cfg, ready(1))
 	ask(b, 0, 1, safeClass)
-	b.List(10*ms, balance.ListDelta, []balance.Server{{ID: 1, State: balance.Draining}})
+	b.UpdateServers(10*ms, balance.ListDelta, []balance.Server{{ID: 1, State: balance.Draining}})
 	if len(h.closes) != 1 {
 		t.Fatalf("%d closes at the notice", len(h.closes))
 	}
@@ -1134,7 +1134,7 @@
 		t.Fatalf("%d closes within the time", len(h.closes))
 	}
 	b, h = start(t, testConfig(), ready(1))
-	b.List(10*ms, balance.ListDelta, []balance.Server{{ID: 1, State: balance.Draining}})
+	b.UpdateServers(10*ms, balance.ListDelta, []balance.Server{{ID: 1, State: balance.Draining}})
 	if len(h.closes) != 0 {
 		t.Fatal("closed though no time is set")
 	}
@@ -1396,9 +1396,9 @@
 		for i := range entries {
 			entries[i].State = s
 		}
-		return func(b *Balancer) { b.List(ms, kind, entries) }
+		return func(b *Balancer) { b.UpdateServers(ms, kind, entries) }
 	}
-	set := func(r balance.Rules) func(*Balancer) { return func(b *Balancer) { b.Rules(ms, r) } }
+	set := func(r balance.Rules) func(*Balancer) { return func(b *Balancer) { b.SetRules(ms, r) } }
 	for name, c := range map[string]struct {
 		happens         func(*Balancer)
 		withdrawn, more bool
@@ -1406,21 +1406,21 @@
 		"drains":          {list(balance.ListDelta, balance.Draining, 1), true, true},
 		"gone":            {list(balance.ListDelta, balance.Gone, 1), true, true},
 		"in no full list": {list(balance.ListFull, balance.Ready, 2), true, true},
-		"out by hand":     {func(b *Balancer) { b.TakeOut(ms, 1) }, true, true},
+		"out by hand":     {func(b *Balancer) { b.Disable(ms, 1) }, true, true},
 		"out by the set":  {set(balance.Rules{Servers: map[balance.ServerID]float64{1: 0}}), true, true},
 		"another drains":  {list(balance.ListDelta, balance.Draining, 2), false, false},
 		"restarted": {func(b *Balancer) {
-			b.List(ms, balance.ListDelta, []balance.Server{{ID: 1, State: balance.Ready, Started: ms}})
+			b.UpdateServers(ms, balance.ListDelta, []balance.Server{{ID: 1, State: balance.Ready, Started: ms}})
 		}, false, false},
 		"its client leaves":  {func(b *Balancer) { b.ClientGone(ms, 1) }, true, false},
 		"its time is over":   {func(b *Balancer) { b.Wake(2 * time.Second) }, true, false},
-		"its answer streams": {func(b *Balancer) { b.StreamBegun(ms, 1, 0) }, false, false},
+		"its answer streams": {func(b *Balancer) { b.StreamStarted(ms, 1, 0) }, false, false},
 	} {
 		cfg := testConfig()
 		cfg.MayCancel = false
 		b, h := start(t, cfg, ready(1))
 		ask(b, 0, 1, unsafeClass)
-		b.List(0, balance.ListDelta, ready(2))
+		b.UpdateServers(0, balance.ListDelta, ready(2))
 		if c.happens(b); (len(h.withdrawn) > 0) != c.withdrawn || len(h.cancelled) > 0 {
 			t.Errorf("%s: withdrawn %v, cancelled %v, want withdrawn: %v", name, h.withdrawn, h.cancelled, c.withdrawn)
 		}
--- a/policy/random_test.go
+++ b/policy/random_test.go
@@ -87,12 +87,12 @@
 	class := w.cfg.Classes[a.q.Class]
 	if first := a.mayHaveRun(); first != nil {
 		switch {
-		case class.Effect == balance.Unsafe:
+		case class.Idempotency == balance.Unsafe:
 			w.t.Fatalf("rule 2: unsafe request %d sent again though it may have run", id)
-		case class.Effect == balance.Keyed && w.now+cmp.Or(unsent, timeout) > first.sent+class.Window:
+		case class.Idempotency == balance.Keyed && w.now+cmp.Or(unsent, timeout) > first.sent+class.DedupWindow:
 			w.t.Fatalf("rule 2: keyed request %d may be sent again %v after the first send", id, w.now+cmp.Or(unsent, timeout)-first.sent)
-		case class.Effect == balance.Keyed && class.Scope == balance.ScopeZone && s.Zone != first.to.Zone,
-			class.Effect == balance.Keyed && class.Scope == balance.ScopeCell && s.Cell != first.to.Cell:
+		case class.Idempotency == balance.Keyed && class.Scope == balance.ScopeZone && s.Zone != first.to.Zone,
+			class.Idempotency == balance.Keyed && class.Scope == balance.ScopeCell && s.Cell != first.to.Cell:
 			w.t.Fatalf("rule 2: keyed request %d sent outside its group", id)
 		}
 	}
@@ -225,7 +225,7 @@
 	w.note("refuse %d %v", id, pause)
 	a := w.answer(id)
 	class := w.cfg.Classes[a.q.Class]
-	if a.mayHaveRun() != nil && (class.Effect == balance.Unsafe || class.Effect == balance.Keyed && class.Scope != balance.ScopeAll) {
+	if a.mayHaveRun() != nil && (class.Idempotency == balance.Unsafe || class.Idempotency == balance.Keyed && class.Scope != balance.ScopeAll) {
 		w.t.Fatalf("rule 2: request %d refused though it may have run", id)
 	}
 	if pause < 0 || pause > w.cfg.MaxRetryAfter {
@@ -237,7 +237,7 @@
 func (w *world) Cancel(id balance.RequestID, attempt int)    { w.note("cancel %d %d", id, attempt) }
 func (w *world) Wake(d time.Duration)                        { w.note("wake %v", d) }
 func (w *world) Probe(to balance.ServerID)                   { w.note("probe %d", to) }
-func (w *world) Close(to balance.ServerID)                   { w.note("close %d", to); delete(w.closing, to) }
+func (w *world) CloseIdle(to balance.ServerID)               { w.note("close %d", to); delete(w.closing, to) }
 func (w *world) WatchList()                                  { w.note("watch"); w.watches++ }
 func (w *world) Log(line string)                             { w.note("log %s", line) }
 
@@ -289,7 +289,7 @@
 		w.cfg.Budget = *r.Budget
 	}
 	clear(w.colds) // their parts go by the quotas
-	w.b.Rules(w.now, r)
+	w.b.SetRules(w.now, r)
 }
 
 // drive runs a world, with rule sets and words of the fleet or without; pick(n) chooses among n possibilities.
@@ -355,7 +355,7 @@
 		rate := []float64{1, 20, 0.1, 0, -1, 1e9, math.NaN(), math.Inf(1)}[pick(8)]
 		f.Sharers = append(f.Sharers, balance.Sharer{Index: pick(5) - 1, Zone: pick(3), Rate: rate})
 	}
-	w.b.Fleet(w.now, f)
+	w.b.SetFleet(w.now, f)
 	for _, s := range w.b.ready() {
 		if !(s.turns >= 1/turnsMost && s.turns <= turnsMost) {
 			w.t.Fatalf("server %d has turns %v by %+v", s.ID, s.turns, f.Sharers)
@@ -374,9 +374,9 @@
 	case 0, 1, 2:
 		w.next++
 		q := balance.Request{ID: w.next, Class: pick(len(w.cfg.Classes)), Tenant: pick(2)}
-		q.Left = time.Duration(1+pick(2000)) * ms
+		q.TimeLeft = time.Duration(1+pick(2000)) * ms
 		q.Key = uint64(pick(4))
-		w.held[q.ID] = &asked{q: q, deadline: w.now + q.Left, turn: int(w.next)}
+		w.held[q.ID] = &asked{q: q, deadline: w.now + q.TimeLeft, turn: int(w.next)}
 		w.taken = append(w.taken, w.now)
 		w.order = append(w.order, q.ID)
 		w.b.Request(w.now, q)
@@ -457,7 +457,7 @@
 	}
 	kind := balance.ListKind(pick(4))
 	if kind == balance.ListFailed {
-		w.b.List(w.now, kind, nil)
+		w.b.UpdateServers(w.now, kind, nil)
 		return
 	}
 	var entries []balance.Server
@@ -483,7 +483,7 @@
 		delete(w.closing, s.ID)
 		w.mustClose(s.ID)
 	}
-	w.b.List(w.now, kind, entries)
+	w.b.UpdateServers(w.now, kind, entries)
 }
 
 // load is a report of what the settings say that reports hold, now and then of nothing.
--- a/policy/rules_test.go
+++ b/policy/rules_test.go
@@ -50,23 +50,23 @@
 			for _, x := range []*Balancer{b, never} {
 				switch what {
 				case 0, 4, 5:
-					x.List(now, kind, []balance.Server{entry})
+					x.UpdateServers(now, kind, []balance.Server{entry})
 				case 1:
-					x.TakeOut(now, id)
+					x.Disable(now, id)
 				case 2:
-					x.BringBack(now, id, now)
+					x.Enable(now, id, now)
 				case 3:
-					x.Fleet(now, fleet)
+					x.SetFleet(now, fleet)
 				default:
 					ask(x, now, i, int(i)%3)
 					x.ClientGone(now+ms, i)
 				}
 			}
 			if rng.IntN(4) == 0 {
-				b.Rules(now, set)
+				b.SetRules(now, set)
 			}
 		}
-		b.Rules(now, balance.Rules{})
+		b.SetRules(now, balance.Rules{})
 		never.wall() // as Rules does: the arc by the traffic of this moment
 		never.weigh(now)
 		if got, want := inForce(b), inForce(never); got != want {
@@ -87,8 +87,8 @@
 				now := time.Duration(i) * 7 * ms
 				if set := someSet(t, cfg, sets.IntN); told {
 					set.Servers, set.Zones, set.Tenants = map[balance.ServerID]float64{2: 3, 4: 0.1, 9: 0}, map[int]float64{0: 0.5, 1: 0}, nil
-					b.Rules(now, set)
-					b.Rules(now, balance.Rules{})
+					b.SetRules(now, set)
+					b.SetRules(now, balance.Rules{})
 				}
 				ask(b, now, i, int(i)%5)
 				if rng.IntN(3) > 0 {
@@ -118,9 +118,9 @@
 		set.Tenants, set.Balancers = tenants, 40
 		b, _ := start(t, cfg, ready(1, 2, 3))
 		like, _ := start(t, set, ready(1, 2, 3))
-		b.Fleet(ms, balance.Fleet{Present: 40})
-		b.Rules(2*ms, balance.Rules{MaxAttempts: 2, Budget: &balance.RetryBudget{}, Tenants: []balance.Tenant{{}, {Share: 1}}})
-		b.Rules(3*ms, balance.Rules{Tenants: tenants})
+		b.SetFleet(ms, balance.Fleet{Present: 40})
+		b.SetRules(2*ms, balance.Rules{MaxAttempts: 2, Budget: &balance.RetryBudget{}, Tenants: []balance.Tenant{{}, {Share: 1}}})
+		b.SetRules(3*ms, balance.Rules{Tenants: tenants})
 		like.rate, like.cfg.Balancers = b.rate, cfg.Balancers // measured, and told
 		like.cut()
 		if got, want := inForce(b), inForce(like); got != want {
@@ -144,7 +144,7 @@
 	} {
 		b, h := start(t, testConfig(), ready(1, 2, 3))
 		ask(b, 0, 1, safeClass)
-		b.Rules(ms, c.set)
+		b.SetRules(ms, c.set)
 		for i := 0; i < len(h.sends); i++ {
 			end(b, 2*ms, 1, i, balance.TurnedAway)
 		}
@@ -155,7 +155,7 @@
 	b, h := start(t, testConfig(), ready(1))
 	ask(b, 0, 1, safeClass)
 	end(b, ms, 1, 0, balance.TurnedAway) // nobody else to go to: it waits in the queue
-	b.Rules(2*ms, balance.Rules{MaxAttempts: 1})
+	b.SetRules(2*ms, balance.Rules{MaxAttempts: 1})
 	if b.Wake(20 * ms); len(h.refused) != 1 {
 		t.Errorf("a request that has had its attempts is kept waiting")
 	}
@@ -164,7 +164,7 @@
 		ask(b, 0, balance.RequestID(i), safeClass)
 	}
 	held := len(h.sends)
-	b.Rules(ms, balance.Rules{Tenants: []balance.Tenant{{Share: 1}, {Share: 99}}})
+	b.SetRules(ms, balance.Rules{Tenants: []balance.Tenant{{Share: 1}, {Share: 99}}})
 	ask(b, 2*ms, 10, safeClass)
 	if free := b.SlotsFree(0); held < 2 || len(h.sends) != held || free != 0 || b.QueueFree(0) < 0 || len(h.cancelled)+len(h.failed) > 0 {
 		t.Errorf("%d sends, then %d; %d slots free, %d called off", held, len(h.sends), free, len(h.cancelled))
@@ -199,7 +199,7 @@
 		}
 		b, h := start(t, testConfig(), list)
 		part := b.part(1, b.server(2))
-		b.Rules(0, c.set)
+		b.SetRules(0, c.set)
 		last := map[balance.ServerID]int{}
 		const requests = 560
 		for i := range requests {
@@ -231,7 +231,7 @@
 	out := balance.Rules{Servers: map[balance.ServerID]float64{1: 0}}
 	one := func(state balance.State, started time.Duration) func(b *Balancer) {
 		return func(b *Balancer) {
-			b.List(time.Second, balance.ListDelta, []balance.Server{{ID: 1, State: state, Weight: 1, Started: started}})
+			b.UpdateServers(time.Second, balance.ListDelta, []balance.Server{{ID: 1, State: state, Weight: 1, Started: started}})
 		}
 	}
 	for name, c := range map[string]struct {
@@ -243,23 +243,23 @@
 		"drains":        {one(balance.Draining, 0), false, 0},
 		"gone":          {one(balance.Gone, 0), false, 0},
 		"restarted":     {one(balance.Ready, time.Second), true, 9 * time.Second},
-		"out by hand":   {func(b *Balancer) { b.TakeOut(time.Second, 1) }, false, 0},
-		"out and back":  {func(b *Balancer) { b.TakeOut(time.Second, 1); b.BringBack(time.Second, 1, time.Second) }, true, 9 * time.Second},
+		"out by hand":   {func(b *Balancer) { b.Disable(time.Second, 1) }, false, 0},
+		"out and back":  {func(b *Balancer) { b.Disable(time.Second, 1); b.Enable(time.Second, 1, time.Second) }, true, 9 * time.Second},
 		"gone and back": {func(b *Balancer) { one(balance.Gone, 0)(b); one(balance.Ready, 0)(b) }, true, 0},
 		"a set of another": {func(b *Balancer) {
-			b.Rules(time.Second, balance.Rules{Servers: map[balance.ServerID]float64{1: 0, 2: 0}})
+			b.SetRules(time.Second, balance.Rules{Servers: map[balance.ServerID]float64{1: 0, 2: 0}})
 		}, true, 0},
-		"a set unfit": {func(b *Balancer) { b.Rules(time.Second, balance.Rules{MaxAttempts: 9}) }, true, 0},
+		"a set unfit": {func(b *Balancer) { b.SetRules(time.Second, balance.Rules{MaxAttempts: 9}) }, true, 0},
 	} {
 		b, h := start(t, cfg, ready(1, 2))
 		ask(b, 0, 1, safeClass)
 		ask(b, 0, 2, safeClass)
-		b.Rules(ms, out)
+		b.SetRules(ms, out)
 		if !slices.Contains(h.closes, 1) || slices.Contains(h.closes, 2) || len(h.cancelled) > 0 {
 			t.Errorf("%s: closed %v, cancelled %v, want idle connections to 1 closed and what runs left", name, h.closes, h.cancelled)
 		}
 		closed := len(h.closes)
-		if b.Rules(ms, out); len(h.closes) != closed {
+		if b.SetRules(ms, out); len(h.closes) != closed {
 			t.Errorf("%s: closed %v for a set that changes nothing", name, h.closes)
 		}
 		end(b, 2*ms, 1, 0, balance.Served)
@@ -277,7 +277,7 @@
 		if try(2 * time.Second); h.sentTo(1) != before {
 			t.Errorf("%s: %d sends to a server that is excluded", name, h.sentTo(1)-before)
 		}
-		b.Rules(10*time.Second, balance.Rules{})
+		b.SetRules(10*time.Second, balance.Rules{})
 		if try(10 * time.Second); (h.sentTo(1) > before) != c.serves {
 			t.Errorf("%s: %d sends after the set's end, want some: %v", name, h.sentTo(1)-before, c.serves)
 		}
@@ -286,11 +286,11 @@
 		}
 	}
 	b, h := start(t, cfg, ready(2))
-	b.Rules(0, out)
-	b.List(ms, balance.ListDelta, ready(1)) // known to the set before the list
+	b.SetRules(0, out)
+	b.UpdateServers(ms, balance.ListDelta, ready(1)) // known to the set before the list
 	ask(b, 2*ms, 1, safeClass)
 	ask(b, 2*ms, 2, safeClass)
-	if listed, unavailable := b.Members(2 * ms); h.sentTo(1) > 0 || listed != 2 || unavailable != 1 || b.Out(1) {
+	if listed, unavailable := b.ServerCounts(2 * ms); h.sentTo(1) > 0 || listed != 2 || unavailable != 1 || b.Disabled(1) {
 		t.Errorf("%d sends to a server that was excluded before it was listed; %d members, %d unavailable", h.sentTo(1), listed, unavailable)
 	}
 }
@@ -301,11 +301,11 @@
 	first := 0 // balancers whose next send goes to it: a quarter by chance
 	for seed := range uint64(balancers) {
 		b, h := startSeeded(t, testConfig(), seed, ready(1, 2, 3, 4))
-		b.Rules(0, balance.Rules{Servers: map[balance.ServerID]float64{1: 0}})
+		b.SetRules(0, balance.Rules{Servers: map[balance.ServerID]float64{1: 0}})
 		for i := range 21 {
 			now := time.Duration(i) * 20 * ms
 			if i == 20 {
-				b.Rules(now, balance.Rules{})
+				b.SetRules(now, balance.Rules{})
 			}
 			ask(b, now, balance.RequestID(i), safeClass)
 			end(b, now+5*ms, balance.RequestID(i), 0, balance.Served)
@@ -325,8 +325,8 @@
 	list := ready(1, 2, 3, 4)
 	list[0].Weight, list[1].Weight, list[2].Weight = math.MaxFloat64, math.MaxFloat64, math.SmallestNonzeroFloat64
 	b, h := start(t, testConfig(), list)
-	b.Rules(0, balance.Rules{Servers: map[balance.ServerID]float64{1: 1000, 3: 0.001}})
-	b.Rules(0, balance.Rules{Servers: map[balance.ServerID]float64{1: 2, 3: 0.5}})
+	b.SetRules(0, balance.Rules{Servers: map[balance.ServerID]float64{1: 1000, 3: 0.001}})
+	b.SetRules(0, balance.Rules{Servers: map[balance.ServerID]float64{1: 2, 3: 0.5}})
 	for i := range 40 {
 		now := time.Duration(i) * 20 * ms
 		ask(b, now, balance.RequestID(i), safeClass)
--- a/policy/spread_test.go
+++ b/policy/spread_test.go
@@ -69,7 +69,7 @@
 	for _, a := range w.sharers() {
 		b, _ := w.balancer(t, a.Index)
 		if share {
-			b.Fleet(0, balance.Fleet{Present: len(w.rates), Sharers: w.views(a.Index, w.sharers())})
+			b.SetFleet(0, balance.Fleet{Present: len(w.rates), Sharers: w.views(a.Index, w.sharers())})
 		}
 		sum, parts := 0.0, make(map[balance.ServerID]float64)
 		for _, s := range b.arc {
@@ -241,9 +241,9 @@
 		covered, capped, ready := make(map[balance.ServerID]bool), false, 0
 		for i := range w.rates {
 			b, _ := w.balancer(t, i)
-			b.Fleet(0, balance.Fleet{Present: len(w.rates), Sharers: w.sharers()})
-			b.TakeOut(0, balance.ServerID(seed%7))
-			b.BringBack(0, balance.ServerID(seed%7), -time.Hour)
+			b.SetFleet(0, balance.Fleet{Present: len(w.rates), Sharers: w.sharers()})
+			b.Disable(0, balance.ServerID(seed%7))
+			b.Enable(0, balance.ServerID(seed%7), -time.Hour)
 			ready = len(b.ready())
 			feeds := max(b.want(b.rate), b.want(coarse(b.rate)))
 			capped = capped || widest*b.want(coarse(b.rate)) < float64(ready)
@@ -302,10 +302,10 @@
 				words[i] = coarse(said)
 			}
 			if now%(500*ms) == 0 && (now < lost || now >= known) { // all at one moment
-				b.Fleet(now, balance.Fleet{Present: 300, Sharers: w.sharers()})
+				b.SetFleet(now, balance.Fleet{Present: 300, Sharers: w.sharers()})
 			}
 			if now == 15*time.Second {
-				b.List(now, balance.ListDelta, more)
+				b.UpdateServers(now, balance.ListDelta, more)
 			}
 			for at := now; ; {
 				if at += time.Duration(rng.ExpFloat64() / w.rates[i] * float64(time.Second)); at >= now+tick {
--- a/policy/state.go
+++ b/policy/state.go
@@ -227,7 +227,7 @@
 	listed, set := 0.0, 0.0
 	b.weight = 0
 	for _, s := range b.servers {
-		m, out := b.rules.Multiple(s.Server), b.away[s.ID]
+		m, out := b.rules.WeightMultiple(s.Server), b.away[s.ID]
 		if s.State == balance.Ready && !out {
 			listed += s.told
 		}
@@ -287,8 +287,9 @@
 // far says that a server is in another zone, where crossing has a price.
 func (b *Balancer) far(s *server) bool { return b.cfg.CrossZonePrice > 0 && s.Zone != b.cfg.Zone }
 
-// Members counts the listed servers, and those of them that nothing is sent to now, by hand or by choice.
-func (b *Balancer) Members(now time.Duration) (listed, unavailable int) {
+// ServerCounts counts the listed servers, and those of them that nothing is sent to now, by hand or by
+// choice.
+func (b *Balancer) ServerCounts(now time.Duration) (listed, unavailable int) {
 	for _, s := range b.servers {
 		if !s.mayServe(now) {
 			unavailable++
@@ -297,8 +298,8 @@
 	return len(b.servers), unavailable
 }
 
-// Out says whether a server is taken out by hand.
-func (b *Balancer) Out(id balance.ServerID) bool { return b.away[id] }
+// Disabled says whether a server is taken out by hand.
+func (b *Balancer) Disabled(id balance.ServerID) bool { return b.away[id] }
 
 // forget drops a request that is over and has no attempt out; the next in its line may go.
 func (b *Balancer) forget(r *request) {
@@ -336,17 +337,17 @@
 	for _, s := range b.servers {
 		if s.fails > 0 || s.warmAt > now || s.strain >= failStrain/2 {
 			l.Servers = append(l.Servers, balance.LearnedServer{
-				ID: s.ID, Fails: s.fails, Silent: s.silent, WarmAt: s.warmAt, Strain: s.strain,
+				ID: s.ID, Failures: s.fails, SilentSince: s.silent, WarmAt: s.warmAt, LatencyRatio: s.strain,
 			})
 		}
 	}
 	return l
 }
 
-// Recall takes what another had learned in this one's place, once, behind the first List. What is too
-// old, or of a server that has started again since, counts for nothing; neither does what a clock that was
-// set back makes of it.
-func (b *Balancer) Recall(now time.Duration, l balance.Learned) {
+// RestoreLearned takes what another had learned in this one's place, once, behind the first UpdateServers.
+// What is too old, or of a server that has started again since, counts for nothing; neither does what a clock
+// that was set back makes of it.
+func (b *Balancer) RestoreLearned(now time.Duration, l balance.Learned) {
 	age := now - l.At
 	if age >= 0 && age <= rateOver && l.Rate > 0 && l.Rate < math.MaxInt32 {
 		b.rate, b.rateAt = l.Rate, now
@@ -360,11 +361,11 @@
 		if age > believed {
 			continue
 		}
-		if m.Strain > 0 && m.Strain <= failStrain {
-			s.strain = m.Strain
+		if m.LatencyRatio > 0 && m.LatencyRatio <= failStrain {
+			s.strain = m.LatencyRatio
 		}
-		s.silent = min(max(0, m.Silent), now)
-		if s.fails = min(max(0, m.Fails), failsMost); s.fails >= restAfter {
+		s.silent = min(max(0, m.SilentSince), now)
+		if s.fails = min(max(0, m.Failures), failsMost); s.fails >= restAfter {
 			b.rest(now, s)
 		}
 	}
--- a/policy/stream.go
+++ b/policy/stream.go
@@ -16,25 +16,25 @@
 	standMost   = 5 * time.Second // and within its client's time none may stand still for longer
 )
 
-// AnswerPace follows an answer that is passed on as it comes, and decides for how long its server may
+// StallDetector follows an answer that is passed on as it comes, and decides for how long its server may
 // stand still. A request is owed its final answer half a second behind its time at the latest, but an
 // answer that its server goes on with is not cut off, however long it is. What tells the two apart is the
 // pauses that the server has made in this answer so far.
-type AnswerPace struct {
+type StallDetector struct {
 	owed    time.Duration // the client's time is up
 	asked   time.Duration // since when the next bytes are waited for
 	longest time.Duration // pause so far
 	bytes   int           // so far
 }
 
-// NewAnswerPace begins with an answer whose head has come now; at owed its client's time is up.
-func NewAnswerPace(now, owed time.Duration) AnswerPace {
-	return AnswerPace{owed: owed, asked: now}
+// NewStallDetector begins with an answer whose head has come now; at owed its client's time is up.
+func NewStallDetector(now, owed time.Duration) StallDetector {
+	return StallDetector{owed: owed, asked: now}
 }
 
-// Wait takes that the next bytes are waited for from now on, and returns until when. Time in which nobody
-// waits for the server, as the client is slower, is no pause of its.
-func (p *AnswerPace) Wait(now time.Duration) (until time.Duration) {
+// StartRead takes that the next bytes are waited for from now on, and returns until when. Time in which
+// nobody waits for the server, as the client is slower, is no pause of its.
+func (p *StallDetector) StartRead(now time.Duration) (until time.Duration) {
 	p.asked = now
 	pause := time.Duration(pauseShare * float64(p.longest))
 	switch {
@@ -47,8 +47,8 @@
 	return min(max(now+min(pause, pauseMost), p.owed+answerGrace), now+standMost)
 }
 
-// Came takes that so many bytes have come.
-func (p *AnswerPace) Came(now time.Duration, bytes int) {
+// BytesReceived takes that so many bytes have come.
+func (p *StallDetector) BytesReceived(now time.Duration, bytes int) {
 	p.longest = max(p.longest, now-p.asked)
 	p.bytes += bytes
 }
--- a/policy/stream_test.go
+++ b/policy/stream_test.go
@@ -12,10 +12,10 @@
 func TestSlowClientsHaveAPlaceBesideTheSlots(t *testing.T) {
 	b, h := start(t, testConfig(), ready(1, 2, 3, 4, 5, 6, 7, 8)) // tenant 0: 6 slots
 	for id := range balance.RequestID(5) {
-		b.Request(0, balance.Request{ID: id, Class: safeClass, Left: time.Second, Coming: true})
+		b.Request(0, balance.Request{ID: id, Class: safeClass, TimeLeft: time.Second, BodyPending: true})
 	}
 	ask(b, 0, 5, safeClass)
-	b.StreamBegun(ms, 5, 0)
+	b.StreamStarted(ms, 5, 0)
 	if len(h.sends) != 6 || b.SlotsFree(0) != 6 || b.out != 0 || b.Counters().Slow != 6 {
 		t.Fatalf("%d sends, %d slots free, %d out, want 6, all and none", len(h.sends), b.SlotsFree(0), b.out)
 	}
@@ -50,7 +50,7 @@
 	b, h := start(t, testConfig(), ready(1, 2, 3, 4, 5, 6, 7, 8))
 	for id := range balance.RequestID(6*(1+besideSlots) + 10) {
 		ask(b, 0, id, safeClass)
-		b.StreamBegun(0, id, 0)
+		b.StreamStarted(0, id, 0)
 	}
 	if len(h.sends) != 6*(1+besideSlots) || b.SlotsFree(0) != 0 || b.Counters().SlowFull != 6 {
 		t.Fatalf("%d sends, %d slots free, want %d and none", len(h.sends), b.SlotsFree(0), 6*(1+besideSlots))
@@ -60,14 +60,14 @@
 // A client's time begins with its last byte, and so does what is learnt of its server.
 func TestTimeBeginsWithTheBodysEnd(t *testing.T) {
 	b, h := start(t, testConfig(), ready(1))
-	b.Request(0, balance.Request{ID: 1, Class: safeClass, Left: 500 * ms, Coming: true})
+	b.Request(0, balance.Request{ID: 1, Class: safeClass, TimeLeft: 500 * ms, BodyPending: true})
 	b.Wake(5 * time.Second)
 	b.BodyEnded(5*time.Second, 1, 500*ms)
 	b.Outcome(5*time.Second+100*ms, balance.Outcome{ID: 1, Ending: balance.Served, Settled: true})
 	if s := b.server(1); s.strain > 1 || b.asked.good == 0 {
 		t.Errorf("strain %v, good %v: its client's time counted against the server", s.strain, b.asked.good)
 	}
-	b.Request(6*time.Second, balance.Request{ID: 2, Class: unsafeClass, Left: 500 * ms, Coming: true})
+	b.Request(6*time.Second, balance.Request{ID: 2, Class: unsafeClass, TimeLeft: 500 * ms, BodyPending: true})
 	b.BodyEnded(6*time.Second, 2, 500*ms)
 	b.Wake(6*time.Second + 600*ms)
 	if !h.failed[2] {
@@ -79,7 +79,7 @@
 func TestStreamCountsWhenItBegins(t *testing.T) {
 	b, _ := start(t, testConfig(), ready(1))
 	ask(b, 0, 1, safeClass)
-	b.StreamBegun(50*ms, 1, 0)
+	b.StreamStarted(50*ms, 1, 0)
 	good, strain := b.asked.good, b.server(1).strain
 	if good == 0 || strain > 1 {
 		t.Fatalf("good %v, strain %v as it begins", good, strain)
@@ -89,7 +89,7 @@
 		t.Errorf("its length told: good %v, strain %v, crowd %v", b.asked.good, s.strain, b.crowd)
 	}
 	ask(b, 20*time.Second, 2, safeClass)
-	b.StreamBegun(20*time.Second, 2, 0)
+	b.StreamStarted(20*time.Second, 2, 0)
 	b.Outcome(40*time.Second, balance.Outcome{ID: 2, Ending: balance.TimedOut, Settled: true})
 	if s := b.server(1); s.fails != 1 || b.crowd > 0.1 {
 		t.Errorf("a broken stream: %d failures, crowd %v, want one and none", s.fails, b.crowd)
@@ -99,13 +99,13 @@
 // A request whose body has gone in part is not sent again, though nothing of it ran.
 func TestSpentRequestIsRefused(t *testing.T) {
 	b, h := start(t, testConfig(), ready(1, 2))
-	b.Request(0, balance.Request{ID: 1, Class: safeClass, Left: time.Second, Coming: true})
-	b.Outcome(10*ms, balance.Outcome{ID: 1, Ending: balance.NoConnection, Spent: true})
+	b.Request(0, balance.Request{ID: 1, Class: safeClass, TimeLeft: time.Second, BodyPending: true})
+	b.Outcome(10*ms, balance.Outcome{ID: 1, Ending: balance.NoConnection, BodySpent: true})
 	if _, refused := h.refused[1]; !refused || len(h.sends) != 1 {
 		t.Fatalf("sends %v, refused %v, want one and a refusal", h.sends, h.refused)
 	}
 	b, h = start(t, testConfig(), ready(1, 2))
-	b.Request(0, balance.Request{ID: 2, Class: safeClass, Left: time.Second, Coming: true})
+	b.Request(0, balance.Request{ID: 2, Class: safeClass, TimeLeft: time.Second, BodyPending: true})
 	b.Outcome(10*ms, balance.Outcome{ID: 2, Ending: balance.NoConnection})
 	if len(h.sends) != 2 {
 		t.Fatalf("sends %v, want another for what is still held", h.sends)
@@ -135,23 +135,23 @@
 		"its client is slow, behind it": {[]time.Duration{100 * ms, 100 * ms}, 16 << 10, 5 * time.Second, 500 * ms},
 	} {
 		now := time.Duration(0)
-		p := NewAnswerPace(now, owed)
+		p := NewStallDetector(now, owed)
 		for _, pause := range c.pauses {
-			p.Wait(now)
+			p.StartRead(now)
 			now += pause
-			p.Came(now, c.piece)
+			p.BytesReceived(now, c.piece)
 		}
 		now += c.idle
 		want := now + c.until
 		if c.until == 0 {
 			want = owed + 350*ms
 		}
-		if until := p.Wait(now); until != want {
+		if until := p.StartRead(now); until != want {
 			t.Errorf("%s: waited for from %v until %v, want %v", name, now, until, want)
 		}
 	}
-	p := NewAnswerPace(0, time.Hour)
-	if until := p.Wait(time.Minute); until != time.Minute+5*time.Second {
+	p := NewStallDetector(0, time.Hour)
+	if until := p.StartRead(time.Minute); until != time.Minute+5*time.Second {
 		t.Errorf("within its client's time it may stand still until %v, want 5 s", until)
 	}
 }
