--- a/internal/rules/core.go
+++ b/internal/rules/core.go
@@ -9,82 +9,87 @@
 	"strings"
 )
 
-// Peer is a process: a name, and the number that tells it from earlier ones of the name.
+// Peer identifies one process: the member's name and a start number that is higher than that of every earlier
+// process of this name.
 type Peer struct {
 	Name  string
 	Start uint64
 }
 
-// Member is a process that a push has to ask.
+// Member is a process that takes part in pushes.
 type Member struct {
 	Peer
-	Silent bool // lost without a word: it may still serve
+	Silent bool // it stopped answering without leaving, so it may still be serving
 }
 
-// Floor is what a version stands for, once it is entered: nothing below one that a node has is ever in force there again.
+// Floor is an entered version: its number, the digest of its meaning and the token under which it was entered.
+// A node never puts a version below its floor in force again.
 type Floor struct {
 	Version uint64 `json:"version"`
 	Digest  string `json:"digest"`
-	Token   uint64 `json:"token"` // of the holder that entered it
+	Token   uint64 `json:"token"` // fencing token of the holder that entered it
 }
 
-// same says whether both are of one version and meaning.
-func (f Floor) same(o Floor) bool { return f.Version == o.Version && f.Digest == o.Digest }
+// matches reports whether f and o have the same version and digest, whatever their tokens.
+func (f Floor) matches(o Floor) bool { return f.Version == o.Version && f.Digest == o.Digest }
 
-// Kind is what a message is about.
+// Kind is the subject of a message. Its numbers are on the wire.
 type Kind uint8
 
-// The kinds. Check, Store, Force and Tell are a holder's words.
+// The kinds. Check, Store, Activate and ReportRefusals are sent by the holder of the duty and are fenced by its
+// token.
 const (
-	Check Kind = iota + 1 // read this, and say what it means
-	Store                 // keep this beside the floor
-	Force                 // this is entered: take it
-	Tell                  // for people: a push was refused, and why
-	Ask                   // what is your floor, and its document if it is above mine
-	Fetch                 // the document of this version and digest
-	Offer                 // push this
+	Check          Kind = iota + 1 // read the document and answer with its digest
+	Store                          // store the document durably as the staged one
+	Activate                       // the version is entered: put it in force
+	ReportRefusals                 // refusals of a push, to be shown to operators
+	QueryFloor                     // answer with your floor, and with its document if the floor is above the version asked with
+	Fetch                          // answer with the document of this version and digest
+	Offer                          // push this document to all members
 )
 
-// Answer is what is said to a question.
+// Answer is the result in a reply, or Question in a message that asks for one. Its numbers are on the wire.
 type Answer uint8
 
-// The answers.
+// The answers. A question answered by No may be answered by Yes once its cause is removed.
 const (
 	Question Answer = iota
 	Yes
 	No
-	Missing // the document is
-	Later   // try again
-	Never   // whatever comes
+	Missing // the answering node has no such document
+	Later   // not possible now: try again
+	Never   // refused for good: do not try again
 )
 
-// Message is a question or its answer.
+// Message is a question to a process, or the answer to one. Its field names are on the wire (gob).
 type Message struct {
 	Kind     Kind
 	Answer   Answer
 	From, To Peer
-	Token    uint64 // of the holder whose word it is
-	Push     uint64 // which of its pushes
+	Token    uint64 // of the holder that asked
+	Push     uint64 // number of the push among those of that holder
 	Version  uint64
 	Digest   string
-	Text     []byte
-	Why      string
-	Floor    Floor // of who answers
+	Text     []byte // source of the document, or encoded refusals
+	Why      string // reason for an answer other than Yes
+	Floor    Floor  // the floor of the answering node
 }
 
-// Write is one change of what outlives the process. A nil Value deletes.
+// Write is one change of the node's durable storage. A nil Value deletes the key.
 type Write struct {
 	Key   string
 	Value []byte
 }
 
-// Ready is what a Core asks for: the writes, each durable before the next; then the set in force; then Advance.
+// Ready is the work that a Core asks its host to do. The host makes the writes durable one after another, then
+// puts the set in force, then calls Advance.
 type Ready struct {
-	Writes []Write
-	Force  *Set
+	Writes   []Write
+	Activate *Set
 }
 
-// Refusal is why a push came to nothing.
+// Refusal names a member that made a push fail, with the reason. It is encoded as JSON in a ReportRefusals
+// message.
 type Refusal struct {
 	Version uint64
 	Name    string
@@ -92,76 +97,83 @@
 }
 
 const (
-	refusalsMost = 8 // told of one push
-	membersMost  = 4096
+	maxRefusals = 8    // reported of one push
+	maxMembers  = 4096 // members considered; further ones are ignored
 )
 
-// document is a text that counts for nothing yet.
+// document is the source text of a rule set with its version and digest. Holding one does not put it in force.
 type document struct {
 	Floor
 	text []byte
 }
 
-// progress is how far a member is in a push.
+// progress is the state of one member in a push. awaitingAnswer is set while a question to the member is
+// unanswered.
 type progress struct {
-	checked, stored, busy bool
+	checked, stored, awaitingAnswer bool
 }
 
-// push is what a holder brings on its way.
+// push is a rule set that this process, as the holder of the duty, is distributing to the members.
 type push struct {
-	id   uint64
-	set  *Set
-	with map[Peer]*progress
-}
-
-// change is what a message comes to, once its writes are durable.
-type change struct {
-	of      Message
-	floor   *document
-	next    *document
-	force   *Set
-	barred  string
-	differs bool
-	answer  *Message
-}
-
-// Core is the protocol at one process. It is not safe for concurrent use. Each input but Members and Hold may ask for writes (Ready); the
-// next input must come after Advance has said how they went. What is to be said and entered is taken by Outbox and Entering.
+	id      uint64
+	set     *Set
+	members map[Peer]*progress
+}
+
+// pendingChange is the effect of a message, which Advance applies once its writes are durable. floor and staged
+// are nil where they do not change, answer where none is sent.
+type pendingChange struct {
+	question      Message
+	floor         *document
+	staged        *document
+	activate      *Set
+	barredReason  string
+	digestDiffers bool
+	answer        *Message
+}
+
+// Core is the push protocol at one process. It uses no goroutine, clock or socket and is not safe for
+// concurrent use.
+//
+// Every input except SetMembers and AcquireDuty may return work (Ready). The host must do that work and report
+// its result by Advance before it passes the next input. TakeOutbox returns the messages to send, Proposed the
+// version to enter among the voters.
 type Core struct {
-	self Peer
-	read func([]byte) (*Set, error)
-
-	floor  document // durable; its text is nil where that is lost
-	next   document // durable beside it: checked, and entered or not
-	others []string // keys of documents that are of no use
-
-	force   *Set   // nil: the settings
-	barred  string // why nothing is served
-	differs bool   // the set means something else here than what was entered
-	asking  bool   // a peer may know of a higher floor
-	asked   map[Peer]bool
-	change  *change
-	latest  [2]uint64 // token and push of the newest word of a holder: an earlier push's may come late
-
-	members []Member
-	token   uint64 // of the duty; 0: not held
-	entry   Floor  // the voters' word
-	text    []byte // of entry
-	enter   *Floor // asked of the voters, and not known to have been taken or refused
-	told    map[Peer]bool
-	busy    map[Peer]bool // a question that belongs to no push is under way, or to come later
-	again   []Peer        // and to whom
-	push    *push
-	pushes  uint64
-	refused []Refusal // of the last push that came to nothing, here or at another holder
-	out     []Message
-}
-
-// NewCore begins with what is kept. damaged says that some of that may be gone; read is how this process takes a document.
-func NewCore(self Peer, kept map[string][]byte, damaged bool, read func([]byte) (*Set, error)) *Core {
-	c := &Core{self: self, read: read, asked: make(map[Peer]bool)}
+	self  Peer
+	parse func([]byte) (*Set, error)
+
+	floor     document // durable; its text is nil if the document was lost
+	staged    document // durable besides the floor: checked, and perhaps entered
+	staleKeys []string // keys of stored documents that are obsolete
+
+	inForce        *Set   // nil: the settings apply
+	barredReason   string // why this process must not serve; empty: it may
+	digestDiffers  bool   // the set has another digest here than the one entered
+	awaitingFloors bool   // the node does not serve until peers have reported their floors, as one may be higher
+	floorAnswers   map[Peer]bool
+	pending        *pendingChange
+	latestPush     [2]uint64 // token and number of the newest push seen: messages of an earlier one may arrive late
+
+	members         []Member
+	token           uint64 // of the duty; 0: not held
+	lastEntry       Floor  // the last entry of the voters, as far as this holder knows
+	entryText       []byte // document of lastEntry, where neither floor nor staged has it
+	proposed        *Floor // submitted to the voters with the result not known yet; nil: nothing is
+	activated       map[Peer]bool
+	activating      map[Peer]bool // an Activate to the member is unanswered, or waits in retryActivation
+	retryActivation []Peer        // members to send an Activate again at the next RetryActivations
+	push            *push
+	lastPushID      uint64
+	refusals        []Refusal // of the last push that failed, here or at another holder
+	outbox          []Message
+}
+
+// NewCore returns a Core with the floor and the documents found in storage, given as kept. damaged reports that
+// some of them may be lost; read parses a document as this process understands it.
+func NewCore(self Peer, stored map[string][]byte, damaged bool, parse func([]byte) (*Set, error)) *Core {
+	c := &Core{self: self, parse: parse, floorAnswers: make(map[Peer]bool)}
 	texts := make(map[string]document)
-	for key, raw := range kept {
+	for key, raw := range stored {
 		var d document
 		switch {
 		case strings.HasPrefix(key, "floor-"):
@@ -181,154 +193,165 @@
 	c.floor.text = texts[setKey(c.floor.Floor)].text
 	for _, key := range slices.Sorted(maps.Keys(texts)) {
 		switch d := texts[key]; {
-		case d.Floor.same(c.floor.Floor):
-		case d.Version > c.floor.Version && c.next.Version == 0:
-			c.next = d
+		case d.Floor.matches(c.floor.Floor):
+		case d.Version > c.floor.Version && c.staged.Version == 0:
+			c.staged = d
 		default:
-			c.others = append(c.others, key)
+			c.staleKeys = append(c.staleKeys, key)
 		}
 	}
-	c.asking = damaged || c.floor.Version == 0 || c.floor.text == nil
-	c.force, c.barred, c.differs = c.take(c.floor)
+	c.awaitingFloors = damaged || c.floor.Version == 0 || c.floor.text == nil
+	c.inForce, c.barredReason, c.digestDiffers = c.evaluate(c.floor)
 	return c
 }
 
+// floorKey and setKey return the storage keys of a floor and of a document. The padding makes the keys sort by
+// version.
 func floorKey(f Floor) string { return fmt.Sprintf("floor-%020d", f.Version) }
 func setKey(f Floor) string   { return fmt.Sprintf("set-%020d-%s", f.Version, f.Digest) }
 
-// take is what a floor comes to at this process: a set in force, or why nothing is served.
-func (c *Core) take(d document) (set *Set, barred string, differs bool) {
+// evaluate returns what a floor means for this process: the set to put in force, or the reason why it must not
+// serve, and whether the set has another digest here than the one entered.
+func (c *Core) evaluate(d document) (set *Set, barred string, differs bool) {
 	switch {
 	case d.Version == 0:
 		return nil, "", false
 	case d.text == nil:
 		return nil, fmt.Sprintf("version %d is this node's floor, and its document is lost", d.Version), false
 	}
-	set, err := c.read(d.text)
+	set, err := c.parse(d.text)
 	switch {
 	case err != nil:
-		return nil, short(fmt.Sprintf("version %d is in force, and can't be read here: %v", d.Version, err)), false
+		return nil, shortReason(fmt.Sprintf("version %d is in force, and can't be read here: %v", d.Version, err)), false
 	case slices.Contains(set.ExcludedMembers, c.self.Name):
-		return nil, fmt.Sprintf("version %d goes on without this member", d.Version), false
+		return nil, fmt.Sprintf("version %d excludes this member", d.Version), false
 	}
 	return set, "", set.Digest != d.Digest
 }
 
-// InForce is the set in force, or nil for the settings.
-func (c *Core) InForce() *Set { return c.force }
+// InForce returns the set in force, or nil if the settings apply.
+func (c *Core) InForce() *Set { return c.inForce }
 
-// Serves says whether requests may be served, or why not.
+// Serves reports whether requests may be served, and if not, why.
 func (c *Core) Serves() (why string, yes bool) {
 	switch {
-	case c.barred != "":
-		return c.barred, false
-	case c.asking:
-		return "peers are asked for this node's floor", false
+	case c.barredReason != "":
+		return c.barredReason, false
+	case c.awaitingFloors:
+		return "waiting for peers to report this node's floor", false
 	}
 	return "", true
 }
 
-// Settle ends the wait for peers' floors: what is known by now has to do.
-func (c *Core) Settle() { c.asking = false }
+// EndFloorWait ends the wait for the floors of peers. The highest floor known by then counts.
+func (c *Core) EndFloorWait() { c.awaitingFloors = false }
 
-// Asking says whether a start still waits for peers' words, and how many there are.
-func (c *Core) Asking() (answers int, asking bool) { return len(c.asked), c.asking }
+// FloorWait reports whether a starting node still waits for the floors of peers, and how many have answered.
+func (c *Core) FloorWait() (answers int, waiting bool) { return len(c.floorAnswers), c.awaitingFloors }
 
-// Question is what a start asks a peer.
-func (c *Core) Question(to Peer) Message {
-	m := Message{Kind: Ask, From: c.self, To: to, Version: c.floor.Version}
+// FloorQuestion returns the question by which a starting node asks a peer for its floor. A node whose document
+// is lost asks with a lower version, so that the answer has the document of its own floor too.
+func (c *Core) FloorQuestion(to Peer) Message {
+	m := Message{Kind: QueryFloor, From: c.self, To: to, Version: c.floor.Version}
 	if c.floor.text == nil && m.Version > 0 {
 		m.Version--
 	}
 	return m
 }
 
-// Outbox takes what is to be said.
-func (c *Core) Outbox() []Message {
-	out := c.out
-	c.out = nil
+// TakeOutbox returns the messages to send and empties the outbox.
+func (c *Core) TakeOutbox() []Message {
+	out := c.outbox
+	c.outbox = nil
 	return out
 }
 
-// Entering is what is to be entered among the voters, by this token; again until Entered says how it went.
-func (c *Core) Entering() (Floor, bool) {
-	if c.enter == nil {
+// Proposed returns the version to enter among the voters, if there is one. It stays the same until
+// ProposalDecided reports the result.
+func (c *Core) Proposed() (Floor, bool) {
+	if c.proposed == nil {
 		return Floor{}, false
 	}
-	return *c.enter, true
+	return *c.proposed, true
 }
 
-// Hold takes that this process holds the duty, and what the voters had entered at some moment after it was given that token.
-func (c *Core) Hold(token uint64, entry Floor) {
-	c.token, c.entry, c.enter, c.push, c.text = token, entry, nil, nil, nil
-	c.told, c.busy, c.again = make(map[Peer]bool), make(map[Peer]bool), nil
-	if c.floor.Version > entry.Version { // the voters have lost their disks: floors have not
-		c.restore(c.floor.Floor)
+// AcquireDuty records that this process holds the duty by token. entry is the voters' entry, read at some
+// moment after the token was given.
+func (c *Core) AcquireDuty(token uint64, entry Floor) {
+	c.token, c.lastEntry, c.proposed, c.push, c.entryText = token, entry, nil, nil, nil
+	c.activated, c.activating, c.retryActivation = make(map[Peer]bool), make(map[Peer]bool), nil
+	if c.floor.Version > entry.Version { // the voters have lost their disks, the node has not
+		c.proposeFloor(c.floor.Floor)
 	}
-	c.advance()
+	c.sendDue()
 }
 
-// Release takes that the duty is held no more.
-func (c *Core) Release() { c.token, c.push, c.enter, c.busy = 0, nil, nil, nil }
+// ReleaseDuty records that this process no longer holds the duty.
+func (c *Core) ReleaseDuty() { c.token, c.push, c.proposed, c.activating = 0, nil, nil, nil }
 
-// Holding is the token that this process acts by; 0: none.
-func (c *Core) Holding() uint64 { return c.token }
+// DutyToken returns the token of the duty that this process holds; 0: none.
+func (c *Core) DutyToken() uint64 { return c.token }
 
-func (c *Core) restore(f Floor) {
+// proposeFloor proposes f to the voters again, under this holder's token, after they have lost it. A push under
+// way is dropped.
+func (c *Core) proposeFloor(f Floor) {
 	f.Token = c.token
-	c.push, c.enter = nil, &f
+	c.push, c.proposed = nil, &f
 }
 
-// Members takes who is there now. It must be called right before each answer is taken.
-func (c *Core) Members(all []Member) {
-	c.members = all[:min(len(all), membersMost)]
-	there := make(map[Peer]bool)
+// SetMembers sets the members that are present or silent. It must be called right before each answer is passed
+// to Step.
+func (c *Core) SetMembers(all []Member) {
+	c.members = all[:min(len(all), maxMembers)]
+	present := make(map[Peer]bool)
 	for _, m := range c.members {
-		there[m.Peer] = true
+		present[m.Peer] = true
 	}
-	gone := func(p Peer, _ bool) bool { return !there[p] }
-	maps.DeleteFunc(c.told, gone)
-	maps.DeleteFunc(c.busy, gone)
-	maps.DeleteFunc(c.asked, gone)
+	absent := func(p Peer, _ bool) bool { return !present[p] }
+	maps.DeleteFunc(c.activated, absent)
+	maps.DeleteFunc(c.activating, absent)
+	maps.DeleteFunc(c.floorAnswers, absent)
 	if c.push != nil {
-		maps.DeleteFunc(c.push.with, func(p Peer, _ *progress) bool { return !there[p] })
+		maps.DeleteFunc(c.push.members, func(p Peer, _ *progress) bool { return !present[p] })
 	}
-	c.advance()
+	c.sendDue()
 }
 
-// Entered takes how the entry went. One that was refused leaves the holder with an old word of the voters': it must be told again (Hold).
-func (c *Core) Entered(why error) {
-	f := *c.enter
-	c.enter = nil
-	if why != nil {
-		c.fail(Refusal{f.Version, c.self.Name, short("not entered: " + why.Error())})
+// ProposalDecided records the result of the proposed entry; refused is nil if it was entered. After a refusal
+// this holder's copy of the voters' entry may be out of date: it must read it again and call AcquireDuty.
+func (c *Core) ProposalDecided(refused error) {
+	f := *c.proposed
+	c.proposed = nil
+	if refused != nil {
+		c.failPush(Refusal{f.Version, c.self.Name, shortReason("not entered: " + refused.Error())})
 		return
 	}
-	c.entry, c.text = f, nil
+	c.lastEntry, c.entryText = f, nil
 	if c.push != nil {
-		c.text = c.push.set.Text
+		c.entryText = c.push.set.Text
 	}
 	c.push = nil
-	c.told, c.busy, c.again = make(map[Peer]bool), make(map[Peer]bool), nil
-	c.advance()
+	c.activated, c.activating, c.retryActivation = make(map[Peer]bool), make(map[Peer]bool), nil
+	c.sendDue()
 }
 
-// Pushing is the push under way; 0: none.
-func (c *Core) Pushing() uint64 {
+// PushID returns the number of the push under way; 0: there is none.
+func (c *Core) PushID() uint64 {
 	if c.push == nil {
 		return 0
 	}
 	return c.push.id
 }
 
-// Expire ends a push that has waited long enough. Whoever has not answered is named: a silence is a no.
-func (c *Core) Expire(id uint64) {
-	if c.push == nil || c.push.id != id || c.enter != nil {
+// ExpirePush fails a push that has reached its time limit and names every member that has not answered: no
+// answer counts as a refusal.
+func (c *Core) ExpirePush(id uint64) {
+	if c.push == nil || c.push.id != id || c.proposed != nil {
 		return
 	}
 	var all []Refusal
 	for _, m := range c.members {
-		if p := c.push.with[m.Peer]; !slices.Contains(c.push.set.ExcludedMembers, m.Name) && (p == nil || !p.stored && p.busy || !p.checked) {
+		if p := c.push.members[m.Peer]; !slices.Contains(c.push.set.ExcludedMembers, m.Name) && (p == nil || !p.stored && p.awaitingAnswer || !p.checked) {
 			why := "no answer"
 			if m.Silent {
 				why = "no answer, it is silent"
@@ -337,170 +360,174 @@
 		}
 	}
 	if len(all) == 0 {
-		all = append(all, Refusal{c.push.set.Version, c.self.Name, "it took too long"})
+		all = append(all, Refusal{c.push.set.Version, c.self.Name, "the push took too long"})
 	}
-	c.fail(all...)
+	c.failPush(all...)
 }
 
-// Lost takes that a question has got no answer; it is asked again.
-func (c *Core) Lost(m Message) {
+// AnswerLost records that a question got no answer. It will be asked again.
+func (c *Core) AnswerLost(m Message) {
 	if c.push != nil && m.Push == c.push.id {
-		if p := c.push.with[m.To]; p != nil {
-			p.busy = false
+		if p := c.push.members[m.To]; p != nil {
+			p.awaitingAnswer = false
 		}
-	} else if m.Kind == Force {
-		delete(c.busy, m.To)
+	} else if m.Kind == Activate {
+		delete(c.activating, m.To)
 	}
 }
 
-// fail ends the push, and tells everybody why.
-func (c *Core) fail(all ...Refusal) {
+// failPush ends the push and reports the reasons to all members.
+func (c *Core) failPush(all ...Refusal) {
 	c.push = nil
-	c.refused = all[:min(len(all), refusalsMost)]
-	raw, err := json.Marshal(c.refused)
+	c.refusals = all[:min(len(all), maxRefusals)]
+	raw, err := json.Marshal(c.refusals)
 	if err != nil {
-		panic(err) // of plain fields
+		panic(err) // can't happen: the fields are plain values
 	}
 	for _, m := range c.members {
 		if m.Peer != c.self {
-			c.out = append(c.out, Message{Kind: Tell, From: c.self, To: m.Peer, Token: c.token, Text: raw})
+			c.outbox = append(c.outbox, Message{Kind: ReportRefusals, From: c.self, To: m.Peer, Token: c.token, Text: raw})
 		}
 	}
 }
 
-// advance asks whoever has to be asked next.
-func (c *Core) advance() {
-	if c.token == 0 || c.enter != nil {
+// sendDue sends every question that is due: an Activate to each member that has not confirmed the last entry,
+// and the next step of the push. A member is asked to store a document only after all have checked it, and the
+// version is proposed to the voters only after all have stored it.
+func (c *Core) sendDue() {
+	if c.token == 0 || c.proposed != nil {
 		return
 	}
 	for _, m := range c.members {
-		if c.entry.Version > 0 && !c.told[m.Peer] && !c.busy[m.Peer] {
-			c.busy[m.Peer] = true
-			c.say(m.Peer, Message{Kind: Force, Version: c.entry.Version, Digest: c.entry.Digest})
+		if c.lastEntry.Version > 0 && !c.activated[m.Peer] && !c.activating[m.Peer] {
+			c.activating[m.Peer] = true
+			c.send(m.Peer, Message{Kind: Activate, Version: c.lastEntry.Version, Digest: c.lastEntry.Digest})
 		}
 	}
 	if c.push == nil {
 		return
 	}
-	var wanted []Peer
+	var required []Peer
 	checked, stored := true, true
 	for _, m := range c.members {
 		if slices.Contains(c.push.set.ExcludedMembers, m.Name) {
 			continue
 		}
-		wanted = append(wanted, m.Peer)
-		p := c.push.with[m.Peer]
+		required = append(required, m.Peer)
+		p := c.push.members[m.Peer]
 		if p == nil {
 			p = new(progress)
-			c.push.with[m.Peer] = p
+			c.push.members[m.Peer] = p
 		}
 		checked, stored = checked && p.checked, stored && p.stored
 	}
 	switch {
-	case !slices.Contains(wanted, c.self): // membership does not show this process yet, or it is named itself
+	case !slices.Contains(required, c.self): // membership does not show this process yet, or the set excludes it
 	case stored:
-		c.enter = &Floor{c.push.set.Version, c.push.set.Digest, c.token}
+		c.proposed = &Floor{c.push.set.Version, c.push.set.Digest, c.token}
 	default:
-		for _, who := range wanted {
-			p, kind := c.push.with[who], Check
+		for _, peer := range required {
+			p, kind := c.push.members[peer], Check
 			switch {
-			case p.busy || p.checked && (!checked || p.stored):
+			case p.awaitingAnswer || p.checked && (!checked || p.stored):
 				continue
 			case p.checked:
 				kind = Store
 			}
-			p.busy = true
-			c.say(who, Message{Kind: kind, Push: c.push.id, Version: c.push.set.Version, Digest: c.push.set.Digest, Text: c.push.set.Text})
+			p.awaitingAnswer = true
+			c.send(peer, Message{Kind: kind, Push: c.push.id, Version: c.push.set.Version, Digest: c.push.set.Digest, Text: c.push.set.Text})
 		}
 	}
 }
 
-func (c *Core) say(to Peer, m Message) {
+// send puts a question to a member in the outbox.
+func (c *Core) send(to Peer, m Message) {
 	m.From, m.To, m.Token = c.self, to, c.token
-	c.out = append(c.out, m)
+	c.outbox = append(c.outbox, m)
 }
 
-// Mine says whether a message is for this process: what is pushed to an earlier one of its name is not, as the answer would count for that.
-func (c *Core) Mine(m Message) bool {
-	return m.To == c.self || m.Answer == Question && m.To.Name == c.self.Name && (m.Kind == Ask || m.Kind == Fetch || m.Kind == Offer)
+// Accepts reports whether a message is for this process. Push messages to an earlier process of its name are
+// not, as the answer would count for that process.
+func (c *Core) Accepts(m Message) bool {
+	return m.To == c.self || m.Answer == Question && m.To.Name == c.self.Name && (m.Kind == QueryFloor || m.Kind == Fetch || m.Kind == Offer)
 }
 
-// Step takes a message that is for this process: of a question its answer is in the Outbox after Advance. A holder's words must have passed
-// the fence.
+// Step handles a message that Accepts has passed. The answer to a question is in the outbox after Advance. The
+// host must have checked the token of a holder's message against the fence.
 func (c *Core) Step(m Message) Ready {
-	if c.change != nil {
-		panic("rules: a message before the writes of the last one")
+	if c.pending != nil {
+		panic("rules: Step called before Advance")
 	}
 	if m.Answer != Question {
-		return c.hear(m)
+		return c.handleAnswer(m)
 	}
 	a := Message{Kind: m.Kind, From: c.self, To: m.From, Token: m.Token, Push: m.Push, Version: m.Version, Digest: m.Digest}
-	ch := &change{of: m, answer: &a}
+	change := &pendingChange{question: m, answer: &a}
 	var r Ready
-	at := [2]uint64{m.Token, m.Push}
+	number := [2]uint64{m.Token, m.Push}
 	if m.Kind == Check || m.Kind == Store {
-		if slices.Compare(at[:], c.latest[:]) < 0 {
-			a.Answer, a.Why = No, "a later push has come"
-			c.change = ch
+		if slices.Compare(number[:], c.latestPush[:]) < 0 {
+			a.Answer, a.Why = No, "superseded by a later push"
+			c.pending = change
 			return r
 		}
-		c.latest = at
+		c.latestPush = number
 	}
 	switch m.Kind {
 	case Check:
-		_, a.Digest, a.Answer, a.Why = c.judge(m)
+		_, a.Digest, a.Answer, a.Why = c.checkDocument(m)
 	case Store:
-		r = c.store(m, ch)
-	case Force:
-		r = c.takeForce(m, ch)
-	case Tell:
+		r = c.stageDocument(m, change)
+	case Activate:
+		r = c.handleActivate(m, change)
+	case ReportRefusals:
 		a.Answer = Yes
 		var all []Refusal
 		if json.Unmarshal(m.Text, &all) == nil {
-			c.refused = all[:min(len(all), refusalsMost)]
+			c.refusals = all[:min(len(all), maxRefusals)]
 		}
-	case Ask:
+	case QueryFloor:
 		a.Answer = Yes
 		if c.floor.Version > m.Version {
 			a.Text = c.floor.text
 		}
 	case Fetch:
 		a.Answer = Missing
-		if want := (Floor{Version: m.Version, Digest: m.Digest}); want.same(c.floor.Floor) && c.floor.text != nil {
+		if want := (Floor{Version: m.Version, Digest: m.Digest}); want.matches(c.floor.Floor) && c.floor.text != nil {
 			a.Answer, a.Text = Yes, c.floor.text
-		} else if want.same(c.next.Floor) {
-			a.Answer, a.Text = Yes, c.next.text
+		} else if want.matches(c.staged.Floor) {
+			a.Answer, a.Text = Yes, c.staged.text
 		}
 	case Offer:
-		a.Answer, a.Why = c.offered(m)
+		a.Answer, a.Why = c.handleOffer(m)
 	default:
-		a.Answer, a.Why = No, "unknown"
+		a.Answer, a.Why = No, "unknown kind of message"
 	}
-	c.change = ch
+	c.pending = change
 	return r
 }
 
-// judge reads a document that is being pushed.
-func (c *Core) judge(m Message) (set *Set, digest string, a Answer, why string) {
+// checkDocument reads a pushed document and reports whether this node can accept it.
+func (c *Core) checkDocument(m Message) (set *Set, digest string, a Answer, why string) {
 	if m.Version < c.floor.Version {
 		return nil, "", No, fmt.Sprintf("version %d is below %d, this node's floor", m.Version, c.floor.Version)
 	}
-	set, err := c.read(m.Text)
+	set, err := c.parse(m.Text)
 	switch {
 	case err != nil:
-		return nil, "", No, short(err.Error())
+		return nil, "", No, shortReason(err.Error())
 	case set.Version != m.Version:
-		return nil, "", No, fmt.Sprintf("the document is of version %d", set.Version)
+		return nil, "", No, fmt.Sprintf("the document declares version %d", set.Version)
 	case set.Version == c.floor.Version && set.Digest != c.floor.Digest:
 		return nil, "", No, fmt.Sprintf("version %d has another meaning: this node's floor has digest %s", m.Version, c.floor.Digest)
 	}
 	return set, set.Digest, Yes, ""
 }
 
-// store keeps a document beside the floor.
-func (c *Core) store(m Message, ch *change) (r Ready) {
-	set, digest, answer, why := c.judge(m)
-	a := ch.answer
+// stageDocument stores a checked document as the staged one.
+func (c *Core) stageDocument(m Message, change *pendingChange) (r Ready) {
+	set, digest, answer, why := c.checkDocument(m)
+	a := change.answer
 	a.Answer, a.Why = answer, why
 	if answer != Yes {
 		return r
@@ -510,20 +537,20 @@
 		return r
 	}
 	f := Floor{set.Version, digest, m.Token}
-	if f.same(c.floor.Floor) || f.same(c.next.Floor) {
+	if f.matches(c.floor.Floor) || f.matches(c.staged.Floor) {
 		return r
 	}
-	ch.next = &document{f, set.Text}
+	change.staged = &document{f, set.Text}
 	r.Writes = append(r.Writes, Write{setKey(f), set.Text})
-	if c.next.Version > 0 {
-		r.Writes = append(r.Writes, Write{Key: setKey(c.next.Floor)})
+	if c.staged.Version > 0 {
+		r.Writes = append(r.Writes, Write{Key: setKey(c.staged.Floor)})
 	}
-	return c.tidy(r)
+	return c.deleteStale(r)
 }
 
-// tidy deletes documents of no use behind the writes that matter.
-func (c *Core) tidy(r Ready) Ready {
-	for _, key := range c.others {
+// deleteStale appends the deletion of obsolete documents to the writes of r.
+func (c *Core) deleteStale(r Ready) Ready {
+	for _, key := range c.staleKeys {
 		if !slices.ContainsFunc(r.Writes, func(w Write) bool { return w.Key == key }) {
 			r.Writes = append(r.Writes, Write{Key: key})
 		}
@@ -531,9 +558,9 @@
 	return r
 }
 
-// takeForce takes what is entered.
-func (c *Core) takeForce(m Message, ch *change) Ready {
-	f, a := Floor{m.Version, m.Digest, m.Token}, ch.answer
+// handleActivate puts an entered version in force, or answers why that is not possible.
+func (c *Core) handleActivate(m Message, change *pendingChange) Ready {
+	f, a := Floor{m.Version, m.Digest, m.Token}, change.answer
 	a.Answer = Yes
 	switch {
 	case f.Version < c.floor.Version:
@@ -542,134 +569,136 @@
 	case f.Version == c.floor.Version && f.Digest != c.floor.Digest:
 		a.Answer, a.Why = No, fmt.Sprintf("version %d has digest %s here", f.Version, c.floor.Digest)
 		return Ready{}
-	case f.same(c.floor.Floor) && c.floor.text != nil:
-		if c.barred != "" {
-			a.Answer, a.Why = No, c.barred
+	case f.matches(c.floor.Floor) && c.floor.text != nil:
+		if c.barredReason != "" {
+			a.Answer, a.Why = No, c.barredReason
 		}
 		return Ready{}
 	}
 	text := m.Text
-	if f.same(c.next.Floor) {
-		text = c.next.text
+	if f.matches(c.staged.Floor) {
+		text = c.staged.text
 	}
 	if text == nil {
 		a.Answer = Missing
 		return Ready{}
 	}
-	return c.lift(document{f, text}, ch)
+	return c.raiseFloor(document{f, text}, change)
 }
 
-// lift brings a higher floor into force: its document and the floor are durable first.
-func (c *Core) lift(d document, ch *change) (r Ready) {
-	ch.floor = &d
-	ch.force, ch.barred, ch.differs = c.take(d)
-	if a := ch.answer; a != nil && ch.barred != "" {
-		a.Answer, a.Why = No, ch.barred
+// raiseFloor makes d the floor and puts it in force. The document is written first, then the floor, then
+// obsolete values are deleted.
+func (c *Core) raiseFloor(d document, change *pendingChange) (r Ready) {
+	change.floor = &d
+	change.activate, change.barredReason, change.digestDiffers = c.evaluate(d)
+	if a := change.answer; a != nil && change.barredReason != "" {
+		a.Answer, a.Why = No, change.barredReason
 	}
-	if !d.Floor.same(c.next.Floor) {
+	if !d.Floor.matches(c.staged.Floor) {
 		r.Writes = append(r.Writes, Write{setKey(d.Floor), d.text})
 	}
 	raw, err := json.Marshal(d.Floor)
 	if err != nil {
-		panic(err) // of plain fields
+		panic(err) // can't happen: the fields are plain values
 	}
 	r.Writes = append(r.Writes, Write{floorKey(d.Floor), raw})
 	if old := c.floor.Floor; old.Version > 0 && old.Version < d.Version {
 		r.Writes = append(r.Writes, Write{Key: floorKey(old)}, Write{Key: setKey(old)})
 	}
-	if n := c.next.Floor; n.Version > 0 && n.Version <= d.Version && !n.same(d.Floor) {
+	if n := c.staged.Floor; n.Version > 0 && n.Version <= d.Version && !n.matches(d.Floor) {
 		r.Writes = append(r.Writes, Write{Key: setKey(n)})
 	}
-	r.Force = ch.force
-	return c.tidy(r)
+	r.Activate = change.activate
+	return c.deleteStale(r)
 }
 
-// Follow takes a floor that another process of this node has written, or a peer has told.
-func (c *Core) Follow(f Floor, text []byte) Ready {
-	if c.change != nil || text == nil || f.Version == 0 || f.Version < c.floor.Version ||
+// AdoptFloor takes over a floor that another process of this node has stored, or that a peer has reported, if
+// it is higher than the present one or has its lost document.
+func (c *Core) AdoptFloor(f Floor, text []byte) Ready {
+	if c.pending != nil || text == nil || f.Version == 0 || f.Version < c.floor.Version ||
 		f.Version == c.floor.Version && (c.floor.text != nil || f.Digest != c.floor.Digest) {
 		return Ready{}
 	}
-	c.change = &change{}
-	return c.lift(document{f, text}, c.change)
+	c.pending = &pendingChange{}
+	return c.raiseFloor(document{f, text}, c.pending)
 }
 
-// offered begins a push, or says why not.
-func (c *Core) offered(m Message) (Answer, string) {
+// handleOffer starts a push of the offered document, or answers why not.
+func (c *Core) handleOffer(m Message) (Answer, string) {
 	switch {
 	case c.token == 0:
-		return Later, "another holds the duty"
-	case c.enter != nil || c.floor.Version < c.entry.Version:
-		return Later, "an entry is under way"
+		return Later, "another process holds the duty"
+	case c.proposed != nil || c.floor.Version < c.lastEntry.Version:
+		return Later, "an entry is pending"
 	}
-	set, err := c.read(m.Text)
+	set, err := c.parse(m.Text)
 	if err != nil {
-		return No, short(c.self.Name + ", which holds the duty: " + err.Error())
+		return No, shortReason(c.self.Name + ", which holds the duty: " + err.Error())
 	}
 	f := Floor{Version: set.Version, Digest: set.Digest}
 	switch {
-	case f.same(c.entry):
+	case f.matches(c.lastEntry):
 		return Yes, ""
-	case f.Version < c.entry.Version:
-		return Never, fmt.Sprintf("version %d is below %d, which is entered", f.Version, c.entry.Version)
-	case f.Version == c.entry.Version:
+	case f.Version < c.lastEntry.Version:
+		return Never, fmt.Sprintf("version %d is below %d, which is entered", f.Version, c.lastEntry.Version)
+	case f.Version == c.lastEntry.Version:
 		return Never, fmt.Sprintf("version %d is entered with another meaning", f.Version)
 	case slices.Contains(set.ExcludedMembers, c.self.Name):
-		return No, c.self.Name + " holds the duty, and is named in without: move the duty"
+		return No, c.self.Name + " holds the duty and is excluded by the document: move the duty first"
 	case c.push != nil && c.push.set.Version == f.Version && c.push.set.Digest == f.Digest:
 		return Yes, ""
 	case c.push != nil:
-		return Later, fmt.Sprintf("version %d is on its way", c.push.set.Version)
+		return Later, fmt.Sprintf("a push of version %d is under way", c.push.set.Version)
 	}
-	c.pushes++
-	c.push = &push{id: c.pushes, set: set, with: make(map[Peer]*progress)}
-	c.advance()
+	c.lastPushID++
+	c.push = &push{id: c.lastPushID, set: set, members: make(map[Peer]*progress)}
+	c.sendDue()
 	return Yes, ""
 }
 
-// hear takes an answer.
-func (c *Core) hear(m Message) Ready {
-	if m.Kind == Ask {
-		c.asked[m.From] = true
-		return c.Follow(m.Floor, m.Text)
+// handleAnswer handles an answer to a question of this process.
+func (c *Core) handleAnswer(m Message) Ready {
+	if m.Kind == QueryFloor {
+		c.floorAnswers[m.From] = true
+		return c.AdoptFloor(m.Floor, m.Text)
 	}
 	if c.token == 0 || m.Token != c.token {
-		return Ready{} // to an earlier holding
+		return Ready{} // an answer to a question that this process asked under an earlier token
 	}
-	if m.Floor.Version > c.entry.Version && c.enter == nil && m.Kind != Offer { // the voters have lost their disks
-		c.restore(m.Floor)
+	if m.Floor.Version > c.lastEntry.Version && c.proposed == nil && m.Kind != Offer { // the voters have lost their disks and the entry with them
+		c.proposeFloor(m.Floor)
 		return Ready{}
 	}
 	switch m.Kind {
 	case Check, Store:
-		if c.push != nil && m.Push == c.push.id && c.enter == nil {
-			c.heard(m)
+		if c.push != nil && m.Push == c.push.id && c.proposed == nil {
+			c.handlePushAnswer(m)
 		}
-	case Force:
-		c.forced(m)
+	case Activate:
+		c.handleActivateAnswer(m)
 	case Fetch:
-		if m.Answer == Yes && c.text == nil && (Floor{Version: m.Version, Digest: m.Digest}).same(c.entry) {
-			c.text = m.Text
-			delete(c.busy, c.self)
-			c.say(c.self, Message{Kind: Force, Version: c.entry.Version, Digest: c.entry.Digest, Text: c.text})
+		if m.Answer == Yes && c.entryText == nil && (Floor{Version: m.Version, Digest: m.Digest}).matches(c.lastEntry) {
+			c.entryText = m.Text
+			delete(c.activating, c.self)
+			c.send(c.self, Message{Kind: Activate, Version: c.lastEntry.Version, Digest: c.lastEntry.Digest, Text: c.entryText})
 		}
 	}
-	c.advance()
+	c.sendDue()
 	return Ready{}
 }
 
-// heard takes an answer to the push under way.
-func (c *Core) heard(m Message) {
-	p := c.push.with[m.From]
+// handlePushAnswer handles an answer to a question of the push under way.
+func (c *Core) handlePushAnswer(m Message) {
+	p := c.push.members[m.From]
 	if p == nil {
 		return
 	}
-	p.busy = false
+	p.awaitingAnswer = false
 	switch {
 	case m.Answer != Yes:
-		c.fail(Refusal{c.push.set.Version, m.From.Name, short(cmp.Or(m.Why, "no"))})
+		c.failPush(Refusal{c.push.set.Version, m.From.Name, shortReason(cmp.Or(m.Why, "refused without a reason"))})
 	case m.Digest != c.push.set.Digest:
-		c.fail(Refusal{c.push.set.Version, m.From.Name, short("digest " + m.Digest + " there, " + c.push.set.Digest + " at " + c.self.Name)})
+		c.failPush(Refusal{c.push.set.Version, m.From.Name, shortReason("digest " + m.Digest + " there, " + c.push.set.Digest + " at " + c.self.Name)})
 	case m.Kind == Check:
 		p.checked = true
 	case p.checked:
@@ -677,87 +706,90 @@
 	}
 }
 
-// forced takes an answer to what was entered.
-func (c *Core) forced(m Message) {
-	if m.Version != c.entry.Version {
+// handleActivateAnswer handles an answer to an Activate. A member without the document is sent it; if this
+// process itself has none, it fetches it from the others.
+func (c *Core) handleActivateAnswer(m Message) {
+	if m.Version != c.lastEntry.Version {
 		return
 	}
-	delete(c.busy, m.From)
+	delete(c.activating, m.From)
 	switch {
 	case m.Answer != Missing:
 		if m.Answer == No {
-			c.refused = []Refusal{{m.Version, m.From.Name, short(m.Why)}}
+			c.refusals = []Refusal{{m.Version, m.From.Name, shortReason(m.Why)}}
 		}
 		if m.Floor.Version >= m.Version {
-			c.told[m.From] = true
+			c.activated[m.From] = true
 		} else {
-			c.later(m.From) // it could not keep it
+			c.retryLater(m.From) // it could not store the floor
 		}
-	case m.From != c.self && c.textOf(c.entry) != nil:
-		c.busy[m.From] = true
-		c.say(m.From, Message{Kind: Force, Version: c.entry.Version, Digest: c.entry.Digest, Text: c.textOf(c.entry)})
+	case m.From != c.self && c.documentOf(c.lastEntry) != nil:
+		c.activating[m.From] = true
+		c.send(m.From, Message{Kind: Activate, Version: c.lastEntry.Version, Digest: c.lastEntry.Digest, Text: c.documentOf(c.lastEntry)})
 	case m.From == c.self:
-		c.later(c.self)
+		c.retryLater(c.self)
 		for _, p := range c.members {
 			if p.Peer != c.self {
-				c.say(p.Peer, Message{Kind: Fetch, Version: c.entry.Version, Digest: c.entry.Digest})
+				c.send(p.Peer, Message{Kind: Fetch, Version: c.lastEntry.Version, Digest: c.lastEntry.Digest})
 			}
 		}
 	}
 }
 
-// later has a member told of what is in force again, but not at once.
-func (c *Core) later(p Peer) {
-	c.busy[p] = true
-	c.again = append(c.again, p)
+// retryLater has p sent an Activate again at the next RetryActivations.
+func (c *Core) retryLater(p Peer) {
+	c.activating[p] = true
+	c.retryActivation = append(c.retryActivation, p)
 }
 
-// Retry tells those again of what is in force that could not take it. It is called now and then.
-func (c *Core) Retry() {
-	for _, p := range c.again {
-		delete(c.busy, p)
+// RetryActivations sends an Activate to the members that could not take the last one. The host calls it from
+// time to time.
+func (c *Core) RetryActivations() {
+	for _, p := range c.retryActivation {
+		delete(c.activating, p)
 	}
-	c.again = nil
-	c.advance()
+	c.retryActivation = nil
+	c.sendDue()
 }
 
-// textOf is the document of an entry, where this process has it.
-func (c *Core) textOf(f Floor) []byte {
+// documentOf returns the document of an entry, or nil if this process does not have it.
+func (c *Core) documentOf(f Floor) []byte {
 	switch {
-	case f.same(c.floor.Floor):
+	case f.matches(c.floor.Floor):
 		return c.floor.text
-	case f.same(c.next.Floor):
-		return c.next.text
+	case f.matches(c.staged.Floor):
+		return c.staged.text
 	}
-	return c.text
+	return c.entryText
 }
 
-// Advance takes how the writes went, and leaves the answer in the Outbox.
+// Advance applies the effect of the last message after its writes have succeeded, or drops it if they failed
+// with err, and puts the answer in the outbox.
 func (c *Core) Advance(err error) {
-	ch := c.change
-	c.change = nil
-	if ch == nil {
+	change := c.pending
+	c.pending = nil
+	if change == nil {
 		return
 	}
 	switch {
 	case err != nil:
-		if ch.answer != nil {
-			ch.answer.Answer, ch.answer.Why = No, short("it can't be kept: "+err.Error())
+		if change.answer != nil {
+			change.answer.Answer, change.answer.Why = No, shortReason("it can't be stored: "+err.Error())
 		}
-	case ch.floor != nil:
-		c.floor, c.force, c.barred, c.differs = *ch.floor, ch.force, ch.barred, ch.differs
-		if c.next.Version <= c.floor.Version {
-			c.next = document{}
+	case change.floor != nil:
+		c.floor, c.inForce, c.barredReason, c.digestDiffers = *change.floor, change.activate, change.barredReason, change.digestDiffers
+		if c.staged.Version <= c.floor.Version {
+			c.staged = document{}
 		}
-		c.others = nil
-		if len(c.refused) > 0 && c.refused[0].Version <= c.floor.Version {
-			c.refused = nil
+		c.staleKeys = nil
+		if len(c.refusals) > 0 && c.refusals[0].Version <= c.floor.Version {
+			c.refusals = nil
 		}
-	case ch.next != nil:
-		c.next, c.others = *ch.next, nil
+	case change.staged != nil:
+		c.staged, c.staleKeys = *change.staged, nil
 	}
-	if ch.answer != nil {
-		ch.answer.Floor = c.floor.Floor
-		c.out = append(c.out, *ch.answer)
+	if change.answer != nil {
+		change.answer.Floor = c.floor.Floor
+		c.outbox = append(c.outbox, *change.answer)
 	}
 }
--- a/internal/rules/document.go
+++ b/internal/rules/document.go
@@ -1,11 +1,14 @@
-// Package rules brings a set of rules into force at all of a fleet's processes, or at none. docs/rules.md is its contract; in short:
+// Package rules distributes rule sets to all processes of a fleet. A set comes into force at all of them or at
+// none. docs/rules.md is its contract; in short:
 //
-//   - The version in force at a process never goes down, whatever it is started with; its floor is durable before it is in force.
-//   - One version has one meaning, at all processes and for ever: the voters' log (Register) has agreed on it.
-//   - A set is in force nowhere before each present process has read it, means the same by it, and has it stored.
+//   - The version in force at a process never goes down, whatever the process is started with: its floor is
+//     durable before the version is in force.
+//   - A version has one meaning at all processes and for ever: the voters' log decides which.
+//   - A set is in force nowhere before each present process has read it, has found the same digest for it and
+//     has stored it.
 //
-// Core has the protocol, with no goroutine, clock or socket; Node runs it on streams. It knows processes by name, and reaches what is around
-// it by what it is given.
+// Core is the protocol, with no goroutine, clock or socket; Node runs it on network streams. Processes are
+// known by name. Membership, voters, storage and transport are passed in by Config.
 package rules
 
 import (
@@ -25,50 +28,51 @@
 	"arrowgw/internal/conf"
 )
 
-// Highest is the highest form that this program reads. A build may set another (-ldflags "-X arrowgw/internal/rules.Highest=1"): an older
-// program, to be played beside this one.
+// Highest is the highest document form that this program reads. A build may set a lower one (-ldflags "-X
+// arrowgw/internal/rules.Highest=1") to make an older program for tests of mixed fleets.
 var Highest = "2"
 
-// MaxDocumentBytes is the size of a document in bytes at most.
+// MaxDocumentBytes is the maximum size of a document.
 const MaxDocumentBytes = 1_000_000
 
-const reasonMost = 1024 // bytes of a reason
+const maxReasonBytes = 1024 // of a refusal's text
 
-// ParseHighestForm is the highest form as a number, or why there is none.
+// ParseHighestForm returns Highest as a number, or an error if the build has set it to a form that is not
+// known.
 func ParseHighestForm() (int, error) {
 	n, err := strconv.Atoi(Highest)
 	if err != nil || n < 1 || n > 2 {
-		return 0, fmt.Errorf("rules: the build sets Highest to %q: 1 or 2 is known", Highest)
+		return 0, fmt.Errorf("rules: the build sets Highest to %q: 1 and 2 are known", Highest)
 	}
 	return n, nil
 }
 
-// Settings are what a set is read against: what a process began with.
+// Settings are the parts of a process's configuration that documents are read against.
 type Settings struct {
-	HighestForm int            // the highest form that is read
-	Tenants     map[string]int // the tenants' places in Config, by name
+	HighestForm int            // highest form that is read
+	Tenants     map[string]int // index into Config.Tenants, by name
 	Zones       map[string]int
 	Server      func(id string) balance.ServerID
 	Config      balance.Config
 }
 
-// Set is a document as a process understands it.
+// Set is a document as this process understands it.
 type Set struct {
 	Version         uint64
-	ExcludedMembers []string // members that serve nothing under it
-	Digest          string   // of the meaning
+	ExcludedMembers []string // members that must not serve under this set, sorted
+	Digest          string   // of the effective values, see digest
 	Text            []byte
 	Rules           balance.Rules
 }
 
-// head is what all forms have.
-type head struct {
+// header is the part that documents of all forms have.
+type header struct {
 	Form    int    `toml:"form"`
 	Version uint64 `toml:"version"`
 }
 
-// body1 is a document of form 1.
-type body1 struct {
+// documentForm1 is a document of form 1.
+type documentForm1 struct {
 	Form     int      `toml:"form" need:"yes"`
 	Version  int64    `toml:"version" need:"yes" min:"1"`
 	Without  []string `toml:"without"`
@@ -89,34 +93,36 @@
 	} `toml:"server"`
 }
 
-// body2 is a document of form 2: it has weights of zones.
-type body2 struct {
+// documentForm2 is a document of form 2, which adds weights of zones.
+type documentForm2 struct {
 	Zone []struct {
 		Name   string  `toml:"name" need:"yes"`
 		Weight float64 `toml:"weight" need:"yes" min:"0" max:"1000"`
 	} `toml:"zone"`
-	body1
+	documentForm1
 }
 
-// Version is what a text says of its version, in whatever form; 0: nothing.
-func Version(text []byte) uint64 {
-	var h head
+// DeclaredVersion returns the version that a document of any form declares; 0: it declares none, or can't be
+// read.
+func DeclaredVersion(text []byte) uint64 {
+	var h header
 	if len(text) > MaxDocumentBytes || toml.Unmarshal(text, &h) != nil {
 		return 0
 	}
 	return h.Version
 }
 
-// Read reads a document, strictly. Errors name the line, the key and the reason.
+// Read parses a document and checks it against s. Unknown keys are errors. Errors name the line, the key and
+// the reason.
 func Read(text []byte, s Settings) (*Set, error) {
 	if len(text) > MaxDocumentBytes {
 		return nil, fmt.Errorf("rules: %d bytes, %d are allowed", len(text), MaxDocumentBytes)
 	}
-	var h head
+	var h header
 	if err := toml.Unmarshal(text, &h); err != nil {
-		return nil, conf.Parse("rules", text, &head{}) // which says where
+		return nil, conf.Parse("rules", text, &header{}) // it names the line
 	}
-	var b body2
+	var b documentForm2
 	var err error
 	switch {
 	case h.Form < 1:
@@ -124,16 +130,17 @@
 	case h.Form > s.HighestForm:
 		return nil, fmt.Errorf(`rules:%d: key "form" is %d: this program reads forms up to %d`, max(1, lineOf(text, "form")), h.Form, s.HighestForm)
 	case h.Form == 1:
-		err = conf.Parse("rules", text, &b.body1)
+		err = conf.Parse("rules", text, &b.documentForm1)
 	default:
 		err = conf.Parse("rules", text, &b)
 	}
 	if err != nil {
 		return nil, err
 	}
-	return b.set(text, s)
+	return b.toSet(text, s)
 }
 
+// lineOf returns the line of a key in a document; 0: it has none, or the document can't be read.
 func lineOf(text []byte, key string) int {
 	lines, err := conf.Lines(text)
 	if err != nil {
@@ -142,17 +149,17 @@
 	return lines[key]
 }
 
-// set finds what no single key can be blamed for, and makes the meaning.
-func (b *body2) set(text []byte, s Settings) (*Set, error) {
-	var bad []error
+// toSet checks what depends on several keys or on the settings, and returns the set with its digest.
+func (b *documentForm2) toSet(text []byte, s Settings) (*Set, error) {
+	var problems []error
 	fail := func(key, format string, args ...any) {
-		if len(bad) < 8 {
-			bad = append(bad, fmt.Errorf("rules:%d: key %q %s", max(1, lineOf(text, key)), key, fmt.Sprintf(format, args...)))
+		if len(problems) < 8 {
+			problems = append(problems, fmt.Errorf("rules:%d: key %q %s", max(1, lineOf(text, key)), key, fmt.Sprintf(format, args...)))
 		}
 	}
-	out := &Set{Version: uint64(b.Version), Text: text}
-	out.ExcludedMembers = slices.Compact(slices.Sorted(slices.Values(b.Without)))
-	r := &out.Rules
+	set := &Set{Version: uint64(b.Version), Text: text}
+	set.ExcludedMembers = slices.Compact(slices.Sorted(slices.Values(b.Without)))
+	r := &set.Rules
 	if r.MaxAttempts = b.Attempts; b.Attempts > s.Config.MaxAttempts {
 		fail("attempts", "is %d: the settings allow %d", b.Attempts, s.Config.MaxAttempts)
 	}
@@ -174,34 +181,34 @@
 	for i, t := range b.Tenant {
 		key := fmt.Sprintf("tenant[%d].name", i)
 		once(key, "tenant ", t.Name)
-		if place, ok := s.Tenants[t.Name]; ok && place < len(r.Tenants) {
-			r.Tenants[place] = balance.Tenant{Share: t.Share, Quota: t.Quota}
+		if index, ok := s.Tenants[t.Name]; ok && index < len(r.Tenants) {
+			r.Tenants[index] = balance.Tenant{Share: t.Share, Quota: t.Quota}
 		} else {
 			fail(key, "is %q: the settings have no such tenant", t.Name)
 		}
 	}
-	multiple := func(key string, weight float64) {
+	checkWeight := func(key string, weight float64) {
 		if weight != 0 && weight < 1.0/balance.MultipleMost {
-			fail(key, "is %v: 0, or 1/%d at the least", weight, balance.MultipleMost)
+			fail(key, "is %v: 0, or at least 1/%d, is allowed", weight, balance.MultipleMost)
 		}
 	}
 	servers, zones := make(map[string]float64), make(map[string]float64)
 	for i, e := range b.Server {
 		key := fmt.Sprintf("server[%d].", i)
 		once(key+"id", "server ", e.ID)
-		multiple(key+"weight", e.Weight)
+		checkWeight(key+"weight", e.Weight)
 		servers[e.ID] = e.Weight
 	}
 	for i, z := range b.Zone {
 		key := fmt.Sprintf("zone[%d].", i)
 		once(key+"name", "zone ", z.Name)
-		multiple(key+"weight", z.Weight)
+		checkWeight(key+"weight", z.Weight)
 		if _, ok := s.Zones[z.Name]; !ok {
 			fail(key+"name", "is %q: the settings have no such zone", z.Name)
 		}
 		zones[z.Name] = z.Weight
 	}
-	neutral := func(_ string, weight float64) bool { return weight == 1 } // it changes nothing
+	neutral := func(_ string, weight float64) bool { return weight == 1 } // a weight of 1 changes nothing
 	maps.DeleteFunc(servers, neutral)
 	maps.DeleteFunc(zones, neutral)
 	for id, weight := range servers {
@@ -216,42 +223,43 @@
 		}
 		r.Zones[s.Zones[name]] = weight
 	}
-	if len(bad) == 0 {
+	if len(problems) == 0 {
 		if err := r.Check(s.Config); err != nil {
-			bad = append(bad, fmt.Errorf("rules:1: the module refuses it: %w", err))
+			problems = append(problems, fmt.Errorf("rules:1: the module refuses it: %w", err))
 		}
 	}
-	out.Digest = out.meaning(s, servers, zones)
-	return out, errors.Join(bad...)
+	set.Digest = set.digest(s, servers, zones)
+	return set, errors.Join(problems...)
 }
 
-// meaning is the digest of the effective values: what the process would act on, the settings' own values included, in one order.
-func (o *Set) meaning(s Settings, servers, zones map[string]float64) string {
+// digest returns a hash of the effective values, including those that the settings supply, in a fixed order.
+// Documents of the same meaning have the same digest.
+func (set *Set) digest(s Settings, servers, zones map[string]float64) string {
 	h := sha256.New()
-	line := func(key string, values ...any) { // lengths first, so that no two meanings have one text
+	line := func(key string, values ...any) { // the length comes first, so that no two sets of values give the same text
 		fmt.Fprintf(h, "%d %s", len(key), key)
 		for _, v := range values {
 			fmt.Fprintf(h, " %v", v)
 		}
 		fmt.Fprintln(h)
 	}
-	line("version", o.Version)
-	for _, name := range o.ExcludedMembers {
+	line("version", set.Version)
+	for _, name := range set.ExcludedMembers {
 		line("without " + name)
 	}
-	line("attempts", cmp.Or(o.Rules.MaxAttempts, s.Config.MaxAttempts))
+	line("attempts", cmp.Or(set.Rules.MaxAttempts, s.Config.MaxAttempts))
 	budget := s.Config.Budget
-	if o.Rules.Budget != nil {
-		budget = *o.Rules.Budget
+	if set.Rules.Budget != nil {
+		budget = *set.Rules.Budget
 	}
 	line("retries", time.Duration(budget.Span), budget.Free, budget.Share)
-	tenants := o.Rules.Tenants
+	tenants := set.Rules.Tenants
 	if len(tenants) == 0 {
 		tenants = s.Config.Tenants
 	}
 	for _, name := range slices.Sorted(maps.Keys(s.Tenants)) {
-		if place := s.Tenants[name]; place < len(tenants) {
-			line("tenant "+name, tenants[place].Share, tenants[place].Quota)
+		if index := s.Tenants[name]; index < len(tenants) {
+			line("tenant "+name, tenants[index].Share, tenants[index].Quota)
 		}
 	}
 	for kind, weights := range []map[string]float64{servers, zones} {
@@ -262,8 +270,8 @@
 	return fmt.Sprintf("%x", h.Sum(nil)[:16])
 }
 
-// short is a reason as it travels and is shown: on one line, and bounded.
-func short(why string) string {
+// shortReason returns a reason on one line, of at most maxReasonBytes, as it is sent and shown.
+func shortReason(why string) string {
 	why = strings.Join(strings.Fields(why), " ")
-	return strings.ToValidUTF8(why[:min(len(why), reasonMost)], "")
+	return strings.ToValidUTF8(why[:min(len(why), maxReasonBytes)], "")
 }
--- a/internal/rules/document_test.go
+++ b/internal/rules/document_test.go
@@ -9,7 +9,7 @@
 	"arrowgw/internal/balance"
 )
 
-// settings are what the tests' documents are read against.
+// settings returns the Settings that the tests' documents are read against.
 func settings(forms int) Settings {
 	return Settings{
 		HighestForm: forms, Tenants: map[string]int{"alpha": 0, "beta": 1}, Zones: map[string]int{"a": 0, "b": 1},
@@ -21,8 +21,8 @@
 	}
 }
 
-// A document that can't be used is refused with its line, its key and the reason.
-func TestRefused(t *testing.T) {
+// An unusable document is refused with its line, its key and the reason.
+func TestInvalidDocumentIsRefused(t *testing.T) {
 	for text, want := range map[string]string{
 		"form=1\nversion=1\nsize=3":                         `rules:3: unknown key "size"`,
 		"form=1\nversion=1\n[[zone]]\nname='a'\nweight=0.5": `rules:3: unknown key "zone"`,
@@ -50,13 +50,14 @@
 		"form=1\nversion=1\n#" + strings.Repeat("x", MaxDocumentBytes):                                   `bytes`,
 	} {
 		if _, err := Read([]byte(text), settings(2)); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%.60q: %v; not %s", text, err, want)
+			t.Errorf("%.60q: error %v, want %s", text, err, want)
 		}
 	}
 }
 
-// Texts of one meaning have one digest, and each difference in meaning makes another: in the text, and in what it is read against.
-func TestMeaning(t *testing.T) {
+// Documents of the same meaning have the same digest; any difference in the effective values, from the document
+// or from the settings, changes it.
+func TestDigestFollowsMeaning(t *testing.T) {
 	base := "form=1\nversion=7\nattempts=2\n[[tenant]]\nname='alpha'\nshare=0.5\n[[server]]\nid='s'\nweight=0.5\n"
 	digest := func(text string, s Settings) string {
 		t.Helper()
@@ -72,13 +73,13 @@
 		"a weight of 1":                 base + "[[server]]\nid='t'\nweight=1\n",
 		"a tenant as the settings":      base + "[[tenant]]\nname='beta'\nshare=2.0\n",
 		"retries as the settings":       base + "[retries]\nspan='10s'\nfree=5\nshare=1e-1\n",
-		"another order":                 "[[server]]\nweight=5e-1\nid='s'\n[[tenant]]\nshare=0.50\nname='alpha'\n", // its head is added below
+		"another order":                 "[[server]]\nweight=5e-1\nid='s'\n[[tenant]]\nshare=0.50\nname='alpha'\n", // the header is added below
 	} {
 		if what == "another order" {
 			text = "attempts=2\nversion=7\nform=1\n" + text
 		}
 		if got := digest(text, settings(2)); got != of {
-			t.Errorf("%s: another digest", what)
+			t.Errorf("%s: the digest differs from that of the base", what)
 		}
 	}
 	seen := map[string]string{of: "the base"}
@@ -108,7 +109,7 @@
 	}
 }
 
-// Whatever comes, reading ends with a set or an error.
+// Read returns a set or an error for every input, and never panics.
 func FuzzRead(f *testing.F) {
 	f.Add([]byte("form=1\nversion=7\nattempts=2\n[[tenant]]\nname='alpha'\nshare=0.5\n[[server]]\nid='s'\nweight=0.5\n"))
 	f.Add([]byte("form=2\nversion=7\n[[zone]]\nname='a'\nweight=0\n[retries]\nspan='1s'"))
@@ -117,7 +118,7 @@
 		if err != nil {
 			return
 		}
-		if set.Version == 0 || set.Version != Version(text) || set.Digest == "" || set.Rules.Check(settings(2).Config) != nil {
+		if set.Version == 0 || set.Version != DeclaredVersion(text) || set.Digest == "" || set.Rules.Check(settings(2).Config) != nil {
 			t.Errorf("%q is read as %+v", text, set)
 		}
 	})
--- a/internal/rules/explore_test.go
+++ b/internal/rules/explore_test.go
@@ -13,19 +13,23 @@
 	"arrowgw/internal/duty"
 )
 
-var deep = flag.Int("deep", 0, "explore larger budgets, up to so many states of each")
+var deepStates = flag.Int("deep", 0, "explore larger budgets, up to this many states of each")
 
-// The explorer plays Core, as it runs in the sidecar, in every order of messages, looks at the membership, passes of the duty, ends of pushes,
-// crashes (at any moment: before each write, after it, and between the last and the set in force) and restarts that the budgets allow.
-// A write that was not durable at a crash is one that was not made. Only what is around Core is a model: the disk, the network, the
-// membership and the voters' log, of which the rule itself (duty.Entry.Apply) is the real one.
+// The explorer runs Core in every order of messages, membership changes, passes of the duty, expired pushes,
+// crashes and restarts that a budget allows. A crash may come at any moment: before each write, after it, and
+// between the last write and the set in force. A write that was not durable at a crash is lost.
+//
+// The disk, the network, the membership and the voters' log around Core are models, but for the voters' rule,
+// which is the real one (duty.Entry.Apply).
 
-// program is what runs at a node.
+// program is a version of the software at a node: a name and the settings that documents are read against.
 type program struct {
-	name string
-	s    Settings
+	name     string
+	settings Settings
 }
 
+// programs returns the programs by name: "old" reads only form 1, and "skewed" has another tenant share in its
+// settings, so that it computes other digests.
 func programs() map[string]*program {
 	skewed := settings(2)
 	skewed.Config.Tenants = slices.Clone(skewed.Config.Tenants)
@@ -33,92 +37,98 @@
 	return map[string]*program{"new": {"new", settings(2)}, "old": {"old", settings(1)}, "skewed": {"skewed", skewed}}
 }
 
-// plan is a budget, with the faults that are planted in what is around Core.
+// plan is a budget of events to explore, with the faults planted in the models around Core.
 type plan struct {
-	docs     []string // each offered once, at whoever believes that it holds the duty
-	programs [3]string
-	later    [3]string // what a node is started again with
-	crashes  int
-	passes   int
-	mortal   string // who may die, and to whom the duty may pass; empty: all
-	heir     string
-	most     int // states, the nearest first; 0: all
-
-	floorVolatile bool // planted: the floor's write is not synced
-	floorUnread   bool // a start passes the floor over
-	fenceOff      bool // tokens count for nothing
-	textDigest    bool // the digest is of the text
-	silenceIsYes  bool // whoever does not answer is taken to have agreed
+	docs            []string // each is offered once, to a node that believes that it holds the duty
+	programs        [3]string
+	restartPrograms [3]string // programs that the nodes are restarted with
+	crashes         int
+	passes          int
+	mayCrash        string // the only node that may crash; empty: all may
+	mayAcquire      string // the only node to which the duty may pass; empty: all
+	maxStates       int    // limit on the states, which are visited breadth first; 0: none
+
+	floorNotSynced bool // planted: the write of the floor is not synced
+	floorNotRead   bool // planted: a restart does not read the floor
+	fenceOff       bool // planted: tokens are not checked
+	digestOfText   bool // planted: the digest is that of the text, not of the meaning
+	silenceIsYes   bool // planted: a member that does not answer counts as having agreed
 }
 
-func (p *plan) may(who, name string) bool { return who == "" || who == name }
-
-type place struct {
-	core     *Core
-	disk     map[string]string
-	volatile map[string]string // of a planted fault
-	fence    uint64
-	start    uint64
-	program  *program
-	high     uint64            // the highest version that was in force here
-	refused  map[string]uint64 // by this process: the highest token of whom it said no to, by text
-	view     []Member
+// permits reports whether name may do what is restricted to only; an empty only allows all.
+func (p *plan) permits(only, name string) bool { return only == "" || only == name }
+
+// simNode is a node of the model: a process with its disk. core is nil while the process is down.
+type simNode struct {
+	core       *Core
+	disk       map[string]string
+	unsynced   map[string]string // writes that a crash loses, with floorNotSynced
+	fence      uint64
+	start      uint64
+	program    *program
+	maxInForce uint64            // highest version that was in force here
+	refused    map[string]uint64 // by document: highest token of a holder that this process refused
+	view       []Member
 }
 
-// ask is an entry on its way to the voters.
-type entering struct {
-	from Peer
-	f    Floor
-	view string // whom it saw
+// proposal is an entry that a holder has submitted to the voters.
+type proposal struct {
+	from  Peer
+	floor Floor
+	view  string // the members that the holder saw
 }
 
-func (e entering) saw(p Peer) bool { return strings.Contains(e.view, fmt.Sprint(p)) }
-
-type explored struct {
-	p       *plan
-	x       *explorer
-	nodes   [3]*place
-	net     []Message
-	asks    []entering
-	entry   duty.Entry
-	holder  Peer
-	token   uint64
-	crashes int
-	passes  int
-	offered []bool
-	meant   map[uint64]string // by version: the first true meaning that was in force
-	broken  string
+func (e proposal) saw(p Peer) bool { return strings.Contains(e.view, fmt.Sprint(p)) }
+
+// worldState is one state of the model.
+type worldState struct {
+	plan      *plan
+	explorer  *explorer
+	nodes     [3]*simNode
+	net       []Message
+	proposals []proposal
+	entry     duty.Entry
+	holder    Peer
+	token     uint64
+	crashes   int
+	passes    int
+	offered   []bool
+	digests   map[uint64]string // by version: digest of the first set that was in force
+	violation string
 }
 
+// explorer holds what all states of an exploration share.
 type explorer struct {
 	programs map[string]*program
-	read     map[[2]string]*reading
+	cache    map[[2]string]*parsed
 	plan     *plan
 }
 
-type reading struct {
+// parsed is the result of Read.
+type parsed struct {
 	set *Set
 	err error
 }
 
-func names(i int) string { return string(rune('a' + i)) }
+func nodeName(i int) string { return string(rune('a' + i)) }
 
-// truth is how a program takes a text, whatever Core is told.
-func (x *explorer) truth(p *program, text []byte) *reading {
+// parse returns how a program reads a text, whatever fault is planted.
+func (x *explorer) parse(p *program, text []byte) *parsed {
 	key := [2]string{p.name, string(text)}
-	r := x.read[key]
+	r := x.cache[key]
 	if r == nil {
-		r = new(reading)
-		r.set, r.err = Read([]byte(key[1]), p.s)
-		x.read[key] = r
+		r = new(parsed)
+		r.set, r.err = Read([]byte(key[1]), p.settings)
+		x.cache[key] = r
 	}
 	return r
 }
 
-func (w *explored) reader(n *place) func([]byte) (*Set, error) {
+// reader returns the read function of a node's Core, with the fault digestOfText if it is planted.
+func (w *worldState) reader(n *simNode) func([]byte) (*Set, error) {
 	return func(text []byte) (*Set, error) {
-		r := w.x.truth(n.program, text)
-		if r.err == nil && w.p.textDigest {
+		r := w.explorer.parse(n.program, text)
+		if r.err == nil && w.plan.digestOfText {
 			set := *r.set
 			set.Digest = fmt.Sprintf("%x", sha256.Sum256(text))[:8]
 			return &set, nil
@@ -132,58 +142,60 @@
 		return nil
 	}
 	d := *c
-	d.asked, d.told, d.busy = nil, maps.Clone(c.told), maps.Clone(c.busy)
-	d.asked, d.again = make(map[Peer]bool), slices.Clone(c.again)
+	d.floorAnswers, d.activated, d.activating = nil, maps.Clone(c.activated), maps.Clone(c.activating)
+	d.floorAnswers, d.retryActivation = make(map[Peer]bool), slices.Clone(c.retryActivation)
 	if c.push != nil {
 		p := *c.push
-		p.with = make(map[Peer]*progress)
-		for peer, g := range c.push.with {
+		p.members = make(map[Peer]*progress)
+		for peer, g := range c.push.members {
 			h := *g
-			p.with[peer] = &h
+			p.members[peer] = &h
 		}
 		d.push = &p
 	}
 	return &d
 }
 
-func (w *explored) clone() *explored {
+func (w *worldState) clone() *worldState {
 	d := *w
 	for i, n := range w.nodes {
 		m := *n
-		m.core, m.disk, m.refused, m.volatile = n.core.clone(), maps.Clone(n.disk), maps.Clone(n.refused), maps.Clone(n.volatile)
+		m.core, m.disk, m.refused, m.unsynced = n.core.clone(), maps.Clone(n.disk), maps.Clone(n.refused), maps.Clone(n.unsynced)
 		if m.core != nil {
-			m.core.read = d.reader(&m)
+			m.core.parse = d.reader(&m)
 		}
 		d.nodes[i] = &m
 	}
-	d.net, d.asks, d.offered, d.meant = slices.Clone(w.net), slices.Clone(w.asks), slices.Clone(w.offered), maps.Clone(w.meant)
+	d.net, d.proposals, d.offered, d.digests = slices.Clone(w.net), slices.Clone(w.proposals), slices.Clone(w.offered), maps.Clone(w.digests)
 	return &d
 }
 
-func peers(m map[Peer]bool) string {
-	return fmt.Sprint(slices.SortedFunc(maps.Keys(m), byPeer))
+func sortedPeers(m map[Peer]bool) string {
+	return fmt.Sprint(slices.SortedFunc(maps.Keys(m), comparePeers))
 }
 
-func byPeer(a, b Peer) int { return cmp.Or(cmp.Compare(a.Name, b.Name), cmp.Compare(a.Start, b.Start)) }
+func comparePeers(a, b Peer) int {
+	return cmp.Or(cmp.Compare(a.Name, b.Name), cmp.Compare(a.Start, b.Start))
+}
 
-func shortened(f Floor) string { return fmt.Sprintf("%d.%.4s.%d", f.Version, f.Digest, f.Token) }
+func floorText(f Floor) string { return fmt.Sprintf("%d.%.4s.%d", f.Version, f.Digest, f.Token) }
 
-// key is the state, for telling it from others.
-func (w *explored) key() [16]byte {
+// key returns a hash that identifies the state.
+func (w *worldState) key() [16]byte {
 	var b strings.Builder
 	for _, n := range w.nodes {
-		fmt.Fprintf(&b, "|%v,%d,%d,%d,%s,%v", n.disk, n.fence, n.start, n.high, n.program.name, n.refused)
+		fmt.Fprintf(&b, "|%v,%d,%d,%d,%s,%v", n.disk, n.fence, n.start, n.maxInForce, n.program.name, n.refused)
 		fmt.Fprint(&b, n.view)
 		if c := n.core; c != nil {
-			fmt.Fprint(&b, shortened(c.floor.Floor), c.floor.text != nil, shortened(c.next.Floor), c.force != nil, c.barred != "", c.differs, c.token,
-				shortened(c.entry), c.text != nil, peers(c.told), peers(c.busy), c.others, c.pushes, c.latest, c.again)
-			if c.enter != nil {
-				fmt.Fprint(&b, "e", shortened(*c.enter))
+			fmt.Fprint(&b, floorText(c.floor.Floor), c.floor.text != nil, floorText(c.staged.Floor), c.inForce != nil, c.barredReason != "", c.digestDiffers, c.token,
+				floorText(c.lastEntry), c.entryText != nil, sortedPeers(c.activated), sortedPeers(c.activating), c.staleKeys, c.lastPushID, c.latestPush, c.retryActivation)
+			if c.proposed != nil {
+				fmt.Fprint(&b, "e", floorText(*c.proposed))
 			}
 			if c.push != nil {
 				fmt.Fprint(&b, "p", c.push.id, c.push.set.Version, c.push.set.Digest)
-				for _, p := range slices.SortedFunc(maps.Keys(c.push.with), byPeer) {
-					fmt.Fprint(&b, p, *c.push.with[p])
+				for _, p := range slices.SortedFunc(maps.Keys(c.push.members), comparePeers) {
+					fmt.Fprint(&b, p, *c.push.members[p])
 				}
 			}
 		}
@@ -193,74 +205,77 @@
 		lines = append(lines, fmt.Sprint(m.Kind, m.Answer, m.From, m.To, m.Token, m.Push, m.Version, m.Digest, len(m.Text), m.Floor.Version))
 	}
 	slices.Sort(lines)
-	fmt.Fprint(&b, lines, w.asks, w.entry, w.holder, w.token, w.crashes, w.passes, w.offered, w.meant)
+	fmt.Fprint(&b, lines, w.proposals, w.entry, w.holder, w.token, w.crashes, w.passes, w.offered, w.digests)
 	sum := sha256.Sum256([]byte(b.String()))
 	return [16]byte(sum[:16])
 }
 
-func (w *explored) fail(format string, args ...any) {
-	if w.broken == "" {
-		w.broken = fmt.Sprintf(format, args...)
+// fail records the first violation.
+func (w *worldState) fail(format string, args ...any) {
+	if w.violation == "" {
+		w.violation = fmt.Sprintf(format, args...)
 	}
 }
 
-func (w *explored) truthful() (all []Member) {
+// liveMembers returns the nodes that are running, as an up-to-date membership shows them.
+func (w *worldState) liveMembers() (all []Member) {
 	for i, n := range w.nodes {
 		if n.core != nil {
-			all = append(all, Member{Peer: Peer{names(i), n.start}})
+			all = append(all, Member{Peer: Peer{nodeName(i), n.start}})
 		}
 	}
 	return all
 }
 
-// start starts a node again.
-func (w *explored) start(i int, p string) {
+// startNode starts or restarts a node.
+func (w *worldState) startNode(i int, p string) {
 	n := w.nodes[i]
 	n.start++
-	n.program, n.refused, n.volatile = w.x.programs[p], make(map[string]uint64), nil
+	n.program, n.refused, n.unsynced = w.explorer.programs[p], make(map[string]uint64), nil
 	kept := make(map[string][]byte)
 	for key, v := range n.disk {
-		if !w.p.floorUnread || !strings.HasPrefix(key, "floor-") {
+		if !w.plan.floorNotRead || !strings.HasPrefix(key, "floor-") {
 			kept[key] = []byte(v)
 		}
 	}
-	n.core = NewCore(Peer{names(i), n.start}, kept, false, w.reader(n))
-	n.core.Settle() // nobody answers
+	n.core = NewCore(Peer{nodeName(i), n.start}, kept, false, w.reader(n))
+	n.core.EndFloorWait() // no peer answers
 	if set := n.core.InForce(); set != nil {
-		w.inForce(i, set, n.core.differs)
+		w.checkInForce(i, set, n.core.digestDiffers)
 	}
-	if v := n.high; v > 0 && n.core.barred == "" && (n.core.InForce() == nil || n.core.InForce().Version < v) {
-		w.fail("%s starts with %v in force, after %d", names(i), n.core.InForce(), v)
+	if v := n.maxInForce; v > 0 && n.core.barredReason == "" && (n.core.InForce() == nil || n.core.InForce().Version < v) {
+		w.fail("%s starts with %v in force, after %d", nodeName(i), n.core.InForce(), v)
 	}
 }
 
-// inForce checks a set that comes into force.
-func (w *explored) inForce(i int, set *Set, differs bool) {
+// checkInForce checks a set that comes into force at node i.
+func (w *worldState) checkInForce(i int, set *Set, differs bool) {
 	n := w.nodes[i]
-	if set.Version < n.high {
-		w.fail("%s: version %d is in force after %d", names(i), set.Version, n.high)
+	if set.Version < n.maxInForce {
+		w.fail("%s: version %d is in force after %d", nodeName(i), set.Version, n.maxInForce)
 	}
-	n.high = set.Version
+	n.maxInForce = set.Version
 	durable := false
 	for key := range n.disk {
 		durable = durable || strings.HasPrefix(key, fmt.Sprintf("floor-%020d", set.Version))
 	}
 	if !durable {
-		w.fail("%s: version %d is in force, and its floor is not durable", names(i), set.Version)
+		w.fail("%s: version %d is in force, and its floor is not durable", nodeName(i), set.Version)
 	}
-	meaning := w.x.truth(n.program, set.Text).set.Digest
-	if differs { // it is told
+	meaning := w.explorer.parse(n.program, set.Text).set.Digest
+	if differs { // the node reports that its digest differs
 		return
 	}
-	if first, ok := w.meant[set.Version]; !ok {
-		w.meant[set.Version] = meaning
+	if first, ok := w.digests[set.Version]; !ok {
+		w.digests[set.Version] = meaning
 	} else if first != meaning {
-		w.fail("%s: version %d is in force with digest %s, and elsewhere with %s", names(i), set.Version, meaning, first)
+		w.fail("%s: version %d is in force with digest %s, and elsewhere with %s", nodeName(i), set.Version, meaning, first)
 	}
 }
 
-// ready carries out what a Core asks for; it is killed after so many steps, if that many there are.
-func (w *explored) ready(i int, r Ready, dies int) (steps int) {
+// execute does the work that a Core asks for and returns the number of steps. The node crashes after dies steps
+// if there are that many; -1: it does not.
+func (w *worldState) execute(i int, r Ready, dies int) (steps int) {
 	n := w.nodes[i]
 	for _, write := range r.Writes {
 		if steps == dies {
@@ -269,11 +284,11 @@
 		}
 		steps++
 		into := n.disk
-		if w.p.floorVolatile && strings.HasPrefix(write.Key, "floor-") {
-			if n.volatile == nil {
-				n.volatile = make(map[string]string)
+		if w.plan.floorNotSynced && strings.HasPrefix(write.Key, "floor-") {
+			if n.unsynced == nil {
+				n.unsynced = make(map[string]string)
 			}
-			into = n.volatile
+			into = n.unsynced
 		}
 		if write.Value == nil {
 			delete(into, write.Key)
@@ -281,13 +296,13 @@
 			into[write.Key] = string(write.Value)
 		}
 	}
-	if r.Force != nil {
+	if r.Activate != nil {
 		if steps == dies {
 			w.kill(i)
 			return steps
 		}
 		steps++
-		w.inForce(i, r.Force, n.core.change.differs)
+		w.checkInForce(i, r.Activate, n.core.pending.digestDiffers)
 		if steps == dies {
 			w.kill(i)
 			return steps
@@ -298,91 +313,93 @@
 	return steps
 }
 
-func (w *explored) kill(i int) {
+// kill crashes a node.
+func (w *worldState) kill(i int) {
 	w.nodes[i].core = nil
 	w.crashes--
 }
 
-// flush takes what a Core has to say.
-func (w *explored) flush(i int) {
+// flush moves the messages of a Core to the network and its proposed entry to the voters.
+func (w *worldState) flush(i int) {
 	c := w.nodes[i].core
-	for _, m := range c.Outbox() {
-		if m.Kind != Tell { // for people
+	for _, m := range c.TakeOutbox() {
+		if m.Kind != ReportRefusals { // no node acts on it
 			w.net = append(w.net, m)
 		}
 	}
-	if f, ok := c.Entering(); ok {
-		if !slices.ContainsFunc(w.asks, func(e entering) bool { return e.from == c.self && e.f == f }) {
-			w.asks = append(w.asks, entering{c.self, f, fmt.Sprint(w.nodes[i].view)})
+	if f, ok := c.Proposed(); ok {
+		if !slices.ContainsFunc(w.proposals, func(e proposal) bool { return e.from == c.self && e.floor == f }) {
+			w.proposals = append(w.proposals, proposal{c.self, f, fmt.Sprint(w.nodes[i].view)})
 		}
 	}
 }
 
-// deliver takes a message out of the network and gives it to whoever has its name.
-func (w *explored) deliver(k, dies int) (steps int) {
+// deliver removes a message from the network and passes it to the process of that name.
+func (w *worldState) deliver(k, dies int) (steps int) {
 	m := w.net[k]
 	w.net = slices.Delete(w.net, k, k+1)
 	i := int(m.To.Name[0] - 'a')
 	n := w.nodes[i]
 	switch {
-	case n.core == nil || !n.core.Mine(m):
+	case n.core == nil || !n.core.Accepts(m):
 		return 0
 	case m.Answer != Question:
-		n.core.Members(n.view)
-	case m.Kind == Check || m.Kind == Store || m.Kind == Force:
-		if m.Token < n.fence && !w.p.fenceOff {
+		n.core.SetMembers(n.view)
+	case m.Kind == Check || m.Kind == Store || m.Kind == Activate:
+		if m.Token < n.fence && !w.plan.fenceOff {
 			return 0
 		}
 		n.fence = max(n.fence, m.Token)
 	}
 	r := n.core.Step(m)
-	if a := n.core.change; a != nil && a.answer != nil && a.answer.Answer == No && m.Kind == Check && w.x.truth(n.program, m.Text).err != nil {
+	if a := n.core.pending; a != nil && a.answer != nil && a.answer.Answer == No && m.Kind == Check && w.explorer.parse(n.program, m.Text).err != nil {
 		n.refused[string(m.Text)] = max(n.refused[string(m.Text)], m.Token)
 	}
-	return w.ready(i, r, dies)
+	return w.execute(i, r, dies)
 }
 
-// useless says that a message can change nothing any more, whenever it comes.
-func (w *explored) useless(m Message) bool {
+// isObsolete reports whether a message can have no effect any more, whenever it arrives.
+func (w *worldState) isObsolete(m Message) bool {
 	n := w.nodes[m.To.Name[0]-'a']
 	switch c := n.core; {
 	case m.Answer == Question:
-		return c != nil && !c.Mine(m) && m.To.Start < n.start || (m.Kind == Check || m.Kind == Store || m.Kind == Force) && m.Token < n.fence && !w.p.fenceOff
+		return c != nil && !c.Accepts(m) && m.To.Start < n.start || (m.Kind == Check || m.Kind == Store || m.Kind == Activate) && m.Token < n.fence && !w.plan.fenceOff
 	case c == nil || m.To.Start != n.start || m.Token != c.token:
-		return m.Kind != Ask
-	case m.Floor.Version > c.entry.Version:
+		return m.Kind != QueryFloor
+	case m.Floor.Version > c.lastEntry.Version:
 		return false
 	case m.Kind == Check || m.Kind == Store:
-		return c.push == nil && m.Push <= c.pushes || m.Push < c.pushes
+		return c.push == nil && m.Push <= c.lastPushID || m.Push < c.lastPushID
 	}
 	return false
 }
 
-// enter has the voters decide.
-func (w *explored) enter(k int) {
-	a := w.asks[k]
-	w.asks = slices.Delete(w.asks, k, k+1)
+// decideProposal has the voters decide a proposal.
+func (w *worldState) decideProposal(k int) {
+	a := w.proposals[k]
+	w.proposals = slices.Delete(w.proposals, k, k+1)
 	present := w.token
-	if w.p.fenceOff {
-		present = a.f.Token
+	if w.plan.fenceOff {
+		present = a.floor.Token
 	}
 	i := int(a.from.Name[0] - 'a')
 	n := w.nodes[i]
-	next, err := w.entry.Apply(present, duty.Entry{Token: a.f.Token, Version: a.f.Version, Digest: a.f.Digest})
+	next, err := w.entry.Apply(present, duty.Entry{Token: a.floor.Token, Version: a.floor.Version, Digest: a.floor.Digest})
 	if err == nil && next != w.entry {
-		w.entered(a)
+		w.checkEntered(a)
 	}
 	w.entry = next
-	if n.core == nil || n.start != a.from.Start || n.core.enter == nil || *n.core.enter != a.f {
+	if n.core == nil || n.start != a.from.Start || n.core.proposed == nil || *n.core.proposed != a.floor {
 		return
 	}
-	n.core.Entered(err)
+	n.core.ProposalDecided(err)
 	w.flush(i)
 }
 
-// entered checks what a holder has entered: whoever was present for it can read that, means it, and has it; nobody present had refused it.
-func (w *explored) entered(e entering) {
-	f := e.f
+// checkEntered checks a new entry: each member present for it must have stored the document, be able to read it
+// and find the same digest, and no member that lives may have refused it.
+func (w *worldState) checkEntered(e proposal) {
+	f := e.floor
 	var text []byte
 	for _, n := range w.nodes {
 		if raw, ok := n.disk[setKey(f)]; ok {
@@ -390,7 +407,7 @@
 		}
 	}
 	if text == nil {
-		w.fail("version %d is entered, and nobody has it", f.Version)
+		w.fail("version %d is entered, and no node has its document", f.Version)
 		return
 	}
 	for i, n := range w.nodes {
@@ -398,34 +415,34 @@
 			continue
 		}
 		if n.refused[string(text)] >= f.Token {
-			w.fail("version %d is entered, and %s, which is present, had refused it", f.Version, names(i))
+			w.fail("version %d is entered, and %s, which is present, had refused it", f.Version, nodeName(i))
 		}
 		if !e.saw(n.core.self) {
-			continue // it came later
+			continue // it joined later
 		}
-		r := w.x.truth(n.program, text)
+		r := w.explorer.parse(n.program, text)
 		if _, has := n.disk[setKey(f)]; !has || r.err != nil {
-			w.fail("version %d is entered, and %s, which is present, has it: %v, reads it: %v", f.Version, names(i), has, r.err)
+			w.fail("version %d is entered, and %s, which is present, has it: %v, reads it: %v", f.Version, nodeName(i), has, r.err)
 		}
 		for j, o := range w.nodes {
-			if other := w.x.truth(o.program, text); o.core != nil && e.saw(o.core.self) && r.err == nil && other.err == nil && other.set.Digest != r.set.Digest {
-				w.fail("version %d is entered, with one meaning at %s and another at %s", f.Version, names(i), names(j))
+			if other := w.explorer.parse(o.program, text); o.core != nil && e.saw(o.core.self) && r.err == nil && other.err == nil && other.set.Digest != r.set.Digest {
+				w.fail("version %d is entered, with one meaning at %s and another at %s", f.Version, nodeName(i), nodeName(j))
 			}
 		}
 	}
 }
 
-// next are all states that may come after this one.
-func (w *explored) next(yield func(what string, to *explored)) {
-	do := func(what string, act func(d *explored)) {
+// forEachSuccessor calls yield with each state that may follow this one.
+func (w *worldState) forEachSuccessor(yield func(what string, to *worldState)) {
+	branch := func(what string, act func(d *worldState)) {
 		d := w.clone()
 		act(d)
 		yield(what, d)
 	}
 	seen := make(map[string]bool)
-	own := slices.IndexFunc(w.net, func(m Message) bool { return m.From == m.To }) // the sidecar delivers those before anything else
+	toSelf := slices.IndexFunc(w.net, func(m Message) bool { return m.From == m.To }) // a Node handles its messages to itself before anything else
 	for k, m := range w.net {
-		if own >= 0 && k != own {
+		if toSelf >= 0 && k != toSelf {
 			continue
 		}
 		what := fmt.Sprintf("%v.%v of %v reaches %s", m.Kind, m.Answer, m.From, m.To.Name)
@@ -435,111 +452,113 @@
 			seen[id] = true
 		}
 		steps := 0
-		do(what, func(d *explored) { steps = d.deliver(k, -1) })
-		if w.crashes > 0 && w.p.may(w.p.mortal, m.To.Name) {
+		branch(what, func(d *worldState) { steps = d.deliver(k, -1) })
+		if w.crashes > 0 && w.plan.permits(w.plan.mayCrash, m.To.Name) {
 			for dies := range steps + 1 {
 				if steps > 0 {
-					do(fmt.Sprintf("%s, which dies after %d steps", what, dies), func(d *explored) { d.deliver(k, dies) })
+					branch(fmt.Sprintf("%sand crashes after %d steps", what, dies), func(d *worldState) { d.deliver(k, dies) })
 				}
 			}
 		}
-		if w.p.silenceIsYes && m.Answer == Question && (m.Kind == Check || m.Kind == Store) {
-			do(what+": its silence is a yes", func(d *explored) {
+		if w.plan.silenceIsYes && m.Answer == Question && (m.Kind == Check || m.Kind == Store) {
+			branch(what+", but is lost and counts as agreement", func(d *worldState) {
 				d.net = slices.Delete(d.net, k, k+1)
 				m.Answer, m.From, m.To = Yes, m.To, m.From
 				d.net = append(d.net, m)
 			})
 		}
 	}
-	if own >= 0 {
+	if toSelf >= 0 {
 		return
 	}
-	for k, a := range w.asks {
-		do(fmt.Sprintf("%v enters %d", a.from, a.f.Version), func(d *explored) { d.enter(k) })
+	for k, a := range w.proposals {
+		branch(fmt.Sprintf("%v enters %d", a.from, a.floor.Version), func(d *worldState) { d.decideProposal(k) })
 	}
 	for i, n := range w.nodes {
 		if n.core == nil {
-			do(names(i)+" starts", func(d *explored) { d.start(i, w.p.later[i]) })
+			branch(nodeName(i)+" starts", func(d *worldState) { d.startNode(i, w.plan.restartPrograms[i]) })
 			continue
 		}
-		if w.crashes > 0 && w.p.may(w.p.mortal, names(i)) {
-			do(names(i)+" dies", func(d *explored) { d.kill(i) })
+		if w.crashes > 0 && w.plan.permits(w.plan.mayCrash, nodeName(i)) {
+			branch(nodeName(i)+" crashes", func(d *worldState) { d.kill(i) })
 		}
 		if n.core.token != 0 {
-			if truth := w.truthful(); !slices.Equal(truth, n.view) {
-				do(names(i)+" looks", func(d *explored) {
-					d.nodes[i].view = truth
-					d.nodes[i].core.Members(truth)
+			if live := w.liveMembers(); !slices.Equal(live, n.view) {
+				branch(nodeName(i)+" polls its members", func(d *worldState) {
+					d.nodes[i].view = live
+					d.nodes[i].core.SetMembers(live)
 					d.flush(i)
 				})
 			}
-			if n.core.push != nil && n.core.enter == nil {
-				do(names(i)+" gives its push up", func(d *explored) { d.nodes[i].core.Expire(d.nodes[i].core.push.id); d.flush(i) })
+			if n.core.push != nil && n.core.proposed == nil {
+				branch(nodeName(i)+" expires its push", func(d *worldState) { d.nodes[i].core.ExpirePush(d.nodes[i].core.push.id); d.flush(i) })
 			}
-			for k, doc := range w.p.docs {
+			for k, doc := range w.plan.docs {
 				if w.offered[k] {
 					continue
 				}
-				do(fmt.Sprintf("%s is offered document %d", names(i), k), func(d *explored) {
+				branch(fmt.Sprintf("%s is offered document %d", nodeName(i), k), func(d *worldState) {
 					d.offered[k] = true
 					c := d.nodes[i].core
 					c.Step(Message{Kind: Offer, From: c.self, To: c.self, Text: []byte(doc)})
-					c.change = nil // the answer is for the pusher
+					c.pending = nil // the answer goes to the process that offers the document
 					d.flush(i)
 				})
 			}
 		}
-		if w.passes > 0 && w.holder != n.core.self && w.p.may(w.p.heir, names(i)) {
-			do("the duty passes to "+names(i), func(d *explored) { d.passes--; d.holder = n.core.self; d.token++ })
+		if w.passes > 0 && w.holder != n.core.self && w.plan.permits(w.plan.mayAcquire, nodeName(i)) {
+			branch("the duty passes to "+nodeName(i), func(d *worldState) { d.passes--; d.holder = n.core.self; d.token++ })
 		}
-		if w.holder == n.core.self && n.core.token != w.token { // whoever had it before goes on in its belief
-			do(names(i)+" holds", func(d *explored) {
-				d.nodes[i].view = d.truthful()
+		if w.holder == n.core.self && n.core.token != w.token { // the previous holder still believes that it holds the duty
+			branch(nodeName(i)+" learns that it holds the duty", func(d *worldState) {
+				d.nodes[i].view = d.liveMembers()
 				c := d.nodes[i].core
-				c.Members(d.nodes[i].view)
-				c.Hold(d.token, Floor{d.entry.Version, d.entry.Digest, d.entry.Token})
+				c.SetMembers(d.nodes[i].view)
+				c.AcquireDuty(d.token, Floor{d.entry.Version, d.entry.Digest, d.entry.Token})
 				d.flush(i)
 			})
 		}
 	}
 }
 
-// explore plays a plan to its end, or to the first thing that is broken.
-func explore(p plan) (states int, whole bool, triples map[string]int, broken string, trace []string) {
-	x := &explorer{programs: programs(), read: make(map[[2]string]*reading), plan: &p}
-	w := &explored{p: &p, x: x, crashes: p.crashes, passes: p.passes, token: 1, holder: Peer{"a", 1}, offered: make([]bool, len(p.docs)), meant: make(map[uint64]string)}
+// explore visits the states of a plan until all are visited, the limit is reached or an invariant is violated.
+// triples counts the states by the highest versions in force at the three nodes; trace is the sequence of
+// events that leads to a violation.
+func explore(p plan) (states int, complete bool, triples map[string]int, violation string, trace []string) {
+	x := &explorer{programs: programs(), cache: make(map[[2]string]*parsed), plan: &p}
+	w := &worldState{plan: &p, explorer: x, crashes: p.crashes, passes: p.passes, token: 1, holder: Peer{"a", 1}, offered: make([]bool, len(p.docs)), digests: make(map[uint64]string)}
 	for i := range w.nodes {
-		w.nodes[i] = &place{disk: make(map[string]string)}
-		w.start(i, p.programs[i])
+		w.nodes[i] = &simNode{disk: make(map[string]string)}
+		w.startNode(i, p.programs[i])
 	}
 	type step struct {
 		from int
 		what string
 	}
 	steps := []step{{-1, "begin"}}
-	queue := []*explored{w}
-	at := map[[16]byte]bool{w.key(): true}
+	queue := []*worldState{w}
+	visited := map[[16]byte]bool{w.key(): true}
 	triples = make(map[string]int)
 	n := 0
-	for ; n < len(queue) && (p.most == 0 || n < p.most); n++ {
-		now := queue[n]
+	for ; n < len(queue) && (p.maxStates == 0 || n < p.maxStates); n++ {
+		state := queue[n]
 		queue[n] = nil
-		if now.broken != "" {
+		if state.violation != "" {
 			for k := n; k >= 0; k = steps[k].from {
 				trace = append(trace, steps[k].what)
 			}
 			slices.Reverse(trace)
-			return len(at), false, triples, now.broken, trace
+			return len(visited), false, triples, state.violation, trace
 		}
 		var highs [3]uint64
-		for i, node := range now.nodes {
-			highs[i] = node.high
+		for i, node := range state.nodes {
+			highs[i] = node.maxInForce
 		}
 		triples[fmt.Sprint(highs)]++
-		now.next(func(what string, to *explored) {
-			to.net = slices.DeleteFunc(to.net, to.useless)
-			if key := to.key(); !at[key] {
-				at[key] = true
+		state.forEachSuccessor(func(what string, to *worldState) {
+			to.net = slices.DeleteFunc(to.net, to.isObsolete)
+			if key := to.key(); !visited[key] {
+				visited[key] = true
 				queue = append(queue, to)
 				steps = append(steps, step{n, what})
 			}
@@ -554,68 +573,69 @@
 	doc2  = "form=2\nversion=2\n[[zone]]\nname='a'\nweight=0.5\n"
 )
 
-func alike(name string) [3]string { return [3]string{name, name, name} }
+func allNodes(name string) [3]string { return [3]string{name, name, name} }
 
-// plans are what is explored: budgets in the short form, and what -deep adds.
+// plans returns the budgets to explore, and larger ones with -deep.
 func plans() map[string]plan {
 	all := map[string]plan{
-		"two versions, one crash":         {docs: []string{doc1a, doc2}, programs: alike("new"), later: alike("new"), crashes: 1, most: 20_000},
-		"one version, two bodies, a pass": {docs: []string{doc1a, doc1b}, programs: alike("new"), later: alike("new"), passes: 1},
-		"an old program comes back, a pass": {docs: []string{doc2, doc2}, programs: alike("new"), later: [3]string{"new", "new", "old"},
-			crashes: 1, passes: 1, mortal: "c", heir: "b", most: 30_000},
-		"one program means something else": {docs: []string{doc1a}, programs: [3]string{"new", "new", "skewed"}, later: [3]string{"new", "new", "skewed"}, crashes: 1},
-		"an old program is present":        {docs: []string{doc1a, doc2}, programs: [3]string{"new", "new", "old"}, later: [3]string{"new", "new", "old"}},
-	}
-	if *deep > 0 {
+		"two versions, one crash":         {docs: []string{doc1a, doc2}, programs: allNodes("new"), restartPrograms: allNodes("new"), crashes: 1, maxStates: 20_000},
+		"one version, two bodies, a pass": {docs: []string{doc1a, doc1b}, programs: allNodes("new"), restartPrograms: allNodes("new"), passes: 1},
+		"an old program comes back, a pass": {docs: []string{doc2, doc2}, programs: allNodes("new"), restartPrograms: [3]string{"new", "new", "old"},
+			crashes: 1, passes: 1, mayCrash: "c", mayAcquire: "b", maxStates: 30_000},
+		"one program means something else": {docs: []string{doc1a}, programs: [3]string{"new", "new", "skewed"}, restartPrograms: [3]string{"new", "new", "skewed"}, crashes: 1},
+		"an old program is present":        {docs: []string{doc1a, doc2}, programs: [3]string{"new", "new", "old"}, restartPrograms: [3]string{"new", "new", "old"}},
+	}
+	if *deepStates > 0 {
 		for what, p := range all {
-			p.most = *deep
+			p.maxStates = *deepStates
 			all[what] = p
 		}
-		all["two versions, two crashes"] = plan{docs: []string{doc1a, doc2}, programs: alike("new"), later: alike("new"), crashes: 2, most: *deep}
-		all["two versions, a crash and a pass"] = plan{docs: []string{doc1a, doc2}, programs: alike("new"), later: alike("new"), crashes: 1, passes: 1, most: *deep}
-		all["two bodies, two passes"] = plan{docs: []string{doc1a, doc1b}, programs: alike("new"), later: alike("new"), passes: 2, most: *deep}
+		all["two versions, two crashes"] = plan{docs: []string{doc1a, doc2}, programs: allNodes("new"), restartPrograms: allNodes("new"), crashes: 2, maxStates: *deepStates}
+		all["two versions, a crash and a pass"] = plan{docs: []string{doc1a, doc2}, programs: allNodes("new"), restartPrograms: allNodes("new"), crashes: 1, passes: 1, maxStates: *deepStates}
+		all["two bodies, two passes"] = plan{docs: []string{doc1a, doc1b}, programs: allNodes("new"), restartPrograms: allNodes("new"), passes: 2, maxStates: *deepStates}
 	}
 	return all
 }
 
+// No invariant is violated in any order of events that the plans allow.
 func TestAllOrders(t *testing.T) {
 	for what, p := range plans() {
 		t.Run(what, func(t *testing.T) {
 			t.Parallel()
-			states, whole, triples, broken, trace := explore(p)
-			if broken != "" {
-				t.Fatalf("%s\n%s", broken, strings.Join(trace, "\n"))
+			states, complete, triples, violation, trace := explore(p)
+			if violation != "" {
+				t.Fatalf("%s\n%s", violation, strings.Join(trace, "\n"))
 			}
-			t.Logf("%d states, all of them: %v; by the versions that were in force: %v", states, whole, triples)
-			if whole && p.crashes+p.passes > 0 && what != "an old program comes back, a pass" && triples["[1 1 1]"] == 0 {
-				t.Error("version 1 was in force at all three in no state: this shows nothing")
+			t.Logf("%d states, all of them: %v; by the versions that were in force: %v", states, complete, triples)
+			if complete && p.crashes+p.passes > 0 && what != "an old program comes back, a pass" && triples["[1 1 1]"] == 0 {
+				t.Error("version 1 was in force at all three nodes in no state: the exploration proves nothing")
 			}
 		})
 	}
 }
 
-// Each of the faults that the checks are for is found.
+// The explorer finds each planted fault, so that its checks are known to work.
 func TestPlantedFaults(t *testing.T) {
 	for what, c := range map[string]struct {
 		of    string
 		plant func(p *plan)
 		want  string
 	}{
-		"the floor is not synced":                {"two versions, one crash", func(p *plan) { p.floorVolatile = true }, "its floor is not durable"},
-		"the floor is not read":                  {"two versions, one crash", func(p *plan) { p.floorUnread = true }, "starts with"},
-		"the fence is off":                       {"an old program comes back, a pass", func(p *plan) { p.fenceOff = true }, "had refused it"},
-		"the digest is of the text":              {"one program means something else", func(p *plan) { p.textDigest = true }, "another at"},
-		"a silence is taken for yes, and agreed": {"an old program is present", func(p *plan) { p.silenceIsYes = true }, "which is present, has it: false"},
+		"the floor is not synced":        {"two versions, one crash", func(p *plan) { p.floorNotSynced = true }, "its floor is not durable"},
+		"the floor is not read":          {"two versions, one crash", func(p *plan) { p.floorNotRead = true }, "starts with"},
+		"the fence is off":               {"an old program comes back, a pass", func(p *plan) { p.fenceOff = true }, "had refused it"},
+		"the digest is that of the text": {"one program means something else", func(p *plan) { p.digestOfText = true }, "another at"},
+		"no answer counts as agreement":  {"an old program is present", func(p *plan) { p.silenceIsYes = true }, "which is present, has it: false"},
 	} {
 		t.Run(what, func(t *testing.T) {
 			t.Parallel()
 			p := plans()[c.of]
 			c.plant(&p)
-			states, _, _, broken, trace := explore(p)
-			if !strings.Contains(broken, c.want) {
-				t.Fatalf("it is not found in %d states: %q", states, broken)
+			states, _, _, violation, trace := explore(p)
+			if !strings.Contains(violation, c.want) {
+				t.Fatalf("not found in %d states; violation found: %q", states, violation)
 			}
-			t.Logf("found after %d states: %s\n%s", states, broken, strings.Join(trace, "\n"))
+			t.Logf("found after %d states: %s\n%s", states, violation, strings.Join(trace, "\n"))
 		})
 	}
 }
--- a/internal/rules/node.go
+++ b/internal/rules/node.go
@@ -20,108 +20,111 @@
 )
 
 const (
-	tick      = 200 * time.Millisecond // how often a process looks at what is around it
-	callTime  = 2 * time.Second        // of one call, with a document
-	dialTime  = time.Second
-	pushTime  = 5 * time.Second // from an offer to the entry
-	offerTime = 3 * time.Second // between two offers of one document
-	askMost   = 8               // peers that a start asks
-	askTime   = 2 * time.Second // a start waits for so long for its peers' floors
-	callsMost = 16              // made at a time, and served
-	section   = "rules"         // of what outlives the process
+	pollInterval       = 200 * time.Millisecond // between two checks of the duty, the members and the file
+	callTimeout        = 2 * time.Second        // for one call, which may transfer a document
+	dialTimeout        = time.Second
+	pushTimeout        = 5 * time.Second // from the start of a push to its entry
+	retryInterval      = 3 * time.Second // between two offers of the same document, and between retries of Activate
+	maxFloorQueries    = 8               // peers that a starting node asks for their floors
+	floorQueryTimeout  = 2 * time.Second // a starting node waits at most this long for the answers
+	maxConcurrentCalls = 16              // made at the same time, and as many served
+	storageSection     = "rules"         // the part of the storage that this package uses
 )
 
-// MessageStream is the kind of streams that messages go by.
+// MessageStream is the kind of the network streams that carry messages.
 const MessageStream byte = 'V'
 
-// Transport is how processes reach each other.
+// Transport opens and accepts network streams between processes.
 type Transport interface {
-	Listen(kind byte) net.Listener // streams of that kind that others open
+	Listen(kind byte) net.Listener // accepts the streams of that kind that other processes open
 	Dial(name string, kind byte, timeout time.Duration) (net.Conn, error)
 }
 
-// Storage keeps values over the end of a process. Put has returned nil only once the value is durable.
+// Storage stores values that outlive the process. Put returns nil only once the value is durable.
 type Storage interface {
 	All(section string) map[string][]byte
 	Put(section, key string, value []byte) error
 	Delete(section, key string) error
 }
 
-// Voters are the log in which versions are entered.
+// Voters gives access to the duty and to the voters' log, in which versions are entered.
 type Voters interface {
-	// Holds says whether this process holds the duty now, and by what token.
+	// Holds reports whether this process holds the duty now, and by which token.
 	Holds() (token uint64, yes bool)
-	// Holder is who holds it, as far as the voters say.
+	// Holder returns the name of the duty's holder as the voters know it; empty: there is none.
 	Holder() (name string, err error)
-	// LastEntry is what was entered last. Asked by a holder, it has all that earlier ones could enter.
+	// LastEntry returns the last version entered. A holder of the duty sees every entry that earlier holders
+	// could make.
 	LastEntry() (Floor, error)
-	// CommitEntry enters a version. refused says no for good; err leaves open whether it was entered.
+	// CommitEntry enters a version. refused is a final refusal; after err it is open whether the version was
+	// entered.
 	CommitEntry(f Floor) (refused, err error)
-	// AdmitToken says whether a holder's token is no lower than any before it; a higher one is durable then.
+	// AdmitToken reports whether a holder's token is no lower than any seen before. A higher token is durable
+	// before it is admitted.
 	AdmitToken(token uint64) (bool, error)
 }
 
-// Config says who this process is and what is around it.
+// Config identifies this process and provides its environment.
 type Config struct {
 	Name           string
 	Start          uint64 // higher than that of every earlier process of this name
 	Storage        Storage
-	StorageDamaged bool // what Storage had may be gone or wrong
+	StorageDamaged bool // some of the stored values may be lost or wrong
 	Transport      Transport
 	Voters         Voters
-	Members        func() []Member                   // all that are present or silent, this one too
-	Read           func(text []byte) (*Set, error)   // how this process takes a document
-	Activate       func(context.Context, *Set) error // puts a set in force; it returns once it is
+	Members        func() []Member                   // the members that are present or silent, including this one
+	Read           func(text []byte) (*Set, error)   // parses a document as this process understands it
+	Activate       func(context.Context, *Set) error // puts a set in force and returns once it is
 	Log            *slog.Logger
 }
 
-// Node is a process's part in its fleet's rules. Its methods are safe for concurrent use.
+// Node runs the push protocol at one process of a fleet. Its methods are safe for concurrent use.
 type Node struct {
-	cfg    Config
-	log    *slog.Logger
-	ctx    context.Context
-	places chan struct{} // calls that are served
-	calls  chan struct{} // and made
-	wake   chan struct{}
-	work   sync.WaitGroup
+	cfg        Config
+	log        *slog.Logger
+	ctx        context.Context
+	serveSlots chan struct{} // one element for each call being served
+	callSlots  chan struct{} // one element for each call being made
+	wake       chan struct{}
+	work       sync.WaitGroup
 
 	status atomic.Pointer[Status] // for readers that must not wait for a disk
 
-	mu       sync.Mutex // also held while a disk is written: what comes meanwhile is late, as its answer would be
-	core     *Core
-	needed   bool // the start has to ask
-	asks     map[Peer]bool
-	began    time.Time
-	retried  time.Time
-	pushed   uint64 // the push that the time runs for
-	pushedAt time.Time
+	mu             sync.Mutex // also held during disk writes: a message that waits for them would be answered late anyway
+	core           *Core
+	queryNeeded    bool // this start has to ask peers for their floors
+	queried        map[Peer]bool
+	queryStarted   time.Time
+	lastRetry      time.Time
+	timedPush      uint64 // PushID when it was last polled
+	timedPushStart time.Time
 
-	file    []byte // to be pushed
-	version uint64 // of it
-	never   string // why that is of no use
-	offered time.Time
-	said    string // what was last logged of refusals
-	hinted  Floor  // what is to be entered, as Run was last told
+	fileText          []byte // document to be pushed; nil: none
+	fileVersion       uint64 // version declared by fileText
+	fileRefusal       string // why fileText can never come into force; empty: it may
+	lastOffer         time.Time
+	loggedRefusals    string // the refusals last logged, so that they are logged once
+	signalledProposal Floor  // the proposal for which Run was last woken
 }
 
-// New makes a node from what is kept. Nothing is in force before ActivateFloor.
+// New returns a node with the state found in cfg.Storage. Nothing is in force before ActivateFloor.
 func New(cfg Config) *Node {
-	cfg.Read = once(cfg.Read)
+	cfg.Read = cacheLast(cfg.Read)
 	n := &Node{
 		cfg: cfg, log: cfg.Log, ctx: context.Background(),
-		places: make(chan struct{}, callsMost), calls: make(chan struct{}, callsMost), wake: make(chan struct{}, 1), asks: make(map[Peer]bool),
-		core: NewCore(Peer{cfg.Name, cfg.Start}, cfg.Storage.All(section), cfg.StorageDamaged, cfg.Read),
+		serveSlots: make(chan struct{}, maxConcurrentCalls), callSlots: make(chan struct{}, maxConcurrentCalls), wake: make(chan struct{}, 1), queried: make(map[Peer]bool),
+		core: NewCore(Peer{cfg.Name, cfg.Start}, cfg.Storage.All(storageSection), cfg.StorageDamaged, cfg.Read),
 	}
 	if n.log == nil {
 		n.log = slog.Default()
 	}
-	n.publish()
+	n.publishStatus()
 	return n
 }
 
-// once reads the same document again only where another came between: a push has it read when it is checked, stored and in force. It is
-// called under mu.
-func once(read func([]byte) (*Set, error)) func([]byte) (*Set, error) {
+// cacheLast returns a read function that keeps the last result, as a push has the same document read when it is
+// checked, stored and put in force. The result must be called with mu held.
+func cacheLast(read func([]byte) (*Set, error)) func([]byte) (*Set, error) {
 	var set *Set
 	var err error
 	var last []byte
@@ -134,12 +137,13 @@
 	}
 }
 
-// ActivateFloor puts the floor's set in force. It comes before the first request.
+// ActivateFloor puts the set of the stored floor in force. It must be called before the first request is
+// served.
 func (n *Node) ActivateFloor(ctx context.Context) error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	defer n.publish()
-	n.needed, n.began = n.core.asking, time.Now()
+	defer n.publishStatus()
+	n.queryNeeded, n.queryStarted = n.core.awaitingFloors, time.Now()
 	if why, ok := n.core.Serves(); !ok {
 		n.log.Warn("rules", "serves", false, "why", why)
 	}
@@ -147,48 +151,50 @@
 	if set == nil {
 		return nil
 	}
-	n.log.Info("rules", "inForce", set.Version, "digest", set.Digest, "differs", n.core.differs)
+	n.log.Info("rules", "inForce", set.Version, "digest", set.Digest, "differs", n.core.digestDiffers)
 	return n.cfg.Activate(ctx, set)
 }
 
-// Push has a document pushed, unless its version is that of the floor or below; again until it is in force or refused for good.
+// Push submits a document to be pushed if its version is above the floor. It is offered to the holder again and
+// again until it is in force or refused for good.
 func (n *Node) Push(text []byte) {
 	n.mu.Lock()
-	n.file, n.version, n.never, n.offered = text, Version(text), "", time.Time{}
-	n.publish()
+	n.fileText, n.fileVersion, n.fileRefusal, n.lastOffer = text, DeclaredVersion(text), "", time.Time{}
+	n.publishStatus()
 	n.mu.Unlock()
-	n.hint()
+	n.wakeRun()
 }
 
-func (n *Node) hint() {
+// wakeRun makes Run do its next check now.
+func (n *Node) wakeRun() {
 	select {
 	case n.wake <- struct{}{}:
 	default:
 	}
 }
 
-// Serves says whether requests may be served.
+// Serves reports whether requests may be served.
 func (n *Node) Serves() bool { return n.status.Load().Serves }
 
-// Status is what people are shown.
+// Status is the state of a node as operators see it.
 type Status struct {
-	InForce       uint64 // 0: the settings
+	InForce       uint64 // version in force; 0: the settings apply
 	Floor         Floor
 	Serves        bool
-	BarredReason  string // it does not
-	DigestDiffers bool   // the set means something else here than what was entered
-	FileVersion   uint64 // version of the document that this process was given; 0: none
-	FileRefusal   string // why that is of no use
-	DutyToken     uint64 // the token of the duty; 0: another has it
+	BarredReason  string // why it does not serve; empty: it does
+	DigestDiffers bool   // the set has another digest here than the one entered
+	FileVersion   uint64 // version of the document passed to Push; 0: none
+	FileRefusal   string // why that document can never come into force; empty: it may
+	DutyToken     uint64 // token of the duty; 0: this process does not hold it
 	Refusals      []Refusal
 }
 
-// Status tells how things stand.
+// Status returns the state as of the last change.
 func (n *Node) Status() Status { return *n.status.Load() }
 
-// publish shows how things stand. mu is held.
-func (n *Node) publish() {
-	s := &Status{Floor: n.core.floor.Floor, DigestDiffers: n.core.differs, FileVersion: n.version, FileRefusal: n.never, DutyToken: n.core.token, Refusals: n.core.refused}
+// publishStatus updates what Status returns. mu is held.
+func (n *Node) publishStatus() {
+	s := &Status{Floor: n.core.floor.Floor, DigestDiffers: n.core.digestDiffers, FileVersion: n.fileVersion, FileRefusal: n.fileRefusal, DutyToken: n.core.token, Refusals: n.core.refusals}
 	s.BarredReason, s.Serves = n.core.Serves()
 	if set := n.core.InForce(); set != nil {
 		s.InForce = set.Version
@@ -196,7 +202,7 @@
 	n.status.Store(s)
 }
 
-// Run takes part until ctx ends.
+// Run takes part in the protocol until ctx ends.
 func (n *Node) Run(ctx context.Context) {
 	n.mu.Lock()
 	n.ctx = ctx
@@ -204,51 +210,51 @@
 	l := n.cfg.Transport.Listen(MessageStream)
 	n.work.Go(func() { n.serve(ctx, l) })
 	defer n.work.Wait()
-	every := time.NewTicker(tick)
-	defer every.Stop()
+	ticker := time.NewTicker(pollInterval)
+	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-every.C:
+		case <-ticker.C:
 		case <-n.wake:
 		}
-		n.hold()
-		n.enter()
-		n.look()
-		n.offer()
+		n.followDuty()
+		n.commitProposed()
+		n.pollMembers()
+		n.offerFile()
 	}
 }
 
-// hold follows who holds the duty.
-func (n *Node) hold() {
+// followDuty tells the core when this process acquires or loses the duty.
+func (n *Node) followDuty() {
 	token, yes := n.cfg.Voters.Holds()
 	n.mu.Lock()
-	had := n.core.Holding()
-	if !yes && had != 0 {
-		n.core.Release()
-		n.publish()
+	previous := n.core.DutyToken()
+	if !yes && previous != 0 {
+		n.core.ReleaseDuty()
+		n.publishStatus()
 	}
 	n.mu.Unlock()
-	if !yes || token == had {
+	if !yes || token == previous {
 		return
 	}
 	entry, err := n.cfg.Voters.LastEntry()
 	if err != nil {
 		n.log.Debug("rules", "error", err)
-		return // again with the next tick
+		return // it is tried again at the next tick
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.core.Members(n.cfg.Members())
-	n.core.Hold(token, entry)
-	n.flush()
+	n.core.SetMembers(n.cfg.Members())
+	n.core.AcquireDuty(token, entry)
+	n.flushOutbox()
 }
 
-// enter has the voters take what is to be entered.
-func (n *Node) enter() {
+// commitProposed submits the core's proposed version to the voters.
+func (n *Node) commitProposed() {
 	n.mu.Lock()
-	f, due := n.core.Entering()
+	f, due := n.core.Proposed()
 	n.mu.Unlock()
 	if token, yes := n.cfg.Voters.Holds(); !due || !yes || token != f.Token {
 		return
@@ -256,51 +262,53 @@
 	refused, err := n.cfg.Voters.CommitEntry(f)
 	if err != nil {
 		n.log.Warn("rules", "entering", f.Version, "error", err)
-		return // it may be there or not: again with the next tick
+		return // it may have been entered or not: try again at the next tick
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if now, due := n.core.Entering(); !due || now != f {
+	if now, due := n.core.Proposed(); !due || now != f {
 		return
 	}
 	n.log.Info("rules", "entered", f.Version, "digest", f.Digest, "token", f.Token, "refused", refused)
-	n.core.Entered(refused)
-	n.flush()
-	if refused != nil { // what this process knows of the voters' word is old
-		n.core.Release()
+	n.core.ProposalDecided(refused)
+	n.flushOutbox()
+	if refused != nil { // this process's copy of the last entry is out of date
+		n.core.ReleaseDuty()
 	}
 }
 
-// look takes who is there, ends a push whose time is over, and asks peers where a start has to.
-func (n *Node) look() {
+// pollMembers updates the members, expires a push that takes too long, retries activations, and queries the
+// floors of peers after a start.
+func (n *Node) pollMembers() {
 	members := n.cfg.Members()
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.core.Members(members)
-	if id := n.core.Pushing(); id != n.pushed {
-		n.pushed, n.pushedAt = id, time.Now()
-	} else if id != 0 && time.Since(n.pushedAt) > pushTime {
-		n.core.Expire(id)
-	}
-	if time.Since(n.retried) > offerTime {
-		n.retried = time.Now()
-		n.core.Retry()
-	}
-	n.flush()
-	n.follow()
-	n.askAround(members)
-	if text := fmt.Sprint(n.core.refused); len(n.core.refused) > 0 && text != n.said {
-		n.said = text
-		for _, r := range n.core.refused {
+	n.core.SetMembers(members)
+	if id := n.core.PushID(); id != n.timedPush {
+		n.timedPush, n.timedPushStart = id, time.Now()
+	} else if id != 0 && time.Since(n.timedPushStart) > pushTimeout {
+		n.core.ExpirePush(id)
+	}
+	if time.Since(n.lastRetry) > retryInterval {
+		n.lastRetry = time.Now()
+		n.core.RetryActivations()
+	}
+	n.flushOutbox()
+	n.adoptStoredFloor()
+	n.queryFloors(members)
+	if text := fmt.Sprint(n.core.refusals); len(n.core.refusals) > 0 && text != n.loggedRefusals {
+		n.loggedRefusals = text
+		for _, r := range n.core.refusals {
 			n.log.Warn("rules", "refused", r.Version, "by", r.Name, "why", r.Why)
 		}
 	}
 }
 
-// askAround asks some peers for their floors, where a start has to. It begins with those that come after this process by name, so that a
-// fleet that starts as a whole does not ask one. What they do not know the holder tells later.
-func (n *Node) askAround(members []Member) {
-	if !n.needed {
+// queryFloors asks up to maxFloorQueries peers for their floors after a start. It begins with the names that
+// follow this process's own, so that the queries are spread over the peers when a whole fleet starts. A floor
+// that none of those peers knows arrives later from the holder.
+func (n *Node) queryFloors(members []Member) {
+	if !n.queryNeeded {
 		return
 	}
 	var peers []Peer
@@ -310,196 +318,201 @@
 		}
 	}
 	slices.SortFunc(peers, func(a, b Peer) int {
-		after := func(p Peer) int { return cmp.Compare(n.cfg.Name, p.Name) } // -1: it comes after
+		after := func(p Peer) int { return cmp.Compare(n.cfg.Name, p.Name) } // -1: p comes after this process
 		return cmp.Or(after(a)-after(b), cmp.Compare(a.Name, b.Name))
 	})
 	for _, p := range peers {
-		if len(n.asks) < askMost && !n.asks[p] {
-			n.asks[p] = true
-			n.say(n.core.Question(p))
+		if len(n.queried) < maxFloorQueries && !n.queried[p] {
+			n.queried[p] = true
+			n.send(n.core.FloorQuestion(p))
 		}
 	}
-	answers, _ := n.core.Asking()
-	if time.Since(n.began) > askTime || answers > 0 && answers >= min(askMost, len(peers)) {
-		n.core.Settle()
-		n.publish()
-		n.needed = false
+	answers, _ := n.core.FloorWait()
+	if time.Since(n.queryStarted) > floorQueryTimeout || answers > 0 && answers >= min(maxFloorQueries, len(peers)) {
+		n.core.EndFloorWait()
+		n.publishStatus()
+		n.queryNeeded = false
 		n.log.Info("rules", "floor", n.core.floor.Version, "asked", answers)
 	}
 }
 
-// follow takes a floor that another process of this node has written, in an upgrade.
-func (n *Node) follow() {
-	kept := n.cfg.Storage.All(section)
+// adoptStoredFloor takes over a higher floor that another process of this node has stored, as in an upgrade.
+func (n *Node) adoptStoredFloor() {
+	stored := n.cfg.Storage.All(storageSection)
 	key := floorKey(n.core.floor.Floor)
-	for _, k := range slices.Sorted(maps.Keys(kept)) {
+	for _, k := range slices.Sorted(maps.Keys(stored)) {
 		if len(k) == len(key) && k[:6] == "floor-" && k > key {
 			var f Floor
-			if json.Unmarshal(kept[k], &f) != nil {
+			if json.Unmarshal(stored[k], &f) != nil {
 				continue
 			}
-			n.carryOut(n.core.Follow(f, kept[setKey(f)]))
-			n.flush()
+			n.execute(n.core.AdoptFloor(f, stored[setKey(f)]))
+			n.flushOutbox()
 		}
 	}
 }
 
-// carryOut does what a Core asks for, in order.
-func (n *Node) carryOut(r Ready) {
+// execute does the work that the core asks for, in order, and reports the result to the core.
+func (n *Node) execute(r Ready) {
 	var err error
 	for _, w := range r.Writes {
 		if w.Value == nil {
-			err = n.cfg.Storage.Delete(section, w.Key)
+			err = n.cfg.Storage.Delete(storageSection, w.Key)
 		} else {
-			err = n.cfg.Storage.Put(section, w.Key, w.Value)
+			err = n.cfg.Storage.Put(storageSection, w.Key, w.Value)
 		}
 		if err != nil {
 			n.log.Error("rules", "notKept", w.Key, "error", err)
-			if w.Value != nil && strings.HasPrefix(w.Key, "set-") { // one that is too large would keep all others out
-				_ = n.cfg.Storage.Delete(section, w.Key)
+			if w.Value != nil && strings.HasPrefix(w.Key, "set-") { // a document that is too large must not block later writes
+				_ = n.cfg.Storage.Delete(storageSection, w.Key)
 			}
 			break
 		}
 	}
-	if err == nil && r.Force != nil {
-		err = n.cfg.Activate(n.ctx, r.Force)
+	if err == nil && r.Activate != nil {
+		err = n.cfg.Activate(n.ctx, r.Activate)
 	}
 	before := n.core.floor.Version
 	n.core.Advance(err)
 	if now := n.core.floor.Floor; now.Version != before {
 		why, _ := n.core.Serves()
-		n.log.Info("rules", "inForce", now.Version, "digest", now.Digest, "token", now.Token, "differs", n.core.differs, "barred", why)
+		n.log.Info("rules", "inForce", now.Version, "digest", now.Digest, "token", now.Token, "differs", n.core.digestDiffers, "barred", why)
 	}
 }
 
-// step gives the core a message, and its answer where that is a question of another process. mu is held.
-func (n *Node) step(m Message) (answer Message, ok bool) {
-	if !n.core.Mine(m) {
+// deliver passes a message of another process to the core, and returns the answer if the message is a question.
+// mu is held.
+func (n *Node) deliver(m Message) (answer Message, ok bool) {
+	if !n.core.Accepts(m) {
 		return answer, false
 	}
 	if m.Answer != Question {
-		n.core.Members(n.cfg.Members())
-	} else if !n.passes(m) {
+		n.core.SetMembers(n.cfg.Members())
+	} else if !n.passesFence(m) {
 		return answer, false
 	}
-	n.carryOut(n.core.Step(m))
-	return n.flush()
+	n.execute(n.core.Step(m))
+	return n.flushOutbox()
 }
 
-// passes says whether a question is no word of an earlier holder.
-func (n *Node) passes(m Message) bool {
-	if m.Kind > Tell {
+// passesFence reports whether a question may be handled: it is refused if it comes from an earlier holder of
+// the duty.
+func (n *Node) passesFence(m Message) bool {
+	if m.Kind > ReportRefusals {
 		return true
 	}
-	pass, err := n.cfg.Voters.AdmitToken(m.Token)
+	admitted, err := n.cfg.Voters.AdmitToken(m.Token)
 	if err != nil {
 		n.log.Error("rules", "error", err)
 	}
-	return pass && err == nil
+	return admitted && err == nil
 }
 
-// flush sends what the core has to say: to this process itself at once, to others by calls of their own. An answer to another is returned.
-func (n *Node) flush() (answer Message, ok bool) {
-	for out := n.core.Outbox(); len(out) > 0; out = append(out[1:], n.core.Outbox()...) {
+// flushOutbox sends the core's messages: those to this process itself are handled at once, questions to others
+// go out by calls of their own. An answer to another process is returned.
+func (n *Node) flushOutbox() (answer Message, ok bool) {
+	for out := n.core.TakeOutbox(); len(out) > 0; out = append(out[1:], n.core.TakeOutbox()...) {
 		switch m := out[0]; {
-		case m.To.Name == n.cfg.Name && n.core.Mine(m):
+		case m.To.Name == n.cfg.Name && n.core.Accepts(m):
 			if m.Answer != Question {
-				n.core.Members(n.cfg.Members())
-			} else if !n.passes(m) {
-				continue // somebody else holds the duty by now
+				n.core.SetMembers(n.cfg.Members())
+			} else if !n.passesFence(m) {
+				continue // another process holds the duty by now
 			}
-			n.carryOut(n.core.Step(m))
+			n.execute(n.core.Step(m))
 		case m.Answer == Question:
-			n.say(m)
+			n.send(m)
 		default:
 			answer, ok = m, true
 		}
 	}
-	if f, due := n.core.Entering(); due && f != n.hinted {
-		n.hinted = f
-		n.hint()
+	if f, due := n.core.Proposed(); due && f != n.signalledProposal {
+		n.signalledProposal = f
+		n.wakeRun()
 	}
-	n.publish()
+	n.publishStatus()
 	return answer, ok
 }
 
-// say asks another process. There is one question of a push, one of what is in force, one of a start and one word for people at a time to
-// each, so that calls are no more than a few times the members.
-func (n *Node) say(m Message) {
+// send asks another process in the background and passes its answer to the core. At any time there is at most
+// one question of a push, one Activate, one floor query and one ReportRefusals per peer, so that the number of
+// calls is bounded by a small multiple of the members.
+func (n *Node) send(m Message) {
 	ctx := n.ctx
 	n.work.Go(func() {
 		select {
-		case n.calls <- struct{}{}:
+		case n.callSlots <- struct{}{}:
 		case <-ctx.Done():
 			return
 		}
 		answer, err := n.call(m)
-		<-n.calls
+		<-n.callSlots
 		n.mu.Lock()
 		defer n.mu.Unlock()
 		if err != nil || answer.From.Name != m.To.Name || answer.Kind != m.Kind || answer.Answer == Question {
-			n.core.Lost(m)
-			if m.Kind == Ask {
-				delete(n.asks, m.To)
+			n.core.AnswerLost(m)
+			if m.Kind == QueryFloor {
+				delete(n.queried, m.To)
 			}
 			return
 		}
 		answer.To = n.core.self
-		n.step(answer)
+		n.deliver(answer)
 	})
 }
 
-// call makes one call.
+// call sends one question to the process of that name and returns its answer.
 func (n *Node) call(m Message) (answer Message, err error) {
-	c, err := n.cfg.Transport.Dial(m.To.Name, MessageStream, dialTime)
+	c, err := n.cfg.Transport.Dial(m.To.Name, MessageStream, dialTimeout)
 	if err != nil {
 		return answer, err
 	}
 	defer c.Close()
-	if err := c.SetDeadline(time.Now().Add(callTime)); err != nil {
+	if err := c.SetDeadline(time.Now().Add(callTimeout)); err != nil {
 		return answer, err
 	}
-	client := rpc.NewClient(&bounded{c, MaxDocumentBytes * 2})
+	client := rpc.NewClient(&limitedConn{c, MaxDocumentBytes * 2})
 	defer client.Close()
 	err = client.Call("Rules.Say", m, &answer)
 	return answer, err
 }
 
-// bounded is a stream of which no more than so many bytes are read.
-type bounded struct {
+// limitedConn is a connection that fails with io.ErrUnexpectedEOF once a number of bytes has been read.
+type limitedConn struct {
 	net.Conn
-	left int
+	remaining int
 }
 
 // Read implements net.Conn.
-func (b *bounded) Read(p []byte) (int, error) {
-	if b.left <= 0 {
+func (c *limitedConn) Read(p []byte) (int, error) {
+	if c.remaining <= 0 {
 		return 0, io.ErrUnexpectedEOF
 	}
-	k, err := b.Conn.Read(p[:min(len(p), b.left)])
-	b.left -= k
+	k, err := c.Conn.Read(p[:min(len(p), c.remaining)])
+	c.remaining -= k
 	return k, err
 }
 
-// service is what processes call at each other, by net/rpc.
-type service struct{ n *Node }
+// service has the methods that other processes call by net/rpc.
+type service struct{ node *Node }
 
-// Say takes a question and answers it.
+// Say answers a question.
 func (s *service) Say(m Message, answer *Message) error {
 	if m.Answer != Question || m.Kind > Offer || len(m.Text) > MaxDocumentBytes || len(m.Digest) > 128 {
-		return errors.New("rules: no question")
+		return errors.New("rules: not a valid question")
 	}
-	s.n.mu.Lock()
-	defer s.n.mu.Unlock()
-	a, ok := s.n.step(m)
+	s.node.mu.Lock()
+	defer s.node.mu.Unlock()
+	a, ok := s.node.deliver(m)
 	if !ok {
-		return errors.New("rules: for another process, or of an earlier holder")
+		return errors.New("rules: message for another process or from an earlier holder")
 	}
 	*answer = a
 	return nil
 }
 
-// serve answers the calls of others, some at a time, until ctx ends.
+// serve answers calls of other processes until ctx ends. A call beyond the limit of concurrent calls is closed
+// at once.
 func (n *Node) serve(ctx context.Context, l net.Listener) {
 	stop := context.AfterFunc(ctx, func() { l.Close() })
 	defer stop()
@@ -509,15 +522,15 @@
 			return
 		}
 		select {
-		case n.places <- struct{}{}:
+		case n.serveSlots <- struct{}{}:
 			n.work.Go(func() {
-				defer func() { <-n.places }()
-				_ = c.SetDeadline(time.Now().Add(2 * callTime)) // it fails on a closed one, as reading does
+				defer func() { <-n.serveSlots }()
+				_ = c.SetDeadline(time.Now().Add(2 * callTimeout)) // an error means that c is closed, which reading reports too
 				server := rpc.NewServer()
 				if err := server.RegisterName("Rules", &service{n}); err != nil {
-					panic(err) // of a method that the compiler has seen
+					panic(err) // can't happen: the method has the form that net/rpc requires
 				}
-				server.ServeConn(&bounded{c, MaxDocumentBytes * 2})
+				server.ServeConn(&limitedConn{c, MaxDocumentBytes * 2})
 			})
 		default:
 			c.Close()
@@ -525,46 +538,47 @@
 	}
 }
 
-// offer offers this process's document to the holder.
-func (n *Node) offer() {
+// offerFile offers the document of Push to the holder of the duty, unless its version is in force or can never
+// be.
+func (n *Node) offerFile() {
 	n.mu.Lock()
-	text, floor := n.file, n.core.floor.Floor
-	version := n.version
-	due := len(text) > 0 && n.never == "" && time.Since(n.offered) > offerTime
+	text, floor := n.fileText, n.core.floor.Floor
+	version := n.fileVersion
+	due := len(text) > 0 && n.fileRefusal == "" && time.Since(n.lastOffer) > retryInterval
 	switch {
 	case due && version == 0:
-		n.never = "it has no version that can be read"
+		n.fileRefusal = "the document declares no version that can be read"
 	case due && version < floor.Version:
-		n.never = fmt.Sprintf("version %d is below %d, this node's floor", version, floor.Version)
+		n.fileRefusal = fmt.Sprintf("version %d is below %d, this node's floor", version, floor.Version)
 	case due && version == floor.Version:
 		set, err := n.cfg.Read(text)
 		if err != nil || set.Digest != floor.Digest {
-			n.never = fmt.Sprintf("version %d is in force with another meaning", version)
+			n.fileRefusal = fmt.Sprintf("version %d is in force with another meaning", version)
 		} else {
-			n.file = nil
+			n.fileText = nil
 		}
 	}
-	if n.never != "" && due {
-		n.log.Error("rules", "refusedForGood", version, "why", n.never)
+	if n.fileRefusal != "" && due {
+		n.log.Error("rules", "refusedForGood", version, "why", n.fileRefusal)
 	}
-	if !due || n.never != "" || n.file == nil {
-		n.publish()
+	if !due || n.fileRefusal != "" || n.fileText == nil {
+		n.publishStatus()
 		n.mu.Unlock()
 		return
 	}
-	n.offered = time.Now()
+	n.lastOffer = time.Now()
 	n.mu.Unlock()
 	holder, err := n.cfg.Voters.Holder()
 	if err != nil || holder == "" {
-		n.log.Info("rules", "pushing", version, "waits", cmp.Or(errText(err), "nobody holds the duty"))
+		n.log.Info("rules", "pushing", version, "waits", cmp.Or(errText(err), "no process holds the duty"))
 		return
 	}
 	m := Message{Kind: Offer, From: Peer{n.cfg.Name, n.cfg.Start}, To: Peer{Name: holder}, Version: version, Text: text}
 	var a Message
 	if holder == n.cfg.Name {
 		n.mu.Lock()
-		n.carryOut(n.core.Step(m))
-		a = n.own()
+		n.execute(n.core.Step(m))
+		a = n.flushOwnAnswer()
 		n.mu.Unlock()
 	} else if a, err = n.call(m); err != nil {
 		n.log.Info("rules", "pushing", version, "to", holder, "error", err)
@@ -573,33 +587,35 @@
 	n.log.Info("rules", "pushing", version, "to", holder, "answer", a.Answer.String(), "why", a.Why)
 	if a.Answer == No {
 		n.mu.Lock()
-		n.core.refused = []Refusal{{version, holder, short(a.Why)}}
-		n.publish()
+		n.core.refusals = []Refusal{{version, holder, shortReason(a.Why)}}
+		n.publishStatus()
 		n.mu.Unlock()
 	}
 	if a.Answer == Never {
 		n.mu.Lock()
-		n.never = a.Why
-		n.publish()
+		n.fileRefusal = a.Why
+		n.publishStatus()
 		n.mu.Unlock()
 		n.log.Error("rules", "refusedForGood", version, "why", a.Why)
 	}
 }
 
-// own takes the answer to a question of this process to itself out of the core's words, and sends the others.
-func (n *Node) own() (answer Message) {
-	out := n.core.Outbox()
+// flushOwnAnswer removes the answer to this process's own offer from the outbox and returns it, and sends the
+// other messages.
+func (n *Node) flushOwnAnswer() (answer Message) {
+	out := n.core.TakeOutbox()
 	for _, m := range out {
 		if m.Kind == Offer && m.Answer != Question {
 			answer = m
 		} else {
-			n.core.out = append(n.core.out, m)
+			n.core.outbox = append(n.core.outbox, m)
 		}
 	}
-	n.flush()
+	n.flushOutbox()
 	return answer
 }
 
+// errText returns the text of err, or nothing if it is nil.
 func errText(err error) string {
 	if err == nil {
 		return ""
@@ -607,7 +623,7 @@
 	return err.Error()
 }
 
-// String is an answer for people.
+// String returns the name of an answer for logs.
 func (a Answer) String() string {
 	return [...]string{"question", "yes", "no", "missing", "later", "never"}[min(int(a), 5)]
 }
