--- a/internal/duty/calls.go
+++ b/internal/duty/calls.go
@@ -5,36 +5,38 @@
 	"slices"
 )
 
-// service is what processes call at each other, by net/rpc.
-type service struct{ g *Group }
+// service has the methods that other processes call by net/rpc. The names of its methods and of the exported
+// fields of their arguments and replies are on the wire between processes of different builds.
+type service struct{ group *Group }
 
-// RenewArgs is what is asked for leases: tokens by duty.
+// RenewArgs requests leases for the duties that a process holds.
 type RenewArgs struct {
 	Name   string
 	Start  uint64
-	Tokens map[string]uint64 // by duty
+	Tokens map[string]uint64 // token of each holding, by duty
 }
 
-// RenewReply names the duties whose leases are renewed.
+// RenewReply names the duties whose leases were renewed.
 type RenewReply struct{ Granted []string }
 
-// ReleaseArgs are duties that their holder gives up.
+// ReleaseArgs lists duties that their holder gives up.
 type ReleaseArgs struct{ Given []Holding }
 
-// MoveArgs is a duty, and who is to have it.
+// MoveArgs names a duty and the process to move it to.
 type MoveArgs struct{ Duty, To string }
 
-// Standing is what a voter says of itself.
-type Standing struct {
-	ID    string // of its vote: another one after its disk was lost
-	Fresh bool   // it has no table yet
+// VoterStatus is the state of a voter as it reports it.
+type VoterStatus struct {
+	ID    string // its raft id, which changes when its disk was lost
+	Fresh bool   // its log is empty
 }
 
-// leading returns this process's voter while it leads.
-func (s *service) leading() (*voter, error) {
-	s.g.mu.Lock()
-	v := s.g.voter
-	s.g.mu.Unlock()
+// leadingVoter returns this process's voter if it leads, and otherwise an error that names the leader if it is
+// known.
+func (s *service) leadingVoter() (*voter, error) {
+	s.group.mu.Lock()
+	v := s.group.voter
+	s.group.mu.Unlock()
 	if v == nil {
 		return nil, errors.New(errNotLeader)
 	}
@@ -44,99 +46,99 @@
 	return v, nil
 }
 
-// Renew gives leases for as many of the duties as the caller still holds.
+// Renew grants leases for those of the duties that the caller still holds.
 func (s *service) Renew(args RenewArgs, reply *RenewReply) error {
-	v, err := s.leading()
+	v, err := s.leadingVoter()
 	if err != nil {
 		return err
 	}
-	reply.Granted, err = v.grant(args)
+	reply.Granted, err = v.renewLeases(args)
 	return err
 }
 
-// Release takes duties back from their holder.
+// Release frees duties that their holder gives up.
 func (s *service) Release(args ReleaseArgs, _ *struct{}) error {
-	v, err := s.leading()
+	v, err := s.leadingVoter()
 	if err != nil {
 		return err
 	}
 	return v.release(args.Given)
 }
 
-// EnterArgs is an entry under a duty.
+// EnterArgs is an entry to be made under a duty. It is also stored in the raft log.
 type EnterArgs struct {
 	Duty string
 	Entry
 }
 
-// EnterReply is the entry that stands, and why that is not the one asked for.
+// EnterReply is the entry that is valid after the call, and why the requested one was refused.
 type EnterReply struct {
 	Entry   Entry
 	Refused string
 }
 
-// Enter takes a holder's entry.
+// Enter commits a holder's entry.
 func (s *service) Enter(args EnterArgs, reply *EnterReply) error {
-	v, err := s.leading()
+	v, err := s.leadingVoter()
 	if err != nil {
 		return err
 	}
-	*reply, err = v.enter(args)
+	*reply, err = v.commitEntry(args)
 	return err
 }
 
-// Entered tells a duty's entry.
+// Entered returns a duty's last entry.
 func (s *service) Entered(duty string, reply *Entry) error {
-	v, err := s.leading()
+	v, err := s.leadingVoter()
 	if err != nil {
 		return err
 	}
-	*reply, err = v.entered(duty)
+	*reply, err = v.lastEntry(duty)
 	return err
 }
 
-// Move has a duty passed on.
+// Move moves a duty to another process.
 func (s *service) Move(args MoveArgs, _ *struct{}) error {
-	v, err := s.leading()
+	v, err := s.leadingVoter()
 	if err != nil {
 		return err
 	}
 	return v.move(args.Duty, args.To)
 }
 
-// Table tells who holds what.
+// Table returns the assignment of duties.
 func (s *service) Table(_ struct{}, reply *Table) error {
-	v, err := s.leading()
+	v, err := s.leadingVoter()
 	if err != nil {
 		return err
 	}
-	*reply, err = v.tell()
+	*reply, err = v.describe()
 	return err
 }
 
-// Given tells a process that a duty is its own now.
+// Given informs this process that a duty is assigned to it.
 func (s *service) Given(h Holding, _ *struct{}) error {
-	if h.Holder != s.g.cfg.Name || h.Start != s.g.cfg.Start || !slices.ContainsFunc(s.g.cfg.Duties, func(d Duty) bool { return d.Name == h.Duty }) {
-		return errors.New("that is for another process")
+	if h.Holder != s.group.cfg.Name || h.Start != s.group.cfg.Start || !slices.ContainsFunc(s.group.cfg.Duties, func(d Duty) bool { return d.Name == h.Duty }) {
+		return errors.New("the duty is assigned to another process")
 	}
-	s.g.given(h)
+	s.group.accept(h)
 	return nil
 }
 
 // Taken ends a duty at its holder.
 func (s *service) Taken(h Holding, _ *struct{}) error {
-	s.g.taken(h)
+	s.group.revoke(h)
 	return nil
 }
 
-// Who tells what a voter is.
-func (s *service) Who(_ struct{}, reply *Standing) error {
-	s.g.mu.Lock()
-	v := s.g.voter
-	s.g.mu.Unlock()
+// Who returns the state of this process's voter.
+func (s *service) Who(_ struct{}, reply *VoterStatus) error {
+	s.group.mu.Lock()
+	v := s.group.voter
+	s.group.mu.Unlock()
 	if v == nil {
-		return errors.New("no voter")
+		return errors.New("this process is not a voter")
 	}
-	*reply = v.who()
+	*reply = v.status()
 	return nil
 }
--- a/internal/duty/disk.go
+++ b/internal/duty/disk.go
@@ -14,52 +14,55 @@
 )
 
 const (
-	sectionLog      = "duty-log"      // by index
-	sectionStable   = "duty-stable"   // the library's term and vote
-	sectionSnapshot = "duty-snapshot" // only the last
-	keyLast         = "last"
-	retryDisk       = 100 * time.Millisecond
+	sectionLog         = "duty-log"      // entries of the raft log, by index
+	sectionStable      = "duty-stable"   // raft's term and vote
+	sectionSnapshot    = "duty-snapshot" // the last snapshot alone
+	keyLastSnapshot    = "last"
+	writeRetryInterval = 100 * time.Millisecond // between two attempts of a failed write
 )
 
-// disk is the library's log, votes and snapshots on a Storage. Reading never waits for a disk. What is to be written is written
-// again until it is durable: the library ends the process where it can't keep its word, and a vote that waits is merely slow.
-type disk struct {
-	keep Storage
+// raftStorage implements raft's log, stable and snapshot stores on a Storage. Reads are served from memory and
+// never wait for a disk. A failed write of the log, the term or the vote is repeated until it succeeds: raft
+// ends the process when such a write fails, whereas a vote that waits is only late.
+type raftStorage struct {
+	storage Storage
 
 	mu          sync.RWMutex
 	logs        map[uint64]*raft.Log
 	first, last uint64
 }
 
-func clearDisk(k Storage) error {
-	var bad []error
+// clearRaftStorage deletes everything that raft has stored.
+func clearRaftStorage(storage Storage) error {
+	var failures []error
 	for _, section := range []string{sectionLog, sectionStable, sectionSnapshot} {
-		for key := range k.All(section) {
-			bad = append(bad, k.Delete(section, key))
+		for key := range storage.All(section) {
+			failures = append(failures, storage.Delete(section, key))
 		}
 	}
-	return errors.Join(bad...)
+	return errors.Join(failures...)
 }
 
-func readDisk(k Storage) (*disk, error) {
-	d := &disk{keep: k, logs: make(map[uint64]*raft.Log)}
-	for key, raw := range k.All(sectionLog) {
+// readRaftStorage reads the stored log. A gap in it is an error.
+func readRaftStorage(storage Storage) (*raftStorage, error) {
+	d := &raftStorage{storage: storage, logs: make(map[uint64]*raft.Log)}
+	for key, raw := range storage.All(sectionLog) {
 		var l raft.Log
 		if err := json.Unmarshal(raw, &l); err != nil || strconv.FormatUint(l.Index, 10) != key {
-			return nil, fmt.Errorf("duty: entry %s of the log can't be read: %w", key, err)
+			return nil, fmt.Errorf("duty: entry %s of the raft log can't be read: %w", key, err)
 		}
-		d.enter(&l)
+		d.insert(&l)
 	}
 	for i := d.first; i < d.last; i++ {
 		if d.logs[i] == nil {
-			return nil, fmt.Errorf("duty: entry %d of the log is missing", i)
+			return nil, fmt.Errorf("duty: entry %d of the raft log is missing", i)
 		}
 	}
 	return d, nil
 }
 
-// enter takes an entry in. mu is held, or nobody else has d.
-func (d *disk) enter(l *raft.Log) {
+// insert adds an entry to the log in memory. The caller holds mu or has the only reference to d.
+func (d *raftStorage) insert(l *raft.Log) {
 	d.logs[l.Index] = l
 	if d.first == 0 || l.Index < d.first {
 		d.first = l.Index
@@ -67,32 +70,32 @@
 	d.last = max(d.last, l.Index)
 }
 
-// surely writes until it is durable.
-func surely(write func() error) {
+// retryUntilWritten repeats a write until it succeeds.
+func retryUntilWritten(write func() error) {
 	for write() != nil {
-		time.Sleep(retryDisk)
+		time.Sleep(writeRetryInterval)
 	}
 }
 
 // IsMonotonic implements raft.MonotonicLogStore: the log has no gaps.
-func (d *disk) IsMonotonic() bool { return true }
+func (d *raftStorage) IsMonotonic() bool { return true }
 
 // FirstIndex implements raft.LogStore.
-func (d *disk) FirstIndex() (uint64, error) {
+func (d *raftStorage) FirstIndex() (uint64, error) {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
 	return d.first, nil
 }
 
 // LastIndex implements raft.LogStore.
-func (d *disk) LastIndex() (uint64, error) {
+func (d *raftStorage) LastIndex() (uint64, error) {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
 	return d.last, nil
 }
 
 // GetLog implements raft.LogStore.
-func (d *disk) GetLog(index uint64, l *raft.Log) error {
+func (d *raftStorage) GetLog(index uint64, l *raft.Log) error {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
 	if d.logs[index] == nil {
@@ -103,32 +106,33 @@
 }
 
 // StoreLog implements raft.LogStore.
-func (d *disk) StoreLog(l *raft.Log) error { return d.StoreLogs([]*raft.Log{l}) }
+func (d *raftStorage) StoreLog(l *raft.Log) error { return d.StoreLogs([]*raft.Log{l}) }
 
 // StoreLogs implements raft.LogStore.
-func (d *disk) StoreLogs(logs []*raft.Log) error {
+func (d *raftStorage) StoreLogs(logs []*raft.Log) error {
 	for _, l := range logs {
-		own := *l
-		raw, err := json.Marshal(&own)
+		entry := *l
+		raw, err := json.Marshal(&entry)
 		if err != nil {
 			return err
 		}
-		surely(func() error { return d.keep.Put(sectionLog, strconv.FormatUint(l.Index, 10), raw) })
+		retryUntilWritten(func() error { return d.storage.Put(sectionLog, strconv.FormatUint(l.Index, 10), raw) })
 		d.mu.Lock()
-		d.enter(&own)
+		d.insert(&entry)
 		d.mu.Unlock()
 	}
 	return nil
 }
 
-// DeleteRange implements raft.LogStore. From the end backwards or from the start forwards, so that no gap is left at any moment.
-func (d *disk) DeleteRange(low, high uint64) error {
+// DeleteRange implements raft.LogStore. It deletes from the end backwards or from the start forwards, so that
+// the stored log never has a gap.
+func (d *raftStorage) DeleteRange(low, high uint64) error {
 	d.mu.RLock()
 	first, last := d.first, d.last
 	d.mu.RUnlock()
 	low, high = max(low, first), min(high, last)
-	drop := func(i uint64) {
-		surely(func() error { return d.keep.Delete(sectionLog, strconv.FormatUint(i, 10)) })
+	remove := func(i uint64) {
+		retryUntilWritten(func() error { return d.storage.Delete(sectionLog, strconv.FormatUint(i, 10)) })
 		d.mu.Lock()
 		defer d.mu.Unlock()
 		delete(d.logs, i)
@@ -146,38 +150,38 @@
 	}
 	if high == last {
 		for i := high; i >= low; i-- {
-			drop(i)
+			remove(i)
 		}
 		return nil
 	}
 	for i := low; i <= high; i++ {
-		drop(i)
+		remove(i)
 	}
 	return nil
 }
 
 // Set implements raft.StableStore.
-func (d *disk) Set(key, value []byte) error {
-	surely(func() error { return d.keep.Put(sectionStable, string(key), value) })
+func (d *raftStorage) Set(key, value []byte) error {
+	retryUntilWritten(func() error { return d.storage.Put(sectionStable, string(key), value) })
 	return nil
 }
 
 // Get implements raft.StableStore.
-func (d *disk) Get(key []byte) ([]byte, error) {
-	raw, ok := d.keep.Get(sectionStable, string(key))
+func (d *raftStorage) Get(key []byte) ([]byte, error) {
+	raw, ok := d.storage.Get(sectionStable, string(key))
 	if !ok {
-		return nil, errors.New("not found") // the library's word for that
+		return nil, errors.New("not found") // raft compares this text
 	}
 	return raw, nil
 }
 
 // SetUint64 implements raft.StableStore.
-func (d *disk) SetUint64(key []byte, value uint64) error {
+func (d *raftStorage) SetUint64(key []byte, value uint64) error {
 	return d.Set(key, strconv.AppendUint(nil, value, 10))
 }
 
 // GetUint64 implements raft.StableStore.
-func (d *disk) GetUint64(key []byte) (uint64, error) {
+func (d *raftStorage) GetUint64(key []byte) (uint64, error) {
 	raw, err := d.Get(key)
 	if err != nil {
 		return 0, err
@@ -185,52 +189,53 @@
 	return strconv.ParseUint(string(raw), 10, 64)
 }
 
-// snapshot is the last one.
-type snapshot struct {
+// storedSnapshot is a snapshot as it is stored. Its field names are part of the stored format.
+type storedSnapshot struct {
 	Meta raft.SnapshotMeta
 	Data []byte
 }
 
-// sink is a snapshot under way.
-type sink struct {
+// snapshotSink collects a snapshot and stores it when it is closed.
+type snapshotSink struct {
 	bytes.Buffer
-	disk *disk
-	meta raft.SnapshotMeta
-	over bool
+	storage *raftStorage
+	meta    raft.SnapshotMeta
+	ended   bool
 }
 
 // Create implements raft.SnapshotStore.
-func (d *disk) Create(version raft.SnapshotVersion, index, term uint64, c raft.Configuration, at uint64, _ raft.Transport) (raft.SnapshotSink, error) {
-	return &sink{disk: d, meta: raft.SnapshotMeta{
+func (d *raftStorage) Create(version raft.SnapshotVersion, index, term uint64, c raft.Configuration, at uint64, _ raft.Transport) (raft.SnapshotSink, error) {
+	return &snapshotSink{storage: d, meta: raft.SnapshotMeta{
 		Version: version, ID: fmt.Sprintf("%d-%d", term, index), Index: index, Term: term, Configuration: c, ConfigurationIndex: at,
 	}}, nil
 }
 
 // ID implements raft.SnapshotSink.
-func (s *sink) ID() string { return s.meta.ID }
+func (s *snapshotSink) ID() string { return s.meta.ID }
 
 // Cancel implements raft.SnapshotSink.
-func (s *sink) Cancel() error {
-	s.over = true
+func (s *snapshotSink) Cancel() error {
+	s.ended = true
 	return nil
 }
 
 // Close implements raft.SnapshotSink.
-func (s *sink) Close() error {
-	if s.over {
+func (s *snapshotSink) Close() error {
+	if s.ended {
 		return nil
 	}
-	s.over = true
+	s.ended = true
 	s.meta.Size = int64(s.Len())
-	raw, err := json.Marshal(snapshot{s.meta, s.Bytes()})
+	raw, err := json.Marshal(storedSnapshot{s.meta, s.Bytes()})
 	if err != nil {
 		return err
 	}
-	return s.disk.keep.Put(sectionSnapshot, keyLast, raw)
+	return s.storage.storage.Put(sectionSnapshot, keyLastSnapshot, raw)
 }
 
-func (d *disk) kept() (s snapshot, ok bool, err error) {
-	raw, ok := d.keep.Get(sectionSnapshot, keyLast)
+// lastSnapshot returns the stored snapshot; ok is false if there is none.
+func (d *raftStorage) lastSnapshot() (s storedSnapshot, ok bool, err error) {
+	raw, ok := d.storage.Get(sectionSnapshot, keyLastSnapshot)
 	if ok {
 		err = json.Unmarshal(raw, &s)
 	}
@@ -238,8 +243,8 @@
 }
 
 // List implements raft.SnapshotStore.
-func (d *disk) List() ([]*raft.SnapshotMeta, error) {
-	s, ok, err := d.kept()
+func (d *raftStorage) List() ([]*raft.SnapshotMeta, error) {
+	s, ok, err := d.lastSnapshot()
 	if !ok || err != nil {
 		return nil, err
 	}
@@ -247,13 +252,13 @@
 }
 
 // Open implements raft.SnapshotStore.
-func (d *disk) Open(id string) (*raft.SnapshotMeta, io.ReadCloser, error) {
-	s, ok, err := d.kept()
+func (d *raftStorage) Open(id string) (*raft.SnapshotMeta, io.ReadCloser, error) {
+	s, ok, err := d.lastSnapshot()
 	switch {
 	case err != nil:
 		return nil, nil, err
 	case !ok || s.Meta.ID != id:
-		return nil, nil, fmt.Errorf("duty: there is no snapshot %s", id)
+		return nil, nil, fmt.Errorf("duty: snapshot %s does not exist", id)
 	}
 	return &s.Meta, io.NopCloser(bytes.NewReader(s.Data)), nil
 }
--- a/internal/duty/duty.go
+++ b/internal/duty/duty.go
@@ -1,15 +1,19 @@
-// Package duty gives work that only one process of a fleet may do at a time to one process, and passes it on when that
-// one fails, on hashicorp/raft. docs/duties.md is its contract; in short:
+// Package duty assigns each duty, a piece of work that only one process of a fleet may do at a time, to one
+// process, and reassigns it when that process fails. It is built on hashicorp/raft. docs/duties.md is its
+// contract; in short:
 //
-//   - Of one duty, Holds is true at no two processes at one moment, whatever stands still, is cut off, or has lost its disk, as
-//     long as clocks run at rates that differ by less than drift. It reads this process's own monotonic clock at each call,
-//     so that a process that stood still finds out before it acts.
-//   - The token of a holding is higher than that of every one before it. Whoever takes a holder's word refuses lower tokens
-//     than it has seen (Fence).
-//   - A lost holder's duty is passed on within Lease*(1+drift), an election, and a beat, while a majority of voters lives.
+//   - Holds is never true for one duty at two processes at the same moment, whichever processes are paused,
+//     partitioned or have lost their disk, as long as the rates of their clocks differ by less than
+//     maxClockDrift. Holds reads this process's own monotonic clock at each call, so that a process that was
+//     paused notices it before it acts.
+//   - The token of a holding is higher than that of every earlier holding. A process that accepts a holder's
+//     messages refuses tokens lower than the highest it has seen (Fence).
+//   - While a majority of the voters lives, the duty of a lost holder is reassigned within
+//     Lease*(1+maxClockDrift), an election and a poll interval.
 //
-// The voters, three or five, keep the table of who holds what. The others only ask them. It knows processes by name, and reaches
-// them by what it is given (Transport); it keeps what must outlive a process by what it is given (Storage).
+// The voters, three or five processes, keep the table of holders in a replicated log; the other processes send
+// them requests. Processes are known by name. The transport between them and the storage that outlives a
+// process are passed in by Config.
 package duty
 
 import (
@@ -28,28 +32,28 @@
 )
 
 const (
-	drift     = 0.05 // clocks run at rates that differ by less than this
-	renewals  = 5    // in the time of a lease
-	beat      = 100 * time.Millisecond
-	callTime  = time.Second // of one call between processes
-	passTime  = 5 * beat    // a leader that ends passes on what it held first, for so long at most
-	callsMost = 32          // served at a time
-	dutyMost  = 64          // duties
+	maxClockDrift      = 0.05                   // the clock rates of any two processes differ by less than this fraction
+	renewalsPerLease   = 5                      // renewals of a lease in its duration
+	pollInterval       = 100 * time.Millisecond // between two checks of leases, and of duties at the leader
+	callTimeout        = time.Second            // for one call between processes
+	handOverTimeout    = 5 * pollInterval       // a leader that stops first reassigns what it held, for at most this long
+	maxConcurrentCalls = 32                     // calls served at the same time
+	maxDuties          = 64
 )
 
-// The kinds of streams between processes.
+// The kinds of network streams between processes.
 const (
 	RaftStream byte = 'R'
 	CallStream byte = 'D'
 )
 
-// Transport is how processes reach each other.
+// Transport opens and accepts network streams between processes.
 type Transport interface {
-	Listen(kind byte) net.Listener // streams of that kind that others open
+	Listen(kind byte) net.Listener // accepts the streams of that kind that other processes open
 	Dial(name string, kind byte, timeout time.Duration) (net.Conn, error)
 }
 
-// Storage keeps values over the end of a process. Put has returned nil only once the value is durable.
+// Storage stores values that outlive the process. Put returns nil only once the value is durable.
 type Storage interface {
 	Get(section, key string) ([]byte, bool)
 	All(section string) map[string][]byte
@@ -57,20 +61,21 @@
 	Delete(section, key string) error
 }
 
-// Candidate is a process that may hold duties.
+// Candidate is a process that may hold duties now.
 type Candidate struct {
 	Name  string
 	Zone  string
 	Start uint64
 }
 
-// Duty is work for one process at a time.
+// Duty is work that one process does at a time.
 type Duty struct {
 	Name string
-	Zone string // whose processes may hold it; empty: any
+	Zone string // only processes of this zone may hold it; empty: all may
 }
 
-// Config says who this process is. Voters, Duties and Lease are the same at all.
+// Config identifies this process and provides its environment. Voters, Duties and Lease must be the same at all
+// processes.
 type Config struct {
 	Name           string
 	Start          uint64 // higher than that of every earlier process of this name
@@ -79,15 +84,16 @@
 	Lease          time.Duration // 0: 3 s
 	Transport      Transport
 	Storage        Storage
-	StorageDamaged bool                 // what Storage had may be gone or wrong: this process is a new voter
-	Candidates     func() []Candidate   // that are fit now
-	Now            func() time.Duration // a clock that never goes back; nil: the process's
-	OnAcquired     func(duty string, token uint64)
-	OnLost         func(duty string)
+	StorageDamaged bool                            // some of the stored values may be lost or wrong: this process joins as a new voter
+	Candidates     func() []Candidate              // the processes that may hold duties now
+	Now            func() time.Duration            // a monotonic clock; nil: that of this process
+	OnAcquired     func(duty string, token uint64) // called after the first lease of a holding
+	OnLost         func(duty string)               // called when a holding that was acquired has ended
 	Log            *slog.Logger
 }
 
-// Holding is an entry of the table: who has a duty, and by what token.
+// Holding is a row of the table: a duty, its holder and the fencing token. Start tells the holder from earlier
+// processes of its name.
 type Holding struct {
 	Duty   string `json:"duty"`
 	Holder string `json:"holder"`
@@ -95,50 +101,54 @@
 	Token  uint64 `json:"token"`
 }
 
-// held is a duty that this process was given.
-type held struct {
+// heldDuty is a duty that was assigned to this process.
+type heldDuty struct {
 	Holding
-	until time.Duration // by the own clock; 0: there was no lease so far
-	begun bool          // OnAcquired was called, and OnLost was not
+	leaseEnd time.Duration // end of the lease by this process's clock; 0: no lease was granted yet
+	acquired bool          // OnAcquired was called, and OnLost was not yet
 }
 
-// Entry is a version that a duty's holder has entered for all, with the digest of what it means. Versions only grow, and one version
-// has one digest for ever. Its zero value is that of a duty whose holders have entered nothing.
+// Entry is a version that a duty's holder has entered for the whole fleet, with the digest of its meaning.
+// Versions only increase, and a version keeps its digest for ever. The zero Entry belongs to a duty under which
+// nothing was entered.
 type Entry struct {
-	Token   uint64 `json:"token"` // of the holder that entered it
+	Token   uint64 `json:"token"` // fencing token of the holder that entered it
 	Version uint64 `json:"version"`
 	Digest  string `json:"digest"`
 }
 
-// digestMost is how many bytes a digest may have.
-const digestMost = 128
+// maxDigestBytes is the maximum length of a digest.
+const maxDigestBytes = 128
 
-// Apply is the entry that stands after a holder has asked for another. It is refused where its token is not that of the duty's present
-// holding, its version is below the last, or the same with another digest. The same again changes nothing.
-func (e Entry) Apply(present uint64, n Entry) (Entry, error) {
+// Apply returns the entry that results when a holder submits proposed; current is the token of the duty's
+// present holding, or 0. Apply refuses proposed and returns e if its token is not current, if its version is
+// lower than e's, or if it has e's version with another digest. Submitting e's version and digest again changes
+// nothing.
+func (e Entry) Apply(current uint64, proposed Entry) (Entry, error) {
 	switch {
-	case present == 0 || n.Token != present:
-		return e, fmt.Errorf("token %d: the duty is held by %d", n.Token, present)
-	case n.Version == 0 || n.Digest == "" || len(n.Digest) > digestMost:
-		return e, fmt.Errorf("version %d with a digest of %d bytes is no entry", n.Version, len(n.Digest))
-	case n.Version < e.Version:
-		return e, fmt.Errorf("version %d is below %d, which is entered", n.Version, e.Version)
-	case n.Version == e.Version && n.Digest != e.Digest:
-		return e, fmt.Errorf("version %d is entered with another digest", n.Version)
-	case n.Version == e.Version:
+	case current == 0 || proposed.Token != current:
+		return e, fmt.Errorf("token %d: the duty is held by token %d", proposed.Token, current)
+	case proposed.Version == 0 || proposed.Digest == "" || len(proposed.Digest) > maxDigestBytes:
+		return e, fmt.Errorf("version %d with a digest of %d bytes is not an entry", proposed.Version, len(proposed.Digest))
+	case proposed.Version < e.Version:
+		return e, fmt.Errorf("version %d is below %d, which is entered", proposed.Version, e.Version)
+	case proposed.Version == e.Version && proposed.Digest != e.Digest:
+		return e, fmt.Errorf("version %d is entered with another digest", proposed.Version)
+	case proposed.Version == e.Version:
 		return e, nil
 	}
-	return n, nil
+	return proposed, nil
 }
 
-// ErrEntryRefused says that an entry was refused, and will be whenever it is tried again by that holding.
+// ErrEntryRefused reports a final refusal: the same entry will be refused again under the same holding.
 var ErrEntryRefused = errors.New("not entered")
 
-// CommitEntry enters a version under a duty that this process holds by that token; it is then agreed among the voters for ever. An error that
-// is no ErrEntryRefused leaves open whether it was entered: try again, or ask LastEntry.
+// CommitEntry enters a version under a duty that this process holds by token. Once it returns nil the voters
+// have agreed on the entry for ever. After any error but ErrEntryRefused it is open whether it was entered: try
+// again, or call LastEntry.
 func (g *Group) CommitEntry(duty string, token, version uint64, digest string) error {
 	var reply EnterReply
-	if err := g.ask("Enter", EnterArgs{duty, Entry{token, version, digest}}, &reply); err != nil {
+	if err := g.callLeader("Enter", EnterArgs{duty, Entry{token, version, digest}}, &reply); err != nil {
 		return err
 	}
 	if reply.Refused != "" {
@@ -147,28 +157,28 @@
 	return nil
 }
 
-// LastEntry is the entry under a duty as the voters have it. A holder that asks after it was given its token sees all that any earlier
-// holder could enter.
+// LastEntry returns the entry under a duty as the voters have it. A holder that calls it after it was given its
+// token sees every entry that earlier holders could make.
 func (g *Group) LastEntry(duty string) (e Entry, err error) {
-	err = g.ask("Entered", duty, &e)
+	err = g.callLeader("Entered", duty, &e)
 	return e, err
 }
 
-// Group is a process's part in its fleet's duties. Its methods are safe for concurrent use.
+// Group runs the part of one process in the duties of its fleet. Its methods are safe for concurrent use.
 type Group struct {
 	cfg Config
 	log *slog.Logger
 	now func() time.Duration
 
-	mu     sync.Mutex
-	mine   map[string]*held
-	leader string // the voter that is asked first
-	voter  *voter // nil: this process is none
-	places chan struct{}
-	hint   chan struct{} // there is something to renew
+	mu         sync.Mutex
+	held       map[string]*heldDuty
+	lastLeader string // the voter to call first
+	voter      *voter // nil: this process is not a voter
+	serveSlots chan struct{}
+	renewNow   chan struct{} // signals that a duty was assigned and needs its lease
 }
 
-// New makes a group, or names what can't be used.
+// New returns a group, or an error that names what is wrong with cfg.
 func New(cfg Config) (*Group, error) {
 	cfg.Lease = cmp.Or(cfg.Lease, 3*time.Second)
 	switch n := len(cfg.Voters); {
@@ -178,26 +188,27 @@
 		return nil, errors.New("duty: a voter is named twice")
 	case slices.ContainsFunc(cfg.Voters, func(v string) bool { return v == "" || strings.ContainsAny(v, "#\n ") }):
 		return nil, errors.New("duty: a voter's name is empty or has a blank or # in it")
-	case len(cfg.Duties) > dutyMost:
-		return nil, fmt.Errorf("duty: %d duties, %d are allowed", len(cfg.Duties), dutyMost)
+	case len(cfg.Duties) > maxDuties:
+		return nil, fmt.Errorf("duty: %d duties, %d are allowed", len(cfg.Duties), maxDuties)
 	case cfg.Lease < 500*time.Millisecond:
 		return nil, fmt.Errorf("duty: a lease of %v is under 500ms", cfg.Lease)
 	}
 	g := &Group{
-		cfg: cfg, log: cfg.Log, now: cfg.Now, mine: make(map[string]*held), leader: cfg.Voters[0],
-		places: make(chan struct{}, callsMost), hint: make(chan struct{}, 1),
+		cfg: cfg, log: cfg.Log, now: cfg.Now, held: make(map[string]*heldDuty), lastLeader: cfg.Voters[0],
+		serveSlots: make(chan struct{}, maxConcurrentCalls), renewNow: make(chan struct{}, 1),
 	}
 	if g.log == nil {
 		g.log = slog.Default()
 	}
 	if g.now == nil {
-		began := time.Now()
-		g.now = func() time.Duration { return time.Since(began) }
+		started := time.Now()
+		g.now = func() time.Duration { return time.Since(started) }
 	}
 	return g, nil
 }
 
-// Run takes part until ctx ends. Then it gives up what it holds, so that others have it at once.
+// Run takes part in the fleet's duties until ctx ends. It then gives up what this process holds, so that other
+// processes can take it over at once.
 func (g *Group) Run(ctx context.Context) {
 	var work sync.WaitGroup
 	serving, stop := context.WithCancel(context.Background())
@@ -216,33 +227,38 @@
 			work.Go(func() { v.run(serving) })
 		}
 	}
-	g.keep(ctx)
-	g.giveUp()
+	g.maintain(ctx)
+	g.releaseAll()
 }
 
-// Holds says whether this process holds a duty now, and by what token. Ask right before each act.
+// Holds reports whether this process holds a duty now, and by which token. Call it right before each act.
 func (g *Group) Holds(duty string) (token uint64, yes bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	h := g.mine[duty]
-	if h == nil || h.until == 0 || g.now() >= h.until {
+	h := g.held[duty]
+	if h == nil || h.leaseEnd == 0 || g.now() >= h.leaseEnd {
 		return 0, false
 	}
 	return h.Token, true
 }
 
-// leased is for how long a lease holds at its holder, from when it asked for it; free is when a duty may go to another, from
-// when a lease was last given. What lies between is for clocks that run at different rates.
-func (g *Group) leased() time.Duration { return time.Duration(float64(g.cfg.Lease) * (1 - drift)) }
+// holderLease is the time for which a holder may rely on a lease, counted from when it sent the request.
+func (g *Group) holderLease() time.Duration {
+	return time.Duration(float64(g.cfg.Lease) * (1 - maxClockDrift))
+}
 
-func (g *Group) free() time.Duration { return time.Duration(float64(g.cfg.Lease) * (1 + drift)) }
+// reassignDelay is the time after which a duty may go to another process, counted from when its lease was last
+// granted. It exceeds holderLease to allow for clocks that run at different rates.
+func (g *Group) reassignDelay() time.Duration {
+	return time.Duration(float64(g.cfg.Lease) * (1 + maxClockDrift))
+}
 
-// keep renews what this process holds, and ends what it no longer does, until ctx ends.
-func (g *Group) keep(ctx context.Context) {
-	tick := time.NewTicker(g.cfg.Lease / renewals)
-	defer tick.Stop()
-	check := time.NewTicker(beat)
-	defer check.Stop()
+// maintain renews the leases of this process and ends the duties whose lease has run out, until ctx ends.
+func (g *Group) maintain(ctx context.Context) {
+	renewTick := time.NewTicker(g.cfg.Lease / renewalsPerLease)
+	defer renewTick.Stop()
+	expiryTick := time.NewTicker(pollInterval)
+	defer expiryTick.Stop()
 	var renewing sync.WaitGroup
 	defer renewing.Wait()
 	busy := make(chan struct{}, 1)
@@ -251,13 +267,13 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-check.C:
-		case <-tick.C:
+		case <-expiryTick.C:
+		case <-renewTick.C:
 			renew = true
-		case <-g.hint:
+		case <-g.renewNow:
 			renew = true
 		}
-		g.expire()
+		g.endExpired()
 		if !renew {
 			continue
 		}
@@ -265,147 +281,149 @@
 		case busy <- struct{}{}:
 			renewing.Go(func() {
 				defer func() { <-busy }()
-				g.renew()
+				g.renewLeases()
 			})
 		default:
 		}
 	}
 }
 
-// expire ends what holds no more.
-func (g *Group) expire() {
+// endExpired ends the duties whose lease has run out.
+func (g *Group) endExpired() {
 	g.mu.Lock()
-	var over []string
-	for name, h := range g.mine {
-		if h.begun && g.now() >= h.until {
-			h.begun = false
-			over = append(over, name)
+	var expired []string
+	for name, h := range g.held {
+		if h.acquired && g.now() >= h.leaseEnd {
+			h.acquired = false
+			expired = append(expired, name)
 		}
 	}
 	g.mu.Unlock()
-	for _, name := range over {
+	for _, name := range expired {
 		g.log.Warn("duty", "ends", name, "why", "its lease was not renewed")
 		g.cfg.OnLost(name)
 	}
 }
 
-// renew asks the leader for all leases at once. They count from before the question.
-func (g *Group) renew() {
+// renewLeases requests the leases of all held duties in one call. They count from before the request was sent.
+func (g *Group) renewLeases() {
 	args := RenewArgs{Name: g.cfg.Name, Start: g.cfg.Start, Tokens: make(map[string]uint64)}
 	g.mu.Lock()
-	for name, h := range g.mine {
+	for name, h := range g.held {
 		args.Tokens[name] = h.Token
 	}
 	g.mu.Unlock()
 	if len(args.Tokens) == 0 {
 		return
 	}
-	asked := g.now()
+	requestedAt := g.now()
 	var reply RenewReply
-	if err := g.ask("Renew", args, &reply); err != nil {
+	if err := g.callLeader("Renew", args, &reply); err != nil {
 		g.log.Debug("duties", "error", err)
 		return
 	}
 	type change struct {
-		name  string
-		token uint64
-		begin bool
+		name     string
+		token    uint64
+		acquired bool
 	}
 	var changes []change
 	g.mu.Lock()
 	for name, token := range args.Tokens {
-		h := g.mine[name]
+		h := g.held[name]
 		if h == nil || h.Token != token {
-			continue // it is another one by now
+			continue // the duty was assigned again meanwhile
 		}
 		if slices.Contains(reply.Granted, name) {
-			h.until = asked + g.leased()
-			if !h.begun && g.now() < h.until {
-				h.begun = true
+			h.leaseEnd = requestedAt + g.holderLease()
+			if !h.acquired && g.now() < h.leaseEnd {
+				h.acquired = true
 				changes = append(changes, change{name, token, true})
 			}
 			continue
 		}
-		delete(g.mine, name)
-		if h.begun {
+		delete(g.held, name)
+		if h.acquired {
 			changes = append(changes, change{name: name})
 		}
 	}
 	g.mu.Unlock()
 	for _, c := range changes {
-		if c.begin {
+		if c.acquired {
 			g.log.Info("duty", "begins", c.name, "token", c.token)
 			g.cfg.OnAcquired(c.name, c.token)
 		} else {
-			g.log.Info("duty", "ends", c.name, "why", "another has it")
+			g.log.Info("duty", "ends", c.name, "why", "another process holds it")
 			g.cfg.OnLost(c.name)
 		}
 	}
 }
 
-// given takes that the voters have given this process a duty; the lease comes by asking.
-func (g *Group) given(h Holding) {
+// accept records that the voters have assigned a duty to this process. The duty is held only once its first
+// lease is granted.
+func (g *Group) accept(h Holding) {
 	g.mu.Lock()
-	old := g.mine[h.Duty]
-	news := old == nil || old.Token < h.Token
-	if news {
-		g.mine[h.Duty] = &held{Holding: h}
+	old := g.held[h.Duty]
+	newer := old == nil || old.Token < h.Token
+	if newer {
+		g.held[h.Duty] = &heldDuty{Holding: h}
 	}
-	ended := news && old != nil && old.begun
+	ended := newer && old != nil && old.acquired
 	g.mu.Unlock()
 	if ended {
 		g.cfg.OnLost(h.Duty)
 	}
 	select {
-	case g.hint <- struct{}{}:
+	case g.renewNow <- struct{}{}:
 	default:
 	}
 }
 
-// taken ends a duty at once, as it is to go to another, and says whether it is not held any more.
-func (g *Group) taken(h Holding) {
+// revoke ends a duty at once because it is to be moved to another process.
+func (g *Group) revoke(h Holding) {
 	g.mu.Lock()
-	mine := g.mine[h.Duty]
-	ended := mine != nil && mine.Token <= h.Token
-	begun := ended && mine.begun
+	current := g.held[h.Duty]
+	ended := current != nil && current.Token <= h.Token
+	acquired := ended && current.acquired
 	if ended {
-		delete(g.mine, h.Duty)
+		delete(g.held, h.Duty)
 	}
 	g.mu.Unlock()
-	if begun {
-		g.log.Info("duty", "ends", h.Duty, "why", "it is moved")
+	if acquired {
+		g.log.Info("duty", "ends", h.Duty, "why", "it was moved")
 		g.cfg.OnLost(h.Duty)
 	}
 }
 
-// giveUp gives up all that this process holds.
-func (g *Group) giveUp() {
+// releaseAll ends all duties that this process holds and reports that to the voters. If this process leads the
+// voters, it waits up to handOverTimeout until it has reassigned them.
+func (g *Group) releaseAll() {
 	g.mu.Lock()
-	mine := g.mine
-	g.mine = make(map[string]*held)
+	given := g.held
+	g.held = make(map[string]*heldDuty)
 	g.mu.Unlock()
 	args := ReleaseArgs{}
-	for _, name := range slices.Sorted(maps.Keys(mine)) {
-		if mine[name].begun {
+	for _, name := range slices.Sorted(maps.Keys(given)) {
+		if given[name].acquired {
 			g.cfg.OnLost(name)
 		}
-		args.Given = append(args.Given, mine[name].Holding)
+		args.Given = append(args.Given, given[name].Holding)
 	}
 	if len(args.Given) == 0 {
 		return
 	}
-	if err := g.ask("Release", args, &struct{}{}); err != nil {
-		g.log.Warn("duties", "error", err) // they pass on as their leases end
+	if err := g.callLeader("Release", args, &struct{}{}); err != nil {
+		g.log.Warn("duties", "error", err) // they are reassigned when their leases run out
 	}
 	g.mu.Lock()
 	v := g.voter
 	g.mu.Unlock()
-	for end := time.Now().Add(passTime); v != nil && v.leadsStill(args.Given) && time.Now().Before(end); {
-		time.Sleep(beat / 4) // this process passes on itself what it has given up
+	for deadline := time.Now().Add(handOverTimeout); v != nil && v.hasUnassigned(args.Given) && time.Now().Before(deadline); {
+		time.Sleep(pollInterval / 4) // this process, as the leader, reassigns what it has released
 	}
 }
 
-// DutyNames are all duties.
+// DutyNames returns the names of all duties.
 func (g *Group) DutyNames() (names []string) {
 	for _, d := range g.cfg.Duties {
 		names = append(names, d.Name)
@@ -413,71 +431,73 @@
 	return names
 }
 
-// Move has a duty passed on: to a process of that name, or to whichever is fit.
+// Move reassigns a duty to the process of the given name, or to any candidate if to is empty.
 func (g *Group) Move(duty, to string) error {
-	return g.ask("Move", MoveArgs{duty, to}, &struct{}{})
+	return g.callLeader("Move", MoveArgs{duty, to}, &struct{}{})
 }
 
-// Table is who holds what, as the leader has it.
+// Table is the assignment of duties as the leader has it.
 type Table struct {
 	Leader   string
-	Voters   []string // as the voters have them
+	Voters   []string // ids of the present voters
 	Holdings []Holding
-	Ages     map[string]time.Duration // since a lease was last given, by duty
+	Ages     map[string]time.Duration // by duty: time since a lease was last granted
 }
 
-// Table asks for the table.
+// Table returns the present assignment of duties from the leader.
 func (g *Group) Table() (t Table, err error) {
-	err = g.ask("Table", struct{}{}, &t)
+	err = g.callLeader("Table", struct{}{}, &t)
 	return t, err
 }
 
-// errNotLeader is what a voter answers that does not lead.
+// errNotLeader begins the error of a voter that does not lead. The name of the leader follows, if it is known.
+// Callers in other processes compare this text.
 const errNotLeader = "not the leader; "
 
-// ask asks the leader, wherever it is now.
-func (g *Group) ask(method string, args, reply any) error {
+// callLeader calls a method of the leading voter. It begins with the last known leader and follows the names in
+// errors until each voter was tried once.
+func (g *Group) callLeader(method string, args, reply any) error {
 	g.mu.Lock()
-	next := g.leader
+	next := g.lastLeader
 	g.mu.Unlock()
-	var bad error
-	rest := slices.Clone(g.cfg.Voters)
+	var failures error
+	untried := slices.Clone(g.cfg.Voters)
 	for tries := 0; tries <= len(g.cfg.Voters) && next != ""; tries++ {
 		err := g.call(next, method, args, reply)
 		if err == nil {
 			g.mu.Lock()
-			g.leader = next
+			g.lastLeader = next
 			g.mu.Unlock()
 			return nil
 		}
-		rest = slices.DeleteFunc(rest, func(v string) bool { return v == next })
-		hint, other := strings.CutPrefix(err.Error(), errNotLeader)
-		bad = errors.Join(bad, fmt.Errorf("%s: %w", next, err))
+		untried = slices.DeleteFunc(untried, func(v string) bool { return v == next })
+		hint, redirected := strings.CutPrefix(err.Error(), errNotLeader)
+		failures = errors.Join(failures, fmt.Errorf("%s: %w", next, err))
 		switch {
-		case other && slices.Contains(rest, hint):
+		case redirected && slices.Contains(untried, hint):
 			next = hint
-		case !other && errors.As(err, new(rpc.ServerError)):
-			return err // the leader says no
-		case len(rest) > 0:
-			next = rest[0]
+		case !redirected && errors.As(err, new(rpc.ServerError)):
+			return err // the leader itself refused
+		case len(untried) > 0:
+			next = untried[0]
 		default:
 			next = ""
 		}
 	}
-	return bad
+	return failures
 }
 
-// call makes one call at one process.
+// call makes one call to the process of that name.
 func (g *Group) call(name, method string, args, reply any) error {
 	if name == g.cfg.Name {
-		return g.own(method, args, reply)
+		return g.callSelf(method, args, reply)
 	}
-	c, err := g.cfg.Transport.Dial(name, CallStream, callTime)
+	c, err := g.cfg.Transport.Dial(name, CallStream, callTimeout)
 	if err != nil {
 		return err
 	}
 	defer c.Close()
-	if err := c.SetDeadline(time.Now().Add(callTime)); err != nil {
+	if err := c.SetDeadline(time.Now().Add(callTimeout)); err != nil {
 		return err
 	}
 	client := rpc.NewClient(c)
@@ -485,26 +505,27 @@
 	return client.Call("Duty."+method, args, reply)
 }
 
-// own makes a call at this process itself.
-func (g *Group) own(method string, args, reply any) error {
+// callSelf makes a call to this process itself.
+func (g *Group) callSelf(method string, args, reply any) error {
 	here, there := net.Pipe()
 	defer here.Close()
-	go g.answer(there)
+	go g.serveConn(there)
 	client := rpc.NewClient(here)
 	defer client.Close()
 	return client.Call("Duty."+method, args, reply)
 }
 
-// answer serves the calls of one stream.
-func (g *Group) answer(c net.Conn) {
+// serveConn serves the calls of one stream.
+func (g *Group) serveConn(c net.Conn) {
 	server := rpc.NewServer()
 	if err := server.RegisterName("Duty", &service{g}); err != nil {
-		panic(err) // of methods that the compiler has seen
+		panic(err) // can't happen: the methods have the form that net/rpc requires
 	}
 	server.ServeConn(c)
 }
 
-// serve answers the calls of others, some at a time, until ctx ends.
+// serve answers calls of other processes until ctx ends. A call beyond the limit of concurrent calls is closed
+// at once.
 func (g *Group) serve(ctx context.Context, l net.Listener, work *sync.WaitGroup) {
 	stop := context.AfterFunc(ctx, func() { l.Close() })
 	defer stop()
@@ -514,11 +535,11 @@
 			return
 		}
 		select {
-		case g.places <- struct{}{}:
+		case g.serveSlots <- struct{}{}:
 			work.Go(func() {
-				defer func() { <-g.places }()
-				_ = c.SetDeadline(time.Now().Add(2 * callTime)) // it fails on a closed one, as reading does
-				g.answer(c)
+				defer func() { <-g.serveSlots }()
+				_ = c.SetDeadline(time.Now().Add(2 * callTimeout)) // an error means that c is closed, which reading reports too
+				g.serveConn(c)
 			})
 		default:
 			c.Close()
@@ -526,36 +547,38 @@
 	}
 }
 
-// Fence tells words of holders that are of use from those of earlier ones. Its zero value knows of none.
+// Fence refuses messages of earlier holders of a duty. Its zero value, with Storage set, has seen no token.
 type Fence struct {
 	Storage Storage
 	mu      sync.Mutex
-	high    map[string]uint64
+	highest map[string]uint64
 }
 
+// sectionFence has the highest token by duty.
 const sectionFence = "fence"
 
-// Admit says whether a token is no lower than any before it; a higher one is durable before it returns true.
+// Admit reports whether token is no lower than any token seen before for the duty. A higher token is durable
+// before Admit returns true.
 func (f *Fence) Admit(duty string, token uint64) (bool, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	high, ok := f.high[duty]
-	if raw, kept := f.Storage.Get(sectionFence, duty); !ok && kept {
-		if _, err := fmt.Sscan(string(raw), &high); err != nil {
+	highest, ok := f.highest[duty]
+	if raw, found := f.Storage.Get(sectionFence, duty); !ok && found {
+		if _, err := fmt.Sscan(string(raw), &highest); err != nil {
 			return false, fmt.Errorf("duty: the fence of %s can't be read: %w", duty, err)
 		}
 	}
 	switch {
-	case token < high:
+	case token < highest:
 		return false, nil
-	case token > high:
+	case token > highest:
 		if err := f.Storage.Put(sectionFence, duty, fmt.Append(nil, token)); err != nil {
 			return false, err
 		}
 	}
-	if f.high == nil {
-		f.high = make(map[string]uint64)
+	if f.highest == nil {
+		f.highest = make(map[string]uint64)
 	}
-	f.high[duty] = token
+	f.highest[duty] = token
 	return true, nil
 }
--- a/internal/duty/duty_test.go
+++ b/internal/duty/duty_test.go
@@ -18,61 +18,63 @@
 	"time"
 )
 
-var seeds = flag.Int("seeds", 10, "runs of the test of random faults")
+var seedCount = flag.Int("seeds", 10, "seeds that the test of random faults runs")
 
-// mesh is a network in memory.
-type mesh struct {
-	mu    sync.Mutex
-	rng   *rand.Rand
-	ends  map[string]chan net.Conn // by process, incarnation aside, and kind
-	cut   func(from, to string) bool
-	conns map[net.Conn][2]string
+// network is a network in memory with random delays. Connections between two processes can be cut.
+type network struct {
+	mu        sync.Mutex
+	rng       *rand.Rand
+	listeners map[string]chan net.Conn // by process name and kind of stream
+	isCut     func(from, to string) bool
+	conns     map[net.Conn][2]string
 }
 
-func newMesh(seed uint64) *mesh {
-	return &mesh{rng: rand.New(rand.NewPCG(seed, 1)), ends: make(map[string]chan net.Conn), cut: func(_, _ string) bool { return false }, conns: make(map[net.Conn][2]string)}
+func newNetwork(seed uint64) *network {
+	return &network{rng: rand.New(rand.NewPCG(seed, 1)), listeners: make(map[string]chan net.Conn), isCut: func(_, _ string) bool { return false }, conns: make(map[net.Conn][2]string)}
 }
 
-// set changes what is cut. Streams across a cut end.
-func (m *mesh) set(cut func(from, to string) bool) {
+// setCut sets which connections are cut, and closes the streams across them. A connection is cut if cut is true
+// for either direction.
+func (m *network) setCut(cut func(from, to string) bool) {
 	m.mu.Lock()
-	m.cut = cut
-	var bad []net.Conn
+	m.isCut = cut
+	var severed []net.Conn
 	for c, ends := range m.conns {
 		if cut(ends[0], ends[1]) || cut(ends[1], ends[0]) {
-			bad = append(bad, c)
+			severed = append(severed, c)
 			delete(m.conns, c)
 		}
 	}
 	m.mu.Unlock()
-	for _, c := range bad {
+	for _, c := range severed {
 		c.Close()
 	}
 }
 
-// wire is one process's end of a mesh.
-type wire struct {
-	m    *mesh
+// endpoint is the Transport of one process.
+type endpoint struct {
+	net  *network
 	name string
 }
 
-type listener struct {
-	w     wire
+// memListener accepts the streams of one kind at one process.
+type memListener struct {
+	w     endpoint
 	key   string
 	ready chan net.Conn
 	done  chan struct{}
 	once  sync.Once
 }
 
-func (w wire) Listen(kind byte) net.Listener {
-	l := &listener{w: w, key: w.name + string(kind), ready: make(chan net.Conn), done: make(chan struct{})}
-	w.m.mu.Lock()
-	defer w.m.mu.Unlock()
-	w.m.ends[l.key] = l.ready
+func (w endpoint) Listen(kind byte) net.Listener {
+	l := &memListener{w: w, key: w.name + string(kind), ready: make(chan net.Conn), done: make(chan struct{})}
+	w.net.mu.Lock()
+	defer w.net.mu.Unlock()
+	w.net.listeners[l.key] = l.ready
 	return l
 }
 
-func (l *listener) Accept() (net.Conn, error) {
+func (l *memListener) Accept() (net.Conn, error) {
 	select {
 	case c := <-l.ready:
 		return c, nil
@@ -81,25 +83,25 @@
 	}
 }
 
-func (l *listener) Close() error {
+func (l *memListener) Close() error {
 	l.once.Do(func() {
 		close(l.done)
-		l.w.m.mu.Lock()
-		defer l.w.m.mu.Unlock()
-		if l.w.m.ends[l.key] == l.ready {
-			delete(l.w.m.ends, l.key)
+		l.w.net.mu.Lock()
+		defer l.w.net.mu.Unlock()
+		if l.w.net.listeners[l.key] == l.ready {
+			delete(l.w.net.listeners, l.key)
 		}
 	})
 	return nil
 }
 
-func (l *listener) Addr() net.Addr { return address(l.key) }
+func (l *memListener) Addr() net.Addr { return voterAddr(l.key) }
 
-func (w wire) Dial(name string, kind byte, timeout time.Duration) (net.Conn, error) {
-	w.m.mu.Lock()
-	end, cut := w.m.ends[name+string(kind)], w.m.cut(w.name, name) || w.m.cut(name, w.name)
-	wait := time.Duration(w.m.rng.Int64N(int64(5 * time.Millisecond)))
-	w.m.mu.Unlock()
+func (w endpoint) Dial(name string, kind byte, timeout time.Duration) (net.Conn, error) {
+	w.net.mu.Lock()
+	end, cut := w.net.listeners[name+string(kind)], w.net.isCut(w.name, name) || w.net.isCut(name, w.name)
+	wait := time.Duration(w.net.rng.Int64N(int64(5 * time.Millisecond)))
+	w.net.mu.Unlock()
 	if cut {
 		time.Sleep(timeout)
 		return nil, errors.New("timed out")
@@ -114,39 +116,39 @@
 	case <-time.After(timeout):
 		return nil, errors.New("timed out")
 	}
-	w.m.mu.Lock()
-	defer w.m.mu.Unlock()
-	w.m.conns[here] = [2]string{w.name, name}
+	w.net.mu.Lock()
+	defer w.net.mu.Unlock()
+	w.net.conns[here] = [2]string{w.name, name}
 	return here, nil
 }
 
-// memory is a Storage in memory: a disk that outlives processes.
-type memory struct {
-	mu   sync.Mutex
-	all  map[string]map[string][]byte
-	fail int // so many writes fail
+// memStorage is a Storage in memory that outlives the processes using it, like a disk.
+type memStorage struct {
+	mu         sync.Mutex
+	all        map[string]map[string][]byte
+	failWrites int // number of writes that will fail
 }
 
-func newMemory() *memory { return &memory{all: make(map[string]map[string][]byte)} }
+func newMemStorage() *memStorage { return &memStorage{all: make(map[string]map[string][]byte)} }
 
-func (k *memory) Get(section, key string) ([]byte, bool) {
+func (k *memStorage) Get(section, key string) ([]byte, bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	v, ok := k.all[section][key]
 	return v, ok
 }
 
-func (k *memory) All(section string) map[string][]byte {
+func (k *memStorage) All(section string) map[string][]byte {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return maps.Clone(k.all[section])
 }
 
-func (k *memory) Put(section, key string, value []byte) error {
+func (k *memStorage) Put(section, key string, value []byte) error {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if k.fail > 0 {
-		k.fail--
+	if k.failWrites > 0 {
+		k.failWrites--
 		return errors.New("no space")
 	}
 	if k.all[section] == nil {
@@ -156,62 +158,64 @@
 	return nil
 }
 
-func (k *memory) Delete(section, key string) error {
+func (k *memStorage) Delete(section, key string) error {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	delete(k.all[section], key)
 	return nil
 }
 
-// node is a process.
+// node is a running process.
 type node struct {
 	*Group
 	stop  context.CancelFunc
 	ended chan struct{}
 }
 
-// fleet is processes n0 to n5, of which the first three vote, with two duties: one of the fleet, one of zone a.
-type fleet struct {
-	t     *testing.T
-	m     *mesh
-	disks map[string]*memory
-	live  map[string]*node
-	rates map[string]float64 // of the clocks
-	start uint64
+// testFleet is the processes n0 to n5, of which the first three are voters, with two duties: "ask", which all
+// may hold, and "warden", for processes of zone a.
+type testFleet struct {
+	t          *testing.T
+	net        *network
+	disks      map[string]*memStorage
+	live       map[string]*node
+	clockDrift map[string]float64 // by process: relative error of its clock's rate
+	lastStart  uint64
 
-	mu     sync.Mutex
-	unfit  string            // nobody takes this one for fit
-	begun  map[string]string // who was told to begin, and not to end, by duty and process
-	high   map[string]uint64
-	acts   map[string]int // how often duties were held when they were looked at, by holder
-	broken []string
+	mu         sync.Mutex
+	unfit      string            // name of a process that is no candidate
+	acquired   map[string]string // callbacks: duties that were acquired and not lost, by duty and process
+	maxToken   map[string]uint64 // highest token seen, by duty
+	holdCounts map[string]int    // how often a duty was seen held, by duty and holder
+	violations []string
 }
 
-const lease = 2 * time.Second
+const testLease = 2 * time.Second
 
-func newFleet(t *testing.T, seed uint64) *fleet {
-	return &fleet{
-		t: t, m: newMesh(seed), disks: make(map[string]*memory), live: make(map[string]*node), rates: make(map[string]float64),
-		begun: make(map[string]string), high: make(map[string]uint64), acts: make(map[string]int),
+func newTestFleet(t *testing.T, seed uint64) *testFleet {
+	return &testFleet{
+		t: t, net: newNetwork(seed), disks: make(map[string]*memStorage), live: make(map[string]*node), clockDrift: make(map[string]float64),
+		acquired: make(map[string]string), maxToken: make(map[string]uint64), holdCounts: make(map[string]int),
 	}
 }
 
 var voters = []string{"n0", "n1", "n2"}
 
-func (f *fleet) begin(name string, lost bool) *node {
+// startNode starts a process on its disk, or on an empty one if lost.
+func (f *testFleet) startNode(name string, lost bool) *node {
 	f.t.Helper()
-	f.start++
+	f.lastStart++
 	if f.disks[name] == nil || lost {
-		f.disks[name] = newMemory()
+		f.disks[name] = newMemStorage()
 	}
-	began, rate := time.Now(), 1+f.rates[name]
-	start := f.start
+	started, rate := time.Now(), 1+f.clockDrift[name]
+	start := f.lastStart
 	c := Config{
-		Name: name, Start: start, Voters: voters, Lease: lease, Duties: []Duty{{Name: "ask"}, {Name: "warden", Zone: "a"}},
-		Transport: wire{f.m, name}, Storage: f.disks[name], Candidates: f.candidates, Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
-		Now:        func() time.Duration { return time.Hour + time.Duration(float64(time.Since(began))*rate) },
-		OnAcquired: func(duty string, token uint64) { f.told(duty, name, true, token) },
-		OnLost:     func(duty string) { f.told(duty, name, false, 0) },
+		Name: name, Start: start, Voters: voters, Lease: testLease, Duties: []Duty{{Name: "ask"}, {Name: "warden", Zone: "a"}},
+		Transport: endpoint{f.net, name}, Storage: f.disks[name], Candidates: f.candidates, Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
+		Now:        func() time.Duration { return time.Hour + time.Duration(float64(time.Since(started))*rate) },
+		OnAcquired: func(duty string, token uint64) { f.recordCallback(duty, name, true, token) },
+		OnLost:     func(duty string) { f.recordCallback(duty, name, false, 0) },
 	}
 	g, err := New(c)
 	if err != nil {
@@ -227,22 +231,24 @@
 	return n
 }
 
-// told checks that a process is told to begin and to end in turn.
-func (f *fleet) told(duty, name string, begin bool, token uint64) {
+// recordCallback checks that OnAcquired and OnLost alternate at each process.
+func (f *testFleet) recordCallback(duty, name string, begin bool, token uint64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	_, had := f.begun[duty+name]
+	_, had := f.acquired[duty+name]
 	if begin == had {
-		f.broken = append(f.broken, fmt.Sprintf("%s is told of %s: begin %v, though it had begun %v", name, duty, begin, had))
+		f.violations = append(f.violations, fmt.Sprintf("%s, duty %s: callback acquired=%v, while acquired was %v", name, duty, begin, had))
 	}
 	if begin {
-		f.begun[duty+name] = name
+		f.acquired[duty+name] = name
 	} else {
-		delete(f.begun, duty+name)
+		delete(f.acquired, duty+name)
 	}
 }
 
-func (f *fleet) candidates() (all []Candidate) {
+// candidates returns all running processes but unfit. Names with an even number are of zone a, the others of
+// zone b.
+func (f *testFleet) candidates() (all []Candidate) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for name, n := range f.live {
@@ -255,16 +261,16 @@
 	return all
 }
 
-// stop ends a process as a planned stop does; kill ends it with its streams, and what it holds not given up.
-func (f *fleet) stop(name string) {
+// stop ends a process gracefully.
+func (f *testFleet) stop(name string) {
 	n := f.live[name]
-	f.forget(name)
+	f.removeLive(name)
 	n.stop()
-	f.await(n)
+	f.waitEnded(n)
 }
 
-// await watches until a process has ended.
-func (f *fleet) await(n *node) {
+// waitEnded watches the fleet until a process has ended.
+func (f *testFleet) waitEnded(n *node) {
 	for {
 		select {
 		case <-n.ended:
@@ -275,43 +281,46 @@
 	}
 }
 
-func (f *fleet) forget(name string) {
+// removeLive removes a process from the candidates and from what watch checks.
+func (f *testFleet) removeLive(name string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	delete(f.live, name)
 }
 
-func (f *fleet) kill(name string) {
+// kill ends a process whose connections were cut first, so that it can't release what it holds.
+func (f *testFleet) kill(name string) {
 	n := f.live[name]
-	f.forget(name)
-	f.m.mu.Lock()
-	was := f.m.cut
-	f.m.mu.Unlock()
-	f.m.set(func(a, b string) bool { return a == name || b == name || was(a, b) }) // so that its last words are not heard
+	f.removeLive(name)
+	f.net.mu.Lock()
+	before := f.net.isCut
+	f.net.mu.Unlock()
+	f.net.setCut(func(a, b string) bool { return a == name || b == name || before(a, b) }) // so that its last messages do not arrive
 	n.stop()
-	f.await(n)
-	f.m.set(was)
+	f.waitEnded(n)
+	f.net.setCut(before)
 }
 
-// watch looks for so long, every few ms, at who holds what: never two at once, and tokens only grow.
-func (f *fleet) watch(d time.Duration) {
+// watch checks the fleet every few milliseconds for a duration: a duty must never be held twice, and its tokens
+// must not decrease.
+func (f *testFleet) watch(d time.Duration) {
 	for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(7 * time.Millisecond) {
 		for _, duty := range []string{"ask", "warden"} {
 			holder := ""
-			for name, n := range f.all() {
+			for name, n := range f.liveNodes() {
 				token, yes := n.Holds(duty)
 				if !yes {
 					continue
 				}
 				f.mu.Lock()
 				if holder != "" {
-					f.broken = append(f.broken, fmt.Sprintf("%s is held by %s and %s", duty, holder, name))
+					f.violations = append(f.violations, fmt.Sprintf("%s is held by %s and %s", duty, holder, name))
 				}
-				if token < f.high[duty] {
-					f.broken = append(f.broken, fmt.Sprintf("%s has token %d, after %d", duty, token, f.high[duty]))
+				if token < f.maxToken[duty] {
+					f.violations = append(f.violations, fmt.Sprintf("%s has token %d, after %d", duty, token, f.maxToken[duty]))
 				}
-				f.high[duty] = token
-				f.acts[duty+" "+name]++
+				f.maxToken[duty] = token
+				f.holdCounts[duty+" "+name]++
 				f.mu.Unlock()
 				holder = name
 			}
@@ -319,100 +328,103 @@
 	}
 }
 
-func (f *fleet) all() map[string]*node {
+// liveNodes returns the running processes by name.
+func (f *testFleet) liveNodes() map[string]*node {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return maps.Clone(f.live)
 }
 
-// holder waits until a duty is held, and says by whom and how long that took.
-func (f *fleet) holder(duty string, within time.Duration) (string, time.Duration) {
+// waitForHolder waits until a duty is held, and returns the holder and how long that took.
+func (f *testFleet) waitForHolder(duty string, within time.Duration) (string, time.Duration) {
 	f.t.Helper()
 	for began := time.Now(); time.Since(began) < within; f.watch(10 * time.Millisecond) {
-		for name, n := range f.all() {
+		for name, n := range f.liveNodes() {
 			if _, yes := n.Holds(duty); yes {
 				return name, time.Since(began)
 			}
 		}
 	}
-	f.t.Fatalf("nobody holds %s after %v", duty, within)
+	f.t.Fatalf("no process holds %s after %v", duty, within)
 	return "", 0
 }
 
-func (f *fleet) end() {
-	f.m.set(func(_, _ string) bool { return false })
-	for name := range f.all() {
+// stopAll ends the cuts, stops all processes and reports the first violations.
+func (f *testFleet) stopAll() {
+	f.net.setCut(func(_, _ string) bool { return false })
+	for name := range f.liveNodes() {
 		f.stop(name)
 	}
-	f.m.set(func(_, _ string) bool { return true }) // pooled streams end
+	f.net.setCut(func(_, _ string) bool { return true }) // ends pooled streams
 	time.Sleep(10 * time.Second)
-	for _, b := range f.broken[:min(5, len(f.broken))] {
+	for _, b := range f.violations[:min(5, len(f.violations))] {
 		f.t.Error(b)
 	}
 }
 
-// play plays something with a fleet of six.
-func play(t *testing.T, seed uint64, what func(t *testing.T, f *fleet)) {
+// runFleet runs a test with a fleet of six whose clocks differ by up to maxClockDrift, in synthetic time.
+func runFleet(t *testing.T, seed uint64, test func(t *testing.T, f *testFleet)) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newFleet(t, seed)
-		defer f.end()
+		f := newTestFleet(t, seed)
+		defer f.stopAll()
 		for i := range 6 {
 			name := fmt.Sprint("n", i)
-			f.rates[name] = (f.m.rng.Float64() - 0.5) * drift // clocks that differ
-			f.begin(name, false)
+			f.clockDrift[name] = (f.net.rng.Float64() - 0.5) * maxClockDrift // within the drift that is allowed
+			f.startNode(name, false)
 		}
-		what(t, f)
+		test(t, f)
 	})
 }
 
-func TestHardCases(t *testing.T) {
-	for what, c := range map[string]func(t *testing.T, f *fleet){
-		"a holder is killed": func(t *testing.T, f *fleet) {
+// A duty moves to another process within its time limit in each of these failures, and is never held twice.
+func TestFailover(t *testing.T) {
+	for what, c := range map[string]func(t *testing.T, f *testFleet){
+		"the holder is killed": func(t *testing.T, f *testFleet) {
 			for range 4 {
-				who, _ := f.holder("ask", 20*time.Second)
+				who, _ := f.waitForHolder("ask", 20*time.Second)
 				voter := slices.Contains(voters, who)
 				f.kill(who)
-				next, took := f.holder("ask", 20*time.Second)
-				t.Logf("%s (voter %v) is killed: %s has it after %v", who, voter, next, took)
-				if next == who || took > lease*2+3*time.Second {
-					t.Errorf("%s has it after %v", next, took)
+				next, took := f.waitForHolder("ask", 20*time.Second)
+				t.Logf("%s (voter %v) is killed: %s holds it after %v", who, voter, next, took)
+				if next == who || took > testLease*2+3*time.Second {
+					t.Errorf("%s holds it after %v", next, took)
 				}
-				f.begin(who, false)
+				f.startNode(who, false)
 				f.watch(5 * time.Second)
 			}
 		},
-		"a planned stop": func(t *testing.T, f *fleet) {
-			who, _ := f.holder("ask", 20*time.Second)
+		"the holder stops gracefully": func(t *testing.T, f *testFleet) {
+			who, _ := f.waitForHolder("ask", 20*time.Second)
 			f.watch(3 * time.Second)
 			f.stop(who)
-			next, took := f.holder("ask", 20*time.Second)
-			if took > lease && !slices.Contains(voters, who) {
-				t.Errorf("%s has it after %v", next, took)
+			next, took := f.waitForHolder("ask", 20*time.Second)
+			if took > testLease && !slices.Contains(voters, who) {
+				t.Errorf("%s holds it after %v", next, took)
 			}
-			t.Logf("%s stops: %s has it after %v", who, next, took)
+			t.Logf("%s stops: %s holds it after %v", who, next, took)
 		},
-		"a holder is cut off": func(t *testing.T, f *fleet) {
-			who, _ := f.holder("warden", 20*time.Second)
-			f.m.set(func(a, b string) bool { return a == who || b == who })
+		"the holder is partitioned": func(t *testing.T, f *testFleet) {
+			who, _ := f.waitForHolder("warden", 20*time.Second)
+			f.net.setCut(func(a, b string) bool { return a == who || b == who })
 			f.unfit = who
 			began := time.Now()
 			next := who
 			for next == who || next == "" {
 				f.watch(10 * time.Millisecond)
 				next = ""
-				for name, n := range f.all() {
+				for name, n := range f.liveNodes() {
 					if _, yes := n.Holds("warden"); yes {
 						next = name
 					}
 				}
 				if time.Since(began) > 20*time.Second {
-					t.Fatal("nobody else has it")
+					t.Fatal("no other process takes over the duty")
 				}
 			}
-			t.Logf("%s is cut off: %s has it after %v", who, next, time.Since(began))
+			t.Logf("%s is partitioned: %s holds it after %v", who, next, time.Since(began))
 		},
-		"moved by hand": func(t *testing.T, f *fleet) {
-			who, _ := f.holder("ask", 20*time.Second)
+		"a move by an operator": func(t *testing.T, f *testFleet) {
+			who, _ := f.waitForHolder("ask", 20*time.Second)
 			to := "n4"
 			if who == to {
 				to = "n5"
@@ -421,15 +433,15 @@
 				t.Fatal(err)
 			}
 			began := time.Now()
-			for next := who; next != to; next, _ = f.holder("ask", 5*time.Second) {
+			for next := who; next != to; next, _ = f.waitForHolder("ask", 5*time.Second) {
 				f.watch(10 * time.Millisecond)
 			}
-			if took := time.Since(began); took > lease/2 {
+			if took := time.Since(began); took > testLease/2 {
 				t.Errorf("it took %v", took)
 			}
 			for _, bad := range [][2]string{{"nothing", ""}, {"ask", "n9"}, {"warden", "n1"}} { // n1 is of zone b
 				if f.live["n3"].Move(bad[0], bad[1]) == nil {
-					t.Errorf("moved: %v", bad)
+					t.Errorf("Move accepted %v", bad)
 				}
 			}
 			table, err := f.live["n5"].Table()
@@ -437,75 +449,75 @@
 				t.Errorf("the table is %+v, %v", table, err)
 			}
 		},
-		"a majority is lost, and comes back": func(t *testing.T, f *fleet) {
-			f.holder("ask", 20*time.Second)
+		"a majority is lost and returns": func(t *testing.T, f *testFleet) {
+			f.waitForHolder("ask", 20*time.Second)
 			f.kill("n0")
 			f.kill("n1")
-			f.watch(lease * 3)
-			before := maps.Clone(f.acts)
-			f.watch(lease * 3)
-			if !maps.Equal(before, f.acts) {
-				t.Error("something is held with no majority")
+			f.watch(testLease * 3)
+			before := maps.Clone(f.holdCounts)
+			f.watch(testLease * 3)
+			if !maps.Equal(before, f.holdCounts) {
+				t.Error("a duty is held without a majority of voters")
 			}
-			f.begin("n0", false)
-			f.holder("ask", 30*time.Second)
+			f.startNode("n0", false)
+			f.waitForHolder("ask", 30*time.Second)
 		},
-		"one voter loses its disk": func(t *testing.T, f *fleet) {
-			f.holder("ask", 20*time.Second)
-			for _, name := range []string{"n0", "n1", "n2"} { // one after another, the first too
+		"each voter loses its disk in turn": func(t *testing.T, f *testFleet) {
+			f.waitForHolder("ask", 20*time.Second)
+			for _, name := range []string{"n0", "n1", "n2"} { // one after another, including the first
 				f.kill(name)
 				f.watch(3 * time.Second)
-				f.begin(name, true)
+				f.startNode(name, true)
 				f.watch(10 * time.Second)
 			}
-			f.holder("ask", 20*time.Second)
+			f.waitForHolder("ask", 20*time.Second)
 			table, err := f.live["n5"].Table()
 			if err != nil || len(table.Voters) != 3 {
 				t.Fatalf("voters %v, %v", table.Voters, err)
 			}
-			f.kill("n2") // the new ones are a majority
+			f.kill("n2") // the voters with new disks are a majority
 			f.watch(5 * time.Second)
-			f.holder("ask", 20*time.Second)
+			f.waitForHolder("ask", 20*time.Second)
 		},
-		"all stop and start with their disks": func(t *testing.T, f *fleet) {
-			f.holder("ask", 20*time.Second)
-			high := maps.Clone(f.high)
-			for name := range f.all() {
+		"all are killed and restart with their disks": func(t *testing.T, f *testFleet) {
+			f.waitForHolder("ask", 20*time.Second)
+			high := maps.Clone(f.maxToken)
+			for name := range f.liveNodes() {
 				f.kill(name)
 			}
 			for i := range 6 {
-				f.begin(fmt.Sprint("n", i), false)
+				f.startNode(fmt.Sprint("n", i), false)
 			}
-			f.holder("ask", 20*time.Second)
+			f.waitForHolder("ask", 20*time.Second)
 			f.watch(time.Second)
-			if f.high["ask"] <= high["ask"] {
-				t.Errorf("token %d, before %d", f.high["ask"], high["ask"])
+			if f.maxToken["ask"] <= high["ask"] {
+				t.Errorf("token %d, before %d", f.maxToken["ask"], high["ask"])
 			}
 		},
-		"a disk fails for a while": func(t *testing.T, f *fleet) {
-			f.holder("ask", 20*time.Second)
+		"writes to the voters' disks fail for a while": func(t *testing.T, f *testFleet) {
+			f.waitForHolder("ask", 20*time.Second)
 			for _, v := range voters {
 				f.disks[v].mu.Lock()
-				f.disks[v].fail = 30
+				f.disks[v].failWrites = 30
 				f.disks[v].mu.Unlock()
 			}
-			who, _ := f.holder("ask", 20*time.Second)
+			who, _ := f.waitForHolder("ask", 20*time.Second)
 			f.kill(who)
-			f.holder("ask", 40*time.Second)
+			f.waitForHolder("ask", 40*time.Second)
 		},
 	} {
-		t.Run(what, func(t *testing.T) { play(t, 1, c) })
+		t.Run(what, func(t *testing.T) { runFleet(t, 1, c) })
 	}
 }
 
-// Random faults: kills, stops, starts, lost disks, cuts of any kind, moves. At no moment two hold one duty, tokens only grow, whoever is
-// told to begin is told to end, and once the faults end every duty is held.
+// Random kills, stops, starts, lost disks, partitions and moves: no duty is ever held by two processes, tokens
+// do not decrease, OnAcquired and OnLost alternate, and every duty is held again once the faults end.
 func TestRandomFaults(t *testing.T) {
 	var worst time.Duration
-	acts := 0
-	for seed := range *seeds {
-		play(t, uint64(seed), func(t *testing.T, f *fleet) {
-			f.holder("ask", 30*time.Second)
+	looks := 0
+	for seed := range *seedCount {
+		runFleet(t, uint64(seed), func(t *testing.T, f *testFleet) {
+			f.waitForHolder("ask", 30*time.Second)
 			rng := rand.New(rand.NewPCG(uint64(seed), 2))
 			lost := false
 			for range 15 {
@@ -517,66 +529,68 @@
 				case k == 2 && lives && len(f.live) > 3:
 					f.stop(name)
 				case !lives:
-					f.begin(name, !lost && rng.IntN(4) == 0) // one lost disk at most: two of three are a lost majority
+					f.startNode(name, !lost && rng.IntN(4) == 0) // at most one lost disk: with two of three the majority is lost
 					lost = lost || f.disks[name] != nil && len(f.disks[name].all) <= 1
 				case k == 3:
-					f.m.set(func(a, b string) bool { return a == name || b == name })
+					f.net.setCut(func(a, b string) bool { return a == name || b == name })
 				case k == 4:
-					f.m.set(func(a, b string) bool { return (a < name) != (b < name) })
+					f.net.setCut(func(a, b string) bool { return (a < name) != (b < name) })
 				case k == 5:
-					f.m.set(func(a, b string) bool { return a == name && b == other })
+					f.net.setCut(func(a, b string) bool { return a == name && b == other })
 				case k == 6:
-					_ = f.live[name].Move("ask", other) // it may not be had now
+					_ = f.live[name].Move("ask", other) // the move may be refused now
 				default:
-					f.m.set(func(_, _ string) bool { return false })
+					f.net.setCut(func(_, _ string) bool { return false })
 				}
 				f.watch(time.Duration(rng.IntN(6000)) * time.Millisecond)
 			}
-			f.m.set(func(_, _ string) bool { return false })
+			f.net.setCut(func(_, _ string) bool { return false })
 			for i := range 6 {
 				if name := fmt.Sprint("n", i); f.live[name] == nil {
-					f.begin(name, false)
+					f.startNode(name, false)
 				}
 			}
 			for _, duty := range []string{"ask", "warden"} {
-				_, took := f.holder(duty, 60*time.Second)
+				_, took := f.waitForHolder(duty, 60*time.Second)
 				worst = max(worst, took)
 			}
-			for _, n := range f.acts {
-				acts += n
+			for _, n := range f.holdCounts {
+				looks += n
 			}
 		})
 	}
-	t.Logf("%d runs, %d looks at a held duty: never two, tokens only grow; all held %v after the last fault at the most", *seeds, acts, worst)
+	t.Logf("%d runs, a duty seen held %d times: never twice, no token decreased; all held at most %v after the last fault", *seedCount, looks, worst)
 }
 
-// A fence passes no token that is lower than one before it, also in a later process; and none that it could not keep.
+// A fence admits no token lower than an earlier one, also in a later process, and no token that it could not
+// store.
 func TestFence(t *testing.T) {
-	k := newMemory()
+	k := newMemStorage()
 	f := &Fence{Storage: k}
-	pass := func(f *Fence, token uint64, want bool) {
+	admit := func(f *Fence, token uint64, want bool) {
 		t.Helper()
 		if got, err := f.Admit("ask", token); got != want || err != nil {
 			t.Errorf("token %d: %v, %v", token, got, err)
 		}
 	}
-	pass(f, 7, true)
-	pass(f, 7, true)
-	pass(f, 6, false)
-	pass(&Fence{Storage: k}, 6, false)
-	pass(&Fence{Storage: k}, 7, true)
-	k.fail = 1
+	admit(f, 7, true)
+	admit(f, 7, true)
+	admit(f, 6, false)
+	admit(&Fence{Storage: k}, 6, false)
+	admit(&Fence{Storage: k}, 7, true)
+	k.failWrites = 1
 	if ok, err := f.Admit("ask", 9); ok || err == nil {
-		t.Error("a token passes that is not kept")
+		t.Error("a token is admitted that was not stored")
 	}
-	pass(f, 8, true)
+	admit(f, 8, true)
 	k.all[sectionFence]["ask"] = []byte("x")
 	if ok, err := (&Fence{Storage: k}).Admit("ask", 9); ok || err == nil {
-		t.Error("a damaged fence passes a token")
+		t.Error("a damaged fence admits a token")
 	}
 }
 
-func TestUnusable(t *testing.T) {
+// A configuration that can't be used and a stored log with a gap are refused.
+func TestInvalidConfigAndLog(t *testing.T) {
 	for want, c := range map[string]Config{
 		"2 voters": {Voters: []string{"a", "b"}},
 		"twice":    {Voters: []string{"a", "b", "a"}},
@@ -588,21 +602,21 @@
 			t.Errorf("%s: %v", want, err)
 		}
 	}
-	k := newMemory()
+	k := newMemStorage()
 	if err := k.Put(sectionLog, "7", []byte(`{"Index":7}`)); err != nil {
 		t.Fatal(err)
 	}
 	if err := k.Put(sectionLog, "9", []byte(`{"Index":9}`)); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := readDisk(k); err == nil {
-		t.Error("a log with a gap is read")
+	if _, err := readRaftStorage(k); err == nil {
+		t.Error("a log with a gap is accepted")
 	}
 }
 
-// An entry is taken from the present holder alone, its version never goes back, and one version has one digest; that outlives holders,
-// leaders, their disks one at a time, and snapshots.
-func TestEntries(t *testing.T) {
+// An entry is accepted from the present holder alone, its version never decreases, and a version keeps its
+// digest. This must survive changes of holders and leaders, lost disks of one voter at a time, and snapshots.
+func TestEntriesAreDurableAndOrdered(t *testing.T) {
 	last := Entry{Token: 5, Version: 7, Digest: "a"}
 	for _, c := range []struct {
 		what    string
@@ -611,23 +625,23 @@
 		refused bool
 	}{
 		{"a higher version", 9, Entry{9, 8, "b"}, Entry{9, 8, "b"}, false},
-		{"the same again", 9, Entry{9, 7, "a"}, last, false},
-		{"one version, another digest", 9, Entry{9, 7, "b"}, last, true},
+		{"the same entry again", 9, Entry{9, 7, "a"}, last, false},
+		{"the same version with another digest", 9, Entry{9, 7, "b"}, last, true},
 		{"a lower version", 9, Entry{9, 6, "a"}, last, true},
 		{"an earlier holder", 9, Entry{5, 8, "b"}, last, true},
-		{"a token that nobody has yet", 9, Entry{10, 8, "b"}, last, true},
-		{"nobody holds the duty", 0, Entry{0, 8, "b"}, last, true},
+		{"a token not assigned yet", 9, Entry{10, 8, "b"}, last, true},
+		{"the duty has no holder", 0, Entry{0, 8, "b"}, last, true},
 		{"no digest", 9, Entry{9, 8, ""}, last, true},
 	} {
 		if got, err := last.Apply(c.present, c.n); got != c.want || (err != nil) != c.refused {
 			t.Errorf("%s: %+v, %v", c.what, got, err)
 		}
 	}
-	play(t, 1, func(t *testing.T, f *fleet) {
-		who, _ := f.holder("ask", 20*time.Second)
+	runFleet(t, 1, func(t *testing.T, f *testFleet) {
+		who, _ := f.waitForHolder("ask", 20*time.Second)
 		token, _ := f.live[who].Holds("ask")
 		old := f.live[who]
-		enter := func(g *node, token, version uint64, digest string, refused bool) {
+		commit := func(g *node, token, version uint64, digest string, refused bool) {
 			t.Helper()
 			err := g.CommitEntry("ask", token, version, digest)
 			for tries := 0; err != nil && !errors.Is(err, ErrEntryRefused) && tries < 20; tries++ {
@@ -638,7 +652,7 @@
 				t.Errorf("version %d, digest %s by token %d: %v", version, digest, token, err)
 			}
 		}
-		stands := func(want Entry) {
+		wantEntry := func(want Entry) {
 			t.Helper()
 			for tries := 0; ; tries++ {
 				e, err := f.live["n5"].LastEntry("ask")
@@ -651,11 +665,11 @@
 				f.watch(time.Second)
 			}
 		}
-		stands(Entry{})
-		enter(old, token, 3, "a", false)
-		enter(old, token, 3, "a", false)
-		enter(old, token, 3, "b", true)
-		stands(Entry{token, 3, "a"})
+		wantEntry(Entry{})
+		commit(old, token, 3, "a", false)
+		commit(old, token, 3, "a", false)
+		commit(old, token, 3, "b", true)
+		wantEntry(Entry{token, 3, "a"})
 		to := "n4"
 		if who == to {
 			to = "n3"
@@ -663,21 +677,21 @@
 		if err := f.live["n5"].Move("ask", to); err != nil {
 			t.Fatal(err)
 		}
-		for next := ""; next != to; next, _ = f.holder("ask", 20*time.Second) {
+		for next := ""; next != to; next, _ = f.waitForHolder("ask", 20*time.Second) {
 			f.watch(10 * time.Millisecond)
 		}
-		enter(old, token, 4, "c", true) // its lease is over, and it does not look
+		commit(old, token, 4, "c", true) // its lease has run out, and it acts without calling Holds
 		high, _ := f.live[to].Holds("ask")
-		for v := uint64(4); v < 150; v++ { // past a snapshot
-			enter(f.live[to], high, v, "c", false)
+		for v := uint64(4); v < 150; v++ { // enough entries for a snapshot
+			commit(f.live[to], high, v, "c", false)
 		}
-		f.watch(3 * time.Minute)                          // the library looks once in one to two minutes
-		for _, name := range []string{"n0", "n1", "n2"} { // each voter is lost with its disk, in turn
+		f.watch(3 * time.Minute)                          // raft checks for a snapshot every one to two minutes
+		for _, name := range []string{"n0", "n1", "n2"} { // each voter in turn loses its disk
 			f.kill(name)
 			f.watch(3 * time.Second)
-			f.begin(name, true)
+			f.startNode(name, true)
 			f.watch(10 * time.Second)
-			stands(Entry{high, 149, "c"})
+			wantEntry(Entry{high, 149, "c"})
 		}
 	})
 }
--- a/internal/duty/voter.go
+++ b/internal/duty/voter.go
@@ -19,122 +19,125 @@
 )
 
 const (
-	electing   = 600 * time.Millisecond // without word of a leader, a voter stands for election after so long, and up to twice that
-	leading    = 400 * time.Millisecond // without a majority's word, a leader steps back after so long
-	applyTime  = 2 * time.Second
-	askVoters  = 2 * time.Second // how often the leader looks whether voters are still who they were
-	endTime    = time.Second     // the library's end may wait for a disk
-	idsMost    = 255             // bytes of a voter's id
-	timeAtOnce = 24              // bits of a token for places in the log, below the time at which the table began
+	electionTimeout    = 600 * time.Millisecond // a voter that hears of no leader for this long, up to twice as long, starts an election
+	leaderLeaseTimeout = 400 * time.Millisecond // a leader that hears of no majority for this long steps down
+	applyTimeout       = 2 * time.Second        // for one change of the raft log
+	voterCheckInterval = 2 * time.Second        // the leader checks the voters each half of this time
+	shutdownTimeout    = time.Second            // raft's shutdown may wait for a disk
+	maxVoterIDBytes    = 255                    // the length of an id is one byte on the wire
+	tokenIndexBits     = 24                     // low bits of a token, for indexes of the log; the bits above have the Unix time at which the table was founded
 )
 
-// voter is a process's part in keeping the table.
+// voter is the part of a process in the replicated table. While it leads, it assigns the duties and grants
+// their leases.
 type voter struct {
-	g     *Group
-	id    raft.ServerID
-	raft  *raft.Raft
-	table *table
-	disk  *disk
-	layer *layer
-
-	mu      sync.Mutex
-	epoch   uint64                   // the term in which this process leads and has all that was decided before; 0: it does not
-	given   map[string]time.Duration // by duty: when a lease was last given, or its holder chosen
-	passing map[string]bool          // a new holder is being entered, and what comes of that is not known yet
-	ending  map[string]bool          // no lease is given any more: it is to go to another
-	want    map[string]string        // who is to have it then
-	told    map[string]bool          // its holder is being told
-	asked   time.Duration            // when the voters were last looked at
-	telling sync.WaitGroup
+	group   *Group
+	id      raft.ServerID
+	raft    *raft.Raft
+	table   *table
+	storage *raftStorage
+	streams *streamLayer
+
+	mu             sync.Mutex
+	leadTerm       uint64                   // the term in which this process leads and has applied all earlier entries; 0: it does not
+	leasedAt       map[string]time.Duration // by duty: when a lease was last granted, or the holder chosen
+	reassigning    map[string]bool          // by duty: a new holder was submitted to the log, with the result not known yet
+	revoked        map[string]bool          // by duty: no lease is granted any more, as the duty goes to another process
+	wantedHolder   map[string]string        // by duty: the holder that a Move has named
+	notifying      map[string]bool          // by duty: a call that informs the holder is under way
+	lastVoterCheck time.Duration            // when the voters were last checked
+	notifications  sync.WaitGroup
 }
 
 const (
-	sectionVoter = "duty-voter"
-	keyBirth     = "birth"
+	sectionVoter   = "duty-voter"
+	keyIncarnation = "birth"
 )
 
-// newVoter starts the library with what the disk has. A voter that has lost its disk is another voter: the word that it gave under
-// the old id can't be taken back by somebody who does not remember it.
+// newVoter starts raft with the stored log. A voter that has lost its disk joins under a new id: it can't keep
+// the promises, such as votes, that it made under the old one.
 func newVoter(g *Group) (*voter, error) {
-	birth, ok := g.cfg.Storage.Get(sectionVoter, keyBirth)
+	incarnation, ok := g.cfg.Storage.Get(sectionVoter, keyIncarnation)
 	if !ok || g.cfg.StorageDamaged {
-		if err := clearDisk(g.cfg.Storage); err != nil {
+		if err := clearRaftStorage(g.cfg.Storage); err != nil {
 			return nil, err
 		}
-		birth = fmt.Appendf(nil, "%x", g.cfg.Start)
-		if err := g.cfg.Storage.Put(sectionVoter, keyBirth, birth); err != nil {
+		incarnation = fmt.Appendf(nil, "%x", g.cfg.Start)
+		if err := g.cfg.Storage.Put(sectionVoter, keyIncarnation, incarnation); err != nil {
 			return nil, err
 		}
 	}
-	v := &voter{told: make(map[string]bool), g: g, id: raft.ServerID(g.cfg.Name + "#" + string(birth)), table: newTable()}
-	if len(v.id) > idsMost {
-		return nil, fmt.Errorf("duty: the id %q is too long", v.id)
+	v := &voter{notifying: make(map[string]bool), group: g, id: raft.ServerID(g.cfg.Name + "#" + string(incarnation)), table: newTable()}
+	if len(v.id) > maxVoterIDBytes {
+		return nil, fmt.Errorf("duty: the voter id %q is longer than 255 bytes", v.id)
 	}
 	var err error
-	if v.disk, err = readDisk(g.cfg.Storage); err != nil {
+	if v.storage, err = readRaftStorage(g.cfg.Storage); err != nil {
 		return nil, err
 	}
-	v.layer = newLayer(g.cfg.Transport, v.id)
-	quiet := hclog.New(&hclog.LoggerOptions{Name: "raft", Level: hclog.Warn, Output: &libraryLog{g}})
+	v.streams = newStreamLayer(g.cfg.Transport, v.id)
+	logger := hclog.New(&hclog.LoggerOptions{Name: "raft", Level: hclog.Warn, Output: &raftLog{g}})
 	c := raft.DefaultConfig()
-	c.LocalID, c.Logger = v.id, quiet
-	c.HeartbeatTimeout, c.ElectionTimeout, c.LeaderLeaseTimeout = electing, electing, leading
+	c.LocalID, c.Logger = v.id, logger
+	c.HeartbeatTimeout, c.ElectionTimeout, c.LeaderLeaseTimeout = electionTimeout, electionTimeout, leaderLeaseTimeout
 	c.CommitTimeout, c.MaxAppendEntries = 25*time.Millisecond, 16
 	c.SnapshotInterval, c.SnapshotThreshold, c.TrailingLogs = time.Minute, 128, 64
 	c.ShutdownOnRemove = false
-	net := raft.NewNetworkTransportWithConfig(&raft.NetworkTransportConfig{
-		Stream: v.layer, MaxPool: 2, Timeout: callTime, Logger: quiet, MaxRPCsInFlight: 2,
+	transport := raft.NewNetworkTransportWithConfig(&raft.NetworkTransportConfig{
+		Stream: v.streams, MaxPool: 2, Timeout: callTimeout, Logger: logger, MaxRPCsInFlight: 2,
 	})
-	if v.raft, err = raft.NewRaft(c, v.table, v.disk, v.disk, v.disk, net); err != nil {
-		return nil, errors.Join(err, net.Close())
+	if v.raft, err = raft.NewRaft(c, v.table, v.storage, v.storage, v.storage, transport); err != nil {
+		return nil, errors.Join(err, transport.Close())
 	}
 	return v, nil
 }
 
-// libraryLog takes the library's warnings to the log, for people who look for a fault in it.
-type libraryLog struct{ g *Group }
+// raftLog writes the warnings of raft to the log at debug level.
+type raftLog struct{ group *Group }
 
-func (l *libraryLog) Write(line []byte) (int, error) {
-	l.g.log.Debug("raft", "says", strings.TrimSpace(string(line)))
+// Write implements io.Writer.
+func (l *raftLog) Write(line []byte) (int, error) {
+	l.group.log.Debug("raft", "says", strings.TrimSpace(string(line)))
 	return len(line), nil
 }
 
-// nameOf is the process of a voter's id.
-func nameOf(id raft.ServerID) string {
+// processOf returns the process name in a voter's id.
+func processOf(id raft.ServerID) string {
 	name, _, _ := strings.Cut(string(id), "#")
 	return name
 }
 
-// run leads while this voter is the leader, until ctx ends.
+// run does a leader's work while this voter leads, until ctx ends.
 func (v *voter) run(ctx context.Context) {
-	tick := time.NewTicker(beat)
+	tick := time.NewTicker(pollInterval)
 	defer tick.Stop()
-	defer v.telling.Wait()
+	defer v.notifications.Wait()
 	for {
 		select {
 		case <-ctx.Done():
-			v.end()
+			v.shutDown()
 			return
 		case <-tick.C:
 		}
 		switch {
 		case v.raft.State() != raft.Leader:
-			v.stepBack()
+			v.stepDown()
 			if v.raft.LastIndex() == 0 {
-				v.found()
+				v.bootstrap()
 			}
-		case v.current() == 0:
-			v.takeUp()
+		case v.leadingTerm() == 0:
+			v.startLeading()
 		default:
-			v.manage()
+			v.assignDuties()
 		}
 	}
 }
 
-func (v *voter) end() {
-	v.stepBack()
+// shutDown passes the leadership on and ends raft.
+func (v *voter) shutDown() {
+	v.stepDown()
 	if v.raft.State() == raft.Leader {
-		_ = v.raft.LeadershipTransfer().Error() // or the others elect one
+		_ = v.raft.LeadershipTransfer().Error() // if this fails, the others elect a leader
 	}
 	done := make(chan struct{})
 	go func() {
@@ -143,110 +146,112 @@
 	}()
 	select {
 	case <-done:
-	case <-time.After(endTime):
-		v.g.log.Warn("duties", "error", "the vote ends slowly")
+	case <-time.After(shutdownTimeout):
+		v.group.log.Warn("duties", "error", "raft did not shut down within 1 s")
 	}
-	v.layer.Close()
+	v.streams.Close()
 }
 
-// found begins a table where there never was one: the first voter does, once all others say that they have none either. One that has
-// lost its disk finds that they have, and waits to be taken in again.
-func (v *voter) found() {
-	if v.g.cfg.Voters[0] != v.g.cfg.Name || !v.due() {
+// bootstrap founds the table when there never was one. The first voter does so, once all others report that
+// their logs are empty too. If it has only lost its disk, the others have entries, and it waits until the
+// leader adds it again.
+func (v *voter) bootstrap() {
+	if v.group.cfg.Voters[0] != v.group.cfg.Name || !v.voterCheckDue() {
 		return
 	}
 	c := raft.Configuration{Servers: []raft.Server{{ID: v.id, Address: raft.ServerAddress(v.id)}}}
-	for _, name := range v.g.cfg.Voters[1:] {
-		var w Standing
-		if err := v.g.call(name, "Who", struct{}{}, &w); err != nil || !w.Fresh {
+	for _, name := range v.group.cfg.Voters[1:] {
+		var status VoterStatus
+		if err := v.group.call(name, "Who", struct{}{}, &status); err != nil || !status.Fresh {
 			return
 		}
-		c.Servers = append(c.Servers, raft.Server{ID: raft.ServerID(w.ID), Address: raft.ServerAddress(w.ID)})
+		c.Servers = append(c.Servers, raft.Server{ID: raft.ServerID(status.ID), Address: raft.ServerAddress(status.ID)})
 	}
 	if err := v.raft.BootstrapCluster(c).Error(); err != nil {
-		v.g.log.Warn("duties", "error", err)
+		v.group.log.Warn("duties", "error", err)
 	}
 }
 
-// due says, now and then, that voters are to be looked at.
-func (v *voter) due() bool {
+// voterCheckDue reports whether it is time to check the voters again, and starts the next interval if so.
+func (v *voter) voterCheckDue() bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if now := v.g.now(); v.asked == 0 || now-v.asked >= askVoters/2 {
-		v.asked = max(1, now)
+	if now := v.group.now(); v.lastVoterCheck == 0 || now-v.lastVoterCheck >= voterCheckInterval/2 {
+		v.lastVoterCheck = max(1, now)
 		return true
 	}
 	return false
 }
 
-func (v *voter) current() uint64 {
+// leadingTerm returns leadTerm.
+func (v *voter) leadingTerm() uint64 {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return v.epoch
+	return v.leadTerm
 }
 
-// stepBack takes that this voter leads no more, or no longer knows what was decided.
-func (v *voter) stepBack() {
+// stepDown records that this voter does not lead, or no longer knows what was decided.
+func (v *voter) stepDown() {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.epoch = 0
+	v.leadTerm = 0
 }
 
-// takeUp begins to lead: once all that was decided before is known. Leases that an earlier leader gave may be as young as this
-// election, so that all are counted from now.
-func (v *voter) takeUp() {
+// startLeading begins to lead once all earlier entries are applied. An earlier leader may have granted leases
+// up to the moment of the election, so all leases count as granted now.
+func (v *voter) startLeading() {
 	term := v.raft.CurrentTerm()
-	if v.raft.Barrier(applyTime).Error() != nil || v.raft.State() != raft.Leader || v.raft.CurrentTerm() != term {
+	if v.raft.Barrier(applyTimeout).Error() != nil || v.raft.State() != raft.Leader || v.raft.CurrentTerm() != term {
 		return
 	}
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	now := v.g.now()
-	v.epoch = term
-	v.given, v.passing = make(map[string]time.Duration), make(map[string]bool)
-	v.ending, v.want = make(map[string]bool), make(map[string]string)
-	for _, h := range v.table.all() {
-		v.given[h.Duty] = now
+	now := v.group.now()
+	v.leadTerm = term
+	v.leasedAt, v.reassigning = make(map[string]time.Duration), make(map[string]bool)
+	v.revoked, v.wantedHolder = make(map[string]bool), make(map[string]string)
+	for _, h := range v.table.sortedHoldings() {
+		v.leasedAt[h.Duty] = now
 	}
-	v.g.log.Info("duties", "leads", v.g.cfg.Name, "term", term)
+	v.group.log.Info("duties", "leads", v.group.cfg.Name, "term", term)
 }
 
-// leads says whether this voter leads, or who may.
+// leads reports whether this voter leads, and otherwise returns the name of the leader if it is known.
 func (v *voter) leads() (hint string, yes bool) {
-	if v.raft.State() == raft.Leader && v.current() != 0 {
+	if v.raft.State() == raft.Leader && v.leadingTerm() != 0 {
 		return "", true
 	}
 	_, id := v.raft.LeaderWithID()
-	return nameOf(id), false
+	return processOf(id), false
 }
 
-// leadsStill says whether this voter leads and has yet to pass on some of what was given up.
-func (v *voter) leadsStill(given []Holding) bool {
+// hasUnassigned reports whether this voter leads and has not yet reassigned some of the given holdings.
+func (v *voter) hasUnassigned(given []Holding) bool {
 	if _, leads := v.leads(); !leads {
 		return false
 	}
 	return slices.ContainsFunc(given, func(r Holding) bool {
-		h, ok := v.table.get(r.Duty)
+		h, ok := v.table.holding(r.Duty)
 		return ok && h == r
 	})
 }
 
-// grant gives leases. It first makes sure that no other leads: whoever is elected after that counts from later on than the caller,
-// who counts from before it asked.
-func (v *voter) grant(args RenewArgs) (granted []string, err error) {
+// renewLeases grants leases. It first makes sure that no other voter leads: a leader elected later counts all
+// leases from its election, which is after the caller sent the request from which it counts.
+func (v *voter) renewLeases(args RenewArgs) (granted []string, err error) {
 	if err := v.raft.VerifyLeader().Error(); err != nil {
 		hint, _ := v.leads()
 		return nil, errors.New(errNotLeader + hint)
 	}
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if v.epoch == 0 {
+	if v.leadTerm == 0 {
 		return nil, errors.New(errNotLeader)
 	}
 	for duty, token := range args.Tokens {
-		h, ok := v.table.get(duty)
-		if ok && h.Token == token && h.Holder == args.Name && h.Start == args.Start && !v.passing[duty] && !v.ending[duty] {
-			v.given[duty] = v.g.now()
+		h, ok := v.table.holding(duty)
+		if ok && h.Token == token && h.Holder == args.Name && h.Start == args.Start && !v.reassigning[duty] && !v.revoked[duty] {
+			v.leasedAt[duty] = v.group.now()
 			granted = append(granted, duty)
 		}
 	}
@@ -254,9 +259,9 @@
 	return granted, nil
 }
 
-// enter has the log take an entry, or say why not.
-func (v *voter) enter(args EnterArgs) (reply EnterReply, err error) {
-	term := v.current()
+// commitEntry appends an entry to the raft log and returns the result, or the reason for a refusal.
+func (v *voter) commitEntry(args EnterArgs) (reply EnterReply, err error) {
+	term := v.leadingTerm()
 	if term == 0 {
 		return reply, errors.New(errNotLeader)
 	}
@@ -264,107 +269,108 @@
 	if err != nil {
 		return reply, err
 	}
-	f := v.raft.Apply(raw, applyTime)
+	f := v.raft.Apply(raw, applyTimeout)
 	if err := f.Error(); err != nil {
-		return reply, fmt.Errorf("it may have been entered or not: %w", err)
+		return reply, fmt.Errorf("it is not known whether the entry was made: %w", err)
 	}
 	reply, ok := f.Response().(EnterReply)
 	if !ok {
-		return reply, errors.New("decided in another term: it was not entered")
+		return reply, errors.New("the term has changed: the entry was not made")
 	}
 	return reply, nil
 }
 
-// entered reads a duty's entry, once it is sure that no other leads.
-func (v *voter) entered(duty string) (Entry, error) {
-	if v.current() == 0 || v.raft.VerifyLeader().Error() != nil {
+// lastEntry returns a duty's entry, after it has made sure that no other voter leads.
+func (v *voter) lastEntry(duty string) (Entry, error) {
+	if v.leadingTerm() == 0 || v.raft.VerifyLeader().Error() != nil {
 		hint, _ := v.leads()
 		return Entry{}, errors.New(errNotLeader + hint)
 	}
 	return v.table.entry(duty), nil
 }
 
-// release frees duties that their holder holds no more.
+// release frees duties that their holder has given up.
 func (v *voter) release(given []Holding) error {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if v.epoch == 0 {
+	if v.leadTerm == 0 {
 		return errors.New(errNotLeader)
 	}
 	for _, r := range given {
-		if h, ok := v.table.get(r.Duty); ok && h == r {
-			v.freeNow(r.Duty)
+		if h, ok := v.table.holding(r.Duty); ok && h == r {
+			v.expireLease(r.Duty)
 		}
 	}
 	return nil
 }
 
-// freeNow has a duty go to another with the next beat. mu is held.
-func (v *voter) freeNow(duty string) {
-	v.ending[duty] = true
-	v.given[duty] = v.g.now() - v.g.free()
+// expireLease has a duty reassigned at the next poll. mu is held.
+func (v *voter) expireLease(duty string) {
+	v.revoked[duty] = true
+	v.leasedAt[duty] = v.group.now() - v.group.reassignDelay()
 }
 
-// move has a duty go to another: at once if its holder says that it has ended it, or else when its lease is over.
+// move reassigns a duty: at once if its holder confirms that it has ended it, and otherwise when its lease has
+// run out.
 func (v *voter) move(duty, to string) error {
-	i := slices.IndexFunc(v.g.cfg.Duties, func(d Duty) bool { return d.Name == duty })
+	i := slices.IndexFunc(v.group.cfg.Duties, func(d Duty) bool { return d.Name == duty })
 	if i < 0 {
 		return fmt.Errorf("there is no duty %q", duty)
 	}
-	if to != "" && !slices.ContainsFunc(v.fit(v.g.cfg.Duties[i]), func(c Candidate) bool { return c.Name == to }) {
-		return fmt.Errorf("%q is not fit to hold %s", to, duty)
+	if to != "" && !slices.ContainsFunc(v.eligible(v.group.cfg.Duties[i]), func(c Candidate) bool { return c.Name == to }) {
+		return fmt.Errorf("%q is not a candidate for duty %s", to, duty)
 	}
-	h, ok := v.table.get(duty)
+	h, ok := v.table.holding(duty)
 	if !ok {
-		return fmt.Errorf("nobody holds %s yet", duty)
+		return fmt.Errorf("no process holds %s yet", duty)
 	}
 	if h.Holder == to {
 		return nil
 	}
 	v.mu.Lock()
-	if v.epoch == 0 {
+	if v.leadTerm == 0 {
 		v.mu.Unlock()
 		return errors.New(errNotLeader)
 	}
-	v.ending[duty], v.want[duty] = true, to
+	v.revoked[duty], v.wantedHolder[duty] = true, to
 	v.mu.Unlock()
-	if err := v.g.call(h.Holder, "Taken", h, &struct{}{}); err != nil {
-		return nil // it goes over when the lease ends
+	if err := v.group.call(h.Holder, "Taken", h, &struct{}{}); err != nil {
+		return nil // it is reassigned when the lease runs out
 	}
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if now, ok := v.table.get(duty); ok && now == h && v.epoch != 0 {
-		v.freeNow(duty)
+	if now, ok := v.table.holding(duty); ok && now == h && v.leadTerm != 0 {
+		v.expireLease(duty)
 	}
 	return nil
 }
 
-// manage sees that each duty has a holder that renews its lease.
-func (v *voter) manage() {
-	for _, d := range v.g.cfg.Duties {
-		h, ok := v.table.get(d.Name)
+// assignDuties makes sure that each duty has a holder that renews its lease, and checks the voters.
+func (v *voter) assignDuties() {
+	for _, d := range v.group.cfg.Duties {
+		h, ok := v.table.holding(d.Name)
 		v.mu.Lock()
-		since := v.g.now() - v.given[d.Name]
-		busy := v.passing[d.Name] || v.epoch == 0
+		since := v.group.now() - v.leasedAt[d.Name]
+		busy := v.reassigning[d.Name] || v.leadTerm == 0
 		v.mu.Unlock()
 		switch {
 		case busy:
-		case !ok || since >= v.g.free():
-			if h, ok := v.pass(d, h); ok {
-				v.tellHolder(h)
+		case !ok || since >= v.group.reassignDelay():
+			if h, ok := v.reassign(d, h); ok {
+				v.notifyHolder(h)
 			}
-		case since > v.g.cfg.Lease/4:
-			v.tellHolder(h) // again
+		case since > v.group.cfg.Lease/4:
+			v.notifyHolder(h) // the first call may have failed
 		}
 	}
-	if v.due() {
-		v.voters()
+	if v.voterCheckDue() {
+		v.reconcileVoters()
 	}
 }
 
-// fit are those that may hold a duty.
-func (v *voter) fit(d Duty) (all []Candidate) {
-	for _, c := range v.g.cfg.Candidates() {
+// eligible returns the candidates that may hold a duty.
+func (v *voter) eligible(d Duty) (all []Candidate) {
+	for _, c := range v.group.cfg.Candidates() {
 		if d.Zone == "" || d.Zone == c.Zone {
 			all = append(all, c)
 		}
@@ -372,114 +378,117 @@
 	return all
 }
 
-// pass enters a new holder: who is wanted, or who holds least; the one that had it only where there is no other.
-func (v *voter) pass(d Duty, before Holding) (h Holding, ok bool) {
-	load := make(map[string]int)
-	for _, h := range v.table.all() {
-		load[h.Holder]++
+// reassign commits a new holder for a duty: the one named by a Move, or else the candidate with the fewest
+// duties. The previous holder is chosen only if there is no other.
+func (v *voter) reassign(d Duty, previous Holding) (h Holding, ok bool) {
+	dutyCounts := make(map[string]int)
+	for _, h := range v.table.sortedHoldings() {
+		dutyCounts[h.Holder]++
 	}
 	v.mu.Lock()
-	want, term := v.want[d.Name], v.epoch
+	want, term := v.wantedHolder[d.Name], v.leadTerm
 	v.mu.Unlock()
 	rank := func(c Candidate) int {
 		switch {
 		case c.Name == want && want != "":
 			return -1
-		case c.Name == before.Holder:
-			return dutyMost + 1
+		case c.Name == previous.Holder:
+			return maxDuties + 1
 		}
-		return load[c.Name]
+		return dutyCounts[c.Name]
 	}
-	all := v.fit(d)
-	if len(all) == 0 {
+	candidates := v.eligible(d)
+	if len(candidates) == 0 {
 		return h, false
 	}
-	to := slices.MinFunc(all, func(a, b Candidate) int { return cmp.Or(rank(a)-rank(b), cmp.Compare(a.Name, b.Name)) })
-	raw, err := json.Marshal(command{Term: term, Duty: d.Name, Holder: to.Name, Start: to.Start, Base: uint64(time.Now().Unix()) << timeAtOnce})
+	to := slices.MinFunc(candidates, func(a, b Candidate) int { return cmp.Or(rank(a)-rank(b), cmp.Compare(a.Name, b.Name)) })
+	raw, err := json.Marshal(command{Term: term, Duty: d.Name, Holder: to.Name, Start: to.Start, Base: uint64(time.Now().Unix()) << tokenIndexBits})
 	if err != nil {
-		panic(err) // of plain fields
+		panic(err) // can't happen: the fields are plain values
 	}
 	v.mu.Lock()
-	now, _ := v.table.get(d.Name)
-	if v.epoch != term || term == 0 || now != before {
+	now, _ := v.table.holding(d.Name)
+	if v.leadTerm != term || term == 0 || now != previous {
 		v.mu.Unlock()
 		return h, false
 	}
-	v.passing[d.Name] = true // no lease is given from here on
+	v.reassigning[d.Name] = true // no lease is granted from here on
 	v.mu.Unlock()
-	f := v.raft.Apply(raw, applyTime)
+	f := v.raft.Apply(raw, applyTimeout)
 	err = f.Error()
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if err != nil || v.epoch != term {
-		v.epoch = 0 // it may have been entered or not: begin again behind it
+	if err != nil || v.leadTerm != term {
+		v.leadTerm = 0 // it may have been entered or not: start leading again, after all entries are applied
 		return h, false
 	}
 	if h, ok = f.Response().(Holding); !ok {
-		v.epoch = 0
+		v.leadTerm = 0
 		return h, false
 	}
-	delete(v.passing, d.Name)
-	delete(v.ending, d.Name)
-	delete(v.want, d.Name)
-	v.given[d.Name] = v.g.now()
-	v.g.log.Info("duty", "goesTo", h.Holder, "duty", h.Duty, "token", h.Token, "from", before.Holder)
+	delete(v.reassigning, d.Name)
+	delete(v.revoked, d.Name)
+	delete(v.wantedHolder, d.Name)
+	v.leasedAt[d.Name] = v.group.now()
+	v.group.log.Info("duty", "goesTo", h.Holder, "duty", h.Duty, "token", h.Token, "from", previous.Holder)
 	return h, true
 }
 
-// tellHolder tells a holder that it has a duty, unless it is being told already. Where that fails it is told again.
-func (v *voter) tellHolder(h Holding) {
+// notifyHolder informs a holder in the background that it has a duty, unless such a call is under way.
+// assignDuties repeats it until the holder renews its lease.
+func (v *voter) notifyHolder(h Holding) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if v.told[h.Duty] {
+	if v.notifying[h.Duty] {
 		return
 	}
-	v.told[h.Duty] = true
-	v.telling.Go(func() {
-		_ = v.g.call(h.Holder, "Given", h, &struct{}{})
+	v.notifying[h.Duty] = true
+	v.notifications.Go(func() {
+		_ = v.group.call(h.Holder, "Given", h, &struct{}{})
 		v.mu.Lock()
 		defer v.mu.Unlock()
-		delete(v.told, h.Duty)
+		delete(v.notifying, h.Duty)
 	})
 }
 
-// voters takes in voters that have come with another id, or under a name that is new, and leaves out those that are named no more.
-// One at a time, so that a majority stands throughout.
-func (v *voter) voters() {
+// reconcileVoters adds voters that have a new id or whose name is new in the configuration, and removes those
+// that it no longer names. It changes one voter at a time, so that a majority remains throughout.
+func (v *voter) reconcileVoters() {
 	f := v.raft.GetConfiguration()
 	if f.Error() != nil {
 		return
 	}
-	have := make(map[string]raft.ServerID)
+	present := make(map[string]raft.ServerID)
 	for _, s := range f.Configuration().Servers {
-		have[nameOf(s.ID)] = s.ID
-		if !slices.Contains(v.g.cfg.Voters, nameOf(s.ID)) {
-			v.g.log.Warn("duties", "voterLeaves", s.ID)
-			_ = v.raft.RemoveServer(s.ID, 0, applyTime).Error() // again next time, if it fails
+		present[processOf(s.ID)] = s.ID
+		if !slices.Contains(v.group.cfg.Voters, processOf(s.ID)) {
+			v.group.log.Warn("duties", "voterLeaves", s.ID)
+			_ = v.raft.RemoveServer(s.ID, 0, applyTimeout).Error() // if it fails, the next check tries again
 			return
 		}
 	}
-	for _, name := range v.g.cfg.Voters {
-		var w Standing
-		if name == v.g.cfg.Name || v.g.call(name, "Who", struct{}{}, &w) != nil || have[name] == raft.ServerID(w.ID) || !w.Fresh {
+	for _, name := range v.group.cfg.Voters {
+		var status VoterStatus
+		if name == v.group.cfg.Name || v.group.call(name, "Who", struct{}{}, &status) != nil || present[name] == raft.ServerID(status.ID) || !status.Fresh {
 			continue
 		}
-		if old := have[name]; old != "" {
-			v.g.log.Warn("duties", "voterLostDisk", name, "before", old, "now", w.ID)
-			if v.raft.RemoveServer(old, 0, applyTime).Error() != nil {
+		if old := present[name]; old != "" {
+			v.group.log.Warn("duties", "voterLostDisk", name, "before", old, "now", status.ID)
+			if v.raft.RemoveServer(old, 0, applyTimeout).Error() != nil {
 				return
 			}
 		}
-		_ = v.raft.AddVoter(raft.ServerID(w.ID), raft.ServerAddress(w.ID), 0, applyTime).Error() // as above
+		_ = v.raft.AddVoter(raft.ServerID(status.ID), raft.ServerAddress(status.ID), 0, applyTimeout).Error() // if it fails, the next check tries again
 		return
 	}
 }
 
-func (v *voter) who() Standing { return Standing{string(v.id), v.raft.LastIndex() == 0} }
+// status returns what Who answers.
+func (v *voter) status() VoterStatus { return VoterStatus{string(v.id), v.raft.LastIndex() == 0} }
 
-// tell is the table for people.
-func (v *voter) tell() (Table, error) {
-	t := Table{Leader: v.g.cfg.Name, Holdings: v.table.all(), Ages: make(map[string]time.Duration)}
+// describe returns the table for Group.Table.
+func (v *voter) describe() (Table, error) {
+	t := Table{Leader: v.group.cfg.Name, Holdings: v.table.sortedHoldings(), Ages: make(map[string]time.Duration)}
 	f := v.raft.GetConfiguration()
 	if err := f.Error(); err != nil {
 		return t, err
@@ -489,36 +498,37 @@
 	}
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	for duty, at := range v.given {
-		t.Ages[duty] = v.g.now() - at
+	for duty, at := range v.leasedAt {
+		t.Ages[duty] = v.group.now() - at
 	}
 	return t, nil
 }
 
-// command is an entry of the log.
+// command is an entry of the raft log, as JSON.
 type command struct {
-	Term   uint64 `json:"term"` // in which it was decided: under another it counts for nothing
-	Base   uint64 `json:"base"` // of all tokens, if this is the first entry
+	Term   uint64 `json:"term"` // the term in which it was decided; raft may append it in a later one, in which it has no effect
+	Base   uint64 `json:"base"` // base of all tokens; only that of the first command counts
 	Duty   string `json:"duty"`
 	Holder string `json:"holder"`
 	Start  uint64 `json:"start"`
 
-	Enter *EnterArgs `json:"enter,omitempty"` // in place of a holder; a program that knows of no entries passes such a command over
+	Enter *EnterArgs `json:"enter,omitempty"` // an entry to be made, instead of a new holder; programs that know no entries ignore such a command
 }
 
-// table is the library's state machine.
+// table is the state machine of the raft log.
 type table struct {
-	mu       sync.Mutex
-	base     uint64
-	holdings map[string]Holding
-	entries  map[string]Entry
+	mu        sync.Mutex
+	tokenBase uint64 // tokens are this plus the index of their log entry; 0: no duty was assigned yet
+	holdings  map[string]Holding
+	entries   map[string]Entry
 }
 
 func newTable() *table {
 	return &table{holdings: make(map[string]Holding), entries: make(map[string]Entry)}
 }
 
-// Apply implements raft.FSM. It returns the Holding or the EnterReply, or nil for an entry that counts for nothing.
+// Apply implements raft.FSM. It returns the new Holding or the EnterReply, or nil for a command that has no
+// effect.
 func (t *table) Apply(l *raft.Log) any {
 	var c command
 	if err := json.Unmarshal(l.Data, &c); err != nil || c.Term != l.Term || c.Duty == "" && c.Enter == nil {
@@ -534,32 +544,34 @@
 		t.entries[c.Enter.Duty] = e
 		return EnterReply{Entry: e}
 	}
-	if t.base == 0 {
-		t.base = c.Base
+	if t.tokenBase == 0 {
+		t.tokenBase = c.Base
 	}
-	if _, ok := t.holdings[c.Duty]; !ok && len(t.holdings) >= dutyMost {
+	if _, ok := t.holdings[c.Duty]; !ok && len(t.holdings) >= maxDuties {
 		return nil
 	}
-	h := Holding{Duty: c.Duty, Holder: c.Holder, Start: c.Start, Token: t.base + l.Index}
+	h := Holding{Duty: c.Duty, Holder: c.Holder, Start: c.Start, Token: t.tokenBase + l.Index}
 	t.holdings[c.Duty] = h
 	return h
 }
 
-func (t *table) get(duty string) (Holding, bool) {
+// holding returns the row of a duty, if it was ever assigned.
+func (t *table) holding(duty string) (Holding, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	h, ok := t.holdings[duty]
 	return h, ok
 }
 
+// entry returns the last entry under a duty.
 func (t *table) entry(duty string) Entry {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.entries[duty]
 }
 
-// all are the holdings, by duty.
-func (t *table) all() (all []Holding) {
+// sortedHoldings returns the holdings in order of their duties' names.
+func (t *table) sortedHoldings() (all []Holding) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, h := range t.holdings {
@@ -569,8 +581,8 @@
 	return all
 }
 
-// saved is the table as a snapshot has it.
-type saved struct {
+// tableSnapshot is the table as it is stored in a snapshot.
+type tableSnapshot struct {
 	Base     uint64           `json:"base"`
 	Holdings []Holding        `json:"holdings"`
 	Entries  map[string]Entry `json:"entries,omitempty"`
@@ -578,15 +590,15 @@
 
 // Snapshot implements raft.FSM.
 func (t *table) Snapshot() (raft.FSMSnapshot, error) {
-	s := &saved{Holdings: t.all()}
+	s := &tableSnapshot{Holdings: t.sortedHoldings()}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	s.Base, s.Entries = t.base, maps.Clone(t.entries)
+	s.Base, s.Entries = t.tokenBase, maps.Clone(t.entries)
 	return s, nil
 }
 
 // Persist implements raft.FSMSnapshot.
-func (s *saved) Persist(sink raft.SnapshotSink) error {
+func (s *tableSnapshot) Persist(sink raft.SnapshotSink) error {
 	if err := json.NewEncoder(sink).Encode(s); err != nil {
 		return errors.Join(err, sink.Cancel())
 	}
@@ -594,18 +606,18 @@
 }
 
 // Release implements raft.FSMSnapshot.
-func (s *saved) Release() {}
+func (s *tableSnapshot) Release() {}
 
 // Restore implements raft.FSM.
 func (t *table) Restore(r io.ReadCloser) error {
 	defer r.Close()
-	var s saved
+	var s tableSnapshot
 	if err := json.NewDecoder(r).Decode(&s); err != nil {
 		return err
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.base, t.holdings = s.Base, make(map[string]Holding)
+	t.tokenBase, t.holdings = s.Base, make(map[string]Holding)
 	for _, h := range s.Holdings {
 		t.holdings[h.Duty] = h
 	}
@@ -614,19 +626,20 @@
 	return nil
 }
 
-// layer is the library's way to the other voters. Each stream begins with the id of the voter that it is for: a process that has
-// lost its disk is not the voter that it was, and must not be taken for it.
-type layer struct {
-	wire  Transport
-	id    raft.ServerID
-	inner net.Listener
-	ready chan net.Conn
-	done  chan struct{}
-	once  sync.Once
+// streamLayer is the raft.StreamLayer between voters. Each stream begins with the id of the voter that it is
+// for: a process that has lost its disk has another id and must not be taken for the voter that it was.
+type streamLayer struct {
+	transport Transport
+	id        raft.ServerID
+	inner     net.Listener
+	accepted  chan net.Conn // streams that begin with this voter's id
+	done      chan struct{}
+	once      sync.Once
 }
 
-func newLayer(w Transport, id raft.ServerID) *layer {
-	l := &layer{wire: w, id: id, inner: w.Listen(RaftStream), ready: make(chan net.Conn), done: make(chan struct{})}
+// newStreamLayer starts to accept streams for the voter of that id.
+func newStreamLayer(w Transport, id raft.ServerID) *streamLayer {
+	l := &streamLayer{transport: w, id: id, inner: w.Listen(RaftStream), accepted: make(chan net.Conn), done: make(chan struct{})}
 	go func() {
 		for {
 			c, err := l.inner.Accept()
@@ -639,8 +652,9 @@
 	return l
 }
 
-func (l *layer) admit(c net.Conn) {
-	_ = c.SetDeadline(time.Now().Add(callTime)) // it fails on a closed one, as reading does
+// admit reads the id at the start of a stream and passes the stream to Accept if the id is this voter's.
+func (l *streamLayer) admit(c net.Conn) {
+	_ = c.SetDeadline(time.Now().Add(callTimeout)) // an error means that c is closed, which reading reports too
 	var n [1]byte
 	if _, err := io.ReadFull(c, n[:]); err != nil {
 		c.Close()
@@ -652,16 +666,16 @@
 		return
 	}
 	select {
-	case l.ready <- c:
+	case l.accepted <- c:
 	case <-l.done:
 		c.Close()
 	}
 }
 
 // Accept implements net.Listener.
-func (l *layer) Accept() (net.Conn, error) {
+func (l *streamLayer) Accept() (net.Conn, error) {
 	select {
-	case c := <-l.ready:
+	case c := <-l.accepted:
 		return c, nil
 	case <-l.done:
 		return nil, net.ErrClosed
@@ -669,26 +683,27 @@
 }
 
 // Close implements net.Listener.
-func (l *layer) Close() error {
+func (l *streamLayer) Close() error {
 	l.once.Do(func() { close(l.done) })
 	return l.inner.Close()
 }
 
-// Addr implements net.Listener: voters are addressed by their ids.
-func (l *layer) Addr() net.Addr { return address(l.id) }
+// Addr implements net.Listener. The address of a voter is its id.
+func (l *streamLayer) Addr() net.Addr { return voterAddr(l.id) }
 
-type address string
+// voterAddr is a voter's id as a net.Addr.
+type voterAddr string
 
-func (a address) Network() string { return "voter" }
-func (a address) String() string  { return string(a) }
+func (a voterAddr) Network() string { return "voter" }
+func (a voterAddr) String() string  { return string(a) }
 
 // Dial implements raft.StreamLayer.
-func (l *layer) Dial(to raft.ServerAddress, timeout time.Duration) (net.Conn, error) {
-	c, err := l.wire.Dial(nameOf(raft.ServerID(to)), RaftStream, timeout)
+func (l *streamLayer) Dial(to raft.ServerAddress, timeout time.Duration) (net.Conn, error) {
+	c, err := l.transport.Dial(processOf(raft.ServerID(to)), RaftStream, timeout)
 	if err != nil {
 		return nil, err
 	}
-	_ = c.SetWriteDeadline(time.Now().Add(timeout)) // it fails on a closed one, as writing does
+	_ = c.SetWriteDeadline(time.Now().Add(timeout)) // an error means that c is closed, which writing reports too
 	if _, err := c.Write(append([]byte{byte(len(to))}, to...)); err != nil {
 		c.Close()
 		return nil, err
