--- a/internal/store/format.go
+++ b/internal/store/format.go
@@ -9,119 +9,134 @@
 	"strings"
 )
 
-// A file has a head, two slots, and records. The head never changes. A slot tells up to where the file is committed;
-// the two are written in turn, so that one is whole whatever happens to the other. Head and slots have a sector each, which
-// a disk writes whole or not at all.
+// A file has a header, two slots, and records. The header never changes. A slot has the length up to which the
+// file is committed. The two slots are written in turn, so that one is intact when a write of the other fails.
+// The header and each slot have a sector of their own, which a disk writes as a whole or not at all. All
+// integers are little endian.
 //
-//	head    magic, form, the process's number, generation, zeros, checksum
-//	slot    sequence, committed length, the file that came after this one, zeros, checksum
+//	header  magic, format version, process number, generation, zeros, checksum
+//	slot    sequence, committed length, the file that succeeds this one, zeros, checksum
 //	record  length, checksum, then: version, origin, time, flags, section, key, value
 const (
-	sector  = 512
-	first   = 3 * sector // where records begin
-	magic   = "EDGESTAT"
-	form    = 1
-	recHead = 8
-	recMost = 1 << 20 // bytes of a record
-
-	prefix = "state-"
+	sectorSize       = 512
+	recordsOffset    = 3 * sectorSize // offset of the first record
+	magic            = "EDGESTAT"
+	formatVersion    = 1
+	recordHeaderSize = 8       // length and checksum
+	maxRecordBytes   = 1 << 20 // length of a record
+
+	filePrefix = "state-"
 )
 
 var (
-	table   = crc32.MakeTable(crc32.Castagnoli)
-	sum32   = func(sum uint32, b []byte) uint32 { return crc32.Update(sum, table, b) } // a test takes it out
-	order   = binary.LittleEndian
-	errForm = errors.New("it was written by a newer program")
+	crcTable       = crc32.MakeTable(crc32.Castagnoli)
+	checksum       = func(sum uint32, b []byte) uint32 { return crc32.Update(sum, crcTable, b) } // a variable, as a test disables it
+	byteOrder      = binary.LittleEndian
+	errNewerFormat = errors.New("it was written by a newer program")
 )
 
-// ref names a file: by the number of the process that writes it, and its generation.
-type ref struct{ number, generation uint64 }
+// fileRef identifies a file by the number of the process that writes it and a generation, which counts the
+// files of that process.
+type fileRef struct{ process, generation uint64 }
 
-func (r ref) name() string { return fmt.Sprintf("%s%016x-%08x", prefix, r.number, r.generation) }
+// fileName returns the file's name, from which parseFileRef restores r.
+func (r fileRef) fileName() string {
+	return fmt.Sprintf("%s%016x-%08x", filePrefix, r.process, r.generation)
+}
 
-// byAge orders files by their age.
-func byAge(a, b ref) int {
-	return cmp.Or(cmp.Compare(a.number, b.number), cmp.Compare(a.generation, b.generation))
+// compareAge orders files from the oldest to the newest.
+func compareAge(a, b fileRef) int {
+	return cmp.Or(cmp.Compare(a.process, b.process), cmp.Compare(a.generation, b.generation))
 }
 
-func (r ref) after(o ref) bool {
-	return byAge(r, o) > 0
+// isNewer reports whether r is newer than o.
+func (r fileRef) isNewer(o fileRef) bool {
+	return compareAge(r, o) > 0
 }
 
-// parseRef reads a file's name; false: it is none of the store's.
-func parseRef(name string) (r ref, ok bool) {
-	n, err := fmt.Sscanf(name, prefix+"%016x-%08x", &r.number, &r.generation)
-	return r, err == nil && n == 2 && r.name() == name
+// parseFileRef parses a file's name. ok is false if it is not a name of a state file.
+func parseFileRef(name string) (r fileRef, ok bool) {
+	n, err := fmt.Sscanf(name, filePrefix+"%016x-%08x", &r.process, &r.generation)
+	return r, err == nil && n == 2 && r.fileName() == name
 }
 
-// seal ends a sector with its checksum.
-func seal(s []byte) []byte {
-	order.PutUint32(s[sector-4:], sum32(0, s[:sector-4]))
+// sealSector writes the checksum at the end of a sector.
+func sealSector(s []byte) []byte {
+	byteOrder.PutUint32(s[sectorSize-4:], checksum(0, s[:sectorSize-4]))
 	return s
 }
 
-func sealed(s []byte) bool {
-	return len(s) == sector && order.Uint32(s[sector-4:]) == sum32(0, s[:sector-4])
+// isSealed reports whether a sector has the right checksum.
+func isSealed(s []byte) bool {
+	return len(s) == sectorSize && byteOrder.Uint32(s[sectorSize-4:]) == checksum(0, s[:sectorSize-4])
 }
 
-func headOf(r ref) []byte {
-	s := make([]byte, sector)
+// encodeHeader returns the header sector of a file.
+func encodeHeader(r fileRef) []byte {
+	s := make([]byte, sectorSize)
 	copy(s, magic)
-	order.PutUint64(s[8:], form)
-	order.PutUint64(s[16:], r.number)
-	order.PutUint64(s[24:], r.generation)
-	return seal(s)
+	byteOrder.PutUint64(s[8:], formatVersion)
+	byteOrder.PutUint64(s[16:], r.process)
+	byteOrder.PutUint64(s[24:], r.generation)
+	return sealSector(s)
 }
 
-// slot is a file's state as it was committed last.
+// slot is the state of a file at one commit.
 type slot struct {
-	sequence uint64
-	length   uint64
-	next     ref // the file that came after this one; its zero value: none did
+	sequence  uint64
+	length    uint64
+	successor fileRef // the file that replaced this one; zero: none has
 }
 
+// encode returns the sector of a slot.
 func (s slot) encode() []byte {
-	b := make([]byte, sector)
-	for i, v := range []uint64{s.sequence, s.length, s.next.number, s.next.generation} {
-		order.PutUint64(b[8*i:], v)
+	b := make([]byte, sectorSize)
+	for i, v := range []uint64{s.sequence, s.length, s.successor.process, s.successor.generation} {
+		byteOrder.PutUint64(b[8*i:], v)
 	}
-	return seal(b)
+	return sealSector(b)
 }
 
-// at is where a slot goes in its file.
-func (s slot) at() int64 { return sector * int64(1+s.sequence%2) }
+// offset returns the position of a slot in its file, which alternates with the sequence.
+func (s slot) offset() int64 { return sectorSize * int64(1+s.sequence%2) }
 
+// decodeSlot reads a slot from a sector whose checksum was verified.
 func decodeSlot(b []byte) slot {
-	v := func(i int) uint64 { return order.Uint64(b[8*i:]) }
-	return slot{v(0), v(1), ref{v(2), v(3)}}
+	v := func(i int) uint64 { return byteOrder.Uint64(b[8*i:]) }
+	return slot{v(0), v(1), fileRef{v(2), v(3)}}
 }
 
-// entry is what the store has under a section and a key. The newest version counts, of equals the one of the
-// younger process.
+// entry is the value of a section and a key. The entry with the highest version is valid; of two with the same
+// version, that of the process with the higher number.
 type entry struct {
 	version, origin uint64
-	at              int64 // wall clock, ms
-	gone            bool
+	putAtMs         int64 // wall clock, Unix ms
+	deleted         bool
 	value           []byte
 }
 
-func (e entry) newer(than entry) bool {
-	return e.version > than.version || e.version == than.version && e.origin > than.origin
+// supersedes reports whether e is valid instead of other.
+func (e entry) supersedes(other entry) bool {
+	return e.version > other.version || e.version == other.version && e.origin > other.origin
 }
 
-// id is a section and a key.
-type id struct{ section, key string }
+// entryID identifies an entry.
+type entryID struct{ section, key string }
 
-func byName(a, b id) int { return cmp.Or(cmp.Compare(a.section, b.section), cmp.Compare(a.key, b.key)) }
+// compareIDs orders by section, then by key.
+func compareIDs(a, b entryID) int {
+	return cmp.Or(cmp.Compare(a.section, b.section), cmp.Compare(a.key, b.key))
+}
 
-func appendRecord(to []byte, i id, e entry) []byte {
+// appendRecord appends the encoded record of an entry.
+func appendRecord(to []byte, i entryID, e entry) []byte {
 	start := len(to)
-	to = append(to, make([]byte, recHead)...)
+	to = append(to, make([]byte, recordHeaderSize)...)
 	to = binary.AppendUvarint(to, e.version)
 	to = binary.AppendUvarint(to, e.origin)
-	to = binary.AppendVarint(to, e.at)
+	to = binary.AppendVarint(to, e.putAtMs)
 	flags := byte(0)
-	if e.gone {
+	if e.deleted {
 		flags = 1
 	}
 	to = append(to, flags)
@@ -130,25 +145,25 @@
 		to = append(to, text...)
 	}
 	to = append(to, e.value...)
-	body := to[start+recHead:]
-	order.PutUint32(to[start:], uint32(len(body)))
-	sum := sum32(sum32(0, to[start:start+4]), body)
-	order.PutUint32(to[start+4:], sum)
+	body := to[start+recordHeaderSize:]
+	byteOrder.PutUint32(to[start:], uint32(len(body)))
+	sum := checksum(checksum(0, to[start:start+4]), body)
+	byteOrder.PutUint32(to[start+4:], sum)
 	return to
 }
 
-// nextRecord reads the record at the start of b, and returns its length; 0: there is no sound one.
-func nextRecord(b []byte) (id, entry, int) {
-	if len(b) < recHead {
-		return id{}, entry{}, 0
+// decodeRecord reads the record at the start of b and returns its length; 0: there is no intact record.
+func decodeRecord(b []byte) (entryID, entry, int) {
+	if len(b) < recordHeaderSize {
+		return entryID{}, entry{}, 0
 	}
-	n := int(order.Uint32(b))
-	if n > recMost || n > len(b)-recHead {
-		return id{}, entry{}, 0
+	n := int(byteOrder.Uint32(b))
+	if n > maxRecordBytes || n > len(b)-recordHeaderSize {
+		return entryID{}, entry{}, 0
 	}
-	body := b[recHead : recHead+n]
-	if sum32(sum32(0, b[:4]), body) != order.Uint32(b[4:]) {
-		return id{}, entry{}, 0
+	body := b[recordHeaderSize : recordHeaderSize+n]
+	if checksum(checksum(0, b[:4]), body) != byteOrder.Uint32(b[4:]) {
+		return entryID{}, entry{}, 0
 	}
 	var e entry
 	var texts [2]string
@@ -165,81 +180,83 @@
 	e.version, e.origin = uvarint(), uvarint()
 	at, k := binary.Varint(body)
 	if k <= 0 || len(body) <= k || !ok {
-		return id{}, entry{}, 0
+		return entryID{}, entry{}, 0
 	}
-	e.at, e.gone, body = at, body[k] == 1, body[k+1:]
+	e.putAtMs, e.deleted, body = at, body[k] == 1, body[k+1:]
 	for i := range texts {
 		size := uvarint()
 		if !ok || size > uint64(len(body)) {
-			return id{}, entry{}, 0
+			return entryID{}, entry{}, 0
 		}
 		texts[i], body = strings.Clone(string(body[:size])), body[size:]
 	}
 	e.value = append([]byte(nil), body...)
-	return id{texts[0], texts[1]}, e, recHead + n
+	return entryID{texts[0], texts[1]}, e, recordHeaderSize + n
 }
 
-// content is what a file holds, as far as it is sound.
-type content struct {
-	ref     ref
-	slot    slot // the newest that is sound
-	records []record
-	end     int    // of the sound part
-	damage  string // what is wrong, and where; empty: nothing is
+// fileContent is the intact part of a file.
+type fileContent struct {
+	ref         fileRef
+	slot        slot // the newest intact slot
+	records     []record
+	intactBytes int    // length of the intact part
+	damage      string // the first fault, with its offset; empty: the file is intact
 }
 
+// record is a decoded record.
 type record struct {
-	id
+	entryID
 	entry
 }
 
-// decode reads a file. What is not sound is told in damage; what lies behind the committed part and is not whole was
-// under way when its process ended, and is no damage.
-func decode(name string, raw []byte) (c content, err error) {
-	named, ok := parseRef(name)
+// decodeFile reads a file and reports damage in the result. An incomplete record behind the committed length is
+// no damage: its write was under way when the process ended. The error is errNewerFormat for a file of a newer
+// format; a wrong name is an error too.
+func decodeFile(name string, raw []byte) (c fileContent, err error) {
+	named, ok := parseFileRef(name)
 	if !ok {
-		return c, fmt.Errorf("%q is no name of a state file", name)
+		return c, fmt.Errorf("%q is not the name of a state file", name)
 	}
 	c.ref = named
-	hurt := func(format string, args ...any) {
+	report := func(format string, args ...any) {
 		if c.damage == "" {
 			c.damage = fmt.Sprintf(format, args...)
 		}
 	}
-	if len(raw) < first {
-		hurt("offset %d: the file ends within its head", len(raw))
+	if len(raw) < recordsOffset {
+		report("offset %d: the file ends within its header", len(raw))
 		return c, nil
 	}
-	switch head := raw[:sector]; {
-	case !sealed(head) || string(head[:8]) != magic:
-		hurt("offset 0: the head's checksum is wrong")
-	case order.Uint64(head[8:]) > form:
-		return c, errForm
-	case (ref{order.Uint64(head[16:]), order.Uint64(head[24:])}) != named:
-		hurt("offset 0: the head is that of another file")
+	switch head := raw[:sectorSize]; {
+	case !isSealed(head) || string(head[:8]) != magic:
+		report("offset 0: the header's checksum is wrong")
+	case byteOrder.Uint64(head[8:]) > formatVersion:
+		return c, errNewerFormat
+	case (fileRef{byteOrder.Uint64(head[16:]), byteOrder.Uint64(head[24:])}) != named:
+		report("offset 0: the header is that of another file")
 	}
 	found := false
 	for i := 1; i <= 2; i++ {
-		b := raw[i*sector : (i+1)*sector]
-		if !sealed(b) {
-			hurt("offset %d: a slot's checksum is wrong", i*sector)
+		b := raw[i*sectorSize : (i+1)*sectorSize]
+		if !isSealed(b) {
+			report("offset %d: a slot's checksum is wrong", i*sectorSize)
 			continue
 		}
 		if s := decodeSlot(b); !found || s.sequence > c.slot.sequence {
 			c.slot, found = s, true
 		}
 	}
-	c.end = first
-	for c.end < len(raw) {
-		i, e, n := nextRecord(raw[c.end:])
+	c.intactBytes = recordsOffset
+	for c.intactBytes < len(raw) {
+		i, e, n := decodeRecord(raw[c.intactBytes:])
 		if n == 0 {
 			break
 		}
 		c.records = append(c.records, record{i, e})
-		c.end += n
+		c.intactBytes += n
 	}
-	if uint64(c.end) < c.slot.length {
-		hurt("offset %d: a record is damaged or missing; %d bytes were committed", c.end, c.slot.length)
+	if uint64(c.intactBytes) < c.slot.length {
+		report("offset %d: a record is damaged or missing; %d bytes were committed", c.intactBytes, c.slot.length)
 	}
 	return c, nil
 }
--- a/internal/store/fs.go
+++ b/internal/store/fs.go
@@ -9,23 +9,23 @@
 	"path/filepath"
 )
 
-// FS is a file system as far as the store needs one. A test replaces it with one that loses power.
+// FS is the part of a file system that the store uses. Tests replace it, for example by one that loses power.
 type FS interface {
-	// List names the files in a folder, or nothing where there is none.
+	// List returns the names of the files in a folder, or none if the folder does not exist.
 	List(dir string) ([]string, error)
-	// Read reads a whole file of at most limit bytes.
+	// Read reads a whole file. A file of more than limit bytes is an error.
 	Read(path string, limit int) ([]byte, error)
-	// Create makes a file that was not there.
+	// Create creates a file that must not exist.
 	Create(path string) (File, error)
-	// Open opens a file for writing.
+	// Open opens an existing file for writing.
 	Open(path string) (File, error)
-	// SameFile says whether a file is still what its path names.
+	// SameFile reports whether path still names f.
 	SameFile(path string, f File) bool
-	// ChangeStamp changes whenever a file does.
+	// ChangeStamp returns a text that changes whenever the file does; empty: it does not exist.
 	ChangeStamp(path string) string
 	Rename(from, to string) error
 	Remove(path string) error
-	// SyncDir makes the names in a folder durable; it makes the folder where there is none.
+	// SyncDir makes the names in a folder durable. It creates the folder if it does not exist.
 	SyncDir(dir string) error
 }
 
@@ -36,7 +36,7 @@
 	Close() error
 }
 
-// OS is the machine's own file system.
+// OS is the file system of the operating system.
 type OS struct{}
 
 // List implements FS.
@@ -67,16 +67,16 @@
 
 // Create implements FS.
 func (OS) Create(path string) (File, error) {
-	return open(path, os.O_RDWR|os.O_CREATE|os.O_EXCL)
+	return openFile(path, os.O_RDWR|os.O_CREATE|os.O_EXCL)
 }
 
 // Open implements FS.
-func (OS) Open(path string) (File, error) { return open(path, os.O_RDWR) }
+func (OS) Open(path string) (File, error) { return openFile(path, os.O_RDWR) }
 
-func open(path string, flag int) (File, error) {
+func openFile(path string, flag int) (File, error) {
 	f, err := os.OpenFile(path, flag, 0o600)
 	if err != nil {
-		return nil, err // a nil *os.File is no nil File
+		return nil, err // a nil *os.File would not be a nil File
 	}
 	return f, nil
 }
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -1,17 +1,21 @@
-// Package store keeps what a process knows over its end, over that of its machine's power, and for the process that
-// takes over from it. docs/state.md is its contract; in short:
+// Package store keeps the state of a process so that it survives the end of the process and a loss of power,
+// and hands it over to the process that replaces it. docs/state.md is its contract; in short:
 //
-//   - What Put has returned nil for is found by every later Open, whatever happens to the power, as long as the
-//     folder is there. Where Put returns an error, what it was given holds in this process, and may or may not be found.
-//   - What was never put is never found. Each record has a checksum; what is not sound counts for nothing.
-//   - A folder that is damaged is never taken for a sound one: a flipped bit, a file cut short, emptied or missing is
-//     told (Damage) by every Open until ConfirmState. What can't be told from the outside: a folder that is gone as a whole.
-//   - Processes under one name each write files of their own, and read the others' (Refresh): none can harm another's.
-//     Of two words on one thing the one with the higher version counts, and the same at every process.
-//   - It holds two files of at most half of MaxBytes each for a process that is alone; damaged files are set aside,
-//     damagedMost at most.
+//   - A value for which Put has returned nil is found by every later Open, even after a loss of power, as long
+//     as the folder exists. If Put returns an error, the value is valid in this process and may or may not be
+//     found later.
+//   - A value that was never put is never found. Each record has a checksum, and a record that fails it is
+//     ignored.
+//   - A damaged folder is never taken for an intact one: a flipped bit or a file that is truncated, emptied or
+//     missing is reported (Damage) by every Open until ConfirmState. The loss of the whole folder can't be
+//     detected.
+//   - Processes of the same name write files of their own and read those of the others (Refresh), so that none
+//     can damage another's. Of two values of one key the one with the higher version is valid, at every
+//     process.
+//   - A process that is the only writer keeps two files of at most half of MaxBytes each. Damaged files are
+//     renamed, and at most maxDamagedFiles of them are kept.
 //
-// All methods are safe for concurrent use. Reading never waits for a disk.
+// All methods are safe for concurrent use. Reads never wait for a disk.
 package store
 
 import (
@@ -29,157 +33,160 @@
 )
 
 const (
-	limit       = 1 << 20 // bytes of all files, where Options say nothing
-	readMost    = 64 << 20
-	damagedMost = 4  // files set aside that are kept
-	filesMost   = 16 // files of others that are kept though nobody can say whether their processes live
-	goneKept    = time.Minute
+	defaultMaxBytes    = 1 << 20     // for Options.MaxBytes
+	maxReadBytes       = 64 << 20    // of one file
+	maxDamagedFiles    = 4           // files renamed as damaged that are kept
+	maxForeignFiles    = 16          // files of other processes that are kept while it is not known whether those still run
+	tombstoneRetention = time.Minute // time for which the entry of a deleted value is kept
 )
 
-// internal is the section that the store has for itself.
-const internal = "store"
+// ownSection is the section of the store's own entries.
+const ownSection = "store"
 
-// Options say how a store is opened.
+// Options configure a store.
 type Options struct {
-	FS       FS // nil: the machine's own
+	FS       FS // nil: that of the operating system
 	Dir      string
-	MaxBytes int              // bytes of files; 0: 1 MiB
+	MaxBytes int              // limit on the files together; 0: 1 MiB
 	Now      func() time.Time // nil: the wall clock
-	// SoleWriter says whether no other process writes here. Files of others go only while it does; nil: never.
+	// SoleWriter reports whether no other process writes to the folder now. Files of other processes are
+	// removed or renamed only while it returns true. nil: it never does.
 	SoleWriter func() bool
 }
 
-// Damage is what was found wrong with a folder, until an operator confirms it.
+// Damage lists the faults found in the folder that no operator has confirmed, each as a file name and a
+// description.
 type Damage struct{ Findings []string }
 
-// Entry is a value with its age.
+// Entry is a value and the time at which it was put.
 type Entry struct {
 	Value []byte
-	At    time.Time // by the wall clock of the process that put it
+	At    time.Time // wall clock of the process that put it
 }
 
 // Store is an open store.
 type Store struct {
-	fs    FS
-	dir   string
-	limit int
-	fresh bool // there was nothing before
-	now   func() time.Time
-	alone func() bool
-
-	committed atomic.Int64 // size of the file, for readers that must not wait for a disk
-	unread    atomic.Bool  // something in the folder could not be read so far
-
-	mu      sync.RWMutex // guards what follows
-	entries map[id]entry
-	clock   uint64 // the highest version seen: the next word of this process is above all that it knows of
-	damage  []string
-
-	io     sync.Mutex // guards the files; taken before mu
-	own    ref        // the file in use
-	before ref        // the one before it, kept in case that this one is damaged
-	tries  uint64     // files begun, or tried to: the next one's generation
-	file   File       // nil: a new one has to be begun
-	slot   slot
-	size   int
-	dirty  bool              // there is something unsynced
-	behind bool              // there is something that the file in use has not
-	stamps map[string]string // of others' files, as last read
+	fs         FS
+	dir        string
+	maxBytes   int
+	wasEmpty   bool // the folder had no state when it was opened
+	now        func() time.Time
+	soleWriter func() bool
+
+	committedSize atomic.Int64 // size of the current file at the last commit, for readers that must not wait for a disk
+	hasUnread     atomic.Bool  // a file, or the folder itself, could not be read so far
+
+	mu       sync.RWMutex // guards the fields up to ioMu
+	entries  map[entryID]entry
+	clock    uint64   // Lamport clock: the highest version seen, so that a new version of this process is above all it knows
+	findings []string // see Damage
+
+	ioMu           sync.Mutex // guards the files and the fields below; locked before mu
+	current        fileRef    // the file being written
+	previous       fileRef    // the file before it, kept in case the current one is damaged
+	nextGeneration uint64     // generation of the next file; failed attempts count too
+	file           File       // nil: a new file has to be started
+	slot           slot
+	size           int
+	unsynced       bool              // the file has writes that are not synced
+	incomplete     bool              // some entry is not in the current file
+	stamps         map[string]string // by name: ChangeStamp of other processes' files when they were last read
 }
 
-// Open opens the store in a folder, which it makes if need be, and begins a file of its own there. It fails where that
-// can't be done; what was found is in the store even then, and Put tries again.
+// Open opens the store in a folder, which it creates if needed, and starts a file of its own there. If it
+// returns an error the store is usable all the same: it has what was found, and Put tries again to start a
+// file.
 func Open(o Options) (*Store, error) {
-	s := &Store{fs: o.FS, dir: o.Dir, limit: o.MaxBytes, now: o.Now, alone: o.SoleWriter, entries: make(map[id]entry), stamps: make(map[string]string)}
+	s := &Store{fs: o.FS, dir: o.Dir, maxBytes: o.MaxBytes, now: o.Now, soleWriter: o.SoleWriter, entries: make(map[entryID]entry), stamps: make(map[string]string)}
 	if s.fs == nil {
 		s.fs = OS{}
 	}
-	if s.limit == 0 {
-		s.limit = limit
+	if s.maxBytes == 0 {
+		s.maxBytes = defaultMaxBytes
 	}
 	if s.now == nil {
 		s.now = time.Now
 	}
-	s.io.Lock()
-	defer s.io.Unlock()
-	highest, err := s.readAll()
-	s.own = ref{number: max(highest+1, uint64(max(0, s.now().UnixMilli())))}
-	failed := s.begin()
-	for range filesMost { // a process that was started by accident in the same moment has the same number
+	s.ioMu.Lock()
+	defer s.ioMu.Unlock()
+	highest, err := s.load()
+	s.current = fileRef{process: max(highest+1, uint64(max(0, s.now().UnixMilli())))}
+	failed := s.startFile()
+	for range maxForeignFiles { // another process that was started in the same millisecond may have the same number
 		if !errors.Is(failed, fs.ErrExist) {
 			break
 		}
-		s.own.number++
-		failed = s.begin()
+		s.current.process++
+		failed = s.startFile()
 	}
 	return s, errors.Join(err, failed)
 }
 
-// readAll takes in all files of the folder, and returns the highest number of a process.
-func (s *Store) readAll() (highest uint64, err error) {
-	contents, unread, err := readFolder(s.fs, s.dir)
-	s.unread.Store(errors.Is(err, errUnread))
-	s.fresh = len(contents)+len(unread) == 0 && !s.unread.Load()
-	var bad []string
+// load reads all files of the folder and returns the highest process number in them.
+func (s *Store) load() (highest uint64, err error) {
+	contents, unread, err := readDir(s.fs, s.dir)
+	s.hasUnread.Store(errors.Is(err, errUnread))
+	s.wasEmpty = len(contents)+len(unread) == 0 && !s.hasUnread.Load()
+	var damagedFiles []string
 	for _, c := range contents {
-		highest = max(highest, c.ref.number)
+		highest = max(highest, c.ref.process)
 		for _, r := range c.records {
-			s.merge(r.id, r.entry)
+			s.merge(r.entryID, r.entry)
 			highest = max(highest, r.origin)
 		}
 		if c.damage != "" {
-			bad = append(bad, c.ref.name())
-			s.damage = append(s.damage, c.ref.name()+": "+c.damage)
+			damagedFiles = append(damagedFiles, c.ref.fileName())
+			s.findings = append(s.findings, c.ref.fileName()+": "+c.damage)
 		}
 	}
-	s.damage = append(s.damage, missing(contents)...)
+	s.findings = append(s.findings, missingSuccessors(contents)...)
 	for _, name := range unread {
-		if r, ok := parseRef(name); ok {
-			highest = max(highest, r.number)
+		if r, ok := parseFileRef(name); ok {
+			highest = max(highest, r.process)
 		}
 	}
-	if len(s.damage) > 0 {
-		s.put(id{internal, "damage"}, []byte(strings.Join(s.damage, "\n")), false)
-	} else if e, ok := s.entries[id{internal, "damage"}]; ok && !e.gone {
-		s.damage = strings.Split(string(e.value), "\n")
+	if len(s.findings) > 0 {
+		s.putInMemory(entryID{ownSection, "damage"}, []byte(strings.Join(s.findings, "\n")), false)
+	} else if e, ok := s.entries[entryID{ownSection, "damage"}]; ok && !e.deleted {
+		s.findings = strings.Split(string(e.value), "\n")
 	}
-	s.setAside(bad)
+	s.quarantine(damagedFiles)
 	return highest, err
 }
 
-// missing tells of files that another says came after it, and that are not there.
-func missing(contents []content) (gone []string) {
+// missingSuccessors describes each file whose successor, and every newer file, is missing.
+func missingSuccessors(contents []fileContent) (missing []string) {
 	for _, c := range contents {
-		next := c.slot.next
-		if next != (ref{}) && !slices.ContainsFunc(contents, func(o content) bool { return !next.after(o.ref) }) {
-			gone = append(gone, c.ref.name()+": the file after it, "+next.name()+", is missing")
+		next := c.slot.successor
+		if next != (fileRef{}) && !slices.ContainsFunc(contents, func(o fileContent) bool { return !next.isNewer(o.ref) }) {
+			missing = append(missing, c.ref.fileName()+": the file after it, "+next.fileName()+", is missing")
 		}
 	}
-	return gone
+	return missing
 }
 
-// errUnread says that the folder, or a file in it, could not be read.
+// errUnread reports that the folder, or a file in it, could not be read.
 var errUnread = errors.New("state not read")
 
-// readFolder reads all state files of a folder, in order of their age. unread are those of newer programs, and those
-// that can't be read, which is an errUnread too.
-func readFolder(disk FS, dir string) (contents []content, unread []string, err error) {
-	end := time.Now().Add(readTime)
-	names, err := readAgain(end, func() ([]string, error) { return disk.List(dir) })
+// readDir reads all state files of a folder, ordered by age. unread has the names of files of a newer program
+// and of files that can't be read; for the latter the error is errUnread.
+func readDir(fsys FS, dir string) (contents []fileContent, unread []string, err error) {
+	end := time.Now().Add(readRetryTimeout)
+	names, err := readWithRetry(end, func() ([]string, error) { return fsys.List(dir) })
 	if err != nil {
 		err = fmt.Errorf("%w: %w", errUnread, err)
 	}
 	for _, name := range names {
-		if _, ok := parseRef(name); !ok {
+		if _, ok := parseFileRef(name); !ok {
 			continue
 		}
-		raw, failed := readAgain(end, func() ([]byte, error) { return disk.Read(filepath.Join(dir, name), readMost) })
+		raw, failed := readWithRetry(end, func() ([]byte, error) { return fsys.Read(filepath.Join(dir, name), maxReadBytes) })
 		if failed != nil {
 			err = errors.Join(err, fmt.Errorf("%w: %w", errUnread, failed))
 			unread = append(unread, name)
 			continue
 		}
-		c, failed := decode(name, raw)
+		c, failed := decodeFile(name, raw)
 		if failed != nil {
 			err = errors.Join(err, fmt.Errorf("%s: %w", name, failed))
 			unread = append(unread, name)
@@ -187,115 +194,115 @@
 		}
 		contents = append(contents, c)
 	}
-	slices.SortFunc(contents, func(a, b content) int { return byAge(a.ref, b.ref) })
+	slices.SortFunc(contents, func(a, b fileContent) int { return compareAge(a.ref, b.ref) })
 	return contents, unread, err
 }
 
 const (
-	readTime  = time.Second // a folder may fail for a moment, and what it says is owed: it is read again for so long
-	readPause = 10 * time.Millisecond
+	readRetryTimeout  = time.Second // reads may fail for a moment, and ignoring a file would lose its values: they are repeated for this long
+	readRetryInterval = 10 * time.Millisecond
 )
 
-// readAgain reads something, and again until end after a failure but that it is gone.
-func readAgain[T any](end time.Time, read func() (T, error)) (T, error) {
+// readWithRetry repeats a read that fails until end. That the file does not exist is a result, not a failure.
+func readWithRetry[T any](end time.Time, read func() (T, error)) (T, error) {
 	for {
 		got, err := read()
 		if err == nil || errors.Is(err, fs.ErrNotExist) || time.Now().After(end) {
 			return got, err
 		}
-		time.Sleep(readPause)
+		time.Sleep(readRetryInterval)
 	}
 }
 
-// setAside renames damaged files, so that nobody reads them again, and removes the oldest of many. A process that
-// lives keeps its own.
-func (s *Store) setAside(names []string) {
-	if s.alone == nil || !s.alone() {
+// quarantine renames damaged files so that they are not read again, and removes the oldest renamed ones beyond
+// maxDamagedFiles. It does nothing while other processes may write to the folder.
+func (s *Store) quarantine(names []string) {
+	if s.soleWriter == nil || !s.soleWriter() {
 		return
 	}
-	for _, name := range names { // what fails here is found damaged again
+	for _, name := range names { // a file that can't be renamed is found damaged again
 		_ = s.fs.Rename(filepath.Join(s.dir, name), filepath.Join(s.dir, fmt.Sprintf("%s.damaged-%d", name, s.now().UnixMilli())))
 	}
 	all, _ := s.fs.List(s.dir)
 	all = slices.DeleteFunc(all, func(n string) bool { return !strings.Contains(n, ".damaged-") })
 	slices.Sort(all)
-	for _, name := range all[:max(0, len(all)-damagedMost)] {
+	for _, name := range all[:max(0, len(all)-maxDamagedFiles)] {
 		_ = s.fs.Remove(filepath.Join(s.dir, name))
 	}
 }
 
-// merge takes in a word of any process, and says whether it is news.
-func (s *Store) merge(i id, e entry) bool {
+// merge adds an entry of any process unless a newer one is known, and reports whether it did.
+func (s *Store) merge(i entryID, e entry) bool {
 	s.clock = max(s.clock, e.version)
 	old, ok := s.entries[i]
-	if ok && !e.newer(old) {
+	if ok && !e.supersedes(old) {
 		return false
 	}
 	s.entries[i] = e
 	return true
 }
 
-// put enters a value in memory.
-func (s *Store) put(i id, value []byte, gone bool) entry {
+// putInMemory adds a new entry of this process in memory.
+func (s *Store) putInMemory(i entryID, value []byte, deleted bool) entry {
 	s.clock++
-	e := entry{version: s.clock, origin: s.own.number, at: s.now().UnixMilli(), gone: gone, value: value}
+	e := entry{version: s.clock, origin: s.current.process, putAtMs: s.now().UnixMilli(), deleted: deleted, value: value}
 	s.entries[i] = e
 	return e
 }
 
-// begin begins a file with all that holds now, and once that is durable removes what it stands for.
-func (s *Store) begin() error {
+// startFile writes all entries to a new file. Once that file is durable it removes the files that it replaces.
+func (s *Store) startFile() error {
 	s.mu.Lock()
-	if before := s.now().Add(-goneKept).UnixMilli(); s.alone != nil && s.alone() { // nobody else's file has the value yet
+	if cutoff := s.now().Add(-tombstoneRetention).UnixMilli(); s.soleWriter != nil && s.soleWriter() { // no other process's file has the deleted values any more
 		n := len(s.entries)
-		if maps.DeleteFunc(s.entries, func(_ id, e entry) bool { return e.gone && e.at < before }); len(s.entries) < n {
-			s.put(id{internal, "clock"}, nil, false) // its version stands for those that went
+		if maps.DeleteFunc(s.entries, func(_ entryID, e entry) bool { return e.deleted && e.putAtMs < cutoff }); len(s.entries) < n {
+			s.putInMemory(entryID{ownSection, "clock"}, nil, false) // keeps the clock above the versions of the removed entries
 		}
 	}
-	raw := make([]byte, first)
-	keys := slices.SortedFunc(maps.Keys(s.entries), byName)
+	raw := make([]byte, recordsOffset)
+	keys := slices.SortedFunc(maps.Keys(s.entries), compareIDs)
 	for _, i := range keys {
 		raw = appendRecord(raw, i, s.entries[i])
 	}
 	s.mu.Unlock()
-	if len(raw) > s.limit/2 {
-		return fmt.Errorf("state: %d bytes, %d are allowed", len(raw), s.limit/2)
+	if len(raw) > s.maxBytes/2 {
+		return fmt.Errorf("state: %d bytes, %d are allowed", len(raw), s.maxBytes/2)
 	}
-	if err := s.fs.SyncDir(s.dir); err != nil { // makes it, too
+	if err := s.fs.SyncDir(s.dir); err != nil { // creates the folder if needed
 		return err
 	}
-	old, oldSlot, oldRef := s.file, s.slot, s.own
-	next := ref{s.own.number, s.tries}
-	s.tries++ // a name that failed is not used again: nobody knows what became of it
-	copy(raw, headOf(next))
-	slot := slot{sequence: 1, length: uint64(len(raw))}
-	copy(raw[sector*2:], slot.encode())
-	slot.sequence = 0
-	copy(raw[sector:], slot.encode())
-	slot.sequence = 1
-	f, err := s.write(filepath.Join(s.dir, next.name()), raw)
+	old, oldSlot, oldRef := s.file, s.slot, s.current
+	next := fileRef{s.current.process, s.nextGeneration}
+	s.nextGeneration++ // a failed name is not used again: its file may exist or not
+	copy(raw, encodeHeader(next))
+	initial := slot{sequence: 1, length: uint64(len(raw))}
+	copy(raw[sectorSize*2:], initial.encode())
+	initial.sequence = 0
+	copy(raw[sectorSize:], initial.encode())
+	initial.sequence = 1
+	f, err := s.writeFile(filepath.Join(s.dir, next.fileName()), raw)
 	if err != nil {
 		return err
 	}
-	if old != nil { // from now on the old file is known to be old
+	if old != nil { // mark the old file as replaced
 		oldSlot.sequence++
-		oldSlot.next = next
-		if _, err := old.WriteAt(oldSlot.encode(), oldSlot.at()); err == nil { // without it, one check less
+		oldSlot.successor = next
+		if _, err := old.WriteAt(oldSlot.encode(), oldSlot.offset()); err == nil { // if this fails, the loss of the new file would not be detected
 			_ = old.Sync()
 		}
 		old.Close()
 	}
 	if s.size > 0 {
-		s.before = oldRef
+		s.previous = oldRef
 	}
-	s.file, s.slot, s.size, s.own, s.dirty, s.behind = f, slot, len(raw), next, false, false
-	s.committed.Store(int64(s.size))
-	s.tidy()
+	s.file, s.slot, s.size, s.current, s.unsynced, s.incomplete = f, initial, len(raw), next, false, false
+	s.committedSize.Store(int64(s.size))
+	s.removeObsolete()
 	return nil
 }
 
-// write makes a file that is there as a whole or not at all.
-func (s *Store) write(path string, raw []byte) (File, error) {
+// writeFile creates a file that exists either as a whole or not at all, whenever the power fails.
+func (s *Store) writeFile(path string, raw []byte) (File, error) {
 	f, err := s.fs.Create(path + ".tmp")
 	if err != nil {
 		return nil, err
@@ -317,62 +324,63 @@
 	}
 	if err != nil {
 		f.Close()
-		_ = s.fs.Remove(path + ".tmp") // where it stays, it goes with the next file
+		_ = s.fs.Remove(path + ".tmp") // if this fails, removeObsolete removes it later
 		return nil, err
 	}
 	return f, nil
 }
 
-// tidy removes files that this one stands for: its own but the one before it, and, while it is alone, those of
-// processes that have ended, but for the youngest where there is none before it.
-func (s *Store) tidy() {
+// removeObsolete removes the files that the current one replaces: this process's own but for the previous one
+// and, while this process is the only writer, those of ended processes, of which it keeps the newest if there
+// is no previous file.
+func (s *Store) removeObsolete() {
 	names, err := s.fs.List(s.dir)
 	if err != nil {
-		return // next time
+		return // the next call tries again
 	}
-	alone := s.alone != nil && s.alone()
-	var others []ref
+	soleWriter := s.soleWriter != nil && s.soleWriter()
+	var others []fileRef
 	for _, name := range names {
-		bare, tmp := strings.CutSuffix(name, ".tmp")
-		r, ok := parseRef(bare)
-		own := r.number == s.own.number
+		base, tmp := strings.CutSuffix(name, ".tmp")
+		r, ok := parseFileRef(base)
+		own := r.process == s.current.process
 		switch {
-		case !ok || !tmp && (r == s.own || r == s.before):
-		case own || tmp && alone:
-			_ = s.fs.Remove(filepath.Join(s.dir, name)) // next time, if it fails
+		case !ok || !tmp && (r == s.current || r == s.previous):
+		case own || tmp && soleWriter:
+			_ = s.fs.Remove(filepath.Join(s.dir, name)) // if it fails, the next call tries again
 		case !tmp:
 			others = append(others, r)
 		}
 	}
-	if s.unread.Load() { // what others have may be in their files alone
+	if s.hasUnread.Load() { // unread files may have values that exist nowhere else
 		return
 	}
-	slices.SortFunc(others, func(a, b ref) int { return byAge(b, a) })
-	keep := filesMost
-	if alone {
+	slices.SortFunc(others, func(a, b fileRef) int { return compareAge(b, a) })
+	keep := maxForeignFiles
+	if soleWriter {
 		keep = 0
-		if s.before == (ref{}) {
+		if s.previous == (fileRef{}) {
 			keep = 1
 		}
 	}
 	for i, r := range others {
 		switch {
 		case i >= keep:
-			_ = s.fs.Remove(filepath.Join(s.dir, r.name()))
-		case alone:
-			s.supersede(r)
+			_ = s.fs.Remove(filepath.Join(s.dir, r.fileName()))
+		case soleWriter:
+			s.markSuperseded(r)
 		}
 	}
 }
 
-// supersede marks the file of a process that has ended: this one's came after it.
-func (s *Store) supersede(r ref) {
-	path := filepath.Join(s.dir, r.name())
-	raw, err := s.fs.Read(path, readMost)
+// markSuperseded records in the file of an ended process that the current file came after it.
+func (s *Store) markSuperseded(r fileRef) {
+	path := filepath.Join(s.dir, r.fileName())
+	raw, err := s.fs.Read(path, maxReadBytes)
 	if err != nil {
 		return
 	}
-	c, err := decode(r.name(), raw)
+	c, err := decodeFile(r.fileName(), raw)
 	if err != nil || c.damage != "" {
 		return
 	}
@@ -382,157 +390,164 @@
 	}
 	defer f.Close()
 	c.slot.sequence++
-	c.slot.next = s.own
-	if _, err := f.WriteAt(c.slot.encode(), c.slot.at()); err == nil {
+	c.slot.successor = s.current
+	if _, err := f.WriteAt(c.slot.encode(), c.slot.offset()); err == nil {
 		_ = f.Sync()
 	}
 }
 
-// Put keeps a value, durably: once it has returned nil. With an error the value holds in this process alone.
+// Put stores a value. It is durable once Put has returned nil; after an error it is valid in this process
+// alone.
 func (s *Store) Put(section, key string, value []byte) error {
-	return s.change(id{section, key}, value, false, true)
+	return s.update(entryID{section, key}, value, false, true)
 }
 
-// Delete is Put of nothing.
-func (s *Store) Delete(section, key string) error { return s.change(id{section, key}, nil, true, true) }
+// Delete removes a value, with the guarantees of Put.
+func (s *Store) Delete(section, key string) error {
+	return s.update(entryID{section, key}, nil, true, true)
+}
 
-// PutUnsynced keeps a value that may be lost with the power; Sync makes it durable. The same value again costs nothing.
+// PutUnsynced stores a value that a loss of power may undo until Sync. Storing the present value again writes
+// nothing.
 func (s *Store) PutUnsynced(section, key string, value []byte) error {
 	s.mu.RLock()
-	old, ok := s.entries[id{section, key}]
+	old, ok := s.entries[entryID{section, key}]
 	s.mu.RUnlock()
-	if ok && !old.gone && bytes.Equal(old.value, value) {
+	if ok && !old.deleted && bytes.Equal(old.value, value) {
 		return nil
 	}
-	return s.change(id{section, key}, value, false, false)
+	return s.update(entryID{section, key}, value, false, false)
 }
 
-func (s *Store) change(i id, value []byte, gone, durable bool) error {
-	if i.section == internal {
-		return fmt.Errorf("section %q is the store's own", i.section)
+// update puts or deletes a value in memory and in the current file.
+func (s *Store) update(i entryID, value []byte, deleted, durable bool) error {
+	if i.section == ownSection {
+		return fmt.Errorf("section %q is reserved for the store", i.section)
 	}
-	s.io.Lock()
-	defer s.io.Unlock()
+	s.ioMu.Lock()
+	defer s.ioMu.Unlock()
 	s.mu.Lock()
-	e := s.put(i, bytes.Clone(value), gone)
+	e := s.putInMemory(i, bytes.Clone(value), deleted)
 	s.mu.Unlock()
-	return s.append(i, e, durable)
+	return s.appendEntry(i, e, durable)
 }
 
-// append writes a record behind the others. A file that fails in any way is not used any more: what it holds now is
-// anybody's guess, so that all is written anew.
-func (s *Store) append(i id, e entry, durable bool) error {
+// appendEntry writes a record at the end of the current file. After any failed write the content of that file
+// is unknown, so it is abandoned and all entries are written to a new one.
+func (s *Store) appendEntry(i entryID, e entry, durable bool) error {
 	raw := appendRecord(nil, i, e)
-	if len(raw) > recMost {
-		return fmt.Errorf("state: a value of %d bytes", len(raw))
+	if len(raw) > maxRecordBytes {
+		return fmt.Errorf("state: a record of %d bytes is too large", len(raw))
 	}
-	full := s.size+len(raw) > s.limit/2
-	if s.file == nil || s.behind || full || !s.fs.SameFile(filepath.Join(s.dir, s.own.name()), s.file) {
-		s.behind = true // until there is one with all
-		return s.begin()
+	full := s.size+len(raw) > s.maxBytes/2
+	if s.file == nil || s.incomplete || full || !s.fs.SameFile(filepath.Join(s.dir, s.current.fileName()), s.file) {
+		s.incomplete = true // until a new file has all entries
+		return s.startFile()
 	}
 	if _, err := s.file.WriteAt(raw, int64(s.size)); err != nil {
-		return s.again(err)
+		return s.replaceFile(err)
 	}
 	s.size += len(raw)
-	s.dirty = true
+	s.unsynced = true
 	if !durable {
 		return nil
 	}
 	return s.commit()
 }
 
-// again begins a new file after one has failed.
-func (s *Store) again(why error) error {
+// replaceFile starts a new file after the current one has failed with why.
+func (s *Store) replaceFile(why error) error {
 	if s.file != nil {
 		s.file.Close()
 		s.file = nil
 	}
-	if err := s.begin(); err != nil {
+	if err := s.startFile(); err != nil {
 		return errors.Join(why, err)
 	}
 	return nil
 }
 
-// commit makes all that was written durable: the records first, then the slot that counts them.
+// commit makes all written records durable: it syncs the records first, then writes and syncs the slot with the
+// new length.
 func (s *Store) commit() error {
-	if !s.dirty {
+	if !s.unsynced {
 		return nil
 	}
 	if err := s.file.Sync(); err != nil {
-		return s.again(err)
+		return s.replaceFile(err)
 	}
 	next := slot{sequence: s.slot.sequence + 1, length: uint64(s.size)}
-	if _, err := s.file.WriteAt(next.encode(), next.at()); err != nil {
-		return s.again(err)
+	if _, err := s.file.WriteAt(next.encode(), next.offset()); err != nil {
+		return s.replaceFile(err)
 	}
 	if err := s.file.Sync(); err != nil {
-		return s.again(err)
+		return s.replaceFile(err)
 	}
-	s.slot, s.dirty = next, false
-	s.committed.Store(int64(s.size))
+	s.slot, s.unsynced = next, false
+	s.committedSize.Store(int64(s.size))
 	return nil
 }
 
-// Sync makes all that PutUnsynced was given durable.
+// Sync makes all values of PutUnsynced durable.
 func (s *Store) Sync() error {
-	s.io.Lock()
-	defer s.io.Unlock()
-	if s.file == nil || s.behind {
-		return s.begin()
+	s.ioMu.Lock()
+	defer s.ioMu.Unlock()
+	if s.file == nil || s.incomplete {
+		return s.startFile()
 	}
 	return s.commit()
 }
 
-// Get returns a value.
+// Get returns a value and reports whether it exists.
 func (s *Store) Get(section, key string) (Entry, bool) {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
-	e, ok := s.entries[id{section, key}]
-	return Entry{e.value, time.UnixMilli(e.at)}, ok && !e.gone
+	e, ok := s.entries[entryID{section, key}]
+	return Entry{e.value, time.UnixMilli(e.putAtMs)}, ok && !e.deleted
 }
 
-// All returns a section.
+// All returns the values of a section by key.
 func (s *Store) All(section string) map[string]Entry {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	all := make(map[string]Entry)
 	for i, e := range s.entries {
-		if i.section == section && !e.gone {
-			all[i.key] = Entry{e.value, time.UnixMilli(e.at)}
+		if i.section == section && !e.deleted {
+			all[i.key] = Entry{e.value, time.UnixMilli(e.putAtMs)}
 		}
 	}
 	return all
 }
 
-// ProcessNumber is this process's: higher than that of every process before it, as long as the folder or the clock says so.
+// ProcessNumber returns the number of this process. It is higher than those of all earlier processes, as long
+// as either the folder or the clock shows them.
 func (s *Store) ProcessNumber() uint64 {
-	s.io.Lock()
-	defer s.io.Unlock()
-	return s.own.number
+	s.ioMu.Lock()
+	defer s.ioMu.Unlock()
+	return s.current.process
 }
 
-// WasEmpty says whether there was no state before this process.
-func (s *Store) WasEmpty() bool { return s.fresh }
+// WasEmpty reports whether the folder had no state when the store was opened.
+func (s *Store) WasEmpty() bool { return s.wasEmpty }
 
-// CommittedSize is how many bytes the file in use had when it was committed last.
-func (s *Store) CommittedSize() int { return int(s.committed.Load()) }
+// CommittedSize returns the size in bytes of the current file at its last commit.
+func (s *Store) CommittedSize() int { return int(s.committedSize.Load()) }
 
-// HasUnread says whether something in the folder could not be read so far. Refresh tries again.
-func (s *Store) HasUnread() bool { return s.unread.Load() }
+// HasUnread reports whether a file, or the folder itself, could not be read so far. Refresh tries again.
+func (s *Store) HasUnread() bool { return s.hasUnread.Load() }
 
-// Refresh takes in what other processes have put since, and says whether that was news.
-func (s *Store) Refresh() (news bool, err error) {
-	s.io.Lock()
-	defer s.io.Unlock()
+// Refresh reads what other processes have stored since the last call, and reports whether any value changed.
+func (s *Store) Refresh() (changed bool, err error) {
+	s.ioMu.Lock()
+	defer s.ioMu.Unlock()
 	names, err := s.fs.List(s.dir)
 	if err != nil {
 		return false, err
 	}
 	seen, unread := make(map[string]string), false
 	for _, name := range names {
-		r, ok := parseRef(name)
-		if !ok || r.number == s.own.number {
+		r, ok := parseFileRef(name)
+		if !ok || r.process == s.current.process {
 			continue
 		}
 		path := filepath.Join(s.dir, name)
@@ -541,49 +556,50 @@
 		if stamp == s.stamps[name] {
 			continue
 		}
-		raw, failed := s.fs.Read(path, readMost)
+		raw, failed := s.fs.Read(path, maxReadBytes)
 		if failed != nil {
-			delete(seen, name) // it has just gone, or is looked at again
+			delete(seen, name) // it was just removed, or is read again by the next call
 			unread = unread || !errors.Is(failed, fs.ErrNotExist)
 			continue
 		}
-		c, failed := decode(name, raw) // it may be half written: what is sound counts
+		c, failed := decodeFile(name, raw) // it may be partly written: its intact part counts
 		if failed != nil {
 			continue
 		}
 		s.mu.Lock()
 		for _, r := range c.records {
-			news = s.merge(r.id, r.entry) || news
+			changed = s.merge(r.entryID, r.entry) || changed
 		}
 		s.mu.Unlock()
 	}
 	s.stamps = seen
-	s.unread.Store(unread)
-	return news, nil
+	s.hasUnread.Store(unread)
+	return changed, nil
 }
 
-// Damage tells what was found wrong, by this process or by one before it, and not confirmed since.
+// Damage returns the faults that this process or an earlier one has found and that were not confirmed since.
 func (s *Store) Damage() Damage {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
-	return Damage{slices.Clone(s.damage)}
+	return Damage{slices.Clone(s.findings)}
 }
 
-// ConfirmState takes an operator's word that what holds now is right. It is durable once it has returned nil.
+// ConfirmState records an operator's confirmation that the present values are right, and clears the damage. It
+// is durable once ConfirmState has returned nil.
 func (s *Store) ConfirmState() error {
-	s.io.Lock()
-	defer s.io.Unlock()
+	s.ioMu.Lock()
+	defer s.ioMu.Unlock()
 	s.mu.Lock()
-	s.damage = nil
-	e := s.put(id{internal, "damage"}, nil, true)
+	s.findings = nil
+	e := s.putInMemory(entryID{ownSection, "damage"}, nil, true)
 	s.mu.Unlock()
-	return s.append(id{internal, "damage"}, e, true)
+	return s.appendEntry(entryID{ownSection, "damage"}, e, true)
 }
 
-// Close makes durable what is not, and ends the use of the file.
+// Close makes all values durable and closes the file.
 func (s *Store) Close() error {
-	s.io.Lock()
-	defer s.io.Unlock()
+	s.ioMu.Lock()
+	defer s.ioMu.Unlock()
 	if s.file == nil {
 		return nil
 	}
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -17,158 +17,163 @@
 	"time"
 )
 
-// disk is a file system in memory that can lose its power: it remembers every operation, and makes of those up to any
-// point every state that a real disk may be left in. What was not synced may be there or not, each write for itself
-// and torn at the ends of sectors; so may names, until their folder was synced.
-type disk struct {
+// memFS is a file system in memory that can lose power. It records every operation and can produce every state
+// that a real disk may be left in after a prefix of them. A write that was not synced may be there or not, each
+// sector on its own; so may a name until its folder was synced.
+type memFS struct {
 	mu    sync.Mutex
-	names map[string]*node
-	ops   []op
-	fail  func(kind string) error // nil: nothing fails
+	files map[string]*memFile
+	ops   []operation
+	fail  func(kind string) error // returns the error of an operation; nil: none fails
 
-	noSync, noSyncDir bool // a disk that lies: the checks have to find it out
+	ignoreSync, ignoreSyncDir bool // syncs that do nothing: the checks must detect the loss
 }
 
-type node struct{ data []byte }
+// memFile is the content of a file, whatever its name.
+type memFile struct{ data []byte }
 
-type op struct {
-	kind     string // create, write, sync, rename, remove, syncdir
-	node     *node
+// operation is a change of a memFS.
+type operation struct {
+	kind     string // create, write, sync, rename, remove or syncdir
+	file     *memFile
 	path, to string
 	at       int64
 	data     []byte
 }
 
-func newDisk() *disk { return &disk{names: make(map[string]*node)} }
+func newMemFS() *memFS { return &memFS{files: make(map[string]*memFile)} }
 
-func (d *disk) do(o op) error {
+// record appends an operation, unless fail returns an error for it.
+func (d *memFS) record(o operation) error {
 	if d.fail != nil {
 		if err := d.fail(o.kind); err != nil {
 			return err
 		}
 	}
-	if o.kind == "sync" && d.noSync || o.kind == "syncdir" && d.noSyncDir {
+	if o.kind == "sync" && d.ignoreSync || o.kind == "syncdir" && d.ignoreSyncDir {
 		return nil
 	}
 	d.ops = append(d.ops, o)
 	return nil
 }
 
-func (d *disk) List(dir string) (names []string, err error) {
+func (d *memFS) List(dir string) (names []string, err error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	for path := range d.names {
+	for path := range d.files {
 		names = append(names, filepath.Base(path))
 	}
 	slices.Sort(names)
 	return names, nil
 }
 
-func (d *disk) Read(path string, limit int) ([]byte, error) {
+func (d *memFS) Read(path string, limit int) ([]byte, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	n := d.names[path]
+	n := d.files[path]
 	if n == nil {
 		return nil, fs.ErrNotExist
 	}
 	return bytes.Clone(n.data), nil
 }
 
-func (d *disk) Create(path string) (File, error) {
+func (d *memFS) Create(path string) (File, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.names[path] != nil {
+	if d.files[path] != nil {
 		return nil, fs.ErrExist
 	}
-	n := new(node)
-	if err := d.do(op{kind: "create", node: n, path: path}); err != nil {
+	n := new(memFile)
+	if err := d.record(operation{kind: "create", file: n, path: path}); err != nil {
 		return nil, err
 	}
-	d.names[path] = n
-	return &handle{d, n}, nil
+	d.files[path] = n
+	return &memHandle{d, n}, nil
 }
 
-func (d *disk) Open(path string) (File, error) {
+func (d *memFS) Open(path string) (File, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.names[path] == nil {
+	if d.files[path] == nil {
 		return nil, fs.ErrNotExist
 	}
-	return &handle{d, d.names[path]}, nil
+	return &memHandle{d, d.files[path]}, nil
 }
 
-func (d *disk) SameFile(path string, f File) bool {
+func (d *memFS) SameFile(path string, f File) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.names[path] == f.(*handle).n
+	return d.files[path] == f.(*memHandle).file
 }
 
-func (d *disk) ChangeStamp(path string) string {
+func (d *memFS) ChangeStamp(path string) string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.names[path] == nil {
+	if d.files[path] == nil {
 		return ""
 	}
-	return fmt.Sprintf("%x", d.names[path].data)
+	return fmt.Sprintf("%x", d.files[path].data)
 }
 
-func (d *disk) Rename(from, to string) error {
+func (d *memFS) Rename(from, to string) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.names[from] == nil {
+	if d.files[from] == nil {
 		return fs.ErrNotExist
 	}
-	if err := d.do(op{kind: "rename", path: from, to: to}); err != nil {
+	if err := d.record(operation{kind: "rename", path: from, to: to}); err != nil {
 		return err
 	}
-	d.names[to] = d.names[from]
-	delete(d.names, from)
+	d.files[to] = d.files[from]
+	delete(d.files, from)
 	return nil
 }
 
-func (d *disk) Remove(path string) error {
+func (d *memFS) Remove(path string) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.names[path] == nil {
+	if d.files[path] == nil {
 		return fs.ErrNotExist
 	}
-	if err := d.do(op{kind: "remove", path: path}); err != nil {
+	if err := d.record(operation{kind: "remove", path: path}); err != nil {
 		return err
 	}
-	delete(d.names, path)
+	delete(d.files, path)
 	return nil
 }
 
-func (d *disk) SyncDir(string) error {
+func (d *memFS) SyncDir(string) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.do(op{kind: "syncdir"})
+	return d.record(operation{kind: "syncdir"})
 }
 
-type handle struct {
-	d *disk
-	n *node
+// memHandle is an open file of a memFS.
+type memHandle struct {
+	fsys *memFS
+	file *memFile
 }
 
-func (h *handle) WriteAt(p []byte, at int64) (int, error) {
-	h.d.mu.Lock()
-	defer h.d.mu.Unlock()
-	if err := h.d.do(op{kind: "write", node: h.n, at: at, data: bytes.Clone(p)}); err != nil {
+func (h *memHandle) WriteAt(p []byte, at int64) (int, error) {
+	h.fsys.mu.Lock()
+	defer h.fsys.mu.Unlock()
+	if err := h.fsys.record(operation{kind: "write", file: h.file, at: at, data: bytes.Clone(p)}); err != nil {
 		return 0, err
 	}
-	h.n.data = over(h.n.data, p, at)
+	h.file.data = overwrite(h.file.data, p, at)
 	return len(p), nil
 }
 
-func (h *handle) Sync() error {
-	h.d.mu.Lock()
-	defer h.d.mu.Unlock()
-	return h.d.do(op{kind: "sync", node: h.n})
+func (h *memHandle) Sync() error {
+	h.fsys.mu.Lock()
+	defer h.fsys.mu.Unlock()
+	return h.fsys.record(operation{kind: "sync", file: h.file})
 }
 
-func (h *handle) Close() error { return nil }
+func (h *memHandle) Close() error { return nil }
 
-func over(data, p []byte, at int64) []byte {
+// overwrite returns data with p written at an offset.
+func overwrite(data, p []byte, at int64) []byte {
 	if need := int(at) + len(p); need > len(data) {
 		data = append(data, make([]byte, need-len(data))...)
 	}
@@ -176,39 +181,39 @@
 	return data
 }
 
-// after is the disk as it may be left when the power goes after so many operations; choose says of each thing that
-// was not durable whether it is there all the same.
-func (d *disk) after(cut int, choose func() bool) *disk {
-	left := newDisk()
-	synced, syncedDir := make(map[*node]int), -1
+// afterPowerLoss returns the disk as it may be left when power is lost after the first cut operations. choose
+// decides for each change that was not durable whether it is there.
+func (d *memFS) afterPowerLoss(cut int, choose func() bool) *memFS {
+	left := newMemFS()
+	synced, syncedDir := make(map[*memFile]int), -1
 	for i, o := range d.ops[:cut] {
 		switch o.kind {
 		case "sync":
-			synced[o.node] = i
+			synced[o.file] = i
 		case "syncdir":
 			syncedDir = i
 		}
 	}
-	copies := make(map[*node]*node)
-	of := func(n *node) *node {
+	copies := make(map[*memFile]*memFile)
+	copyOf := func(n *memFile) *memFile {
 		if copies[n] == nil {
-			copies[n] = new(node)
+			copies[n] = new(memFile)
 		}
 		return copies[n]
 	}
 	for i, o := range d.ops[:cut] {
 		switch o.kind {
 		case "write":
-			n := of(o.node)
-			last, durable := synced[o.node]
+			n := copyOf(o.file)
+			last, durable := synced[o.file]
 			if durable && i < last {
-				n.data = over(n.data, o.data, o.at)
+				n.data = overwrite(n.data, o.data, o.at)
 				continue
 			}
-			for from := 0; from < len(o.data); { // sector by sector
-				to := min(len(o.data), from+sector-int((o.at+int64(from))%sector))
+			for from := 0; from < len(o.data); { // each sector on its own
+				to := min(len(o.data), from+sectorSize-int((o.at+int64(from))%sectorSize))
 				if choose() {
-					n.data = over(n.data, o.data[from:to], o.at+int64(from))
+					n.data = overwrite(n.data, o.data[from:to], o.at+int64(from))
 				}
 				from = to
 			}
@@ -218,12 +223,12 @@
 			}
 			switch {
 			case o.kind == "create":
-				left.names[o.path] = of(o.node)
+				left.files[o.path] = copyOf(o.file)
 			case o.kind == "remove":
-				delete(left.names, o.path)
-			case left.names[o.path] != nil:
-				left.names[o.to] = left.names[o.path]
-				delete(left.names, o.path)
+				delete(left.files, o.path)
+			case left.files[o.path] != nil:
+				left.files[o.to] = left.files[o.path]
+				delete(left.files, o.path)
 			}
 		}
 	}
@@ -232,88 +237,89 @@
 
 const dir = "d"
 
-// world is a workload with what it was promised.
-type world struct {
-	t     testing.TB
-	d     *disk
-	now   time.Time
-	rng   *rand.Rand
-	said  map[string][]string       // all values that a key was given, in order; "" is its deletion
-	last  map[*Store]map[string]int // place of the last one that a store was given or found when it was opened
-	acked []promise
+// workloadState is a workload with the values that were acknowledged as durable.
+type workloadState struct {
+	t            testing.TB
+	fsys         *memFS
+	now          time.Time
+	rng          *rand.Rand
+	written      map[string][]string       // by key: all values that it was given, in order; "" is a deletion
+	lastIndex    map[*Store]map[string]int // by store and key: index of the last value that the store was given, or that existed when it was opened
+	acknowledged []acknowledgement
 }
 
-// promise is that from an operation on, a key has at least that value.
-type promise struct {
+// acknowledgement requires that after operation op a key has the value at index or a later one.
+type acknowledgement struct {
 	op    int
 	key   string
-	place int // in said
+	index int // into workloadState.written
 }
 
-func (w *world) open(alone bool) *Store {
-	s, err := Open(Options{FS: w.d, Dir: dir, MaxBytes: 16 << 10, Now: func() time.Time { return w.now }, SoleWriter: func() bool { return alone }})
-	if err != nil && w.d.fail == nil {
+// open opens a store on the disk of the workload.
+func (w *workloadState) open(alone bool) *Store {
+	s, err := Open(Options{FS: w.fsys, Dir: dir, MaxBytes: 16 << 10, Now: func() time.Time { return w.now }, SoleWriter: func() bool { return alone }})
+	if err != nil && w.fsys.fail == nil {
 		w.t.Fatal(err)
 	}
-	w.last[s] = make(map[string]int)
-	for key, all := range w.said {
-		w.last[s][key] = len(all) - 1
+	w.lastIndex[s] = make(map[string]int)
+	for key, all := range w.written {
+		w.lastIndex[s][key] = len(all) - 1
 	}
 	return s
 }
 
-// say enters a value that a store is about to be given.
-func (w *world) say(s *Store, key, value string) {
-	w.said[key] = append(w.said[key], value)
-	w.last[s][key] = len(w.said[key]) - 1
+// recordWrite records a value that is about to be put into a store.
+func (w *workloadState) recordWrite(s *Store, key, value string) {
+	w.written[key] = append(w.written[key], value)
+	w.lastIndex[s][key] = len(w.written[key]) - 1
 }
 
-// step does something to a store at random.
-func (w *world) step(s *Store) {
+// step does one random operation on a store.
+func (w *workloadState) step(s *Store) {
 	w.now = w.now.Add(time.Duration(w.rng.IntN(20_000)) * time.Millisecond)
 	key := fmt.Sprint("k", w.rng.IntN(6))
-	value := fmt.Sprintf("%s=%d%s", key, len(w.said[key]), strings.Repeat(".", w.rng.IntN(700)))
+	value := fmt.Sprintf("%s=%d%s", key, len(w.written[key]), strings.Repeat(".", w.rng.IntN(700)))
 	var err error
 	switch w.rng.IntN(10) {
 	case 0:
-		w.say(s, key, "")
+		w.recordWrite(s, key, "")
 		err = s.Delete("calls", key)
 	case 1, 2:
-		w.say(s, key, value)
+		w.recordWrite(s, key, value)
 		_ = s.PutUnsynced("calls", key, []byte(value))
 		return
 	case 3:
 		if s.Sync() == nil {
-			for key, place := range w.last[s] {
-				w.acked = append(w.acked, promise{len(w.d.ops), key, place})
+			for key, index := range w.lastIndex[s] {
+				w.acknowledged = append(w.acknowledged, acknowledgement{len(w.fsys.ops), key, index})
 			}
 		}
 		return
 	default:
-		w.say(s, key, value)
+		w.recordWrite(s, key, value)
 		err = s.Put("calls", key, []byte(value))
 	}
 	if err == nil {
-		w.acked = append(w.acked, promise{len(w.d.ops), key, len(w.said[key]) - 1})
+		w.acknowledged = append(w.acknowledged, acknowledgement{len(w.fsys.ops), key, len(w.written[key]) - 1})
 	}
 }
 
-// check opens what a loss of power has left, and returns what is wrong with it.
-func (w *world) check(left *disk, cut int) error {
+// check opens the disk that a loss of power has left, and returns the first violation.
+func (w *workloadState) check(left *memFS, cut int) error {
 	s, err := Open(Options{FS: left, Dir: dir, MaxBytes: 16 << 10, Now: func() time.Time { return w.now }, SoleWriter: func() bool { return true }})
 	if err != nil {
 		return err
 	}
-	if bad := s.Damage().Findings; len(bad) > 0 {
-		return fmt.Errorf("a loss of power is taken for damage: %v", bad)
+	if findings := s.Damage().Findings; len(findings) > 0 {
+		return fmt.Errorf("a loss of power is reported as damage: %v", findings)
 	}
-	least := make(map[string]int)
-	for _, p := range w.acked {
+	minIndex := make(map[string]int)
+	for _, p := range w.acknowledged {
 		if p.op <= cut {
-			least[p.key] = max(least[p.key], p.place+1)
+			minIndex[p.key] = max(minIndex[p.key], p.index+1)
 		}
 	}
-	for key, all := range w.said {
+	for key, all := range w.written {
 		got := ""
 		if e, ok := s.Get("calls", key); ok {
 			got = string(e.Value)
@@ -324,34 +330,35 @@
 				at = max(at, i)
 			}
 		}
-		switch n := least[key]; {
+		switch n := minIndex[key]; {
 		case at < 0 && got != "":
-			return fmt.Errorf("%s is %q, which nobody said", key, got)
+			return fmt.Errorf("%s is %q, which was never put", key, got)
 		case n > 0 && at < n-1:
-			return fmt.Errorf("%s is value %d, though %d was acknowledged", key, at, n-1)
+			return fmt.Errorf("%s has value %d, though value %d was acknowledged", key, at, n-1)
 		}
 	}
-	if n := len(s.All("calls")); n > len(w.said) {
-		return fmt.Errorf("%d keys, %d were given", n, len(w.said))
+	if n := len(s.All("calls")); n > len(w.written) {
+		return fmt.Errorf("%d keys, only %d were put", n, len(w.written))
 	}
 	return nil
 }
 
-// workload plays processes one after another, and beside each other as in an upgrade.
-func workload(t testing.TB, d *disk, seed uint64) *world {
-	w := &world{t: t, d: d, now: time.UnixMilli(1_800_000_000_000), rng: rand.New(rand.NewPCG(seed, 1)), said: make(map[string][]string), last: make(map[*Store]map[string]int)}
+// workload runs random operations by processes one after another and, as in an upgrade, by two at the same
+// time.
+func workload(t testing.TB, d *memFS, seed uint64) *workloadState {
+	w := &workloadState{t: t, fsys: d, now: time.UnixMilli(1_800_000_000_000), rng: rand.New(rand.NewPCG(seed, 1)), written: make(map[string][]string), lastIndex: make(map[*Store]map[string]int)}
 	s := w.open(true)
 	for range 3 {
 		for range 30 {
 			w.step(s)
 		}
 		switch w.rng.IntN(3) {
-		case 0: // it ends, and another begins
+		case 0: // the process ends and another starts
 			_ = s.Close()
 			s = w.open(true)
-		case 1: // it is killed
+		case 1: // the process is killed
 			s = w.open(true)
-		case 2: // an upgrade: both are at work, and each is told of the other's calls
+		case 2: // an upgrade: both processes work and read each other's values
 			next := w.open(false)
 			for range 10 {
 				one, other := s, next
@@ -370,12 +377,12 @@
 	return w
 }
 
-// lose plays every cut of a workload with some of the states that each may leave, and returns how many those were, and
-// what the first wrong one is.
-func lose(t testing.TB, d *disk, seed uint64, each int) (states int, err error) {
+// losePower checks some of the possible states after a loss of power at every operation of a workload. It
+// returns the number of states and the first violation.
+func losePower(t testing.TB, d *memFS, seed uint64, each int) (states int, err error) {
 	w := workload(t, d, seed)
 	rng := rand.New(rand.NewPCG(seed, 2))
-	for cut := 0; cut <= len(w.d.ops); cut++ {
+	for cut := 0; cut <= len(w.fsys.ops); cut++ {
 		for i := range each {
 			choose := func() bool { return rng.IntN(2) == 0 }
 			switch i {
@@ -385,18 +392,20 @@
 				choose = func() bool { return true }
 			}
 			states++
-			if err := w.check(w.d.after(cut, choose), cut); err != nil {
-				return states, fmt.Errorf("seed %d, power lost after operation %d of %d, state %d: %w", seed, cut, len(w.d.ops), i, err)
+			if err := w.check(w.fsys.afterPowerLoss(cut, choose), cut); err != nil {
+				return states, fmt.Errorf("seed %d, power lost after operation %d of %d, state %d: %w", seed, cut, len(w.fsys.ops), i, err)
 			}
 		}
 	}
 	return states, nil
 }
 
-func TestEveryLossOfPower(t *testing.T) {
+// At every point of random workloads power is lost: no acknowledged value may be lost, no value may appear that
+// was never put, and the loss must not be reported as damage.
+func TestPowerLoss(t *testing.T) {
 	states := 0
 	for seed := range uint64(12) {
-		n, err := lose(t, newDisk(), seed, 8)
+		n, err := losePower(t, newMemFS(), seed, 8)
 		states += n
 		if err != nil {
 			t.Fatal(err)
@@ -404,34 +413,35 @@
 	}
 	t.Logf("%d states", states)
 	if states < 5000 {
-		t.Errorf("%d states are few", states)
+		t.Errorf("%d states: want at least 5000", states)
 	}
 }
 
-// The test above finds a disk that does not sync, and a folder that is not synced.
-func TestLossOfPowerIsFoundOut(t *testing.T) {
-	for what, lie := range map[string]func(*disk){"sync": func(d *disk) { d.noSync = true }, "syncdir": func(d *disk) { d.noSyncDir = true }} {
+// The test above fails on a disk that does not sync files or folders.
+func TestPowerLossChecksDetectMissingSync(t *testing.T) {
+	for what, disable := range map[string]func(*memFS){"sync": func(d *memFS) { d.ignoreSync = true }, "syncdir": func(d *memFS) { d.ignoreSyncDir = true }} {
 		found := false
 		for seed := range uint64(12) {
-			d := newDisk()
-			lie(d)
-			_, err := lose(t, d, seed, 8)
+			d := newMemFS()
+			disable(d)
+			_, err := losePower(t, d, seed, 8)
 			found = found || err != nil
 		}
 		if !found {
-			t.Errorf("without %s nothing is lost: the check can't fail", what)
+			t.Errorf("without %s nothing is lost: the check can never fail", what)
 		}
 	}
 }
 
-// Disks that fail: what Put returned nil for is there, whichever operation fails, once or from then on.
+// A value for which Put returned nil is found after a loss of power, whichever disk operation failed, once or
+// from then on.
 func TestFailingDisks(t *testing.T) {
 	errDisk := errors.New("no space left")
 	tried := 0
 	for _, kind := range []string{"create", "write", "sync", "rename", "syncdir", "remove"} {
 		for _, forGood := range []bool{false, true} {
 			for at := range 25 {
-				d, n := newDisk(), 0
+				d, n := newMemFS(), 0
 				d.fail = func(k string) error {
 					if k != kind {
 						return nil
@@ -444,9 +454,9 @@
 				}
 				w := workload(t, d, uint64(at))
 				tried++
-				for range 4 { // and then the power goes
+				for range 4 { // then power is lost
 					rng := rand.New(rand.NewPCG(uint64(at), 3))
-					if err := w.check(d.after(len(d.ops), func() bool { return rng.IntN(2) == 0 }), len(d.ops)); err != nil {
+					if err := w.check(d.afterPowerLoss(len(d.ops), func() bool { return rng.IntN(2) == 0 }), len(d.ops)); err != nil {
 						t.Fatalf("%s fails at %d, for good %v: %v", kind, at*3, forGood, err)
 					}
 				}
@@ -456,10 +466,10 @@
 	t.Logf("%d workloads", tried)
 }
 
-// sound is a disk with a folder of some size, in two files, and what it holds.
-func sound(t testing.TB) (*disk, map[string]string) {
+// intactFS returns a disk with a folder of two files, and the values in it.
+func intactFS(t testing.TB) (*memFS, map[string]string) {
 	t.Helper()
-	d, want := newDisk(), make(map[string]string)
+	d, want := newMemFS(), make(map[string]string)
 	now := time.UnixMilli(1_800_000_000_000)
 	open := func() *Store {
 		s, err := Open(Options{FS: d, Dir: dir, Now: func() time.Time { return now }, SoleWriter: func() bool { return true }})
@@ -487,11 +497,12 @@
 	return d, want
 }
 
-// hurt opens a damaged folder and says what is wrong: damage that nobody is told of, or a value that nobody gave; and,
-// as a whole, whether the next process is told too, until an operator confirms.
-func hurt(d *disk, want map[string]string, whole bool) error {
+// checkDamaged opens a damaged folder. It returns an error if the damage is not reported or a value was never
+// put; with nextToo also if the next process does not report it, or reports it after an operator's
+// confirmation.
+func checkDamaged(d *memFS, want map[string]string, nextToo bool) error {
 	s, err := Open(Options{FS: d, Dir: dir, SoleWriter: func() bool { return true }})
-	if err != nil && !strings.Contains(err.Error(), errForm.Error()) {
+	if err != nil && !strings.Contains(err.Error(), errNewerFormat.Error()) {
 		return err
 	}
 	for key, e := range s.All("calls") {
@@ -500,93 +511,97 @@
 		}
 	}
 	if len(s.Damage().Findings) == 0 && err == nil {
-		return errors.New("nobody is told of it")
+		return errors.New("the damage is not reported")
 	}
-	if !whole {
+	if !nextToo {
 		return nil
 	}
 	again, err := Open(Options{FS: d, Dir: dir, SoleWriter: func() bool { return true }})
 	if err == nil && len(s.Damage().Findings) > 0 && len(again.Damage().Findings) == 0 {
-		return errors.New("the next process is not told of it")
+		return errors.New("the next process does not report the damage")
 	}
 	if err := again.ConfirmState(); err != nil {
 		return err
 	}
 	if last, err := Open(Options{FS: d, Dir: dir, SoleWriter: func() bool { return true }}); err != nil || len(last.Damage().Findings) > 0 {
-		return fmt.Errorf("it goes on after it was confirmed: %v, error %w", last.Damage().Findings, err)
+		return fmt.Errorf("damage is reported after it was confirmed: %v, error %w", last.Damage().Findings, err)
 	}
 	return nil
 }
 
-func (d *disk) clone() *disk {
-	c := newDisk()
-	for path, n := range d.names {
-		c.names[path] = &node{bytes.Clone(n.data)}
+// clone returns a copy of the files as they are now.
+func (d *memFS) clone() *memFS {
+	c := newMemFS()
+	for path, n := range d.files {
+		c.files[path] = &memFile{bytes.Clone(n.data)}
 	}
 	return c
 }
 
-// Every single flipped bit, every truncation and the loss of each file is found, and no wrong value is ever read.
-func TestEveryDamageIsFound(t *testing.T) {
-	d, want := sound(t)
+// Every single flipped bit, every truncation and the loss of the newer file is reported, and no wrong value is
+// ever read.
+func TestDamageIsDetected(t *testing.T) {
+	d, want := intactFS(t)
 	flips, cuts := 0, 0
-	for _, path := range slices.Sorted(maps.Keys(d.names)) {
-		size := len(d.names[path].data)
+	for _, path := range slices.Sorted(maps.Keys(d.files)) {
+		size := len(d.files[path].data)
 		for bit := range size * 8 {
 			c := d.clone()
-			c.names[path].data[bit/8] ^= 1 << (bit % 8)
-			if err := hurt(c, want, bit%32 == 0); err != nil {
+			c.files[path].data[bit/8] ^= 1 << (bit % 8)
+			if err := checkDamaged(c, want, bit%32 == 0); err != nil {
 				t.Fatalf("%s, bit %d of byte %d: %v", path, bit%8, bit/8, err)
 			}
 			flips++
 		}
 		for length := range size {
 			c := d.clone()
-			c.names[path].data = c.names[path].data[:length]
-			if err := hurt(c, want, true); err != nil {
+			c.files[path].data = c.files[path].data[:length]
+			if err := checkDamaged(c, want, true); err != nil {
 				t.Fatalf("%s, cut at %d: %v", path, length, err)
 			}
 			cuts++
 		}
 	}
-	c := d.clone() // the younger file is gone
-	delete(c.names, slices.Max(slices.Collect(maps.Keys(c.names))))
-	if err := hurt(c, want, true); err != nil {
-		t.Errorf("the younger file removed: %v", err)
+	c := d.clone() // the newer file is lost
+	delete(c.files, slices.Max(slices.Collect(maps.Keys(c.files))))
+	if err := checkDamaged(c, want, true); err != nil {
+		t.Errorf("the newer file removed: %v", err)
 	}
 	t.Logf("%d flips, %d truncations", flips, cuts)
 
-	checksum := sum32
-	defer func() { sum32 = checksum }()
-	sum32 = func(uint32, []byte) uint32 { return 0 } // and without the checksum the test fails
-	d, want = sound(t)
+	original := checksum
+	defer func() { checksum = original }()
+	checksum = func(uint32, []byte) uint32 { return 0 } // without the checksum the test must fail
+	d, want = intactFS(t)
 	found := false
-	for path := range d.names {
-		for bit := range len(d.names[path].data) * 8 {
+	for path := range d.files {
+		for bit := range len(d.files[path].data) * 8 {
 			c := d.clone()
-			c.names[path].data[bit/8] ^= 1 << (bit % 8)
-			if found = hurt(c, want, false) != nil; found {
+			c.files[path].data[bit/8] ^= 1 << (bit % 8)
+			if found = checkDamaged(c, want, false) != nil; found {
 				return
 			}
 		}
 	}
-	t.Error("without a checksum all is found all the same: the check can't fail")
+	t.Error("without the checksum all damage is found: the check can never fail")
 }
 
+// A file with fewer intact bytes than were committed is always reported as damaged.
 func FuzzDecode(f *testing.F) {
-	d, _ := sound(f)
-	for path, n := range d.names {
+	d, _ := intactFS(f)
+	for path, n := range d.files {
 		f.Add(filepath.Base(path), n.data)
 	}
 	f.Fuzz(func(t *testing.T, name string, raw []byte) {
-		c, err := decode(name, raw)
-		if err == nil && c.damage == "" && uint64(c.end) < c.slot.length {
-			t.Errorf("%d of %d committed bytes are sound, and no damage is told", c.end, c.slot.length)
+		c, err := decodeFile(name, raw)
+		if err == nil && c.damage == "" && uint64(c.intactBytes) < c.slot.length {
+			t.Errorf("%d of %d committed bytes are intact, and no damage is reported", c.intactBytes, c.slot.length)
 		}
 	})
 }
 
-// On a real disk: two processes, a folder that is removed at work, one that can't be written, a newer program's file.
+// On a real disk: two processes at the same time, a folder that is removed while in use, many writes to one
+// key, and a file of a newer program.
 func TestRealDisk(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "state")
 	open := func(alone bool) *Store {
@@ -612,11 +627,11 @@
 		t.Fatal(err)
 	}
 	for _, s := range []*Store{a, b} {
-		if news, err := s.Refresh(); !news || err != nil {
-			t.Errorf("news %v, error %v", news, err)
+		if changed, err := s.Refresh(); !changed || err != nil {
+			t.Errorf("changed %v, error %v", changed, err)
 		}
-		if news, _ := s.Refresh(); news {
-			t.Error("the same news twice")
+		if changed, _ := s.Refresh(); changed {
+			t.Error("the same change is reported twice")
 		}
 		want(s, "x", "1")
 		want(s, "y", "2")
@@ -629,7 +644,7 @@
 	if err := os.RemoveAll(path); err != nil {
 		t.Fatal(err)
 	}
-	if err := a.Put("calls", "z", []byte("3")); err != nil { // the folder is made again, with all that holds
+	if err := a.Put("calls", "z", []byte("3")); err != nil { // the folder is created again, with all values
 		t.Fatal(err)
 	}
 	_ = a.Close()
@@ -637,7 +652,7 @@
 	c := open(true)
 	want(c, "y", "2")
 	want(c, "z", "3")
-	for i := range 5000 { // a storm of calls stays within its bounds
+	for i := range 5000 { // many writes must stay within the size limit
 		if err := c.PutUnsynced("calls", "w", []byte(strings.Repeat("x", 200+i%2))); err != nil {
 			t.Fatal(err)
 		}
@@ -652,22 +667,22 @@
 		}
 		total += info.Size()
 	}
-	if len(files) > 2 || total > limit {
+	if len(files) > 2 || total > defaultMaxBytes {
 		t.Errorf("%d files of %d bytes in all", len(files), total)
 	}
-	newer := ref{1 << 62, 0}
-	head := headOf(newer)
-	order.PutUint64(head[8:], form+1)
-	raw := append(seal(head), make([]byte, 2*sector)...)
-	if err := os.WriteFile(filepath.Join(path, newer.name()), raw, 0o600); err != nil {
+	newer := fileRef{1 << 62, 0}
+	head := encodeHeader(newer)
+	byteOrder.PutUint64(head[8:], formatVersion+1)
+	raw := append(sealSector(head), make([]byte, 2*sectorSize)...)
+	if err := os.WriteFile(filepath.Join(path, newer.fileName()), raw, 0o600); err != nil {
 		t.Fatal(err)
 	}
 	d, err := Open(Options{Dir: path, SoleWriter: func() bool { return true }})
-	if !errors.Is(err, errForm) {
+	if !errors.Is(err, errNewerFormat) {
 		t.Errorf("a newer program's file: error %v", err)
 	}
 	want(d, "y", "2")
-	if got, err := os.ReadFile(filepath.Join(path, newer.name())); err != nil || !bytes.Equal(got, raw) {
+	if got, err := os.ReadFile(filepath.Join(path, newer.fileName())); err != nil || !bytes.Equal(got, raw) {
 		t.Errorf("the newer program's file was touched, error %v", err)
 	}
 	in, err := Inspect(OS{}, path)
@@ -676,7 +691,7 @@
 	}
 }
 
-// The time to open goes by what holds, not by what was ever put.
+// The time of Open depends on the present values, not on the number of writes.
 func BenchmarkOpen(b *testing.B) {
 	for _, records := range []int{10, 1000, 50_000} {
 		b.Run(fmt.Sprint(records), func(b *testing.B) {
@@ -716,19 +731,19 @@
 	}
 }
 
-// slowDisk is a disk whose syncs wait until it is let go.
-type slowDisk struct {
+// stallingFS is a disk whose folder syncs wait until release has an element or is closed.
+type stallingFS struct {
 	OS
-	held chan struct{}
+	release chan struct{}
 }
 
-func (d slowDisk) SyncDir(dir string) error { <-d.held; return d.OS.SyncDir(dir) }
+func (d stallingFS) SyncDir(dir string) error { <-d.release; return d.OS.SyncDir(dir) }
 
-// Reading never waits for a disk: values, damage and size are told while a sync hangs.
-func TestReadingDoesNotWaitForADisk(t *testing.T) {
-	d := slowDisk{held: make(chan struct{}, 4)}
-	d.held <- struct{}{}
-	d.held <- struct{}{}
+// Values, damage and size can be read while a sync hangs.
+func TestReadsDoNotWaitForDisk(t *testing.T) {
+	d := stallingFS{release: make(chan struct{}, 4)}
+	d.release <- struct{}{}
+	d.release <- struct{}{}
 	s, err := Open(Options{FS: d, Dir: t.TempDir(), MaxBytes: 8 << 10})
 	if err != nil {
 		t.Fatal(err)
@@ -737,7 +752,7 @@
 		t.Fatal(err)
 	}
 	done := make(chan error, 1)
-	go func() { done <- s.Put("calls", "x", make([]byte, 2<<10+1)) }() // it needs a new file, and that a sync
+	go func() { done <- s.Put("calls", "x", make([]byte, 2<<10+1)) }() // it needs a new file, whose creation waits for a sync
 	for e, _ := s.Get("calls", "x"); len(e.Value) == 2<<10; e, _ = s.Get("calls", "x") {
 		time.Sleep(time.Millisecond)
 	}
@@ -745,21 +760,21 @@
 		t.Errorf("size %d, %d values", s.CommittedSize(), len(s.All("calls")))
 	}
 	if len(done) > 0 {
-		t.Error("the disk did not hang")
+		t.Error("the sync did not hang")
 	}
-	close(d.held)
+	close(d.release)
 	if err := <-done; err != nil {
 		t.Error(err)
 	}
 }
 
-// unreadable is a disk whose folders can't be listed, and files not be read, a number of times.
-type unreadable struct {
+// unreadableFS fails the next lists and reads of folders and files.
+type unreadableFS struct {
 	OS
 	lists, reads int
 }
 
-func (d *unreadable) List(dir string) ([]string, error) {
+func (d *unreadableFS) List(dir string) ([]string, error) {
 	if d.lists > 0 {
 		d.lists--
 		return nil, syscall.EIO
@@ -767,7 +782,7 @@
 	return d.OS.List(dir)
 }
 
-func (d *unreadable) Read(path string, limit int) ([]byte, error) {
+func (d *unreadableFS) Read(path string, limit int) ([]byte, error) {
 	if d.reads > 0 {
 		d.reads--
 		return nil, syscall.EIO
@@ -775,10 +790,10 @@
 	return d.OS.Read(path, limit)
 }
 
-// What was kept is found by a process that can't read the folder when it begins, however long that goes on: at once, or
-// when it looks again. Until then it removes nothing, and it goes into the next process's hands.
-func TestFolderThatCannotBeRead(t *testing.T) {
-	for name, disk := range map[string]*unreadable{
+// A process that can't read the folder when it starts finds the values either within Open, which retries, or by
+// a later Refresh. Until then it removes no files, and the next process finds all values.
+func TestUnreadableFolder(t *testing.T) {
+	for name, disk := range map[string]*unreadableFS{
 		"listed late":       {lists: 8},
 		"read late":         {reads: 12},
 		"not listed at all": {lists: 1 << 20},
@@ -787,7 +802,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			dir, alone := t.TempDir(), func() bool { return true }
-			for _, key := range []string{"a", "b", "c"} { // a process each
+			for _, key := range []string{"a", "b", "c"} { // by one process each
 				s, err := Open(Options{Dir: dir, SoleWriter: alone})
 				if err == nil {
 					err = errors.Join(s.Put("calls", key, []byte("out")), s.Close())
@@ -798,14 +813,14 @@
 			}
 			s, _ := Open(Options{FS: disk, Dir: dir, SoleWriter: alone})
 			if found := len(s.All("calls")); found != 3 && strings.HasSuffix(name, "late") {
-				t.Errorf("%d calls are known at once, want 3", found)
+				t.Errorf("%d values after Open, want 3", found)
 			}
 			if s.HasUnread() != strings.HasSuffix(name, "at all") {
 				t.Errorf("unread: %v", s.HasUnread())
 			}
 			disk.lists, disk.reads = 0, 0
 			if _, err := s.Refresh(); err != nil || s.HasUnread() || len(s.All("calls")) != 3 {
-				t.Errorf("%d calls are known when it can be read, unread %v, error %v; want 3", len(s.All("calls")), s.HasUnread(), err)
+				t.Errorf("%d values once the folder can be read, unread %v, error %v; want 3", len(s.All("calls")), s.HasUnread(), err)
 			}
 			if err := s.Put("calls", "a", []byte("back")); err != nil {
 				t.Error(err)
@@ -818,7 +833,7 @@
 	}
 }
 
-// A folder that stays unreadable in part takes in no more files, however often this process writes anew.
+// A folder with a file that stays unreadable does not grow, however often this process starts a new file.
 func TestUnreadFolderDoesNotGrow(t *testing.T) {
 	dir, alone := t.TempDir(), func() bool { return true }
 	before, err := Open(Options{Dir: dir, SoleWriter: alone})
@@ -828,17 +843,17 @@
 	if err := errors.Join(before.Put("calls", "a", []byte("out")), before.Close()); err != nil {
 		t.Fatal(err)
 	}
-	s, _ := Open(Options{FS: &unreadable{reads: 1 << 30}, Dir: dir, SoleWriter: alone, MaxBytes: 16 << 10})
-	for i := range 200 { // some ten files
+	s, _ := Open(Options{FS: &unreadableFS{reads: 1 << 30}, Dir: dir, SoleWriter: alone, MaxBytes: 16 << 10})
+	for i := range 200 { // enough for about ten files
 		if err := s.Put("calls", "b", make([]byte, 400+i)); err != nil {
 			t.Fatal(err)
 		}
 	}
 	names, err := OS{}.List(dir)
 	if err != nil || len(names) > 3 {
-		t.Errorf("the folder has %v, error %v, want the file that can't be read and two of this process's", names, err)
+		t.Errorf("the folder has %v, error %v; want the unreadable file and two of this process", names, err)
 	}
 	if !s.HasUnread() {
-		t.Error("all was read")
+		t.Error("HasUnread is false, though a file can't be read")
 	}
 }
