--- a/internal/duty/duty.go
+++ b/internal/duty/duty.go
@@ -78,10 +78,10 @@
 // processes.
 type Config struct {
 	Name           string
-	Start          uint64 // higher than that of every earlier process of this name
-	Voters         []string
+	Start          uint64   // higher than that of every earlier process of this name
+	Voters         []string // names of the processes that vote
 	Duties         []Duty
-	Lease          time.Duration // 0: 3 s
+	Lease          time.Duration // duration of a lease; 0: 3 s
 	Transport      Transport
 	Storage        Storage
 	StorageDamaged bool                            // some of the stored values may be lost or wrong: this process joins as a new voter
@@ -92,8 +92,8 @@
 	Log            *slog.Logger
 }
 
-// Holding is a row of the table: a duty, its holder and the fencing token. Start tells the holder from earlier
-// processes of its name.
+// Holding is a row of the table: a duty, its holder and the fencing token. Start distinguishes the holder from
+// earlier processes of its name.
 type Holding struct {
 	Duty   string `json:"duty"`
 	Holder string `json:"holder"`
@@ -171,11 +171,11 @@
 	now func() time.Duration
 
 	mu         sync.Mutex
-	held       map[string]*heldDuty
-	lastLeader string // the voter to call first
-	voter      *voter // nil: this process is not a voter
-	serveSlots chan struct{}
-	renewNow   chan struct{} // signals that a duty was assigned and needs its lease
+	held       map[string]*heldDuty // by name of the duty
+	lastLeader string               // the voter to call first
+	voter      *voter               // nil: this process is not a voter
+	serveSlots chan struct{}        // one element for each call being served
+	renewNow   chan struct{}        // signals that a duty was assigned and needs its lease
 }
 
 // New returns a group, or an error that names what is wrong with cfg.
--- a/internal/duty/duty_test.go
+++ b/internal/duty/duty_test.go
@@ -192,6 +192,7 @@
 
 const testLease = 2 * time.Second
 
+// newTestFleet returns a fleet without processes.
 func newTestFleet(t *testing.T, seed uint64) *testFleet {
 	return &testFleet{
 		t: t, net: newNetwork(seed), disks: make(map[string]*memStorage), live: make(map[string]*node), clockDrift: make(map[string]float64),
@@ -376,7 +377,8 @@
 	})
 }
 
-// A duty moves to another process within its time limit in each of these failures, and is never held twice.
+// After each of these events a duty is held again, by one process at a time and where a limit is known within
+// it.
 func TestFailover(t *testing.T) {
 	for what, c := range map[string]func(t *testing.T, f *testFleet){
 		"the holder is killed": func(t *testing.T, f *testFleet) {
@@ -437,7 +439,7 @@
 				f.watch(10 * time.Millisecond)
 			}
 			if took := time.Since(began); took > testLease/2 {
-				t.Errorf("it took %v", took)
+				t.Errorf("the move took %v", took)
 			}
 			for _, bad := range [][2]string{{"nothing", ""}, {"ask", "n9"}, {"warden", "n1"}} { // n1 is of zone b
 				if f.live["n3"].Move(bad[0], bad[1]) == nil {
@@ -660,7 +662,7 @@
 					return
 				}
 				if err == nil || tries > 20 {
-					t.Fatalf("entered: %+v, %v; not %+v", e, err, want)
+					t.Fatalf("last entry %+v, error %v; want %+v", e, err, want)
 				}
 				f.watch(time.Second)
 			}
--- a/internal/rules/core.go
+++ b/internal/rules/core.go
@@ -66,7 +66,7 @@
 	Kind     Kind
 	Answer   Answer
 	From, To Peer
-	Token    uint64 // of the holder that asked
+	Token    uint64 // fencing token of the holder that asked
 	Push     uint64 // number of the push among those of that holder
 	Version  uint64
 	Digest   string
@@ -84,8 +84,8 @@
 // Ready is the work that a Core asks its host to do. The host makes the writes durable one after another, then
 // puts the set in force, then calls Advance.
 type Ready struct {
-	Writes   []Write
-	Activate *Set
+	Writes   []Write // in this order
+	Activate *Set    // nil: the set in force stays
 }
 
 // Refusal names a member that made a push fail, with the reason. It is encoded as JSON in a ReportRefusals
@@ -113,7 +113,8 @@
 	checked, stored, awaitingAnswer bool
 }
 
-// push is a rule set that this process, as the holder of the duty, is distributing to the members.
+// push is a rule set that this process, as the holder of the duty, is distributing to the members. id tells it
+// from the holder's other pushes.
 type push struct {
 	id      uint64
 	set     *Set
@@ -168,8 +169,8 @@
 	outbox          []Message
 }
 
-// NewCore returns a Core with the floor and the documents found in storage, given as kept. damaged reports that
-// some of them may be lost; read parses a document as this process understands it.
+// NewCore returns a Core with the floor and the documents in stored, the values found in storage by key.
+// damaged reports that some of them may be lost; parse parses a document as this process understands it.
 func NewCore(self Peer, stored map[string][]byte, damaged bool, parse func([]byte) (*Set, error)) *Core {
 	c := &Core{self: self, parse: parse, floorAnswers: make(map[Peer]bool)}
 	texts := make(map[string]document)
--- a/internal/rules/core_test.go
+++ b/internal/rules/core_test.go
@@ -30,6 +30,7 @@
 	return c
 }
 
+// startNode starts or restarts a member with what its disk has.
 func (c *cluster) startNode(name string, damaged bool) *Core {
 	c.lastStart++
 	if c.disks[name] == nil {
@@ -40,6 +41,7 @@
 	return core
 }
 
+// members returns all members, of which the unreachable ones are silent.
 func (c *cluster) members() (all []Member) {
 	for name, core := range c.cores {
 		all = append(all, Member{core.self, c.unreachable[name]})
@@ -92,6 +94,7 @@
 	}
 }
 
+// acquireDuty gives the duty to a member, with a new token.
 func (c *cluster) acquireDuty(name string) {
 	c.lastStart++
 	core := c.cores[name]
@@ -100,6 +103,7 @@
 	c.flush(core)
 }
 
+// offer offers a document to the holder.
 func (c *cluster) offer(to, text string) {
 	core := c.cores[to]
 	c.deliver(Message{Kind: Offer, From: Peer{"x", 1}, To: core.self, Text: []byte(text)})
--- a/internal/rules/document.go
+++ b/internal/rules/document.go
@@ -49,11 +49,11 @@
 
 // Settings are the parts of a process's configuration that documents are read against.
 type Settings struct {
-	HighestForm int            // highest form that is read
-	Tenants     map[string]int // index into Config.Tenants, by name
-	Zones       map[string]int
-	Server      func(id string) balance.ServerID
-	Config      balance.Config
+	HighestForm int                              // highest form that is read
+	Tenants     map[string]int                   // index into Config.Tenants, by name
+	Zones       map[string]int                   // number of a zone, by name
+	Server      func(id string) balance.ServerID // the server with an id of discovery
+	Config      balance.Config                   // values that apply where a document gives none
 }
 
 // Set is a document as this process understands it.
--- a/internal/rules/explore_test.go
+++ b/internal/rules/explore_test.go
@@ -137,6 +137,8 @@
 	}
 }
 
+// clone returns a copy that can be changed on its own. Answers to floor queries are left out: no node of the model
+// sends such queries.
 func (c *Core) clone() *Core {
 	if c == nil {
 		return nil
@@ -156,6 +158,7 @@
 	return &d
 }
 
+// clone returns a copy that can be changed on its own.
 func (w *worldState) clone() *worldState {
 	d := *w
 	for i, n := range w.nodes {
@@ -456,7 +459,7 @@
 		if w.crashes > 0 && w.plan.permits(w.plan.mayCrash, m.To.Name) {
 			for dies := range steps + 1 {
 				if steps > 0 {
-					branch(fmt.Sprintf("%sand crashes after %d steps", what, dies), func(d *worldState) { d.deliver(k, dies) })
+					branch(fmt.Sprintf("%s and crashes after %d steps", what, dies), func(d *worldState) { d.deliver(k, dies) })
 				}
 			}
 		}
--- a/internal/rules/node.go
+++ b/internal/rules/node.go
@@ -85,26 +85,26 @@
 	ctx        context.Context
 	serveSlots chan struct{} // one element for each call being served
 	callSlots  chan struct{} // one element for each call being made
-	wake       chan struct{}
+	wake       chan struct{} // makes Run do its next check at once
 	work       sync.WaitGroup
 
 	status atomic.Pointer[Status] // for readers that must not wait for a disk
 
 	mu             sync.Mutex // also held during disk writes: a message that waits for them would be answered late anyway
 	core           *Core
-	queryNeeded    bool // this start has to ask peers for their floors
-	queried        map[Peer]bool
+	queryNeeded    bool          // this start has to ask peers for their floors
+	queried        map[Peer]bool // peers asked for their floors
 	queryStarted   time.Time
-	lastRetry      time.Time
-	timedPush      uint64 // PushID when it was last polled
-	timedPushStart time.Time
-
-	fileText          []byte // document to be pushed; nil: none
-	fileVersion       uint64 // version declared by fileText
-	fileRefusal       string // why fileText can never come into force; empty: it may
-	lastOffer         time.Time
-	loggedRefusals    string // the refusals last logged, so that they are logged once
-	signalledProposal Floor  // the proposal for which Run was last woken
+	lastRetry      time.Time // of RetryActivations
+	timedPush      uint64    // PushID when it was last polled
+	timedPushStart time.Time // when timedPush was first polled
+
+	fileText          []byte    // document to be pushed; nil: none
+	fileVersion       uint64    // version declared by fileText
+	fileRefusal       string    // why fileText can never come into force; empty: it may
+	lastOffer         time.Time // of fileText to the holder
+	loggedRefusals    string    // the refusals last logged, so that they are logged once
+	signalledProposal Floor     // the proposal for which Run was last woken
 }
 
 // New returns a node with the state found in cfg.Storage. Nothing is in force before ActivateFloor.
--- a/internal/store/format.go
+++ b/internal/store/format.go
@@ -83,8 +83,8 @@
 
 // slot is the state of a file at one commit.
 type slot struct {
-	sequence  uint64
-	length    uint64
+	sequence  uint64  // number of the commit
+	length    uint64  // committed bytes of the file
 	successor fileRef // the file that replaced this one; zero: none has
 }
 
@@ -106,11 +106,11 @@
 	return slot{v(0), v(1), fileRef{v(2), v(3)}}
 }
 
-// entry is the value of a section and a key. The entry with the highest version is valid; of two with the same
-// version, that of the process with the higher number.
+// entry is the value of a section and a key. Of several entries the one with the highest version is valid; of
+// two with the same version, that of the process with the higher number.
 type entry struct {
-	version, origin uint64
-	putAtMs         int64 // wall clock, Unix ms
+	version, origin uint64 // Lamport time, and number of the process that wrote it
+	putAtMs         int64  // wall clock, Unix ms
 	deleted         bool
 	value           []byte
 }
--- a/internal/store/fs.go
+++ b/internal/store/fs.go
@@ -73,6 +73,7 @@
 // Open implements FS.
 func (OS) Open(path string) (File, error) { return openFile(path, os.O_RDWR) }
 
+// openFile opens a file that only its owner may read and write.
 func openFile(path string, flag int) (File, error) {
 	f, err := os.OpenFile(path, flag, 0o600)
 	if err != nil {
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -719,6 +719,7 @@
 	}
 }
 
+// The time of a durable Put on a real disk.
 func BenchmarkPut(b *testing.B) {
 	s, err := Open(Options{Dir: b.TempDir(), SoleWriter: func() bool { return true }})
 	if err != nil {
