--- a/internal/store/format.go
+++ b/internal/store/format.go
@@ -11,8 +11,8 @@
 
 // A file has a header, two slots, and records. The header never changes. A slot has the length up to which the
 // file is committed. The two slots are written in turn, so that one is intact when a write of the other fails.
-// The header and each slot have a sector of their own, which a disk writes as a whole or not at all. All
-// integers are little endian.
+// The header and each slot have a sector of their own, which a disk writes as a whole or not at all.
+// Integers of fixed size are little endian, those in the body of a record are varints.
 //
 //	header  magic, format version, process number, generation, zeros, checksum
 //	slot    sequence, committed length, the file that succeeds this one, zeros, checksum
