--- a/cmd/caperarch/main.go
+++ b/cmd/caperarch/main.go
@@ -94,7 +94,7 @@
 
 // run serves until it is told to stop. An error is in the log by then.
 func run() (err error) {
-	log := logging.Detach(os.Stderr) // whoever reads it may stall
+	log := logging.NewAsyncWriter(os.Stderr) // whoever reads it may stall
 	defer log.Flush(flushTime)
 	defer func() {
 		if err != nil {
@@ -137,7 +137,7 @@
 		}
 		told := cfg.Describe()
 		shown.Sidecar, shown.Fleet = &told, cfg.Fleet
-		for _, key := range cfg.Unknown {
+		for _, key := range cfg.UnknownKeys {
 			fmt.Fprintf(notes, "caperarch: %s: key %q means nothing to this program; it is passed over\n", config, key)
 		}
 	}
--- a/internal/rules/document.go
+++ b/internal/rules/document.go
@@ -142,7 +142,7 @@
 
 // lineOf returns the line of a key in a document; 0: it has none, or the document can't be read.
 func lineOf(text []byte, key string) int {
-	lines, err := conf.Lines(text)
+	lines, err := conf.KeyLines(text)
 	if err != nil {
 		return 0
 	}
@@ -164,7 +164,7 @@
 		fail("attempts", "is %d: the settings allow %d", b.Attempts, s.Config.MaxAttempts)
 	}
 	if b.Retries.Span > 0 {
-		r.Budget = &balance.RetryBudget{Span: b.Retries.Span.D(), Free: b.Retries.Free, Share: b.Retries.Share}
+		r.Budget = &balance.RetryBudget{Span: b.Retries.Span.Std(), Free: b.Retries.Free, Share: b.Retries.Share}
 	} else if b.Retries.Free != 0 || b.Retries.Share != 0 {
 		fail("retries", "has no span")
 	}
