--- a/internal/duty/duty.go
+++ b/internal/duty/duty.go
@@ -232,7 +232,7 @@
 }
 
 // Holds reports whether this process holds a duty now, and by which token. Call it right before each act.
-func (g *Group) Holds(duty string) (token uint64, yes bool) {
+func (g *Group) Holds(duty string) (token uint64, held bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	h := g.held[duty]
@@ -471,11 +471,11 @@
 			return nil
 		}
 		untried = slices.DeleteFunc(untried, func(v string) bool { return v == next })
-		hint, redirected := strings.CutPrefix(err.Error(), errNotLeader)
+		leader, redirected := strings.CutPrefix(err.Error(), errNotLeader)
 		failures = errors.Join(failures, fmt.Errorf("%s: %w", next, err))
 		switch {
-		case redirected && slices.Contains(untried, hint):
-			next = hint
+		case redirected && slices.Contains(untried, leader):
+			next = leader
 		case !redirected && errors.As(err, new(rpc.ServerError)):
 			return err // the leader itself refused
 		case len(untried) > 0:
--- a/internal/duty/voter.go
+++ b/internal/duty/voter.go
@@ -217,7 +217,7 @@
 }
 
 // leads reports whether this voter leads, and otherwise returns the name of the leader if it is known.
-func (v *voter) leads() (hint string, yes bool) {
+func (v *voter) leads() (leader string, ok bool) {
 	if v.raft.State() == raft.Leader && v.leadingTerm() != 0 {
 		return "", true
 	}
--- a/internal/rules/core.go
+++ b/internal/rules/core.go
@@ -234,7 +234,7 @@
 func (c *Core) InForce() *Set { return c.inForce }
 
 // Serves reports whether requests may be served, and if not, why.
-func (c *Core) Serves() (why string, yes bool) {
+func (c *Core) Serves() (reason string, ok bool) {
 	switch {
 	case c.barredReason != "":
 		return c.barredReason, false
--- a/internal/rules/document.go
+++ b/internal/rules/document.go
@@ -61,7 +61,7 @@
 	Version         uint64
 	ExcludedMembers []string // members that must not serve under this set, sorted
 	Digest          string   // of the effective values, see digest
-	Text            []byte
+	Text            []byte   // source of the document
 	Rules           balance.Rules
 }
 
--- a/internal/rules/explore_test.go
+++ b/internal/rules/explore_test.go
@@ -276,12 +276,12 @@
 	}
 }
 
-// execute does the work that a Core asks for and returns the number of steps. The node crashes after dies steps
+// execute does the work that a Core asks for and returns the number of steps. The node crashes after crashAt steps
 // if there are that many; -1: it does not.
-func (w *worldState) execute(i int, r Ready, dies int) (steps int) {
+func (w *worldState) execute(i int, r Ready, crashAt int) (steps int) {
 	n := w.nodes[i]
 	for _, write := range r.Writes {
-		if steps == dies {
+		if steps == crashAt {
 			w.kill(i)
 			return steps
 		}
@@ -300,13 +300,13 @@
 		}
 	}
 	if r.Activate != nil {
-		if steps == dies {
+		if steps == crashAt {
 			w.kill(i)
 			return steps
 		}
 		steps++
 		w.checkInForce(i, r.Activate, n.core.pending.digestDiffers)
-		if steps == dies {
+		if steps == crashAt {
 			w.kill(i)
 			return steps
 		}
@@ -338,7 +338,7 @@
 }
 
 // deliver removes a message from the network and passes it to the process of that name.
-func (w *worldState) deliver(k, dies int) (steps int) {
+func (w *worldState) deliver(k, crashAt int) (steps int) {
 	m := w.net[k]
 	w.net = slices.Delete(w.net, k, k+1)
 	i := int(m.To.Name[0] - 'a')
@@ -358,7 +358,7 @@
 	if a := n.core.pending; a != nil && a.answer != nil && a.answer.Answer == No && m.Kind == Check && w.explorer.parse(n.program, m.Text).err != nil {
 		n.refused[string(m.Text)] = max(n.refused[string(m.Text)], m.Token)
 	}
-	return w.execute(i, r, dies)
+	return w.execute(i, r, crashAt)
 }
 
 // isObsolete reports whether a message can have no effect any more, whenever it arrives.
@@ -457,9 +457,9 @@
 		steps := 0
 		branch(what, func(d *worldState) { steps = d.deliver(k, -1) })
 		if w.crashes > 0 && w.plan.permits(w.plan.mayCrash, m.To.Name) {
-			for dies := range steps + 1 {
+			for crashAt := range steps + 1 {
 				if steps > 0 {
-					branch(fmt.Sprintf("%s and crashes after %d steps", what, dies), func(d *worldState) { d.deliver(k, dies) })
+					branch(fmt.Sprintf("%s and crashes after %d steps", what, crashAt), func(d *worldState) { d.deliver(k, crashAt) })
 				}
 			}
 		}
--- a/internal/rules/node.go
+++ b/internal/rules/node.go
@@ -50,7 +50,7 @@
 // Voters gives access to the duty and to the voters' log, in which versions are entered.
 type Voters interface {
 	// Holds reports whether this process holds the duty now, and by which token.
-	Holds() (token uint64, yes bool)
+	Holds() (token uint64, held bool)
 	// Holder returns the name of the duty's holder as the voters know it; empty: there is none.
 	Holder() (name string, err error)
 	// LastEntry returns the last version entered. A holder of the duty sees every entry that earlier holders
@@ -228,15 +228,15 @@
 
 // followDuty tells the core when this process acquires or loses the duty.
 func (n *Node) followDuty() {
-	token, yes := n.cfg.Voters.Holds()
+	token, held := n.cfg.Voters.Holds()
 	n.mu.Lock()
 	previous := n.core.DutyToken()
-	if !yes && previous != 0 {
+	if !held && previous != 0 {
 		n.core.ReleaseDuty()
 		n.publishStatus()
 	}
 	n.mu.Unlock()
-	if !yes || token == previous {
+	if !held || token == previous {
 		return
 	}
 	entry, err := n.cfg.Voters.LastEntry()
@@ -256,7 +256,7 @@
 	n.mu.Lock()
 	f, due := n.core.Proposed()
 	n.mu.Unlock()
-	if token, yes := n.cfg.Voters.Holds(); !due || !yes || token != f.Token {
+	if token, held := n.cfg.Voters.Holds(); !due || !held || token != f.Token {
 		return
 	}
 	refused, err := n.cfg.Voters.CommitEntry(f)
--- a/internal/rules/node_test.go
+++ b/internal/rules/node_test.go
@@ -30,9 +30,9 @@
 	holder    string
 	token     uint64
 	entry     duty.Entry
-	inForce   map[string]uint64
+	inForce   map[string]uint64 // version, by member
 	stores    map[string]*store.Store
-	limit     int
+	limit     int // size limit of each store
 }
 
 // pipeListener accepts streams in memory.
@@ -182,7 +182,8 @@
 	return 0
 }
 
-// A pushed set comes into force at every member of a fleet, with real disks. The log has the times.
+// A pushed set comes into force at every member of a fleet, with real disks. Floor queries at the start that
+// found nothing must not delay it. The log has the times.
 func TestPushReachesAllNodes(t *testing.T) {
 	a := startFleet(t, *memberCount, 0)
 	a.waitForAll(t, "all have ended the wait for floors", func(s Status) bool { return s.Serves })
