--- a/internal/rules/document.go
+++ b/internal/rules/document.go
@@ -188,8 +188,8 @@
 		}
 	}
 	checkWeight := func(key string, weight float64) {
-		if weight != 0 && weight < 1.0/balance.MultipleMost {
-			fail(key, "is %v: 0, or at least 1/%d, is allowed", weight, balance.MultipleMost)
+		if weight != 0 && weight < 1.0/balance.MaxWeightMultiple {
+			fail(key, "is %v: 0, or at least 1/%d, is allowed", weight, balance.MaxWeightMultiple)
 		}
 	}
 	servers, zones := make(map[string]float64), make(map[string]float64)
