--- a/cmd/caperarch/callmatrix_test.go
+++ b/cmd/caperarch/callmatrix_test.go
@@ -66,13 +66,13 @@
 // So too where each read or write moves few bytes only.
 func TestEachRequestIsAnsweredByShortReadsAndWrites(t *testing.T) {
 	for name, number := range map[string]int{"read": unix.SYS_READ, "write": unix.SYS_WRITE} {
-		t.Run(name, func(t *testing.T) { callsGo(t, number, 1, sysfault.Effect{Most: 3}) })
+		t.Run(name, func(t *testing.T) { callsGo(t, number, 1, sysfault.Effect{MaxBytes: 3}) })
 	}
 }
 
 // failsWith is what becomes of a call that fails. Reads and writes fail on sockets, for which the errors are documented.
 func failsWith(number int, errno syscall.Errno) sysfault.Effect {
-	return sysfault.Effect{Errno: errno, OnSocket: number == unix.SYS_READ || number == unix.SYS_WRITE}
+	return sysfault.Effect{Errno: errno, SocketsOnly: number == unix.SYS_READ || number == unix.SYS_WRITE}
 }
 
 // callsGo has every so many calls go in a way, while requests come on new connections, and then on one that is kept.
--- a/cmd/caperarch/faults_test.go
+++ b/cmd/caperarch/faults_test.go
@@ -128,7 +128,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.supervisor, err = sysfault.Start(cmd, sysfault.Options{Calls: calls, Clock: clock, Decide: func(c sysfault.Call) sysfault.Effect {
+	s.supervisor, err = sysfault.Start(cmd, sysfault.Options{Calls: calls, ControlClock: clock, Decide: func(c sysfault.Call) sysfault.Effect {
 		return (*s.decide.Load())(c)
 	}})
 	if err != nil {
--- a/internal/lab/added_test.go
+++ b/internal/lab/added_test.go
@@ -66,7 +66,7 @@
 	s.Fleet.Servers, s.Fleet.Told = servers, addedFleet
 	mean := 0.0
 	for _, c := range s.classes() {
-		mean += c.Share * c.Work.Seconds()
+		mean += c.Share * c.MeanWork.Seconds()
 	}
 	s.Fleet.Quota = addedFleet * addedRate * mean / s.capacity()
 	var accepted atomic.Int64
--- a/internal/lab/callfaults.go
+++ b/internal/lab/callfaults.go
@@ -56,7 +56,7 @@
 	for number := range momentary {
 		calls = append(calls, number)
 	}
-	supervisor, err := sysfault.Start(cmd, sysfault.Options{Calls: calls, Decide: f.decide, Clock: true})
+	supervisor, err := sysfault.Start(cmd, sysfault.Options{Calls: calls, Decide: f.decide, ControlClock: true})
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.supervisor = supervisor
@@ -86,7 +86,7 @@
 	moves := c.Number == unix.SYS_READ || c.Number == unix.SYS_WRITE
 	switch draw := f.rng.Float64(); {
 	case moves && draw < 0.6:
-		e.Most = 1 + f.rng.IntN(40)
+		e.MaxBytes = 1 + f.rng.IntN(40)
 	case moves && draw < 0.62:
 		e.Delay = time.Duration(f.rng.Int64N(int64(holdUp)))
 	case moves && draw < 0.64 && f.breaks(c):
@@ -95,7 +95,7 @@
 		return e
 	default:
 		errors := momentary[c.Number]
-		e.Errno, e.OnSocket = errors[f.rng.IntN(len(errors))], moves
+		e.Errno, e.SocketsOnly = errors[f.rng.IntN(len(errors))], moves
 	}
 	return e
 }
@@ -106,6 +106,6 @@
 	if f.supervisor == nil {
 		return false
 	}
-	local, remote, err := f.supervisor.Ends(int(int32(c.Arguments[0])))
+	local, remote, err := f.supervisor.ConnAddrs(int(int32(c.Arguments[0])))
 	return err == nil && f.broken(local, remote)
 }
--- a/internal/lab/client.go
+++ b/internal/lab/client.go
@@ -187,7 +187,7 @@
 // message words a try in the protocol.
 func (k *clients) message(t *Try, n int, a world.Arrival, class world.Class, m manner, patience time.Duration, again bool) *http.Request {
 	method, text, body := http.MethodPost, "", io.Reader(nil)
-	if class.Effect == world.Safe {
+	if class.Idempotency == world.Safe {
 		method = http.MethodGet
 	} else {
 		text, body = k.bodyOf(t, m, patience)
@@ -205,7 +205,7 @@
 	h.Set("X-Tenant-Id", tenants[a.Tenant].name)
 	h.Set("X-Route-Key", fmt.Sprintf("%016x", a.Key))
 	h.Set("X-Timeout", strconv.FormatInt(patience.Microseconds(), 10)+"u")
-	if class.Effect == world.Keyed {
+	if class.Idempotency == world.Keyed {
 		h.Set("Idempotency-Key", fmt.Sprintf("%032x", n+1))
 	}
 	if again {
--- a/internal/lab/conform_test.go
+++ b/internal/lab/conform_test.go
@@ -109,7 +109,7 @@
 		r.servers.mu.Lock()
 		defer r.servers.mu.Unlock()
 		r.servers.all[0].advance()
-		return r.servers.all[0].model.Held()
+		return r.servers.all[0].model.Outstanding()
 	}
 	until := func(what string, holds func() bool) {
 		t.Helper()
@@ -178,7 +178,7 @@
 			t.Errorf("%s: a request with no end began", who)
 		}
 		k = dial(t, address) // whoever closes gives up: what waits does not run
-		r.servers.change(0, func(m *world.Server) { m.Slow(1000) })
+		r.servers.change(0, func(m *world.Server) { m.SetSlowdown(1000) })
 		var waiting []*talk
 		for range s.Serve.Slots + 1 {
 			w := dial(t, r.servers.at(0, 0))
@@ -192,13 +192,13 @@
 		until("one more waits", func() bool { return held() == s.Serve.Slots+2 && reached(id) == 1 })
 		k.Close()
 		until(who+": it is called off", func() bool { return held() == s.Serve.Slots+1 })
-		r.servers.change(0, func(m *world.Server) { m.Slow(0.001) })
+		r.servers.change(0, func(m *world.Server) { m.SetSlowdown(0.001) })
 		for _, w := range waiting {
 			if status, _ := w.hear(); status != http.StatusOK {
 				t.Errorf("%s: one that waited was answered %d", who, status)
 			}
 		}
-		r.servers.change(0, func(m *world.Server) { m.Slow(1) })
+		r.servers.change(0, func(m *world.Server) { m.SetSlowdown(1) })
 	}
 	r.servers.crash(0)
 	if c, err := net.DialTimeout("tcp", r.servers.at(0, 0), time.Second); err == nil {
@@ -286,7 +286,7 @@
 	want(0, "?index=1&wait=1", 1, false, 0, "")
 	done := make(chan listingJSON)
 	go func() { _, l := get(0, "?index=1&wait=20000"); done <- l }()
-	r.roster.hear(0, world.Entry{Server: 1, Life: world.Draining})
+	r.roster.hear(0, world.Entry{Server: 1, Lifecycle: world.Draining})
 	if l := <-done; l.Generation != 2 || l.Reset || len(l.Instances) != 1 || l.Instances[0].Lifecycle != "draining" {
 		t.Errorf("a watch ends with %+v", l)
 	}
--- a/internal/lab/faults.go
+++ b/internal/lab/faults.go
@@ -224,10 +224,10 @@
 
 func (f *faults) server(ctx context.Context, a Action, i int) error {
 	s, r, list := f.run.servers, f.run.roster, f.run.scene.List
-	entry := func(life world.Life) world.Entry { return world.Entry{Server: i, Life: life} }
+	entry := func(life world.Lifecycle) world.Entry { return world.Entry{Server: i, Lifecycle: life} }
 	fresh := func() world.Entry {
 		e := entry(world.Ready)
-		e.Started = f.run.clock.now()
+		e.StartedAt = f.run.clock.now()
 		return e
 	}
 	switch a.Do {
@@ -260,19 +260,19 @@
 			r.hear(list.Notice.Std(), entry(world.Ready))
 		}
 	case "slow":
-		s.change(i, func(m *world.Server) { m.Slow(a.Size) })
+		s.change(i, func(m *world.Server) { m.SetSlowdown(a.Size) })
 		if mended(ctx, a) {
-			s.change(i, func(m *world.Server) { m.Slow(1) })
+			s.change(i, func(m *world.Server) { m.SetSlowdown(1) })
 		}
 	case "err":
-		s.change(i, func(m *world.Server) { m.Err(a.Size) })
+		s.change(i, func(m *world.Server) { m.SetErrorShare(a.Size) })
 		if mended(ctx, a) {
-			s.change(i, func(m *world.Server) { m.Err(0) })
+			s.change(i, func(m *world.Server) { m.SetErrorShare(0) })
 		}
 	case "refuse":
-		s.change(i, func(m *world.Server) { m.Refuse(true) })
+		s.change(i, func(m *world.Server) { m.SetRejecting(true) })
 		if mended(ctx, a) {
-			s.change(i, func(m *world.Server) { m.Refuse(false) })
+			s.change(i, func(m *world.Server) { m.SetRejecting(false) })
 		}
 	case "spoil", "hang", "reset", "close":
 		f.misbehaviour(ctx, a, i)
--- a/internal/lab/judge.go
+++ b/internal/lab/judge.go
@@ -116,7 +116,7 @@
 // ran are a try's arrivals that may have run.
 func ran(t *Try) (all []Reached) {
 	for _, r := range t.Reached {
-		if r.Verdict == world.Taken || r.Verdict == world.Down {
+		if r.Verdict == world.Accepted || r.Verdict == world.Down {
 			all = append(all, r)
 		}
 	}
@@ -128,13 +128,13 @@
 	classes := s.classes()
 	for _, t := range h.tries {
 		class, runs := classes[t.Class], ran(t)
-		if len(runs) < 2 || class.Effect == world.Safe {
+		if len(runs) < 2 || class.Idempotency == world.Safe {
 			continue
 		}
 		first := runs[0]
 		for _, r := range runs[1:] {
 			sameZone := s.zoneOf(r.Server) == s.zoneOf(first.Server)
-			if class.Effect == world.Keyed && sameZone && r.At-first.At < class.Window+socketRoom {
+			if class.Idempotency == world.Keyed && sameZone && r.At-first.At < class.DedupWindow+socketRoom {
 				continue // its zone drops it, but where the first was lost with its server
 			}
 			broken("request %s (%s) may have run twice: at server %d at %v and at server %d at %v",
@@ -150,7 +150,7 @@
 		switch {
 		case t.End == Served && !slices.ContainsFunc(t.Reached, func(r Reached) bool { return r.Answer != "" && r.Answer == t.Body }):
 			broken("request %s was served at %v with what no server made for it: %.60q", t.ID, t.Ended, t.Body)
-		case t.End == Refused && classes[t.Class].Effect != world.Safe && len(ran(t)) > 0:
+		case t.End == Refused && classes[t.Class].Idempotency != world.Safe && len(ran(t)) > 0:
 			broken("request %s (%s) was refused at %v though it may have run at server %d", t.ID, classes[t.Class].Name, t.Ended, ran(t)[0].Server)
 		}
 	}
--- a/internal/lab/process.go
+++ b/internal/lab/process.go
@@ -122,7 +122,7 @@
 		"limits":  map[string]any{"cores": 1, "memory_mb": s.Fleet.MemoryMB, "sockets": s.Fleet.Sockets},
 	}
 	if sidecar < s.Fleet.Sidecars { // a hollow one asks for it: as many files of long lists would cost more than they tell
-		file["known"] = p.roster.listing(sidecar, firstVersion, true, world.NewRoster(s.Fleet.Servers, firstVersion).Whole())
+		file["known"] = p.roster.listing(sidecar, firstVersion, true, world.NewServerList(s.Fleet.Servers, firstVersion).Listed())
 	}
 	file["settings"] = p.settings(sidecar)
 	routes := p.routes(sidecar)
@@ -170,10 +170,10 @@
 	var classes, orgs []any
 	mean := (&world.LoadSpec{Classes: s.classes()}).MeanWork().Seconds()
 	for _, c := range s.classes() {
-		word := map[world.Effect]string{world.Safe: "free", world.Keyed: "guarded", world.Unsafe: "single_shot"}[c.Effect]
+		word := map[world.Idempotency]string{world.Safe: "free", world.Keyed: "guarded", world.Unsafe: "single_shot"}[c.Idempotency]
 		classes = append(classes, map[string]any{
 			"name": c.Name, "aim_ms": ms(c.Aim), "hard_limit_ms": ms(c.Deadline), "semantics": word, "dedup_scope": "zone",
-			"window_ms": ms(c.Window), "worth": c.Worth, "late_share": 0, "stream": false,
+			"window_ms": ms(c.DedupWindow), "worth": c.Worth, "late_share": 0, "stream": false,
 		})
 	}
 	for _, t := range tenants {
--- a/internal/lab/result.go
+++ b/internal/lab/result.go
@@ -118,8 +118,8 @@
 	worked, choked := 0.0, 0.0
 	r.servers.mu.Lock() // their timers may still run
 	for _, u := range r.servers.all {
-		worked += u.model.Worked
-		choked += float64(u.model.Choked())
+		worked += u.model.WorkDone
+		choked += float64(u.model.CongestionCount())
 	}
 	r.servers.mu.Unlock()
 	f["work"], f["choked"] = worked/max(work, 1e-9), choked
@@ -207,7 +207,7 @@
 			if a.At < s.from || a.At > s.to+afterStart {
 				continue
 			}
-			answered[a.Server] = answered[a.Server] || a.Answer != "" || a.Verdict != world.Taken
+			answered[a.Server] = answered[a.Server] || a.Answer != "" || a.Verdict != world.Accepted
 			if a.Sidecar == s.sidecar {
 				at[a.Server]++
 			}
--- a/internal/lab/roster.go
+++ b/internal/lab/roster.go
@@ -35,13 +35,13 @@
 	delays  []*time.Timer
 
 	mu      sync.Mutex
-	list    *world.Roster
-	desk    world.Desk
+	list    *world.ServerList
+	desk    world.FIFOService
 	changed chan struct{} // closed with each change
 	muted   chan struct{} // closed where the watches that are open fall silent
 	away    bool
-	stale   *world.Roster // what it answers with instead, while it is stale
-	knows   [][]bool      // by sidecar and server: whether it was told that the server is out
+	stale   *world.ServerList // what it answers with instead, while it is stale
+	knows   [][]bool          // by sidecar and server: whether it was told that the server is out
 	calls   int
 	lines   int
 	failed  int
@@ -53,8 +53,8 @@
 func newRoster(s *Scenario, c clock, h *History, n *subnet, servers *servers) (*roster, error) {
 	r := &roster{
 		clock: c, history: h, net: n, scene: s, servers: servers, changed: make(chan struct{}), muted: make(chan struct{}),
-		list: world.NewRoster(s.Fleet.Servers, firstVersion),
-		desk: world.NewDesk(s.List.Call.Std(), s.List.Line.Std(), s.List.Wait.Std()),
+		list: world.NewServerList(s.Fleet.Servers, firstVersion),
+		desk: world.NewFIFOService(s.List.Call.Std(), s.List.Line.Std(), s.List.Wait.Std()),
 	}
 	r.list.Reserve(s.spares())
 	for range s.all() {
@@ -149,7 +149,7 @@
 	defer r.mu.Unlock()
 	r.stale = nil
 	if on {
-		r.stale = r.list.Copy()
+		r.stale = r.list.Clone()
 	}
 }
 
@@ -165,7 +165,7 @@
 func (r *roster) crawl(by time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.desk.Call = r.scene.List.Call.Std() + by
+	r.desk.CallTime = r.scene.List.Call.Std() + by
 }
 
 // ServeHTTP is discovery's side of the protocol.
@@ -230,13 +230,13 @@
 	r.mu.Lock()
 	r.calls++
 	list := r.source()
-	entries, ok = list.Since(since)
+	entries, ok = list.ChangedSince(since)
 	if whole = since < 0 || !ok; whole {
-		entries = list.Whole()
+		entries = list.Listed()
 	}
 	version = list.Version()
 	r.lines += len(entries)
-	ready, ok := r.desk.Take(r.clock.now(), len(entries))
+	ready, ok := r.desk.Enqueue(r.clock.now(), len(entries))
 	ok = ok && !r.away
 	if !ok {
 		r.failed++
@@ -255,7 +255,7 @@
 	return entries, version, whole, !r.away
 }
 
-func (r *roster) source() *world.Roster {
+func (r *roster) source() *world.ServerList {
 	if r.stale != nil {
 		return r.stale
 	}
@@ -273,7 +273,7 @@
 		}
 	}
 	for _, e := range entries {
-		out[e.Server] = e.Life != world.Ready
+		out[e.Server] = e.Lifecycle != world.Ready
 	}
 	r.note(sidecar, out)
 }
@@ -327,10 +327,10 @@
 	for _, e := range entries {
 		i := instance{
 			InstanceID: serverName(e.Server), HostPort: r.servers.at(sidecar, e.Server),
-			Zone: zoneName(r.scene.zoneOf(e.Server)), MachineType: "one-core", Cell: e.Server / 4, Lifecycle: string(e.Life), Weight: 1,
+			Zone: zoneName(r.scene.zoneOf(e.Server)), MachineType: "one-core", Cell: e.Server / 4, Lifecycle: string(e.Lifecycle), Weight: 1,
 		}
-		if e.Started > 0 {
-			i.StartedAtMs = r.clock.at(e.Started).UnixMilli()
+		if e.StartedAt > 0 {
+			i.StartedAtMs = r.clock.at(e.StartedAt).UnixMilli()
 		}
 		l.Instances = append(l.Instances, i)
 	}
--- a/internal/lab/scenario.go
+++ b/internal/lab/scenario.go
@@ -299,8 +299,8 @@
 func (s *Scenario) classes() []world.Class {
 	const ms = time.Millisecond
 	classes := []world.Class{
-		{Name: "publish", Share: 0.62, Work: 15 * ms, Spread: 1.1, Aim: 150 * ms, Deadline: 500 * ms, Worth: 10, Effect: world.Effect(s.Load.Publish)},
-		{Name: "rebuild", Share: 0.38, Work: 23 * ms, Spread: 1, Aim: 200 * ms, Deadline: 800 * ms, Worth: 3, Effect: world.Effect(s.Load.Rebuild)},
+		{Name: "publish", Share: 0.62, MeanWork: 15 * ms, WorkVariation: 1.1, Aim: 150 * ms, Deadline: 500 * ms, Worth: 10, Idempotency: world.Idempotency(s.Load.Publish)},
+		{Name: "rebuild", Share: 0.38, MeanWork: 23 * ms, WorkVariation: 1, Aim: 200 * ms, Deadline: 800 * ms, Worth: 3, Idempotency: world.Idempotency(s.Load.Rebuild)},
 	}
 	for i := range classes {
 		c := &classes[i]
@@ -308,8 +308,8 @@
 		if s.Patience > 0 {
 			c.Aim, c.Deadline = s.Patience, s.Patience
 		}
-		if c.Effect == world.Keyed {
-			c.Window = s.Load.Within.Std()
+		if c.Idempotency == world.Keyed {
+			c.DedupWindow = s.Load.Within.Std()
 		}
 	}
 	return classes
@@ -329,7 +329,7 @@
 // arrivals draws what clients ask for.
 func (s *Scenario) arrivals(seed uint64) []world.Arrival {
 	spec := world.LoadSpec{
-		For: s.For.Std(), Sidecars: s.Fleet.Sidecars, Skew: s.Load.Skew, Classes: s.classes(), Keys: s.Load.Keys, Zipf: s.Load.Zipf,
+		Duration: s.For.Std(), Sidecars: s.Fleet.Sidecars, Skew: s.Load.Skew, Classes: s.classes(), Keys: s.Load.Keys, ZipfExponent: s.Load.Zipf,
 	}
 	for _, t := range tenants {
 		spec.Tenants = append(spec.Tenants, t.share)
@@ -337,10 +337,10 @@
 	spec.Rate = s.work() / spec.MeanWork().Seconds()
 	for _, f := range s.Fault {
 		if f.Do == "burst" {
-			spec.Bursts = append(spec.Bursts, world.Burst{At: f.At.Std(), For: f.For.Std(), Times: f.Size})
+			spec.Bursts = append(spec.Bursts, world.Burst{Start: f.At.Std(), Duration: f.For.Std(), Factor: f.Size})
 		}
 	}
-	return world.Draw(spec, seed)
+	return world.DrawArrivals(spec, seed)
 }
 
 // work is the work in seconds that is asked for in a second, before bursts.
@@ -380,18 +380,18 @@
 }
 
 // server is the model of one queue server.
-func (s *Scenario) server(i int, zone *world.Zone, seed uint64) *world.Server {
+func (s *Scenario) server(i int, zone *world.DedupZone, seed uint64) *world.Server {
 	rng := rand.New(rand.NewPCG(seed, 4+uint64(i)<<8))
 	c := s.Serve
 	spec := world.ServerSpec{
-		Cores: c.Cores, Speed: max(0.1, c.Speed*(1+c.Spread*rng.NormFloat64())), Slots: c.Slots, Room: c.Room,
-		Thrash: 0.3, ThrashAt: 11 * c.Cores,
-		Keys: c.Keys, KeyTime: c.KeyTime.Std(), KeyGain: c.KeyGain,
-		ColdFrom: c.ColdFrom, ColdTime: c.ColdTime.Std(), FallAt: c.FallAt, FallWithin: c.FallFor.Std(),
-		FallMean: (&world.LoadSpec{Classes: s.classes()}).MeanWork(),
-		ChokeAt:  c.ChokeAt, ChokeOver: c.ChokeOver.Std(), ChokeSlow: c.ChokeSlow, ChokeRest: c.ChokeRest.Std(),
-		ChokeBusy: c.ChokeBusy, ChokeMost: c.ChokeMost.Std(),
-		Errors: c.Errors, CancelRunning: c.Cancel == "all", Handshake: c.Handshake.Std(), Probe: 450 * time.Microsecond,
+		Cores: c.Cores, Speed: max(0.1, c.Speed*(1+c.Spread*rng.NormFloat64())), Slots: c.Slots, QueueLimit: c.Room,
+		ThrashFactor: 0.3, ThrashThreshold: 11 * c.Cores,
+		KeyCacheSize: c.Keys, KeyCacheTTL: c.KeyTime.Std(), KeyCacheSaving: c.KeyGain,
+		ColdCapacityShare: c.ColdFrom, WarmUpTime: c.ColdTime.Std(), ColdCrashFactor: c.FallAt, ColdCrashWindow: c.FallFor.Std(),
+		ColdCrashMeanWork:   (&world.LoadSpec{Classes: s.classes()}).MeanWork(),
+		CongestionThreshold: c.ChokeAt, CongestionDelay: c.ChokeOver.Std(), CongestionSlowdown: c.ChokeSlow, RecoveryWindow: c.ChokeRest.Std(),
+		RecoveryMaxBusyShare: c.ChokeBusy, CongestionMaxTime: c.ChokeMost.Std(),
+		ErrorShare: c.Errors, CancelRunning: c.Cancel == "all", HandshakeWork: c.Handshake.Std(), ProbeWork: 450 * time.Microsecond,
 	}
 	return world.NewServer(spec, zone, rng.Uint64())
 }
--- a/internal/lab/soak_test.go
+++ b/internal/lab/soak_test.go
@@ -194,7 +194,7 @@
 		"closed on a new connection":         {Try{End: Broken, Fresh: true, Sent: s, Ended: 2 * s, Owed: 3 * s}, nil, "final"},
 		"closed between requests":            {Try{End: Broken, Sent: s, Ended: 2 * s, Owed: 3 * s}, nil, ""},
 		"broken off by its server":           {Try{End: Broken, Fresh: true, Partial: true, Sent: s, Ended: 2 * s, Owed: 3 * s, Reached: at(s, Reached{Spoilt: true})}, nil, ""},
-		"broken off, but not by its server":  {Try{End: Broken, Fresh: true, Partial: true, Sent: s, Ended: 2 * s, Owed: 3 * s, Reached: at(s, Reached{Verdict: world.Taken})}, nil, "final"},
+		"broken off, but not by its server":  {Try{End: Broken, Fresh: true, Partial: true, Sent: s, Ended: 2 * s, Owed: 3 * s, Reached: at(s, Reached{Verdict: world.Accepted})}, nil, "final"},
 		"sent on behind the leaving":         {Try{End: GaveUp, Sent: s, Left: s, Owed: 3 * s, Reached: at(s+400*time.Millisecond, Reached{})}, nil, "left"},
 		"sent on just behind it":             {Try{End: GaveUp, Sent: s, Left: s, Owed: 3 * s, Reached: at(s+90*time.Millisecond, Reached{})}, nil, ""},
 		"told more time than the client has": {Try{End: Served, Sent: s, Owed: 3 * s, Reached: at(2*s, Reached{Told: 1300 * time.Millisecond})}, nil, "told"},
--- a/internal/lab/upstream.go
+++ b/internal/lab/upstream.go
@@ -57,7 +57,7 @@
 	sockets int
 	callers int // sidecars
 	model   *world.Server
-	waiting map[uint64]chan world.Ended // by job
+	waiting map[uint64]chan world.Completion // by job
 	last    uint64
 	timer   *time.Timer
 	doors   []*door // none while its process is dead
@@ -76,18 +76,18 @@
 		clock: c, history: h, net: n,
 		dialled: newCounter(seconds), tipped: newCounter(seconds), held: newCounter(seconds),
 	}
-	zones := make([]*world.Zone, s.Fleet.Zones)
+	zones := make([]*world.DedupZone, s.Fleet.Zones)
 	for i := range zones {
 		for _, class := range s.classes() {
-			if class.Effect == world.Keyed {
-				zones[i] = &world.Zone{Window: class.Window}
+			if class.Idempotency == world.Keyed {
+				zones[i] = &world.DedupZone{Window: class.DedupWindow}
 			}
 		}
 	}
 	for i := range s.Fleet.Servers + s.spares() {
 		u := &server{
 			of: all, number: i, sockets: s.Serve.Sockets, callers: s.Fleet.Sidecars, model: s.server(i, zones[s.zoneOf(i)], seed),
-			waiting: make(map[uint64]chan world.Ended), conns: make(map[*conn]bool),
+			waiting: make(map[uint64]chan world.Completion), conns: make(map[*conn]bool),
 		}
 		u.timer = time.AfterFunc(time.Hour, u.tick)
 		u.http = &http.Server{
@@ -150,8 +150,8 @@
 	for _, u := range a.all {
 		u.advance()
 		u.look()
-		held += u.model.Held()
-		if u.model.Tipped() {
+		held += u.model.Outstanding()
+		if u.model.Congested() {
 			tipped++
 		}
 		if u.model.Up() && u.silent == nil {
@@ -586,7 +586,7 @@
 
 // look sets the timer, and sees whether the server has fallen over.
 func (u *server) look() {
-	if u.model.Fell() && !u.pushed {
+	if u.model.CrashedCold() && !u.pushed {
 		u.pushed, u.fell = true, u.of.clock.now()
 		h := u.of.history
 		h.note(&h.fallen, "at %v server %d was pushed over when it was cold", u.of.clock.now(), u.number)
@@ -594,7 +594,7 @@
 		u.speak()
 		u.shut()
 	}
-	if at, ok := u.model.Next(); ok {
+	if at, ok := u.model.NextEvent(); ok {
 		u.timer.Reset(max(0, at-u.of.clock.now()))
 	}
 }
@@ -606,7 +606,7 @@
 	if r.URL.Path == "/alive" {
 		u.of.mu.Lock()
 		u.advance()
-		u.model.Inspect(at)
+		u.model.Probe(at)
 		u.look()
 		u.of.mu.Unlock()
 		return
@@ -621,7 +621,7 @@
 	if err != nil {
 		return // its last byte never came: it has not begun
 	}
-	t, n := u.of.history.reach(id, Reached{Server: u.number, Sidecar: c.sidecar, At: at, Verdict: world.Full, Told: toldTime(r.Header.Get("X-Timeout")), Port: portOf(c.RemoteAddr())})
+	t, n := u.of.history.reach(id, Reached{Server: u.number, Sidecar: c.sidecar, At: at, Verdict: world.Rejected, Told: toldTime(r.Header.Get("X-Timeout")), Port: portOf(c.RemoteAddr())})
 	if t == nil {
 		http.Error(w, "an id that no client sent", http.StatusBadRequest)
 		return
@@ -642,7 +642,7 @@
 	cut := func(why string) { step("%s", why) }
 	c.cut.Store(&cut)
 	switch verdict {
-	case world.Full:
+	case world.Rejected:
 		w.Header().Set("X-Not-Processed", "1")
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
@@ -655,7 +655,7 @@
 			step("dropped as its server went down")
 			panic(http.ErrAbortHandler)
 		}
-		if e.Error {
+		if e.Failed {
 			step("answered 500")
 			w.WriteHeader(http.StatusInternalServerError)
 			return
@@ -682,7 +682,7 @@
 		step("connection ended")
 		return
 	}
-	u.of.history.settle(t, n, world.Taken, body)
+	u.of.history.settle(t, n, world.Accepted, body)
 	if spoils {
 		spoil(w, body, draw, func(way string, whole bool) {
 			step("spoils: %s", way)
@@ -772,20 +772,20 @@
 }
 
 // take hands a request to the model.
-func (u *server) take(work time.Duration, key, unique uint64) (chan world.Ended, uint64, world.Verdict) {
+func (u *server) take(work time.Duration, key, unique uint64) (chan world.Completion, uint64, world.Verdict) {
 	u.of.mu.Lock()
 	defer u.of.mu.Unlock()
 	u.advance()
 	defer u.look()
 	if len(u.conns) > u.sockets {
-		return nil, 0, world.Full
+		return nil, 0, world.Rejected
 	}
 	u.last++
-	v := u.model.Arrive(u.of.clock.now(), world.Job{ID: u.last, Work: work, Key: key, Unique: unique})
-	if v != world.Taken {
+	v := u.model.Arrive(u.of.clock.now(), world.Job{ID: u.last, Work: work, Key: key, DedupKey: unique})
+	if v != world.Accepted {
 		return nil, 0, v
 	}
-	c := make(chan world.Ended, 1)
+	c := make(chan world.Completion, 1)
 	u.waiting[u.last] = c
 	return c, u.last, v
 }
--- a/internal/sidecar/size_test.go
+++ b/internal/sidecar/size_test.go
@@ -13,7 +13,7 @@
 )
 
 // listSizes are servers of one service, of a small fleet, and of the whole one at the planned size and at twice that.
-var listSizes = []int{world.Planned.Sidecars / world.Planned.Services, 200, world.Planned.Sidecars, 2 * world.Planned.Sidecars}
+var listSizes = []int{world.PlannedFleet.Sidecars / world.PlannedFleet.Services, 200, world.PlannedFleet.Sidecars, 2 * world.PlannedFleet.Sidecars}
 
 // wholeList is a list as discovery writes it.
 func wholeList(tb testing.TB, servers int) []byte {
@@ -29,7 +29,7 @@
 	}
 	all := make([]entry, servers)
 	for i := range all {
-		all[i] = entry{fmt.Sprintf("s-%08x", 0x5be2a07c+i), fmt.Sprintf("10.%d.%d.%d:8080", 1+i/16384, i/128%128, 1+i%128), fmt.Sprintf("z%d", i%world.Planned.Zones),
+		all[i] = entry{fmt.Sprintf("s-%08x", 0x5be2a07c+i), fmt.Sprintf("10.%d.%d.%d:8080", 1+i/16384, i/128%128, 1+i%128), fmt.Sprintf("z%d", i%world.PlannedFleet.Zones),
 			"m2", i / 34, "ready", 1, 1_790_000_000_000 + int64(i)}
 	}
 	raw, err := json.Marshal(map[string]any{"generation": 41, "reset": true, "instances": all})
@@ -91,7 +91,7 @@
 // BenchmarkModuleBySize has the module take a whole list, one change of it, and requests at the planned rate.
 func BenchmarkModuleBySize(b *testing.B) {
 	cfg := balance.Config{
-		Balancers: world.Planned.Sidecars, MaxAttempts: 3, MaxRetryAfter: time.Second, ColdFrom: 0.2, ColdTime: 10 * time.Second, ColdMultiple: 4,
+		Balancers: world.PlannedFleet.Sidecars, MaxAttempts: 3, MaxRetryAfter: time.Second, ColdFrom: 0.2, ColdTime: 10 * time.Second, ColdMultiple: 4,
 		Classes: []balance.Class{{Aim: time.Second, Deadline: 3 * time.Second, Worth: 1}},
 	}
 	for _, n := range listSizes {
@@ -127,7 +127,7 @@
 		})
 		b.Run(fmt.Sprintf("%d/request", n), func(b *testing.B) {
 			m, host := begin()
-			gap, now, id := time.Duration(float64(time.Second)*float64(world.Planned.Sidecars)/world.Planned.Calls), time.Duration(0), balance.RequestID(0)
+			gap, now, id := time.Duration(float64(time.Second)*float64(world.PlannedFleet.Sidecars)/world.PlannedFleet.CallsPerSec), time.Duration(0), balance.RequestID(0)
 			for b.Loop() {
 				now += gap
 				id++
--- a/internal/sysfault/supervise.go
+++ b/internal/sysfault/supervise.go
@@ -63,7 +63,7 @@
 
 // decide has one call go its way, later where it is held up.
 func (s *Supervisor) decide(n *notification) {
-	if n.number == unix.SYS_CLOCK_GETTIME && s.options.Clock {
+	if n.number == unix.SYS_CLOCK_GETTIME && s.options.ControlClock {
 		s.respond(n, s.tellTime(n))
 		return
 	}
@@ -90,13 +90,13 @@
 // carryOut says how a call ends that is not held up any more.
 func (s *Supervisor) carryOut(n *notification, effect Effect) response {
 	switch {
-	case effect.Errno != 0 && effect.OnSocket && !s.isSocket(n):
+	case effect.Errno != 0 && effect.SocketsOnly && !s.isSocket(n):
 	case effect.Errno != 0:
 		return response{errno: -int32(effect.Errno)}
-	case effect.Most > 0 && n.number == unix.SYS_READ:
-		return s.move(n, effect.Most, s.read)
-	case effect.Most > 0 && n.number == unix.SYS_WRITE:
-		return s.move(n, effect.Most, s.write)
+	case effect.MaxBytes > 0 && n.number == unix.SYS_READ:
+		return s.move(n, effect.MaxBytes, s.read)
+	case effect.MaxBytes > 0 && n.number == unix.SYS_WRITE:
+		return s.move(n, effect.MaxBytes, s.write)
 	}
 	return response{flags: unix.SECCOMP_USER_NOTIF_FLAG_CONTINUE}
 }
--- a/internal/sysfault/sysfault.go
+++ b/internal/sysfault/sysfault.go
@@ -39,17 +39,17 @@
 	Delay time.Duration   // it is held up for so long first
 	Until <-chan struct{} // and until this is closed; nil: no longer
 	Errno syscall.Errno   // it fails with this, and does nothing
-	// OnSocket has it fail only where its first argument is a socket: Go's runtime ends a program whose own pipes and
+	// SocketsOnly has it fail only where its first argument is a socket: Go's runtime ends a program whose own pipes and
 	// event descriptors fail in ways that Linux does not document for them.
-	OnSocket bool
-	Most     int // reads and writes of sockets only: they move so many bytes at most; 0: no limit
+	SocketsOnly bool
+	MaxBytes    int // reads and writes of sockets only: they move so many bytes at most; 0: no limit
 }
 
 // Options say which calls are decided, and by whom.
 type Options struct {
-	Calls  []int             // numbers of the calls that are decided; all others go on at full speed
-	Decide func(Call) Effect // called from one goroutine, and must not wait; nil lets all calls go on
-	Clock  bool              // the wall clock is led: see Supervisor.StepClock
+	Calls        []int             // numbers of the calls that are decided; all others go on at full speed
+	Decide       func(Call) Effect // called from one goroutine, and must not wait; nil lets all calls go on
+	ControlClock bool              // the wall clock is led: see Supervisor.StepClock
 }
 
 // startTime bounds how long a program may take to be under supervision.
@@ -86,19 +86,19 @@
 		numbers = append(numbers, strconv.Itoa(n))
 	}
 	cmd.Env = append(cmd.Environ(), programVariable+"="+cmd.Path, callsVariable+"="+strings.Join(numbers, ","),
-		clockVariable+"="+strconv.FormatBool(options.Clock), fileVariable+"="+strconv.Itoa(firstExtraFile+len(cmd.ExtraFiles)))
+		clockVariable+"="+strconv.FormatBool(options.ControlClock), fileVariable+"="+strconv.Itoa(firstExtraFile+len(cmd.ExtraFiles)))
 	cmd.Path, cmd.ExtraFiles = self, append(cmd.ExtraFiles, theirs)
 	if cmd.SysProcAttr == nil {
 		cmd.SysProcAttr = new(syscall.SysProcAttr)
 	}
-	cmd.SysProcAttr.Ptrace = options.Clock
+	cmd.SysProcAttr.Ptrace = options.ControlClock
 	runtime.LockOSThread() // ptrace goes by threads
 	defer runtime.UnlockOSThread()
 	if err := cmd.Start(); err != nil {
 		return nil, err
 	}
 	s := &Supervisor{pid: cmd.Process.Pid, options: options, ended: make(chan struct{}), done: make(chan struct{})}
-	if options.Clock {
+	if options.ControlClock {
 		err = hideVDSO(s.pid)
 	}
 	if err == nil {
@@ -116,9 +116,9 @@
 // StepClock sets the program's wall clock forward, or back where by is below 0. Its monotonic clock goes on.
 func (s *Supervisor) StepClock(by time.Duration) { s.offset.Add(int64(by)) }
 
-// Ends returns the addresses at both ends of a connection of the program's, over IPv4. An error says that the descriptor is
+// ConnAddrs returns the addresses at both ends of a connection of the program's, over IPv4. An error says that the descriptor is
 // none such.
-func (s *Supervisor) Ends(descriptor int) (local, remote netip.AddrPort, err error) {
+func (s *Supervisor) ConnAddrs(descriptor int) (local, remote netip.AddrPort, err error) {
 	socket, err := unix.PidfdGetfd(s.pidfd, descriptor, 0)
 	if err != nil {
 		return local, remote, err
--- a/internal/sysfault/sysfault_test.go
+++ b/internal/sysfault/sysfault_test.go
@@ -79,7 +79,7 @@
 		switch {
 		case c.Number != unix.SYS_ACCEPT4:
 			shorts.Add(1)
-			return Effect{Most: 3}
+			return Effect{MaxBytes: 3}
 		case failures.Add(1) == 1:
 			return Effect{Errno: syscall.ENETUNREACH}
 		}
@@ -133,7 +133,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s, err := Start(cmd, Options{Clock: true})
+	s, err := Start(cmd, Options{ControlClock: true})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/world/depth.go
+++ b/internal/world/depth.go
@@ -23,9 +23,9 @@
 
 // The causes.
 const (
-	Errs  Cause = "errs"  // 500 after its work: it may have run
-	Turns Cause = "turns" // turned away at once: it never ran
-	Hangs Cause = "hangs" // no answer
+	CauseError      Cause = "errs"  // 500 after its work: it may have run
+	CauseTurnedAway Cause = "turns" // turned away at once: it never ran
+	CauseHang       Cause = "hangs" // no answer
 )
 
 // Relay is what a server answers whose own call was refused by its sidecar. One whose call failed answers with an error.
@@ -33,9 +33,9 @@
 
 // The relays.
 const (
-	RelayError  Relay = "error"  // 500, as of any failure
-	RelayTurned Relay = "turned" // turned away: the caller's sidecar may take it to another server
-	RelayFinal  Relay = "final"  // an answer that the caller's sidecar passes on and does not repeat
+	RelayError      Relay = "error"  // 500, as of any failure
+	RelayTurnedAway Relay = "turned" // turned away: the caller's sidecar may take it to another server
+	RelayFinal      Relay = "final"  // an answer that the caller's sidecar passes on and does not repeat
 )
 
 // final is the end of an attempt whose server says that its call was refused below, for its caller's sidecar to pass on.
@@ -44,41 +44,43 @@
 // ChainSpec says what calls below one another are like: each server of a service has a sidecar of its own, through which
 // it makes one call to the next service for each request that it gets. At the top are clients, who do not try again.
 type ChainSpec struct {
-	Depth int     // services below one another
-	Width int     // servers of each, and clients at the top: each with its sidecar
-	Rate  float64 // calls a second at each client's sidecar
-	Class balance.Class
-	Limit balance.Config // what else the sidecars have; Balancers, Index, Classes are the chain's
-	Hop   time.Duration  // from a sidecar to a server, and back
-	Work  time.Duration  // of a server, before it calls on or answers
-
-	Cause Cause
-	Bad   int           // servers of the lowest service that fail; 0: all
-	Share float64       // of the attempts at those, by chance
-	From  time.Duration // then it begins to fail, for good
-	For   time.Duration // and clients go on for so long
-	Told  bool          // a server's call below has the time left to its own request, or else its class's deadline
-	Relay Relay
+	Depth      int     // services below one another
+	Width      int     // servers of each, and clients at the top: each with its sidecar
+	Rate       float64 // calls a second at each client's sidecar
+	Class      balance.Class
+	Config     balance.Config // what else the sidecars have; Balancers, Index, Classes are the chain's
+	HopLatency time.Duration  // from a sidecar to a server, and back
+	Work       time.Duration  // of a server, before it calls on or answers
+
+	Cause             Cause
+	FailingServers    int           // servers of the lowest service that fail; 0: all
+	FailureShare      float64       // of the attempts at those, by chance
+	FailFrom          time.Duration // then it begins to fail, for good
+	FailFor           time.Duration // and clients go on for so long
+	PropagateDeadline bool          // a server's call below has the time left to its own request, or else its class's deadline
+	Relay             Relay
 }
 
 // ChainLoad is what came of the calls that were made at the top while the lowest service failed.
 type ChainLoad struct {
-	Calls    int
-	Served   int   // of them
-	Attempts []int // for them, at each service, the highest first
-	Peak     int   // the most of them at the lowest within a quarter of a second
-	Late     int   // of them, at the lowest, those behind the time of the client at the top
+	Calls        int
+	Served       int   // of them
+	Attempts     []int // for them, at each service, the highest first
+	PeakAttempts int   // the most of them at the lowest within a quarter of a second
+	LateAttempts int   // of them, at the lowest, those behind the time of the client at the top
 }
 
-// Lowest is the load at the lowest service, over the calls at the top.
-func (l ChainLoad) Lowest() float64 { return float64(l.Attempts[len(l.Attempts)-1]) / float64(l.Calls) }
+// Amplification is the load at the lowest service, over the calls at the top.
+func (l ChainLoad) Amplification() float64 {
+	return float64(l.Attempts[len(l.Attempts)-1]) / float64(l.Calls)
+}
 
 // quarter is the time in which a peak is looked for.
 const quarter = 250 * time.Millisecond
 
-// PeakRate is the peak, over the calls at the top in as much time.
-func (l ChainLoad) PeakRate(spec ChainSpec) float64 {
-	return float64(l.Peak) / (spec.Rate * float64(spec.Width) * quarter.Seconds())
+// PeakAmplification is the peak, over the calls at the top in as much time.
+func (l ChainLoad) PeakAmplification(spec ChainSpec) float64 {
+	return float64(l.PeakAttempts) / (spec.Rate * float64(spec.Width) * quarter.Seconds())
 }
 
 // chainEvent is something due.
@@ -138,8 +140,8 @@
 	last  balance.RequestID
 }
 
-// PlayChain plays a chain. decide makes the module of each sidecar.
-func PlayChain(spec ChainSpec, seed uint64, decide func(balance.Config, uint64, balance.Host) (Decider, error)) (ChainLoad, error) {
+// SimulateChain plays a chain. decide makes the module of each sidecar.
+func SimulateChain(spec ChainSpec, seed uint64, decide func(balance.Config, uint64, balance.Host) (Decider, error)) (ChainLoad, error) {
 	c := &chain{spec: spec, rng: rand.New(rand.NewPCG(seed, 3)), quarters: make(map[time.Duration]int)}
 	c.load.Attempts = make([]int, spec.Depth)
 	var list []balance.Server
@@ -151,7 +153,7 @@
 		var all []*chainSidecar
 		for i := range spec.Width {
 			s := &chainSidecar{c: c, level: level, next: below, calls: make(map[balance.RequestID]*chainCall)}
-			cfg := spec.Limit
+			cfg := spec.Config
 			cfg.Balancers, cfg.Index, cfg.Classes = spec.Width, i, []balance.Class{spec.Class}
 			var err error
 			if s.b, err = decide(cfg, seed+uint64(level*spec.Width+i), s); err != nil {
@@ -166,14 +168,14 @@
 	for _, s := range below {
 		c.client(s)
 	}
-	end := spec.From + spec.For + time.Duration(spec.Depth)*spec.Class.Deadline
+	end := spec.FailFrom + spec.FailFor + time.Duration(spec.Depth)*spec.Class.Deadline
 	for len(c.due) > 0 && c.due[0].at <= end {
 		e := heap.Pop(&c.due).(chainEvent)
 		c.now = e.at
 		e.do()
 	}
 	for _, n := range c.quarters {
-		c.load.Peak = max(c.load.Peak, n)
+		c.load.PeakAttempts = max(c.load.PeakAttempts, n)
 	}
 	return c.load, nil
 }
@@ -187,10 +189,10 @@
 // client makes calls at the top, at random times.
 func (c *chain) client(s *chainSidecar) {
 	c.after(time.Duration(c.rng.ExpFloat64()/c.spec.Rate*float64(time.Second)), func() {
-		if c.now >= c.spec.From+c.spec.For {
+		if c.now >= c.spec.FailFrom+c.spec.FailFor {
 			return
 		}
-		who := chainClient{c.now + c.spec.Class.Deadline, c.now >= c.spec.From}
+		who := chainClient{c.now + c.spec.Class.Deadline, c.now >= c.spec.FailFrom}
 		if who.counts {
 			c.load.Calls++
 		}
@@ -218,26 +220,26 @@
 		if lowest {
 			c.quarters[c.now/quarter]++
 			if c.now >= client.until {
-				c.load.Late++
+				c.load.LateAttempts++
 			}
 		}
 	}
 	if !lowest {
 		c.after(c.spec.Work, func() {
-			if !c.spec.Told {
+			if !c.spec.PropagateDeadline {
 				until = c.now + c.spec.Class.Deadline
 			}
 			s.next[server].call(until, client, answer)
 		})
 		return
 	}
-	fails := c.now >= c.spec.From && (c.spec.Bad == 0 || server < c.spec.Bad) && c.rng.Float64() < c.spec.Share
+	fails := c.now >= c.spec.FailFrom && (c.spec.FailingServers == 0 || server < c.spec.FailingServers) && c.rng.Float64() < c.spec.FailureShare
 	switch {
 	case !fails:
 		c.after(c.spec.Work, func() { answer(balance.Served) })
-	case c.spec.Cause == Errs:
+	case c.spec.Cause == CauseError:
 		c.after(c.spec.Work, func() { answer(balance.Errored) })
-	case c.spec.Cause == Turns:
+	case c.spec.Cause == CauseTurnedAway:
 		answer(balance.TurnedAway)
 	}
 }
@@ -266,8 +268,8 @@
 		until = min(until, c.now+timeout)
 	}
 	c.after(until-c.now, func() { end(balance.TimedOut) })
-	c.after(c.spec.Hop, func() {
-		s.arrive(int(to)-1, until, q.client, func(e balance.Ending) { c.after(c.spec.Hop, func() { end(e) }) })
+	c.after(c.spec.HopLatency, func() {
+		s.arrive(int(to)-1, until, q.client, func(e balance.Ending) { c.after(c.spec.HopLatency, func() { end(e) }) })
 	})
 }
 
@@ -282,7 +284,7 @@
 
 // Refuse implements balance.Host.
 func (s *chainSidecar) Refuse(id balance.RequestID, _ time.Duration, _ balance.Reason) {
-	as := map[Relay]balance.Ending{RelayError: balance.Errored, RelayTurned: balance.TurnedAway, RelayFinal: final}
+	as := map[Relay]balance.Ending{RelayError: balance.Errored, RelayTurnedAway: balance.TurnedAway, RelayFinal: final}
 	s.settle(id, as[s.c.spec.Relay])
 }
 
--- a/internal/world/depth_test.go
+++ b/internal/world/depth_test.go
@@ -70,16 +70,16 @@
 func chainOf(depth, attempts int, share float64) world.ChainSpec {
 	return world.ChainSpec{
 		Depth: depth, Width: 4, Rate: 50,
-		Class: balance.Class{Aim: s, Deadline: 3 * s, Worth: 1, Idempotency: balance.Safe, DedupWindow: 3 * s},
-		Limit: balance.Config{MaxAttempts: attempts, MaxRetryAfter: s, ColdFrom: 0.2, ColdTime: 10 * s, ColdMultiple: 4},
-		Hop:   100 * time.Microsecond, Work: ms,
-		Cause: world.Errs, Share: share, From: 5 * s, For: 10 * s, Told: true, Relay: world.RelayError,
+		Class:      balance.Class{Aim: s, Deadline: 3 * s, Worth: 1, Idempotency: balance.Safe, DedupWindow: 3 * s},
+		Config:     balance.Config{MaxAttempts: attempts, MaxRetryAfter: s, ColdFrom: 0.2, ColdTime: 10 * s, ColdMultiple: 4},
+		HopLatency: 100 * time.Microsecond, Work: ms,
+		Cause: world.CauseError, FailureShare: share, FailFrom: 5 * s, FailFor: 10 * s, PropagateDeadline: true, Relay: world.RelayError,
 	}
 }
 
 func play(t *testing.T, spec world.ChainSpec, seed uint64, decide func(balance.Config, uint64, balance.Host) (world.Decider, error)) world.ChainLoad {
 	t.Helper()
-	load, err := world.PlayChain(spec, seed, decide)
+	load, err := world.SimulateChain(spec, seed, decide)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -99,23 +99,23 @@
 		{"one attempt", 5, 1, nil, 1, 1, false},
 		{"two", 5, 2, nil, 32, 32, false},
 		{"three", 4, 3, nil, 81, 81, false},
-		{"turned away", 4, 3, func(c *world.ChainSpec) { c.Cause = world.Turns }, 81, 81, false},
-		{"six, by a server in four", 3, 6, func(c *world.ChainSpec) { c.Bad = 1 }, 1.24, 1.36, false}, // one more for each that met it: one in four
-		{"a refusal that is passed on", 4, 3, func(c *world.ChainSpec) { c.Relay, c.Cause = world.RelayFinal, world.Turns }, 3, 3, false},
+		{"turned away", 4, 3, func(c *world.ChainSpec) { c.Cause = world.CauseTurnedAway }, 81, 81, false},
+		{"six, by a server in four", 3, 6, func(c *world.ChainSpec) { c.FailingServers = 1 }, 1.24, 1.36, false}, // one more for each that met it: one in four
+		{"a refusal that is passed on", 4, 3, func(c *world.ChainSpec) { c.Relay, c.Cause = world.RelayFinal, world.CauseTurnedAway }, 3, 3, false},
 		{"slow errors", 4, 3, func(c *world.ChainSpec) { c.Work = 100 * ms }, 15, 30, false}, // one at a time, 0.1 s each, in 3 s
-		{"and the time not told on", 4, 3, func(c *world.ChainSpec) { c.Work, c.Told = 100*ms, false }, 15, 60, true},
+		{"and the time not told on", 4, 3, func(c *world.ChainSpec) { c.Work, c.PropagateDeadline = 100*ms, false }, 15, 60, true},
 	} {
 		spec := chainOf(c.depth, c.attempts, 1)
-		spec.Rate, spec.From, spec.For = 5, s, 4*s
+		spec.Rate, spec.FailFrom, spec.FailFor = 5, s, 4*s
 		if c.change != nil {
 			c.change(&spec)
 		}
 		load := play(t, spec, 7, worst)
-		if got := load.Lowest(); load.Calls < 20 || got < c.least*0.999 || got > c.most*1.001 {
+		if got := load.Amplification(); load.Calls < 20 || got < c.least*0.999 || got > c.most*1.001 {
 			t.Errorf("%s: %.2f attempts for each of %d calls, want %v to %v", c.what, got, load.Calls, c.least, c.most)
 		}
-		if (load.Late > 0) != c.late {
-			t.Errorf("%s: %d attempts behind the clients' time, want some: %v", c.what, load.Late, c.late)
+		if (load.LateAttempts > 0) != c.late {
+			t.Errorf("%s: %d attempts behind the clients' time, want some: %v", c.what, load.LateAttempts, c.late)
 		}
 		if again := play(t, spec, 7, worst); !reflect.DeepEqual(again, load) {
 			t.Errorf("%s: played again %v, was %v", c.what, again, load)
@@ -133,8 +133,8 @@
 		effect          balance.Idempotency
 		share           float64
 	}{
-		{1, 3, world.Errs, balance.Safe, 0.1}, {3, 3, world.Errs, balance.Safe, 0.2}, {5, 6, world.Turns, balance.Unsafe, 0.2},
-		{8, 3, world.Turns, balance.Safe, 0.2}, {11, 6, world.Errs, balance.Keyed, 0.2},
+		{1, 3, world.CauseError, balance.Safe, 0.1}, {3, 3, world.CauseError, balance.Safe, 0.2}, {5, 6, world.CauseTurnedAway, balance.Unsafe, 0.2},
+		{8, 3, world.CauseTurnedAway, balance.Safe, 0.2}, {11, 6, world.CauseError, balance.Keyed, 0.2},
 	} {
 		spec := chainOf(c.depth, c.attempts, c.share)
 		spec.Cause, spec.Class.Idempotency = c.cause, c.effect
@@ -142,14 +142,14 @@
 		for range c.depth {
 			bound = bound*(1+budget.Share) + float64(spec.Width)*budget.Free/budget.Span.Seconds()
 		}
-		most := bound * spec.For.Seconds() // of what the chance of arrivals gave, below
+		most := bound * spec.FailFor.Seconds() // of what the chance of arrivals gave, below
 		for _, budgeted := range []bool{true, false} {
-			if spec.Limit.Budget = (balance.RetryBudget{}); budgeted {
-				spec.Limit.Budget = budget
+			if spec.Config.Budget = (balance.RetryBudget{}); budgeted {
+				spec.Config.Budget = budget
 			}
 			load := play(t, spec, 3, module)
 			got := float64(load.Attempts[c.depth-1])
-			limit := most * float64(load.Calls) / (spec.Rate * float64(spec.Width) * spec.For.Seconds())
+			limit := most * float64(load.Calls) / (spec.Rate * float64(spec.Width) * spec.FailFor.Seconds())
 			if within := got <= limit+2; within != budgeted { // two may be on their way as it begins
 				t.Errorf("depth %d, %d attempts, %s, %.0f%%, budget %v: %.0f attempts at the lowest for %d calls, bound %.0f",
 					c.depth, c.attempts, c.cause, 100*c.share, budgeted, got, load.Calls, limit)
@@ -160,14 +160,14 @@
 
 // The module alone, with no budget, keeps the load at the lowest service near that of the calls, whatever the depth and the attempts allowed.
 func TestModuleBoundsAChain(t *testing.T) {
-	for _, cause := range []world.Cause{world.Errs, world.Turns, world.Hangs} {
+	for _, cause := range []world.Cause{world.CauseError, world.CauseTurnedAway, world.CauseHang} {
 		for _, share := range []float64{0.2, 1} {
 			for _, depth := range []int{1, 5, 11} {
 				spec := chainOf(depth, 6, share)
 				spec.Cause = cause
 				load := play(t, spec, 5, module)
 				most := map[bool]float64{true: 0.5, false: 1.5}[share == 1]
-				if got, peak := load.Lowest(), load.PeakRate(spec); got > most || peak > 2.5 {
+				if got, peak := load.Amplification(), load.PeakAmplification(spec); got > most || peak > 2.5 {
 					t.Errorf("%s, %.0f%%, depth %d: %.2f attempts at the lowest for each call, %.2f at the peak", cause, 100*share, depth, got, peak)
 				}
 			}
@@ -229,18 +229,18 @@
 			for seed := range seeds {
 				spec.Depth = d
 				l := play(t, spec, uint64(seed+1), module)
-				lowest = l.Lowest()
+				lowest = l.Amplification()
 				least, most = min(least, lowest), max(most, lowest)
 				at[i] += lowest / float64(seeds)
-				peak = max(peak, l.PeakRate(spec))
+				peak = max(peak, l.PeakAmplification(spec))
 				served += float64(l.Served) / float64(l.Calls) / float64(seeds)
-				late += float64(l.Late) / float64(max(1, l.Attempts[d-1])) / float64(seeds)
+				late += float64(l.LateAttempts) / float64(max(1, l.Attempts[d-1])) / float64(seeds)
 			}
 			line += fmt.Sprintf(" %.2f (%.2f-%.2f; peak %.1f; served %.2f; late %.2f) |", at[i], least, most, peak, served, late)
 		}
 		fmt.Printf("| %s |%s %s |\n", what, line, form(depths, at))
 	}
-	for _, cause := range []world.Cause{world.Errs, world.Turns, world.Hangs} {
+	for _, cause := range []world.Cause{world.CauseError, world.CauseTurnedAway, world.CauseHang} {
 		for _, share := range []float64{0.02, 0.1, 0.3, 1} {
 			for _, attempts := range []int{1, 2, 3, 4, 6} {
 				spec := chainOf(0, attempts, share)
@@ -252,45 +252,45 @@
 		}
 	}
 	for _, effect := range []balance.Idempotency{balance.Safe, balance.Keyed, balance.Unsafe} {
-		for _, cause := range []world.Cause{world.Errs, world.Turns} {
+		for _, cause := range []world.Cause{world.CauseError, world.CauseTurnedAway} {
 			for _, budgeted := range []bool{false, true} {
 				spec := chainOf(0, 3, 0.3)
 				spec.Cause, spec.Class.Idempotency = cause, effect
 				if budgeted {
-					spec.Limit.Budget = balance.RetryBudget{Span: 10 * s, Free: 10, Share: 0.1}
+					spec.Config.Budget = balance.RetryBudget{Span: 10 * s, Free: 10, Share: 0.1}
 				}
 				row(fmt.Sprintf("%s 30%%, 3 attempts, effect %d, budget %v", cause, effect, budgeted), spec, 3)
 			}
 		}
 	}
-	for _, relay := range []world.Relay{world.RelayTurned, world.RelayFinal} {
+	for _, relay := range []world.Relay{world.RelayTurnedAway, world.RelayFinal} {
 		spec := chainOf(0, 3, 0.3)
-		spec.Cause, spec.Relay = world.Turns, relay
+		spec.Cause, spec.Relay = world.CauseTurnedAway, relay
 		row(fmt.Sprintf("turns 30%%, 3 attempts, a refusal is told as %s", relay), spec, 3)
 	}
 	for _, told := range []bool{true, false} {
-		for _, cause := range []world.Cause{world.Errs, world.Hangs} {
+		for _, cause := range []world.Cause{world.CauseError, world.CauseHang} {
 			spec := chainOf(0, 3, 0.3)
-			spec.Cause, spec.Told, spec.Work, spec.Class.Aim, spec.Class.Deadline = cause, told, 10*ms, 400*ms, 500*ms
+			spec.Cause, spec.PropagateDeadline, spec.Work, spec.Class.Aim, spec.Class.Deadline = cause, told, 10*ms, 400*ms, 500*ms
 			row(fmt.Sprintf("%s 30%%, 3 attempts, 10 ms a server, 0.5 s, told on %v", cause, told), spec, 3)
 		}
 	}
-	for _, cause := range []world.Cause{world.Errs, world.Hangs} {
+	for _, cause := range []world.Cause{world.CauseError, world.CauseHang} {
 		spec := chainOf(0, 3, 0.3)
-		spec.Cause, spec.Work, spec.Class.Aim, spec.Class.Deadline, spec.Limit.ClientsMarkRetries = cause, 10*ms, 400*ms, 500*ms, true
+		spec.Cause, spec.Work, spec.Class.Aim, spec.Class.Deadline, spec.Config.ClientsMarkRetries = cause, 10*ms, 400*ms, 500*ms, true
 		row(fmt.Sprintf("%s 30%%, 3 attempts, 10 ms a server, 0.5 s, told on, marked", cause), spec, 3)
 	}
 	for _, bad := range []int{1, 2} {
-		for _, cause := range []world.Cause{world.Errs, world.Turns, world.Hangs} {
+		for _, cause := range []world.Cause{world.CauseError, world.CauseTurnedAway, world.CauseHang} {
 			spec := chainOf(0, 3, 1)
-			spec.Cause, spec.Bad = cause, bad
+			spec.Cause, spec.FailingServers = cause, bad
 			row(fmt.Sprintf("%s at %d of 4 servers, 3 attempts", cause, bad), spec, 3)
 		}
 	}
 	for _, share := range []float64{0.01, 0.02, 0.05, 0.1} {
 		for _, marked := range []bool{false, true} { // clients' own later tries are, so that none is guessed from the time left
 			spec := chainOf(0, 3, share)
-			spec.Cause, spec.Rate, spec.Limit.ClientsMarkRetries = world.Hangs, world.Planned.Calls/float64(world.Planned.Sidecars), marked
+			spec.Cause, spec.Rate, spec.Config.ClientsMarkRetries = world.CauseHang, world.PlannedFleet.CallsPerSec/float64(world.PlannedFleet.Sidecars), marked
 			row(fmt.Sprintf("hangs %.0f%%, 3 attempts, 142 calls a second, marked %v", 100*share, marked), spec, 3)
 		}
 	}
--- a/internal/world/load.go
+++ b/internal/world/load.go
@@ -10,44 +10,44 @@
 
 // Class is a kind of request that clients make.
 type Class struct {
-	Name     string
-	Share    float64       // of the requests, against the others' shares
-	Work     time.Duration // mean, on the standard core
-	Spread   float64       // its standard deviation against the mean; lognormal
-	Aim      time.Duration
-	Deadline time.Duration
-	Worth    float64
-	Effect   Effect
-	Window   time.Duration // keyed: how long a zone drops repeats
+	Name          string
+	Share         float64       // of the requests, against the others' shares
+	MeanWork      time.Duration // mean, on the standard core
+	WorkVariation float64       // its standard deviation against the mean; lognormal
+	Aim           time.Duration
+	Deadline      time.Duration
+	Worth         float64
+	Idempotency   Idempotency
+	DedupWindow   time.Duration // keyed: how long a zone drops repeats
 }
 
-// Effect says what a repeat of a request may do.
-type Effect string
+// Idempotency says what a repeat of a request may do.
+type Idempotency string
 
 // The effects.
 const (
-	Safe   Effect = "safe"
-	Keyed  Effect = "keyed"
-	Unsafe Effect = "unsafe"
+	Safe   Idempotency = "safe"
+	Keyed  Idempotency = "keyed"
+	Unsafe Idempotency = "unsafe"
 )
 
 // Burst is a time of more traffic: it rises and falls within a tenth of its length at either end.
 type Burst struct {
-	At, For time.Duration
-	Times   float64
+	Start, Duration time.Duration
+	Factor          float64
 }
 
 // LoadSpec says what clients ask for.
 type LoadSpec struct {
-	Rate     float64 // requests a second over all sidecars, before bursts
-	For      time.Duration
-	Sidecars int
-	Skew     float64 // standard deviation of the sidecars' parts against their mean
-	Classes  []Class
-	Tenants  []float64 // their shares of the traffic
-	Keys     int       // distinct ones
-	Zipf     float64   // the n-th most popular key is asked for as often as n to the minus Zipf
-	Bursts   []Burst
+	Rate         float64 // requests a second over all sidecars, before bursts
+	Duration     time.Duration
+	Sidecars     int
+	Skew         float64 // standard deviation of the sidecars' parts against their mean
+	Classes      []Class
+	Tenants      []float64 // their shares of the traffic
+	Keys         int       // distinct ones
+	ZipfExponent float64   // the n-th most popular key is asked for as often as n to the minus Zipf
+	Bursts       []Burst
 }
 
 // Arrival is a request that a client wants to make.
@@ -58,8 +58,8 @@
 	Work                   time.Duration
 }
 
-// Draw draws all arrivals of a run, in order of time. They do not depend on what becomes of them.
-func Draw(spec LoadSpec, seed uint64) []Arrival {
+// DrawArrivals draws all arrivals of a run, in order of time. They do not depend on what becomes of them.
+func DrawArrivals(spec LoadSpec, seed uint64) []Arrival {
 	parts := make([]float64, spec.Sidecars)
 	rng := rand.New(rand.NewPCG(seed, 2))
 	total := 0.0
@@ -67,7 +67,7 @@
 		parts[i] = lognormal(rng, 1, spec.Skew)
 		total += parts[i]
 	}
-	keys := zipf(spec.Keys, spec.Zipf)
+	keys := zipf(spec.Keys, spec.ZipfExponent)
 	tenants := cumulate(spec.Tenants)
 	var shares []float64
 	for _, c := range spec.Classes {
@@ -76,7 +76,7 @@
 	classes := cumulate(shares)
 	most := 1.0
 	for _, b := range spec.Bursts {
-		most *= max(1, b.Times)
+		most *= max(1, b.Factor)
 	}
 	var all []Arrival
 	for i, part := range parts {
@@ -85,13 +85,13 @@
 		for at := 0.0; rate > 0; {
 			at += rng.ExpFloat64() / rate
 			now := time.Duration(at * float64(time.Second))
-			if now >= spec.For {
+			if now >= spec.Duration {
 				break
 			}
 			kept := rng.Float64() < spec.times(now)/most
 			a := Arrival{At: now, Sidecar: i, Class: pick(rng, classes), Tenant: pick(rng, tenants), Key: 1 + uint64(pick(rng, keys))}
 			c := spec.Classes[a.Class]
-			a.Work = time.Duration(lognormal(rng, float64(c.Work), c.Spread))
+			a.Work = time.Duration(lognormal(rng, float64(c.MeanWork), c.WorkVariation))
 			if kept {
 				all = append(all, a)
 			}
@@ -105,8 +105,8 @@
 func (l *LoadSpec) times(now time.Duration) float64 {
 	times := 1.0
 	for _, b := range l.Bursts {
-		in := float64(min(now-b.At, b.At+b.For-now)) / (float64(b.For) / 10)
-		times *= 1 + (b.Times-1)*min(1, max(0, in))
+		in := float64(min(now-b.Start, b.Start+b.Duration-now)) / (float64(b.Duration) / 10)
+		times *= 1 + (b.Factor-1)*min(1, max(0, in))
 	}
 	return times
 }
@@ -115,7 +115,7 @@
 func (l *LoadSpec) MeanWork() time.Duration {
 	work, shares := 0.0, 0.0
 	for _, c := range l.Classes {
-		work += c.Share * float64(c.Work)
+		work += c.Share * float64(c.MeanWork)
 		shares += c.Share
 	}
 	return time.Duration(work / max(shares, 1e-9))
--- a/internal/world/roster.go
+++ b/internal/world/roster.go
@@ -5,59 +5,59 @@
 	"time"
 )
 
-// Life is what the list of servers says of one.
-type Life string
+// Lifecycle is what the list of servers says of one.
+type Lifecycle string
 
 // The lives.
 const (
-	Ready    Life = "ready"
-	Draining Life = "draining"
-	Gone     Life = "gone"
+	Ready    Lifecycle = "ready"
+	Draining Lifecycle = "draining"
+	Gone     Lifecycle = "gone"
 )
 
 // Entry is one line of the list.
 type Entry struct {
-	Server  int
-	Life    Life
-	Started time.Duration // of its last start, in the run's time; 0: long ago
+	Server    int
+	Lifecycle Lifecycle
+	StartedAt time.Duration // of its last start, in the run's time; 0: long ago
 }
 
 // rosterLog is how many changes a roster remembers; who is further behind gets the whole list.
 const rosterLog = 1000
 
-// Roster is the list of servers as discovery knows it: versions, and what changed with each.
-type Roster struct {
+// ServerList is the list of servers as discovery knows it: versions, and what changed with each.
+type ServerList struct {
 	first   int64 // version before the oldest change remembered
 	entries []Entry
 	log     []int // entries by what changed them, the version after first first
 }
 
-// NewRoster makes a roster of so many ready servers at a version.
-func NewRoster(servers int, version int64) *Roster {
-	r := &Roster{first: version, entries: make([]Entry, servers)}
+// NewServerList makes a list of so many ready servers at a version.
+func NewServerList(servers int, version int64) *ServerList {
+	r := &ServerList{first: version, entries: make([]Entry, servers)}
 	for i := range r.entries {
-		r.entries[i] = Entry{Server: i, Life: Ready}
+		r.entries[i] = Entry{Server: i, Lifecycle: Ready}
 	}
 	return r
 }
 
 // Reserve adds servers that are gone until they are set, at the version of now.
-func (r *Roster) Reserve(servers int) {
+func (r *ServerList) Reserve(servers int) {
 	for range servers {
-		r.entries = append(r.entries, Entry{Server: len(r.entries), Life: Gone})
+		r.entries = append(r.entries, Entry{Server: len(r.entries), Lifecycle: Gone})
 	}
 }
 
-// Copy is the roster as it is now.
-func (r *Roster) Copy() *Roster {
-	return &Roster{first: r.first, entries: slices.Clone(r.entries), log: slices.Clone(r.log)}
+// Clone is the list as it is now.
+func (r *ServerList) Clone() *ServerList {
+	return &ServerList{first: r.first, entries: slices.Clone(r.entries), log: slices.Clone(r.log)}
 }
 
 // Version is the list's version.
-func (r *Roster) Version() int64 { return r.first + int64(len(r.log)) }
+func (r *ServerList) Version() int64 { return r.first + int64(len(r.log)) }
 
 // Set changes an entry, and says whether that is news.
-func (r *Roster) Set(e Entry) bool {
+func (r *ServerList) Set(e Entry) bool {
 	if r.entries[e.Server] == e {
 		return false
 	}
@@ -70,18 +70,18 @@
 	return true
 }
 
-// Whole is the whole list; a server that is gone is not in it.
-func (r *Roster) Whole() (all []Entry) {
+// Listed is the whole list; a server that is gone is not in it.
+func (r *ServerList) Listed() (all []Entry) {
 	for _, e := range r.entries {
-		if e.Life != Gone {
+		if e.Lifecycle != Gone {
 			all = append(all, e)
 		}
 	}
 	return all
 }
 
-// Since is what changed after a version, or false where that is not known any more.
-func (r *Roster) Since(version int64) (changed []Entry, ok bool) {
+// ChangedSince is what changed after a version, or false where that is not known any more.
+func (r *ServerList) ChangedSince(version int64) (changed []Entry, ok bool) {
 	if version < r.first || version > r.Version() {
 		return nil, false
 	}
@@ -95,24 +95,24 @@
 	return changed, true
 }
 
-// Desk is a service of fixed capacity that takes calls in turn.
-type Desk struct {
-	Call     time.Duration // of service that each call takes
-	Line     time.Duration // and each line of its answer
-	Patience time.Duration // a call that would wait longer fails
-	free     time.Duration // when it is done with all calls so far
+// FIFOService is a service of fixed capacity that takes calls in turn.
+type FIFOService struct {
+	CallTime  time.Duration // of service that each call takes
+	EntryTime time.Duration // and each line of its answer
+	MaxWait   time.Duration // a call that would wait longer fails
+	free      time.Duration // when it is done with all calls so far
 }
 
-// NewDesk makes a desk that is free, whatever the time is.
-func NewDesk(call, line, patience time.Duration) Desk {
-	return Desk{Call: call, Line: line, Patience: patience, free: never}
+// NewFIFOService makes a service that is free, whatever the time is.
+func NewFIFOService(call, line, patience time.Duration) FIFOService {
+	return FIFOService{CallTime: call, EntryTime: line, MaxWait: patience, free: never}
 }
 
-// Take takes a call, and tells when its answer is ready; false: it fails, then, at once.
-func (d *Desk) Take(now time.Duration, lines int) (time.Duration, bool) {
-	if d.free-now > d.Patience {
+// Enqueue takes a call, and tells when its answer is ready; false: it fails, then, at once.
+func (d *FIFOService) Enqueue(now time.Duration, lines int) (time.Duration, bool) {
+	if d.free-now > d.MaxWait {
 		return now, false
 	}
-	d.free = max(d.free, now) + d.Call + time.Duration(lines)*d.Line
+	d.free = max(d.free, now) + d.CallTime + time.Duration(lines)*d.EntryTime
 	return d.free, true
 }
--- a/internal/world/server.go
+++ b/internal/world/server.go
@@ -16,35 +16,35 @@
 
 // ServerSpec says what a queue server is like.
 type ServerSpec struct {
-	Cores float64
-	Speed float64 // of a core, against the standard one
-	Slots int     // requests in work at once
-	Room  int     // requests that may wait
-
-	Thrash   float64 // so much of its speed is lost at twice ThrashAt in work, and so on
-	ThrashAt float64
-
-	Keys    int           // keys that it remembers
-	KeyTime time.Duration // and for how long
-	KeyGain float64       // share of the work that a key met lately saves
-
-	ColdFrom   float64       // share of its capacity that it starts with; it rises evenly
-	ColdTime   time.Duration // until it has all
-	FallAt     float64       // sent more than this multiple of what it can do at that moment,
-	FallWithin time.Duration // for this long, a cold one falls over
-	FallMean   time.Duration // work of a mean request: three and three times the root of what it may have are forgiven, for chance
-
-	ChokeAt   float64       // with this many requests to a core
-	ChokeOver time.Duration // for this long,
-	ChokeSlow float64       // it turns so many times slower
-	ChokeRest time.Duration // until it has been mostly idle for so long:
-	ChokeBusy float64       // busy for no more than this share of it; 0: it had nothing at all
-	ChokeMost time.Duration // or this has passed; 0: it does not choke
-
-	Errors        float64 // share of requests that end in an error
+	Cores      float64
+	Speed      float64 // of a core, against the standard one
+	Slots      int     // requests in work at once
+	QueueLimit int     // requests that may wait
+
+	ThrashFactor    float64 // so much of its speed is lost at twice ThrashThreshold in work, and so on
+	ThrashThreshold float64
+
+	KeyCacheSize   int           // keys that it remembers
+	KeyCacheTTL    time.Duration // and for how long
+	KeyCacheSaving float64       // share of the work that a key met lately saves
+
+	ColdCapacityShare float64       // share of its capacity that it starts with; it rises evenly
+	WarmUpTime        time.Duration // until it has all
+	ColdCrashFactor   float64       // sent more than this multiple of what it can do at that moment,
+	ColdCrashWindow   time.Duration // for this long, a cold one falls over
+	ColdCrashMeanWork time.Duration // work of a mean request: three and three times the root of what it may have are forgiven, for chance
+
+	CongestionThreshold  float64       // with this many requests to a core
+	CongestionDelay      time.Duration // for this long,
+	CongestionSlowdown   float64       // it turns so many times slower
+	RecoveryWindow       time.Duration // until it has been mostly idle for so long:
+	RecoveryMaxBusyShare float64       // busy for no more than this share of it; 0: it had nothing at all
+	CongestionMaxTime    time.Duration // or this has passed; 0: it does not choke
+
+	ErrorShare    float64 // share of requests that end in an error
 	CancelRunning bool    // a cancelled request stops also when it is in work
-	Handshake     time.Duration
-	Probe         time.Duration // work of a probe
+	HandshakeWork time.Duration
+	ProbeWork     time.Duration // work of a probe
 }
 
 // never is before any time that a run may have.
@@ -52,10 +52,10 @@
 
 // Job is one request as a server sees it.
 type Job struct {
-	ID     uint64
-	Work   time.Duration // on the standard core
-	Key    uint64        // what it is about; 0: nothing that could be remembered
-	Unique uint64        // a repeat of it is dropped by its zone; 0: it is not
+	ID       uint64
+	Work     time.Duration // on the standard core
+	Key      uint64        // what it is about; 0: nothing that could be remembered
+	DedupKey uint64        // a repeat of it is dropped by its zone; 0: it is not
 }
 
 // Verdict is what becomes of a job that arrives.
@@ -63,32 +63,32 @@
 
 // The verdicts.
 const (
-	Taken    Verdict = iota // it waits or is in work; Advance tells of its end
-	Full                    // turned away, unseen
-	Repeated                // dropped, as its zone has had it: answered at once
-	Down                    // there is nobody
+	Accepted  Verdict = iota // it waits or is in work; Advance tells of its end
+	Rejected                 // turned away, unseen
+	Duplicate                // dropped, as its zone has had it: answered at once
+	Down                     // there is nobody
 )
 
 // String names a verdict.
 func (v Verdict) String() string {
-	return [...]string{Taken: "taken", Full: "turned away", Repeated: "repeated", Down: "down"}[v]
+	return [...]string{Accepted: "taken", Rejected: "turned away", Duplicate: "repeated", Down: "down"}[v]
 }
 
-// Ended is a job that is done.
-type Ended struct {
-	ID    uint64
-	At    time.Duration
-	Error bool
+// Completion is a job that is done.
+type Completion struct {
+	ID     uint64
+	At     time.Duration
+	Failed bool
 }
 
-// Zone remembers what its servers have had, to drop repeats. The zero value drops none.
-type Zone struct {
+// DedupZone remembers what its servers have had, to drop repeats. The zero value drops none.
+type DedupZone struct {
 	Window time.Duration
 	had    map[uint64]time.Duration
 }
 
 // repeats says whether a job was had lately, and else enters it.
-func (z *Zone) repeats(now time.Duration, unique uint64) bool {
+func (z *DedupZone) repeats(now time.Duration, unique uint64) bool {
 	if z == nil || unique == 0 || z.Window == 0 {
 		return false
 	}
@@ -111,7 +111,7 @@
 // Server is one queue server. Its methods' times never go back.
 type Server struct {
 	spec ServerSpec
-	zone *Zone
+	zone *DedupZone
 	rng  *rand.Rand
 
 	up      bool
@@ -134,7 +134,7 @@
 	crowded    time.Duration // since when it has too many; never: it has not
 	choked     time.Duration // since when; never: it is not
 	spells     []spell       // of a choked one, within the time of its rest
-	Worked     float64       // seconds of work done in all its lives
+	WorkDone   float64       // seconds of work done in all its lives
 	chokeTimes int
 }
 
@@ -150,7 +150,7 @@
 }
 
 // NewServer makes a server that has been up for long. zone may be nil.
-func NewServer(spec ServerSpec, zone *Zone, seed uint64) *Server {
+func NewServer(spec ServerSpec, zone *DedupZone, seed uint64) *Server {
 	s := &Server{spec: spec, zone: zone, rng: rand.New(rand.NewPCG(seed, 1)), up: true, slow: 1, now: never}
 	s.forget()
 	return s
@@ -174,61 +174,61 @@
 	s.up, s.now = false, now
 }
 
-// Up says whether it lives; Fell, whether it was pushed over when it was cold.
+// Up says whether it lives.
 func (s *Server) Up() bool { return s.up }
 
-// Fell says whether it was pushed over when it was cold.
-func (s *Server) Fell() bool { return s.fell }
+// CrashedCold says whether it was pushed over when it was cold.
+func (s *Server) CrashedCold() bool { return s.fell }
 
-// Choked counts the times that a crowd made it slow.
-func (s *Server) Choked() int { return s.chokeTimes }
+// CongestionCount counts the times that a crowd made it slow.
+func (s *Server) CongestionCount() int { return s.chokeTimes }
 
-// Tipped says whether a crowd has made it slow, and it has not come to rest since.
-func (s *Server) Tipped() bool { return s.choked != never }
+// Congested says whether a crowd has made it slow, and it has not come to rest since.
+func (s *Server) Congested() bool { return s.choked != never }
 
-// Slow makes it so many times slower; 1 is its usual speed.
-func (s *Server) Slow(times float64) { s.slow = max(times, 1e-3) }
+// SetSlowdown makes it so many times slower; 1 is its usual speed.
+func (s *Server) SetSlowdown(times float64) { s.slow = max(times, 1e-3) }
 
-// Err makes a share of its requests end in errors, besides the usual ones.
-func (s *Server) Err(share float64) { s.erring = share }
+// SetErrorShare makes a share of its requests end in errors, besides the usual ones.
+func (s *Server) SetErrorShare(share float64) { s.erring = share }
 
-// Refuse makes it turn everything away, or ends that.
-func (s *Server) Refuse(on bool) { s.refuses = on }
+// SetRejecting makes it turn everything away, or ends that.
+func (s *Server) SetRejecting(on bool) { s.refuses = on }
 
-// Held is how many requests it has.
-func (s *Server) Held() int { return len(s.work) + len(s.queue) }
+// Outstanding is how many requests it has.
+func (s *Server) Outstanding() int { return len(s.work) + len(s.queue) }
 
-// Warmth is the share of its capacity that it has at a moment.
-func (s *Server) Warmth(now time.Duration) float64 {
-	if !s.cold || s.spec.ColdTime <= 0 {
+// CapacityShare is the share of its capacity that it has at a moment.
+func (s *Server) CapacityShare(now time.Duration) float64 {
+	if !s.cold || s.spec.WarmUpTime <= 0 {
 		return 1
 	}
-	part := float64(now-s.started) / float64(s.spec.ColdTime)
-	return min(1, s.spec.ColdFrom+(1-s.spec.ColdFrom)*part)
+	part := float64(now-s.started) / float64(s.spec.WarmUpTime)
+	return min(1, s.spec.ColdCapacityShare+(1-s.spec.ColdCapacityShare)*part)
 }
 
 // Capacity is the work in seconds that it can do in a second at a moment, nothing being wrong.
 func (s *Server) Capacity(now time.Duration) float64 {
-	return s.spec.Cores * s.spec.Speed * s.Warmth(now)
+	return s.spec.Cores * s.spec.Speed * s.CapacityShare(now)
 }
 
 // rate is the work in seconds that it does in a second now.
 func (s *Server) rate(now time.Duration) float64 {
 	r := s.Capacity(now) / s.slow
-	if over := float64(len(s.work)) - s.spec.ThrashAt; s.spec.ThrashAt > 0 && over > 0 {
-		r /= 1 + s.spec.Thrash*over/s.spec.ThrashAt
+	if over := float64(len(s.work)) - s.spec.ThrashThreshold; s.spec.ThrashThreshold > 0 && over > 0 {
+		r /= 1 + s.spec.ThrashFactor*over/s.spec.ThrashThreshold
 	}
 	if s.choked != never {
-		r /= s.spec.ChokeSlow
+		r /= s.spec.CongestionSlowdown
 	}
 	return r
 }
 
-// Connect takes a new connection, whose handshake is work; Inspect a probe.
-func (s *Server) Connect(now time.Duration) { s.burden(now, s.spec.Handshake) }
+// Connect takes a new connection, whose handshake is work.
+func (s *Server) Connect(now time.Duration) { s.burden(now, s.spec.HandshakeWork) }
 
-// Inspect takes a probe.
-func (s *Server) Inspect(now time.Duration) { s.burden(now, s.spec.Probe) }
+// Probe takes a probe.
+func (s *Server) Probe(now time.Duration) { s.burden(now, s.spec.ProbeWork) }
 
 func (s *Server) burden(now time.Duration, work time.Duration) {
 	s.begin(now)
@@ -247,16 +247,16 @@
 
 // push counts work sent to a cold server, which falls over when it is too much.
 func (s *Server) push(now time.Duration, work float64) {
-	if !s.cold || s.spec.FallAt <= 0 || s.Warmth(now) >= 1 {
+	if !s.cold || s.spec.ColdCrashFactor <= 0 || s.CapacityShare(now) >= 1 {
 		return
 	}
-	for len(s.sent) > 0 && s.sent[0].at <= now-s.spec.FallWithin {
+	for len(s.sent) > 0 && s.sent[0].at <= now-s.spec.ColdCrashWindow {
 		s.sentWork -= s.sent[0].work
 		s.sent = s.sent[1:]
 	}
 	s.sent = append(s.sent, sent{now, work})
 	s.sentWork += work
-	most, mean := s.spec.FallAt*s.Capacity(now)*s.spec.FallWithin.Seconds(), s.spec.FallMean.Seconds()
+	most, mean := s.spec.ColdCrashFactor*s.Capacity(now)*s.spec.ColdCrashWindow.Seconds(), s.spec.ColdCrashMeanWork.Seconds()
 	if s.sentWork > most+3*math.Sqrt(most*mean)+3*mean {
 		s.forget()
 		s.up, s.fell = false, true
@@ -269,10 +269,10 @@
 	switch {
 	case !s.up:
 		return Down
-	case s.refuses || len(s.queue) >= s.spec.Room && len(s.work) >= s.spec.Slots:
-		return Full
-	case s.zone.repeats(now, j.Unique):
-		return Repeated
+	case s.refuses || len(s.queue) >= s.spec.QueueLimit && len(s.work) >= s.spec.Slots:
+		return Rejected
+	case s.zone.repeats(now, j.DedupKey):
+		return Duplicate
 	}
 	if s.push(now, j.Work.Seconds()); !s.up {
 		return Down
@@ -280,7 +280,7 @@
 	s.queue = append(s.queue, j)
 	s.fill(now)
 	s.crowd(now)
-	return Taken
+	return Accepted
 }
 
 // fill puts waiting jobs to work.
@@ -289,8 +289,8 @@
 		j := s.queue[0]
 		s.queue = s.queue[1:]
 		left := j.Work.Seconds()
-		if at, ok := s.met[j.Key]; ok && j.Key != 0 && now-at < s.spec.KeyTime {
-			left *= 1 - s.spec.KeyGain
+		if at, ok := s.met[j.Key]; ok && j.Key != 0 && now-at < s.spec.KeyCacheTTL {
+			left *= 1 - s.spec.KeyCacheSaving
 		}
 		s.work = append(s.work, running{j, left})
 	}
@@ -298,12 +298,12 @@
 
 // remember keeps a key that was met, and forgets the oldest where there is no room.
 func (s *Server) remember(now time.Duration, key uint64) {
-	if key == 0 || s.spec.Keys == 0 {
+	if key == 0 || s.spec.KeyCacheSize == 0 {
 		return
 	}
 	if _, ok := s.met[key]; ok {
 		s.order = slices.DeleteFunc(s.order, func(k uint64) bool { return k == key })
-	} else if len(s.order) >= s.spec.Keys {
+	} else if len(s.order) >= s.spec.KeyCacheSize {
 		delete(s.met, s.order[0])
 		s.order = s.order[1:]
 	}
@@ -313,21 +313,21 @@
 
 // crowd sees whether too many have been there for too long, and whether a choked server has come to rest.
 func (s *Server) crowd(now time.Duration) {
-	if s.spec.ChokeMost <= 0 {
+	if s.spec.CongestionMaxTime <= 0 {
 		return
 	}
 	if s.choked != never {
-		if s.rested(now) || now-s.choked >= s.spec.ChokeMost {
+		if s.rested(now) || now-s.choked >= s.spec.CongestionMaxTime {
 			s.choked, s.crowded, s.spells = never, never, nil
 		}
 		return
 	}
 	switch {
-	case float64(s.Held())/s.spec.Cores <= s.spec.ChokeAt:
+	case float64(s.Outstanding())/s.spec.Cores <= s.spec.CongestionThreshold:
 		s.crowded = never
 	case s.crowded == never:
 		s.crowded = now
-	case now-s.crowded >= s.spec.ChokeOver:
+	case now-s.crowded >= s.spec.CongestionDelay:
 		s.choked = now
 		s.chokeTimes++
 	}
@@ -336,11 +336,11 @@
 // rested says whether a choked server was mostly idle for as long as its rest takes.
 func (s *Server) rested(now time.Duration) bool {
 	busy := 0.0
-	s.spells = slices.DeleteFunc(s.spells, func(p spell) bool { return p.until <= now-s.spec.ChokeRest })
+	s.spells = slices.DeleteFunc(s.spells, func(p spell) bool { return p.until <= now-s.spec.RecoveryWindow })
 	for _, p := range s.spells {
 		busy += p.busy
 	}
-	return now-s.choked >= s.spec.ChokeRest && busy <= s.spec.ChokeBusy*s.spec.ChokeRest.Seconds()
+	return now-s.choked >= s.spec.RecoveryWindow && busy <= s.spec.RecoveryMaxBusyShare*s.spec.RecoveryWindow.Seconds()
 }
 
 // busy is the share of its cores that have something to do.
@@ -370,7 +370,7 @@
 const step = 20 * time.Millisecond
 
 // Advance plays on until now, and returns what has ended by then, in order.
-func (s *Server) Advance(now time.Duration) (ended []Ended) {
+func (s *Server) Advance(now time.Duration) (ended []Completion) {
 	for s.up && s.now < now {
 		next := min(now, s.now+step)
 		if at, ok := s.first(); ok {
@@ -386,7 +386,7 @@
 				return false
 			}
 			s.remember(next, r.job.Key)
-			ended = append(ended, Ended{r.job.ID, next, s.rng.Float64() < s.spec.Errors+s.erring})
+			ended = append(ended, Completion{r.job.ID, next, s.rng.Float64() < s.spec.ErrorShare+s.erring})
 			return true
 		})
 		s.fill(next)
@@ -404,7 +404,7 @@
 	able := s.rate(s.now) * seconds
 	paid := min(s.debt, able)
 	s.debt -= paid
-	s.Worked += paid
+	s.WorkDone += paid
 	if len(s.work) == 0 {
 		return
 	}
@@ -412,7 +412,7 @@
 	for i := range s.work {
 		done := min(each, s.work[i].left)
 		s.work[i].left -= done
-		s.Worked += done
+		s.WorkDone += done
 	}
 }
 
@@ -427,13 +427,13 @@
 	return s.now + time.Duration(max(1, math.Ceil(min(wait, 3600)*float64(time.Second)))), true
 }
 
-// Next is when Advance has something to tell at the soonest; false: never, as things are.
-func (s *Server) Next() (time.Duration, bool) {
+// NextEvent is when Advance has something to tell at the soonest; false: never, as things are.
+func (s *Server) NextEvent() (time.Duration, bool) {
 	if !s.up {
 		return 0, false
 	}
 	at, ok := s.first()
-	if s.cold && s.Warmth(s.now) < 1 {
+	if s.cold && s.CapacityShare(s.now) < 1 {
 		at = min(at, s.now+step) // it gets faster
 	}
 	return at, ok
--- a/internal/world/world_test.go
+++ b/internal/world/world_test.go
@@ -16,7 +16,7 @@
 
 // plain is a server with no quirks.
 func plain() ServerSpec {
-	return ServerSpec{Cores: 1, Speed: 1, Slots: 4, Room: 4, ColdFrom: 0.2, ColdTime: 10 * s, FallAt: 4, FallWithin: 2 * s, FallMean: 10 * ms}
+	return ServerSpec{Cores: 1, Speed: 1, Slots: 4, QueueLimit: 4, ColdCapacityShare: 0.2, WarmUpTime: 10 * s, ColdCrashFactor: 4, ColdCrashWindow: 2 * s, ColdCrashMeanWork: 10 * ms}
 }
 
 // ends plays a server until t and tells when each job ended.
@@ -38,7 +38,7 @@
 func TestCoresAreSharedAndQueuesWait(t *testing.T) {
 	m := NewServer(plain(), nil, 1)
 	for id := range uint64(2) {
-		if v := m.Arrive(0, Job{ID: id, Work: 10 * ms * time.Duration(1+id)}); v != Taken {
+		if v := m.Arrive(0, Job{ID: id, Work: 10 * ms * time.Duration(1+id)}); v != Accepted {
 			t.Fatalf("verdict %v", v)
 		}
 	}
@@ -47,7 +47,7 @@
 	near(t, "the long job", at[1], 30*ms)
 	for id := range uint64(9) {
 		v := m.Arrive(s, Job{ID: 10 + id, Work: 10 * ms})
-		if want := map[bool]Verdict{true: Taken, false: Full}[id < 8]; v != want {
+		if want := map[bool]Verdict{true: Accepted, false: Rejected}[id < 8]; v != want {
 			t.Errorf("job %d: verdict %v, want %v", id, v, want)
 		}
 	}
@@ -55,8 +55,8 @@
 		t.Error("a waiting job can be called off, one in work can't")
 	}
 	near(t, "the last job", ends(m, 2*s)[17], s+70*ms) // of 8, one was called off
-	if math.Abs(m.Worked-0.1) > 1e-6 {
-		t.Errorf("worked %v s, want 0.1", m.Worked)
+	if math.Abs(m.WorkDone-0.1) > 1e-6 {
+		t.Errorf("worked %v s, want 0.1", m.WorkDone)
 	}
 }
 
@@ -67,7 +67,7 @@
 		t.Errorf("verdict %v of a dead server", v)
 	}
 	m.Start(2 * s)
-	if w := m.Warmth(7 * s); math.Abs(w-0.6) > 1e-9 {
+	if w := m.CapacityShare(7 * s); math.Abs(w-0.6) > 1e-9 {
 		t.Errorf("warmth %v half way, want 0.6", w)
 	}
 	m.Arrive(2*s, Job{ID: 2, Work: 20 * ms})
@@ -81,28 +81,28 @@
 		m.work, m.queue = nil, nil
 		sent++
 	}
-	if !m.Fell() || sent != 270 {
-		t.Errorf("fell over %v after %d jobs of 10 ms", m.Fell(), sent)
+	if !m.CrashedCold() || sent != 270 {
+		t.Errorf("fell over %v after %d jobs of 10 ms", m.CrashedCold(), sent)
 	}
 	m.Start(20 * s)
-	if !m.Up() || m.Fell() {
+	if !m.Up() || m.CrashedCold() {
 		t.Error("a server that fell over does not come back")
 	}
 }
 
 func TestCrowdsKeysAndRepeats(t *testing.T) {
 	spec := plain()
-	spec.Slots, spec.Room = 20, 20
-	spec.ChokeAt, spec.ChokeOver, spec.ChokeSlow, spec.ChokeRest, spec.ChokeMost = 3, s, 2, s, 20*s
-	spec.Keys, spec.KeyTime, spec.KeyGain = 2, 5*s, 0.5
-	zone := &Zone{Window: 4 * s}
+	spec.Slots, spec.QueueLimit = 20, 20
+	spec.CongestionThreshold, spec.CongestionDelay, spec.CongestionSlowdown, spec.RecoveryWindow, spec.CongestionMaxTime = 3, s, 2, s, 20*s
+	spec.KeyCacheSize, spec.KeyCacheTTL, spec.KeyCacheSaving = 2, 5*s, 0.5
+	zone := &DedupZone{Window: 4 * s}
 	m := NewServer(spec, zone, 1)
 	for id := range uint64(6) {
 		m.Arrive(0, Job{ID: id, Work: 300 * ms})
 	}
 	near(t, "a job in a crowd", ends(m, 10*s)[5], 2600*ms) // a second at full speed, 0.8 s of work at half
-	if m.Choked() != 1 || m.choked != never {
-		t.Errorf("choked %d times, still %v", m.Choked(), m.choked)
+	if m.CongestionCount() != 1 || m.choked != never {
+		t.Errorf("choked %d times, still %v", m.CongestionCount(), m.choked)
 	}
 	for id, c := range []struct {
 		key  uint64
@@ -114,10 +114,10 @@
 		near(t, "a key's job", ends(m, now+400*ms)[100+uint64(id)], now+c.took)
 	}
 	m.Advance(30 * s)
-	for i, want := range []Verdict{Taken, Repeated, Taken} {
+	for i, want := range []Verdict{Accepted, Duplicate, Accepted} {
 		at := 30*s + time.Duration(i)*2*s
 		m.Advance(at)
-		if v := m.Arrive(at, Job{ID: 200 + uint64(i), Work: ms, Unique: 9}); v != want {
+		if v := m.Arrive(at, Job{ID: 200 + uint64(i), Work: ms, DedupKey: 9}); v != want {
 			t.Errorf("copy %d at %v: verdict %v, want %v", i, at, v, want)
 		}
 	}
@@ -137,8 +137,8 @@
 		{0.33, 82 * ms, 4 * s}, {0, ms, 12 * s}, // just so
 	} {
 		spec := plain()
-		spec.Slots, spec.Room = 20, 20
-		spec.ChokeAt, spec.ChokeOver, spec.ChokeSlow, spec.ChokeRest, spec.ChokeBusy, spec.ChokeMost = 3, 2*s, 2, s, c.busy, 10*s
+		spec.Slots, spec.QueueLimit = 20, 20
+		spec.CongestionThreshold, spec.CongestionDelay, spec.CongestionSlowdown, spec.RecoveryWindow, spec.RecoveryMaxBusyShare, spec.CongestionMaxTime = 3, 2*s, 2, s, c.busy, 10*s
 		m := NewServer(spec, nil, 1)
 		for id := range uint64(4) {
 			m.Arrive(0, Job{ID: id, Work: 625 * ms})
@@ -149,12 +149,12 @@
 			if now >= 3*s && now%(500*ms) == 0 && c.work > 0 {
 				m.Arrive(now, Job{ID: 100 + uint64(now), Work: c.work})
 			}
-			if m.Tipped() {
+			if m.Congested() {
 				slow = now
 			}
 		}
-		if d := slow - c.until; d < -400*ms || d > 20*ms || m.Choked() != 1 {
-			t.Errorf("idle at %v and %v of work every half second: slow until %v, %d times; want %v", c.busy, c.work, slow, m.Choked(), c.until)
+		if d := slow - c.until; d < -400*ms || d > 20*ms || m.CongestionCount() != 1 {
+			t.Errorf("idle at %v and %v of work every half second: slow until %v, %d times; want %v", c.busy, c.work, slow, m.CongestionCount(), c.until)
 		}
 	}
 }
@@ -165,10 +165,10 @@
 	rapid.Check(t, func(t *rapid.T) {
 		spec := plain()
 		spec.Cores = float64(rapid.IntRange(1, 4).Draw(t, "cores"))
-		spec.ThrashAt, spec.Thrash = 2, 0.5
-		spec.ChokeAt, spec.ChokeOver, spec.ChokeSlow, spec.ChokeRest, spec.ChokeMost = 2, 50*ms, 3, 100*ms, s
+		spec.ThrashThreshold, spec.ThrashFactor = 2, 0.5
+		spec.CongestionThreshold, spec.CongestionDelay, spec.CongestionSlowdown, spec.RecoveryWindow, spec.CongestionMaxTime = 2, 50*ms, 3, 100*ms, s
 		spec.CancelRunning = rapid.Bool().Draw(t, "cancel")
-		spec.Handshake = 3 * ms
+		spec.HandshakeWork = 3 * ms
 		m := NewServer(spec, nil, 1)
 		held, now, next := make(map[uint64]time.Duration), time.Duration(0), uint64(1)
 		end := func() {
@@ -190,7 +190,7 @@
 				m.Start(now)
 				clear(held)
 			case 2:
-				m.Slow(float64(rapid.IntRange(1, 5).Draw(t, "slow")))
+				m.SetSlowdown(float64(rapid.IntRange(1, 5).Draw(t, "slow")))
 			case 3:
 				m.Connect(now)
 			case 4:
@@ -199,7 +199,7 @@
 				}
 			default:
 				work := time.Duration(rapid.IntRange(0, 60).Draw(t, "work")) * ms
-				if m.Arrive(now, Job{ID: next, Work: work}) == Taken {
+				if m.Arrive(now, Job{ID: next, Work: work}) == Accepted {
 					held[next] = now
 				}
 				next++
@@ -207,16 +207,16 @@
 			if !m.Up() {
 				clear(held) // it fell over
 			}
-			if m.Held() != len(held) {
-				t.Fatalf("the server holds %d jobs, %d have not ended", m.Held(), len(held))
+			if m.Outstanding() != len(held) {
+				t.Fatalf("the server holds %d jobs, %d have not ended", m.Outstanding(), len(held))
 			}
 		}
-		if most := now.Seconds() * spec.Cores; m.Worked > most+1e-6 {
-			t.Fatalf("%v s of work done in %v s of cores", m.Worked, most)
+		if most := now.Seconds() * spec.Cores; m.WorkDone > most+1e-6 {
+			t.Fatalf("%v s of work done in %v s of cores", m.WorkDone, most)
 		}
-		m.Slow(1)
+		m.SetSlowdown(1)
 		for range 10_000 { // and what is left comes to its end by the times that Next names
-			at, ok := m.Next()
+			at, ok := m.NextEvent()
 			if !ok {
 				break
 			}
@@ -231,15 +231,15 @@
 
 func TestArrivals(t *testing.T) {
 	spec := LoadSpec{
-		Rate: 500, For: 20 * s, Sidecars: 5, Skew: 0.5, Keys: 100, Zipf: 1, Tenants: []float64{3, 1},
-		Classes: []Class{{Name: "a", Share: 0.6, Work: 15 * ms, Spread: 1}, {Name: "b", Share: 0.4, Work: 20 * ms, Spread: 0.5}},
-		Bursts:  []Burst{{At: 10 * s, For: 5 * s, Times: 3}},
+		Rate: 500, Duration: 20 * s, Sidecars: 5, Skew: 0.5, Keys: 100, ZipfExponent: 1, Tenants: []float64{3, 1},
+		Classes: []Class{{Name: "a", Share: 0.6, MeanWork: 15 * ms, WorkVariation: 1}, {Name: "b", Share: 0.4, MeanWork: 20 * ms, WorkVariation: 0.5}},
+		Bursts:  []Burst{{Start: 10 * s, Duration: 5 * s, Factor: 3}},
 	}
-	all := Draw(spec, 7)
-	if !reflect.DeepEqual(all, Draw(spec, 7)) {
+	all := DrawArrivals(spec, 7)
+	if !reflect.DeepEqual(all, DrawArrivals(spec, 7)) {
 		t.Fatal("the same seed draws other requests")
 	}
-	if reflect.DeepEqual(all, Draw(spec, 8)) {
+	if reflect.DeepEqual(all, DrawArrivals(spec, 8)) {
 		t.Fatal("another seed draws the same requests")
 	}
 	var before, burst, classB, tenantB, first int
@@ -277,43 +277,43 @@
 }
 
 func TestRosterAndDesk(t *testing.T) {
-	r := NewRoster(3, 1)
-	if r.Set(Entry{Server: 0, Life: Ready}) {
+	r := NewServerList(3, 1)
+	if r.Set(Entry{Server: 0, Lifecycle: Ready}) {
 		t.Error("no change is news")
 	}
-	r.Set(Entry{Server: 1, Life: Draining})
-	r.Set(Entry{Server: 2, Life: Gone})
-	r.Set(Entry{Server: 1, Life: Gone})
-	if got, ok := r.Since(1); !ok || !reflect.DeepEqual(got, []Entry{{1, Gone, 0}, {2, Gone, 0}}) {
+	r.Set(Entry{Server: 1, Lifecycle: Draining})
+	r.Set(Entry{Server: 2, Lifecycle: Gone})
+	r.Set(Entry{Server: 1, Lifecycle: Gone})
+	if got, ok := r.ChangedSince(1); !ok || !reflect.DeepEqual(got, []Entry{{1, Gone, 0}, {2, Gone, 0}}) {
 		t.Errorf("since the start: %v %v", got, ok)
 	}
-	if got, ok := r.Since(r.Version()); !ok || len(got) > 0 || r.Version() != 4 {
+	if got, ok := r.ChangedSince(r.Version()); !ok || len(got) > 0 || r.Version() != 4 {
 		t.Errorf("since version %d: %v %v", r.Version(), got, ok)
 	}
-	if c := r.Copy(); c.Version() != 4 || len(c.Whole()) != 1 || !c.Set(Entry{Server: 0, Life: Gone}) || r.Version() != 4 || len(r.Whole()) != 1 {
-		t.Errorf("a copy at version %d with %v, after a change of it version %d", c.Version(), c.Whole(), r.Version())
+	if c := r.Clone(); c.Version() != 4 || len(c.Listed()) != 1 || !c.Set(Entry{Server: 0, Lifecycle: Gone}) || r.Version() != 4 || len(r.Listed()) != 1 {
+		t.Errorf("a copy at version %d with %v, after a change of it version %d", c.Version(), c.Listed(), r.Version())
 	}
-	still := r.Copy()
+	still := r.Clone()
 	r.Reserve(2)
-	if len(r.Whole()) != 1 || r.Version() != 4 {
-		t.Errorf("the whole list: %v, version %d", r.Whole(), r.Version())
+	if len(r.Listed()) != 1 || r.Version() != 4 {
+		t.Errorf("the whole list: %v, version %d", r.Listed(), r.Version())
 	}
-	r.Set(Entry{Server: 4, Life: Ready})
-	if !reflect.DeepEqual(still.Whole(), []Entry{{0, Ready, 0}}) || still.Version() != 4 || len(r.Whole()) != 2 {
-		t.Errorf("a copy has %v at version %d, the list %v", still.Whole(), still.Version(), r.Whole())
+	r.Set(Entry{Server: 4, Lifecycle: Ready})
+	if !reflect.DeepEqual(still.Listed(), []Entry{{0, Ready, 0}}) || still.Version() != 4 || len(r.Listed()) != 2 {
+		t.Errorf("a copy has %v at version %d, the list %v", still.Listed(), still.Version(), r.Listed())
 	}
 	for range rosterLog {
-		r.Set(Entry{Server: 0, Life: Draining})
-		r.Set(Entry{Server: 0, Life: Ready})
+		r.Set(Entry{Server: 0, Lifecycle: Draining})
+		r.Set(Entry{Server: 0, Lifecycle: Ready})
 	}
 	for _, version := range []int64{0, 1, r.Version() + 1} {
-		if _, ok := r.Since(version); ok {
+		if _, ok := r.ChangedSince(version); ok {
 			t.Errorf("changes since %d are told, though nobody can know them", version)
 		}
 	}
-	d := NewDesk(10*ms, ms, 25*ms)
+	d := NewFIFOService(10*ms, ms, 25*ms)
 	for i, want := range []time.Duration{20 * ms, 40 * ms, 0} {
-		got, ok := d.Take(-s, 10)
+		got, ok := d.Enqueue(-s, 10)
 		if ok != (want > 0) || ok && got != want-s {
 			t.Errorf("call %d is answered at %v, %v, want %v", i, got, ok, want)
 		}
