--- a/cmd/fleetlab/main.go
+++ b/cmd/fleetlab/main.go
@@ -37,7 +37,7 @@
 
 func main() {
 	sysfault.Launch()
-	if lab.Hold() || lab.Busy() {
+	if lab.Hold() || lab.RunBusyLoop() {
 		return
 	}
 	root := &cobra.Command{
@@ -110,7 +110,7 @@
 			return err
 		}
 		fmt.Printf("%d sidecars, %d queue servers and their clients, for %v; Ctrl-C ends all\n", scene.Fleet.Sidecars, scene.Fleet.Servers, *length)
-		return tell(c, scene, lab.Options{Seed: 1, Program: s.program, Live: lab.Live(os.Stdout)}, false)
+		return tell(c, scene, lab.Options{Seed: 1, Program: s.program, OnProgress: lab.ProgressPrinter(os.Stdout)}, false)
 	}
 	return c
 }
@@ -178,7 +178,7 @@
 		}
 		o := lab.Options{Seed: *seed, Program: s.program, Out: *out}
 		if !*asJSON {
-			o.Live = lab.Live(os.Stdout)
+			o.OnProgress = lab.ProgressPrinter(os.Stdout)
 		}
 		return tell(c, scene, o, *asJSON)
 	}
@@ -288,7 +288,7 @@
 	c.RunE = func(c *cobra.Command, _ []string) error {
 		first := *seed
 		if first == 0 {
-			first = lab.SoakWiderFrom + rand.Uint64N(1<<32)
+			first = lab.ExtendedSoakFrom + rand.Uint64N(1<<32)
 		}
 		for n := range uint64(max(0, *runs)) {
 			scene, err := lab.Soak(first+n, *sidecars)
@@ -303,7 +303,7 @@
 			if err != nil {
 				return fmt.Errorf("seed %d: %w", first+n, err)
 			}
-			fmt.Printf("seed %d: %d sidecars, %d servers, faults %s: held %v\n", first+n, res.Sidecars, res.Servers, strings.Join(scene.Kinds(), " "), res.Held())
+			fmt.Printf("seed %d: %d sidecars, %d servers, faults %s: held %v\n", first+n, res.Sidecars, res.Servers, strings.Join(scene.FaultKinds(), " "), res.Held())
 			if !res.Held() || res.Late != "" {
 				res.Print(os.Stdout)
 			}
--- a/internal/lab/added_test.go
+++ b/internal/lab/added_test.go
@@ -62,8 +62,8 @@
 		b.Fatal(err)
 	}
 	b.Cleanup(n.release) // behind the end of the sidecar, or another lab has its addresses meanwhile
-	s := scene(b, "[fleet]\nsidecars=1\nsockets=1024")
-	s.Fleet.Servers, s.Fleet.Told = servers, addedFleet
+	s := readScenario(b, "[fleet]\nsidecars=1\nsockets=1024")
+	s.Fleet.Servers, s.Fleet.StatedSidecars = servers, addedFleet
 	mean := 0.0
 	for _, c := range s.classes() {
 		mean += c.Share * c.Work.Seconds()
@@ -72,7 +72,7 @@
 	var accepted atomic.Int64
 	var entries []map[string]any
 	for i := range servers {
-		l, err := net.Listen("tcp", n.at(1+i, ownPort))
+		l, err := net.Listen("tcp", n.address(1+i, firstOwnPort))
 		if err != nil {
 			b.Fatal(err)
 		}
@@ -84,7 +84,7 @@
 		})
 	}
 	address, log := startAlone(b, n, s, entries)
-	streams := []*stream{{address: n.at(1, ownPort)}, {address: address}}
+	streams := []*stream{{address: n.address(1, firstOwnPort)}, {address: address}}
 	conns := pace(b, streams, rate, seed)
 	b.ReportMetric(100*float64(rested(b, log))/float64(len(streams[1].took)), "waited-%")
 	for _, at := range []float64{0.5, 0.99, 0.999} {
@@ -151,7 +151,7 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	place, err := net.Listen("tcp", n.at(0, ownPort))
+	place, err := net.Listen("tcp", n.address(0, firstOwnPort))
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -168,7 +168,7 @@
 	b.Cleanup(func() { discovery.Close() })
 	p := newProcesses(s, newClock(), new(History), n, nil, program, b.TempDir(), "", nil, 1)
 	raw, err := json.Marshal(map[string]any{
-		"name": sidecarName(0), "listen": n.at(0, clientPort), "discovery": place.Addr().String(), "console": n.at(0, consolePort), "seed": "1",
+		"name": sidecarName(0), "listen": n.address(0, clientPort), "discovery": place.Addr().String(), "console": n.address(0, consolePort), "seed": "1",
 		"limits": map[string]any{"cores": 1, "memory_mb": 192, "sockets": s.Fleet.Sockets}, "known": known, "settings": p.settings(0),
 	})
 	config := filepath.Join(p.dir, "config.json")
@@ -178,7 +178,7 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	q := &process{console: n.at(0, consolePort), log: filepath.Join(p.dir, "log"), ended: make(chan struct{})}
+	q := &process{console: n.address(0, consolePort), log: filepath.Join(p.dir, "log"), ended: make(chan struct{})}
 	out, err := os.Create(q.log)
 	if err != nil {
 		b.Fatal(err)
@@ -195,10 +195,10 @@
 	}
 	go func() { _ = q.cmd.Wait(); close(q.ended) }() // ready tells of an early end
 	b.Cleanup(func() { p.stop(q); close(p.starter) })
-	if err := p.ready(q); err != nil {
+	if err := p.waitReady(q); err != nil {
 		b.Fatal(err)
 	}
-	return n.at(0, clientPort), q.log
+	return n.address(0, clientPort), q.log
 }
 
 // stream is one timetable of calls to one address, over connections that are kept.
--- a/internal/lab/address.go
+++ b/internal/lab/address.go
@@ -20,11 +20,11 @@
 // so that it hears all of 127.0.0.0/8 and nothing from outside. Its port has to be its own on the whole machine, as
 // such a socket hears other labs' addresses too. Where the system does not permit that, it has a socket for each sidecar.
 const (
-	clientPort  = 8080
-	consolePort = 9100 // and the ones after it, one for each process of a sidecar
-	peerPort    = 7946 // where a sidecar's own parts listen for its peers
-	ownPort     = 10000
-	claimPort   = 30000
+	clientPort   = 8080
+	consolePort  = 9100 // and the ones after it, one for each process of a sidecar
+	peerPort     = 7946 // where a sidecar's own parts listen for its peers
+	firstOwnPort = 10000
+	claimPort    = 30000
 
 	// Ports that labs share out among them, below those that the system gives to connections. The first port of each
 	// chunk is its claim: whoever listens there has the others.
@@ -36,7 +36,7 @@
 // subnet is what a run has for itself: a part of 127.0.0.0/8, which is 127.N.0.0/16, and ports in all of it. Its methods
 // are safe for concurrent use.
 type subnet struct {
-	n     int
+	octet int
 	claim net.Listener
 	wide  bool // one socket hears all sidecars
 
@@ -55,7 +55,7 @@
 			last = err
 			continue
 		}
-		s := &subnet{n: n, claim: l}
+		s := &subnet{octet: n, claim: l}
 		s.wide, err = widePermitted()
 		if err != nil {
 			l.Close()
@@ -87,18 +87,18 @@
 	}
 }
 
-// port gives out a port that no other lab has, at no address.
-func (s *subnet) port() (int, error) {
+// allocatePort gives out a port that no other lab has, at no address.
+func (s *subnet) allocatePort() (int, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !s.wide { // all of its addresses are its own
 		s.next++
-		return ownPort + s.next - 1, nil
+		return firstOwnPort + s.next - 1, nil
 	}
 	for {
 		for ; s.next < s.last; s.next++ {
 			if l, err := listenWide(s.next); err == nil { // or it is somebody's who is no lab
-				endListener(l)
+				closeListener(l)
 				s.next++
 				return s.next - 1, nil
 			}
@@ -127,33 +127,33 @@
 func (s *subnet) host(sidecar int) string { return s.ip(sidecar).String() }
 
 func (s *subnet) ip(sidecar int) netip.Addr {
-	return netip.AddrFrom4([4]byte{127, byte(s.n), byte(1 + sidecar/250), byte(1 + sidecar%250)})
+	return netip.AddrFrom4([4]byte{127, byte(s.octet), byte(1 + sidecar/250), byte(1 + sidecar%250)})
 }
 
 // sidecar is whose address that is; -1: no sidecar's of this run.
-func (s *subnet) sidecar(ip netip.Addr) int {
+func (s *subnet) sidecarAt(ip netip.Addr) int {
 	b := ip.Unmap().As4()
-	if b[0] != 127 || int(b[1]) != s.n || b[2] < 1 || b[3] < 1 || b[3] > 250 {
+	if b[0] != 127 || int(b[1]) != s.octet || b[2] < 1 || b[3] < 1 || b[3] > 250 {
 		return -1
 	}
 	return (int(b[2])-1)*250 + int(b[3]) - 1
 }
 
-// caller is the number of the sidecar that made a connection, by the address that it called.
-func (s *subnet) caller(local net.Addr) int {
+// callerAt is the number of the sidecar that made a connection, by the address that it called.
+func (s *subnet) callerAt(local net.Addr) int {
 	tcp, ok := local.(*net.TCPAddr)
 	if !ok {
 		return -1
 	}
-	return s.sidecar(tcp.AddrPort().Addr())
+	return s.sidecarAt(tcp.AddrPort().Addr())
 }
 
-func (s *subnet) at(sidecar, port int) string {
+func (s *subnet) address(sidecar, port int) string {
 	return net.JoinHostPort(s.host(sidecar), strconv.Itoa(port))
 }
 
-// open listens at a port of all sidecars' addresses: with one socket, or with one for each.
-func (s *subnet) open(port, sidecars int, whose string) (all []*net.TCPListener, err error) {
+// listen listens at a port of all sidecars' addresses: with one socket, or with one for each.
+func (s *subnet) listen(port, sidecars int, whose string) (all []*net.TCPListener, err error) {
 	if s.wide {
 		l, err := listenWide(port)
 		if err != nil {
@@ -162,7 +162,7 @@
 		return []*net.TCPListener{l}, nil
 	}
 	for i := range sidecars {
-		l, err := net.Listen("tcp", s.at(i, port))
+		l, err := net.Listen("tcp", s.address(i, port))
 		if err != nil {
 			for _, l := range all {
 				l.Close()
@@ -178,7 +178,7 @@
 func (s *subnet) openPackets(port, sidecars int, whose string) (all []*net.UDPConn, err error) {
 	at := make([]string, sidecars)
 	for i := range at {
-		at[i] = s.at(i, port)
+		at[i] = s.address(i, port)
 	}
 	lc := net.ListenConfig{Control: tellDestination}
 	if s.wide {
@@ -209,8 +209,8 @@
 	return l.(*net.TCPListener), nil
 }
 
-// endListener closes a listener, at once: a process that is being started holds what this one has open, until it is another program.
-func endListener(l *net.TCPListener) {
+// closeListener closes a listener, at once: a process that is being started holds what this one has open, until it is another program.
+func closeListener(l *net.TCPListener) {
 	if raw, err := l.SyscallConn(); err == nil {
 		_ = control(raw, func(fd int) error { return unix.Shutdown(fd, unix.SHUT_RD) }) // fails only on a closed one
 	}
@@ -248,5 +248,7 @@
 	return netip.Addr{}, false
 }
 
-// source words that a packet goes out from an address.
-func source(ip netip.Addr) []byte { return unix.PktInfo4(&unix.Inet4Pktinfo{Spec_dst: ip.As4()}) }
+// sourceAddress words that a packet goes out from an address.
+func sourceAddress(ip netip.Addr) []byte {
+	return unix.PktInfo4(&unix.Inet4Pktinfo{Spec_dst: ip.As4()})
+}
--- a/internal/lab/address_test.go
+++ b/internal/lab/address_test.go
@@ -38,7 +38,7 @@
 
 func serversKnowTheirCallers(t *testing.T, wide bool) {
 	const sidecars, count = 253, 3 // past one part of the addresses
-	s := scene(t, fmt.Sprintf("[fleet]\nsidecars=%d\nservers=%d", sidecars, count))
+	s := readScenario(t, fmt.Sprintf("[fleet]\nsidecars=%d\nservers=%d", sidecars, count))
 	var labs [2]*servers
 	var told [2]*History
 	for i := range labs {
@@ -61,7 +61,7 @@
 		for _, sidecar := range []int{0, 1, 249, 250, sidecars - 1} {
 			for server := range count {
 				try := told[lab].begin(0, sidecar, 0, 0)
-				req, _ := http.NewRequest(http.MethodGet, "http://"+all.at(sidecar, server)+"/?work=1ms", nil)
+				req, _ := http.NewRequest(http.MethodGet, "http://"+all.address(sidecar, server)+"/?work=1ms", nil)
 				req.Header.Set("X-Request-ID", try.ID)
 				res, err := client.Do(req)
 				if err != nil {
@@ -76,7 +76,7 @@
 	}
 	for lab, all := range labs {
 		sum := 0.0
-		for _, n := range all.dialled.values() {
+		for _, n := range all.connections.values() {
 			sum += n
 		}
 		if sum != 5*count {
@@ -84,32 +84,32 @@
 		}
 	}
 	if wide {
-		stray := labs[1].net.at(0, labs[0].all[0].port)
+		stray := labs[1].net.address(0, labs[0].all[0].port)
 		if res, err := client.Get("http://" + stray + "/alive"); err == nil {
 			res.Body.Close()
 			t.Error("a server answered at another lab's address")
 		}
-		if n := len(labs[0].all[0].doors); n != 1 {
+		if n := len(labs[0].all[0].endpoints); n != 1 {
 			t.Errorf("a server has %d listeners", n)
 		}
 	}
 	labs[0].crash(0)
 	labs[0].silence(1, true)
 	for _, sidecar := range []int{0, sidecars - 1} {
-		if err := dial(labs[0].at(sidecar, 0)); !errors.Is(err, syscall.ECONNREFUSED) {
+		if err := dial(labs[0].address(sidecar, 0)); !errors.Is(err, syscall.ECONNREFUSED) {
 			t.Errorf("a dead server: %v", err)
 		}
 		var timeout net.Error
-		if err := dial(labs[0].at(sidecar, 1)); !errors.As(err, &timeout) || !timeout.Timeout() {
-			d := labs[0].all[1].doors[min(sidecar, len(labs[0].all[1].doors)-1)]
+		if err := dial(labs[0].address(sidecar, 1)); !errors.As(err, &timeout) || !timeout.Timeout() {
+			d := labs[0].all[1].endpoints[min(sidecar, len(labs[0].all[1].endpoints)-1)]
 			t.Errorf("a silent server, to sidecar %d: %v; its queue is full: %v, fillers %d", sidecar, err, d.full(), len(d.fillers))
 		}
 	}
-	if err := errors.Join(dial(labs[0].at(0, 2)), dial(labs[1].at(0, 0)), dial(labs[1].at(0, 1))); err != nil {
+	if err := errors.Join(dial(labs[0].address(0, 2)), dial(labs[1].address(0, 0)), dial(labs[1].address(0, 1))); err != nil {
 		t.Errorf("the others: %v", err)
 	}
 	labs[0].silence(1, false)
-	if err := errors.Join(labs[0].start(0), dial(labs[0].at(0, 0)), dial(labs[0].at(0, 1))); err != nil {
+	if err := errors.Join(labs[0].start(0), dial(labs[0].address(0, 0)), dial(labs[0].address(0, 1))); err != nil {
 		t.Errorf("when they are back: %v", err)
 	}
 }
@@ -127,7 +127,7 @@
 		if i%2 == 1 {
 			n = b
 		}
-		port, err := n.port()
+		port, err := n.allocatePort()
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -136,15 +136,15 @@
 		}
 		seen[port] = true
 	}
-	l, err := a.open(a.next, 1, "a test") // the next that it would give out
+	l, err := a.listen(a.next, 1, "a test") // the next that it would give out
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer l[0].Close()
-	if port, err := a.port(); err != nil || port == a.next-1 && port == l[0].Addr().(*net.TCPAddr).Port {
+	if port, err := a.allocatePort(); err != nil || port == a.next-1 && port == l[0].Addr().(*net.TCPAddr).Port {
 		t.Errorf("port %d, error %v: it is in use", port, err)
 	}
-	if _, err := b.open(l[0].Addr().(*net.TCPAddr).Port, 1, "server 7"); err == nil || !strings.Contains(err.Error(), "server 7") {
+	if _, err := b.listen(l[0].Addr().(*net.TCPAddr).Port, 1, "server 7"); err == nil || !strings.Contains(err.Error(), "server 7") {
 		t.Errorf("a port that is in use: error %v", err)
 	}
 	for _, c := range []struct {
@@ -156,7 +156,7 @@
 		{"[fleet]\nsidecars=300\nservers=200\nmesh=true\n[load]\neach=8", false, 1_000_000},
 		{"", false, 2_000},
 	} {
-		if need := needed(scene(t, c.scene), c.wide); need > c.most || c.most == 1_000_000 && need < 200_000 {
+		if need := descriptorsNeeded(readScenario(t, c.scene), c.wide); need > c.most || c.most == 1_000_000 && need < 200_000 {
 			t.Errorf("%q, wide %v: %d descriptors", c.scene, c.wide, need)
 		}
 	}
--- a/internal/lab/busy.go
+++ b/internal/lab/busy.go
@@ -16,9 +16,9 @@
 // busyMost bounds the busy loops that run at a time.
 const busyMost = 16
 
-// Busy keeps a core busy where the lab has started this process for that. It says whether it has; a program that plays scenarios
+// RunBusyLoop keeps a core busy where the lab has started this process for that. It says whether it has; a program that plays scenarios
 // calls it before anything else.
-func Busy() bool {
+func RunBusyLoop() bool {
 	length, err := time.ParseDuration(os.Getenv(busyEnv))
 	if err != nil {
 		return false
--- a/internal/lab/callfaults.go
+++ b/internal/lab/callfaults.go
@@ -15,8 +15,8 @@
 	"arrowgw/internal/sysfault"
 )
 
-// holdUp is how long a machine may keep a process from going on between two steps, at most.
-const holdUp = 150 * time.Millisecond
+// maxStall is how long a machine may keep a process from going on between two steps, at most.
+const maxStall = 150 * time.Millisecond
 
 // momentary are the errors that calls may fail with for a moment, by the number of the call.
 var momentary = map[int][]syscall.Errno{
@@ -40,7 +40,7 @@
 
 // callFaults decides the system calls of one process: it draws which fail, move few bytes or are held up.
 type callFaults struct {
-	broken func(local, remote netip.AddrPort) bool // hears that a connection is to break; false: it is to no server
+	breakConnection func(local, remote netip.AddrPort) bool // hears that a connection is to break; false: it is to no server
 
 	mu         sync.Mutex
 	supervisor *sysfault.Supervisor // nil until the process is under way
@@ -51,7 +51,7 @@
 
 // startSupervised starts a process whose system calls and clock a scenario can disturb.
 func startSupervised(cmd *exec.Cmd, seed uint64, broken func(local, remote netip.AddrPort) bool) (*callFaults, error) {
-	f := &callFaults{rng: rand.New(rand.NewPCG(seed, 8)), broken: broken}
+	f := &callFaults{rng: rand.New(rand.NewPCG(seed, 8)), breakConnection: broken}
 	var calls []int
 	for number := range momentary {
 		calls = append(calls, number)
@@ -88,7 +88,7 @@
 	case moves && draw < 0.6:
 		e.Most = 1 + f.rng.IntN(40)
 	case moves && draw < 0.62:
-		e.Delay = time.Duration(f.rng.Int64N(int64(holdUp)))
+		e.Delay = time.Duration(f.rng.Int64N(int64(maxStall)))
 	case moves && draw < 0.64 && f.breaks(c):
 		e.Errno = brokenErrors[f.rng.IntN(len(brokenErrors))]
 	case moves && draw < 0.8:
@@ -107,5 +107,5 @@
 		return false
 	}
 	local, remote, err := f.supervisor.Ends(int(int32(c.Arguments[0])))
-	return err == nil && f.broken(local, remote)
+	return err == nil && f.breakConnection(local, remote)
 }
--- a/internal/lab/client.go
+++ b/internal/lab/client.go
@@ -25,44 +25,44 @@
 // clients make the requests of a run when they are due, whatever became of the ones before. The time of an answer
 // counts from when its request was due, so that a sidecar or a lab that stands still is not hidden.
 type clients struct {
-	clock   clock
-	scene   *Scenario
-	history *History
-	net     *subnet
-	late    *lateness
-	classes []world.Class
+	clock    clock
+	scenario *Scenario
+	history  *History
+	net      *subnet
+	lateness *lateness
+	classes  []world.Class
 
 	perSidecar []*http.Client
 	once       *http.Client // for requests that are sent once more: each on a connection of its own
 
-	open    sync.WaitGroup
-	mu      sync.Mutex
-	latency []*hdrhistogram.Histogram // of served requests in microseconds, by class
-	seconds []*hdrhistogram.Histogram // and by the second in which they were due
-	count   map[Outcome]*counter      // requests by how they ended, in the second in which they were due
-	inTime  *counter                  // those served within their aim
-	served  []*counter                // by sidecar
-	live    atomic.Int64              // requests open now
+	open            sync.WaitGroup
+	mu              sync.Mutex
+	latency         []*hdrhistogram.Histogram // of served requests in microseconds, by class
+	latencyBySecond []*hdrhistogram.Histogram // and by the second in which they were due
+	outcomes        map[Outcome]*counter      // requests by how they ended, in the second in which they were due
+	inTime          *counter                  // those served within their aim
+	servedBySidecar []*counter                // by sidecar
+	live            atomic.Int64              // requests open now
 
 	clinging atomic.Int64 // requests of clients that keep their connections through a termination
 }
 
 func newClients(s *Scenario, c clock, h *History, n *subnet, late *lateness) *clients {
-	k := &clients{clock: c, scene: s, history: h, net: n, late: late, classes: s.classes(), count: make(map[Outcome]*counter)}
+	k := &clients{clock: c, scenario: s, history: h, net: n, lateness: late, classes: s.classes(), outcomes: make(map[Outcome]*counter)}
 	seconds := int(s.For.Std() / time.Second)
 	for range k.classes {
 		k.latency = append(k.latency, hdrhistogram.New(1, 60_000_000, 3))
 	}
 	for range seconds + 2 {
-		k.seconds = append(k.seconds, hdrhistogram.New(1, 60_000_000, 2))
+		k.latencyBySecond = append(k.latencyBySecond, hdrhistogram.New(1, 60_000_000, 2))
 	}
 	for _, o := range []Outcome{Served, Refused, Failed, GaveUp, Broken, Unreachable} {
-		k.count[o] = newCounter(seconds)
+		k.outcomes[o] = newCounter(seconds)
 	}
 	k.inTime = newCounter(seconds)
 	dial := (&net.Dialer{Timeout: dialTime}).DialContext
 	for range s.Fleet.Sidecars {
-		k.served = append(k.served, newCounter(seconds))
+		k.servedBySidecar = append(k.servedBySidecar, newCounter(seconds))
 		k.perSidecar = append(k.perSidecar, &http.Client{Transport: &http.Transport{
 			DialContext: dial, DisableCompression: true, MaxIdleConnsPerHost: 256, IdleConnTimeout: 30 * time.Second,
 		}})
@@ -90,7 +90,7 @@
 				return
 			}
 		}
-		k.late.count(a.At, k.clock.now())
+		k.lateness.record(a.At, k.clock.now())
 		k.open.Go(func() { k.request(i, a) })
 	}
 }
@@ -101,16 +101,16 @@
 	defer k.live.Add(-1)
 	class := k.classes[a.Class]
 	end, last := Asked{Arrival: a}, a.At+class.Deadline
-	heeds := float64(n%100) < 100*k.scene.Load.Heed
+	heeds := float64(n%100) < 100*k.scenario.Load.Heed
 	for {
 		t, pause := k.try(n, a, class, last, end.Tries > 0)
 		end.Tries++
 		end.Ended, end.End = t.Ended, t.End
-		if t.End == Served || end.Tries > k.scene.Load.Retries {
+		if t.End == Served || end.Tries > k.scenario.Load.Retries {
 			break
 		}
 		if !heeds || pause == 0 {
-			pause = k.scene.Load.Backoff.Std()
+			pause = k.scenario.Load.Backoff.Std()
 		}
 		if k.clock.now()+pause >= last {
 			break
@@ -118,12 +118,12 @@
 		time.Sleep(pause)
 	}
 	k.history.done(n, end)
-	k.count[end.End].add(a.At, 1)
+	k.outcomes[end.End].add(a.At, 1)
 	if end.End != Served {
 		return
 	}
 	took := end.Ended - a.At
-	k.served[a.Sidecar].add(a.At, 1)
+	k.servedBySidecar[a.Sidecar].add(a.At, 1)
 	if took <= class.Aim {
 		k.inTime.add(a.At, 1)
 	}
@@ -131,15 +131,15 @@
 	defer k.mu.Unlock()
 	us := min(max(1, took.Microseconds()), 60_000_000)
 	_ = k.latency[a.Class].RecordValue(us) // in range
-	_ = k.seconds[min(max(0, int(a.At/time.Second)), len(k.seconds)-1)].RecordValue(us)
+	_ = k.latencyBySecond[min(max(0, int(a.At/time.Second)), len(k.latencyBySecond)-1)].RecordValue(us)
 }
 
 // try makes one try and tells how long the answer asks to wait.
 func (k *clients) try(n int, a world.Arrival, class world.Class, last time.Duration, again bool) (*Try, time.Duration) {
 	now := k.clock.now()
-	patience := max(min(time.Duration(float64(class.Deadline)*k.scene.Load.Try), last-now), time.Millisecond)
+	patience := max(min(time.Duration(float64(class.Deadline)*k.scenario.Load.Try), last-now), time.Millisecond)
 	rng := rand.New(rand.NewPCG(uint64(n), uint64(now)))
-	m := k.scene.mannerAt(now, rng)
+	m := k.scenario.mannerAt(now, rng)
 	if m.hurry > 0 {
 		patience = min(patience, m.hurry)
 	}
@@ -150,7 +150,7 @@
 	}
 	t := begin()
 	t.Owed = now + patience
-	ctx, cancel := context.WithDeadline(context.Background(), k.clock.at(t.Owed+m.slow+k.scene.Load.late()))
+	ctx, cancel := context.WithDeadline(context.Background(), k.clock.timeAt(t.Owed+m.slow+k.scenario.Load.extraWait()))
 	defer cancel()
 	if m.leaves {
 		leaver := time.AfterFunc(m.slow+time.Duration(rng.Int64N(int64(patience))), func() {
@@ -192,7 +192,7 @@
 	} else {
 		text, body = k.bodyOf(t, m, patience)
 	}
-	url := fmt.Sprintf("http://%s/%s?%s", k.net.at(a.Sidecar, clientPort), class.Name, m.query(a, text))
+	url := fmt.Sprintf("http://%s/%s?%s", k.net.address(a.Sidecar, clientPort), class.Name, m.query(a, text))
 	req, err := http.NewRequest(method, url, body)
 	if err != nil {
 		panic(err) // of parts that are all well formed
--- a/internal/lab/conform_test.go
+++ b/internal/lab/conform_test.go
@@ -22,7 +22,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &run{scene: s, clock: newClock(), history: new(History), late: newLateness()}
+	r := &run{scenario: s, clock: newClock(), history: new(History), lateness: newLateness()}
 	if r.net, err = claimSubnet(); err != nil {
 		t.Fatal(err)
 	}
@@ -32,7 +32,7 @@
 	if r.roster, err = newRoster(s, r.clock, r.history, r.net, r.servers); err != nil {
 		t.Fatal(err)
 	}
-	program, err := settle(realProgram(t), rec.dir)
+	program, err := copyProgram(realProgram(t), rec.dir)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -99,8 +99,8 @@
 // The same checks run against a stand-in for a queue server and against the real sidecar: both serve the same HTTP.
 func TestServerAndSidecarHoldToTheProtocol(t *testing.T) {
 	t.Parallel()
-	s := scene(t, "[fleet]\nsidecars=1\nservers=1")
-	s.Patience = 9 * time.Second // as its requests have; an attempt is given up at its aim, which a busy machine may pass
+	s := readScenario(t, "[fleet]\nsidecars=1\nservers=1")
+	s.TimeLimits = 9 * time.Second // as its requests have; an attempt is given up at its aim, which a busy machine may pass
 	r := stage(t, s)
 	if _, err := r.processes.start(0); err != nil {
 		t.Fatal(err)
@@ -119,7 +119,7 @@
 			}
 		}
 	}
-	for who, address := range map[string]string{"server": r.servers.at(0, 0), "sidecar": r.net.at(0, clientPort)} {
+	for who, address := range map[string]string{"server": r.servers.address(0, 0), "sidecar": r.net.address(0, clientPort)} {
 		request := func(work string, more ...string) (head, body, id string) {
 			id = r.history.begin(0, 0, 0, r.clock.now()).ID
 			head = fmt.Sprintf("POST /publish?work=%s HTTP/1.1\r\nHost: x\r\nX-Request-ID: %s\r\nX-Priority-Class: publish\r\n"+
@@ -178,35 +178,35 @@
 			t.Errorf("%s: a request with no end began", who)
 		}
 		k = dial(t, address) // whoever closes gives up: what waits does not run
-		r.servers.change(0, func(m *world.Server) { m.Slow(1000) })
+		r.servers.changeModel(0, func(m *world.Server) { m.Slow(1000) })
 		var waiting []*talk
-		for range s.Serve.Slots + 1 {
-			w := dial(t, r.servers.at(0, 0))
+		for range s.Server.Slots + 1 {
+			w := dial(t, r.servers.address(0, 0))
 			head, body, _ := request("5ms")
 			w.say(head + body)
 			waiting = append(waiting, w)
 		}
-		until("the server is full", func() bool { return held() == s.Serve.Slots+1 })
+		until("the server is full", func() bool { return held() == s.Server.Slots+1 })
 		head, body, id = request("5ms")
 		k.say(head + body)
-		until("one more waits", func() bool { return held() == s.Serve.Slots+2 && reached(id) == 1 })
+		until("one more waits", func() bool { return held() == s.Server.Slots+2 && reached(id) == 1 })
 		k.Close()
-		until(who+": it is called off", func() bool { return held() == s.Serve.Slots+1 })
-		r.servers.change(0, func(m *world.Server) { m.Slow(0.001) })
+		until(who+": it is called off", func() bool { return held() == s.Server.Slots+1 })
+		r.servers.changeModel(0, func(m *world.Server) { m.Slow(0.001) })
 		for _, w := range waiting {
 			if status, _ := w.hear(); status != http.StatusOK {
 				t.Errorf("%s: one that waited was answered %d", who, status)
 			}
 		}
-		r.servers.change(0, func(m *world.Server) { m.Slow(1) })
+		r.servers.changeModel(0, func(m *world.Server) { m.Slow(1) })
 	}
 	r.servers.crash(0)
-	if c, err := net.DialTimeout("tcp", r.servers.at(0, 0), time.Second); err == nil {
+	if c, err := net.DialTimeout("tcp", r.servers.address(0, 0), time.Second); err == nil {
 		c.Close()
 		t.Error("a server whose process is dead accepts")
 	}
 	r.processes.kill(0)
-	if c, err := net.DialTimeout("tcp", r.net.at(0, clientPort), time.Second); err == nil {
+	if c, err := net.DialTimeout("tcp", r.net.address(0, clientPort), time.Second); err == nil {
 		c.Close()
 		t.Error("a sidecar whose process is dead accepts")
 	}
@@ -216,8 +216,8 @@
 // back all of that is reset.
 func TestVanishedServer(t *testing.T) {
 	t.Parallel()
-	r := stage(t, scene(t, "[fleet]\nsidecars=1\nservers=1"))
-	k := dial(t, r.servers.at(0, 0))
+	r := stage(t, readScenario(t, "[fleet]\nsidecars=1\nservers=1"))
+	k := dial(t, r.servers.address(0, 0))
 	k.say("GET /alive HTTP/1.1\r\nHost: x\r\n\r\n")
 	if status, _ := k.hear(); status != http.StatusOK {
 		t.Fatalf("probe answered %d", status)
@@ -226,7 +226,7 @@
 	k.say("GET /alive HTTP/1.1\r\nHost: x\r\n\r\n")
 	up := 0
 	for range 4 { // one may be in the queue of the kernel's own; it is answered by nobody
-		if c, err := net.DialTimeout("tcp", r.servers.at(0, 0), 20*time.Millisecond); err == nil {
+		if c, err := net.DialTimeout("tcp", r.servers.address(0, 0), 20*time.Millisecond); err == nil {
 			defer c.Close()
 			up++
 		}
@@ -243,7 +243,7 @@
 	if !k.ended() {
 		t.Error("an old connection goes on")
 	}
-	k = dial(t, r.servers.at(0, 0))
+	k = dial(t, r.servers.address(0, 0))
 	k.say("GET /alive HTTP/1.1\r\nHost: x\r\n\r\n")
 	if status, _ := k.hear(); status != http.StatusOK {
 		t.Errorf("probe answered %d", status)
@@ -253,7 +253,7 @@
 // Discovery answers as the protocol has it: the whole list, a watch that waits for news or its time, failures.
 func TestDiscoveryHoldsToTheProtocol(t *testing.T) {
 	t.Parallel()
-	r := stage(t, scene(t, "[fleet]\nsidecars=2\nservers=3"))
+	r := stage(t, readScenario(t, "[fleet]\nsidecars=2\nservers=3"))
 	get := func(sidecar int, query string) (int, listingJSON) {
 		t.Helper()
 		res, err := http.Get("http://" + r.roster.address(sidecar) + "/discovery/hosts" + query)
--- a/internal/lab/edge_test.go
+++ b/internal/lab/edge_test.go
@@ -71,18 +71,18 @@
 		{"just under", func(s int) int64 { return map[bool]int64{true: 100, false: 94}[s < 26] }, 36, 0, true, 1, 0.94},
 		{"it ends too soon", func(int) int64 { return 90 }, 27, 0, false, 0, 0},
 	} {
-		s := scene(t, "[fleet]\nservers=4")
+		s := readScenario(t, "[fleet]\nservers=4")
 		s.For = conf.Duration(time.Duration(c.until) * time.Second)
-		r := &run{scene: s, history: new(History), faults: new(faults)}
+		r := &run{scenario: s, history: new(History), faults: new(faults)}
 		r.clients = newClients(s, newClock(), r.history, nil, nil)
-		r.servers = &servers{tipped: newCounter(c.until)}
-		r.faults.marks = []Mark{{At: 12 * time.Second, Until: 16 * time.Second}, {At: 10 * time.Second, Until: 11 * time.Second}}
+		r.servers = &servers{congested: newCounter(c.until)}
+		r.faults.played = []PlayedFault{{At: 12 * time.Second, Until: 16 * time.Second}, {At: 10 * time.Second, Until: 11 * time.Second}}
 		for second := range c.until {
 			at := time.Duration(second) * time.Second
 			r.clients.inTime.add(at, c.inTime(second))
-			r.clients.count[Served].add(at, c.inTime(second))
-			r.clients.count[Refused].add(at, 100-c.inTime(second))
-			r.servers.tipped.add(at, int64(second/26)) // from 26 s on
+			r.clients.outcomes[Served].add(at, c.inTime(second))
+			r.clients.outcomes[Refused].add(at, 100-c.inTime(second))
+			r.servers.congested.add(at, int64(second/26)) // from 26 s on
 			r.history.asked = append(r.history.asked, Asked{Arrival: world.Arrival{At: at}, Tries: 1 + second/26, End: Served})
 		}
 		f := make(map[string]float64)
--- a/internal/lab/experiment.go
+++ b/internal/lab/experiment.go
@@ -166,7 +166,7 @@
 // at is the same run at another load.
 func (c cell) at(use float64) cell {
 	scene := *c.scene
-	scene.Load.Use = use
+	scene.Load.Utilization = use
 	scene.Name = fmt.Sprintf("%s@%.3g", c.scene.Name, use)
 	c.scene = &scene
 	c.options.Out = filepath.Join(filepath.Dir(c.options.Out), fmt.Sprintf("use-%.3g", use), filepath.Base(c.options.Out))
@@ -264,7 +264,7 @@
 					if size > 0 {
 						scene.Fleet.Sidecars = size
 						folder = fmt.Sprintf("%s-%d", s.Name, size)
-						if err := scene.check(); err != nil {
+						if err := scene.validate(); err != nil {
 							return nil, fmt.Errorf("%s with %d sidecars: %w", name, size, err)
 						}
 					}
--- a/internal/lab/faults.go
+++ b/internal/lab/faults.go
@@ -13,10 +13,10 @@
 	"arrowgw/internal/world"
 )
 
-// Mark is a fault as it was played, for the report.
-type Mark struct {
-	At, Until time.Duration // Until is 0 where it was never mended
-	Text      string
+// PlayedFault is a fault as it was played, for the report.
+type PlayedFault struct {
+	At, Until   time.Duration // Until is 0 where it was never mended
+	Description string
 }
 
 // reloadGap is the time between two signals to read the configuration again, in a row of them.
@@ -28,15 +28,15 @@
 	rng  *rand.Rand // of damages; guarded by mu
 	work sync.WaitGroup
 
-	lives []sync.Mutex // by sidecar: one end and new start after the other
+	restartMu []sync.Mutex // by sidecar: one end and new start after the other
 
-	mu    sync.Mutex
-	marks []Mark
-	errs  []error
+	mu     sync.Mutex
+	played []PlayedFault
+	errs   []error
 }
 
 // play plays the plan until the context ends, and returns once all that was begun has ended too.
-func (f *faults) play(ctx context.Context, plan []Action) {
+func (f *faults) play(ctx context.Context, plan []PlannedFault) {
 	defer f.work.Wait()
 	for _, a := range plan {
 		if !sleep(ctx, a.At.Std()-f.run.clock.now()) {
@@ -48,29 +48,29 @@
 			f.mu.Unlock()
 		}
 		f.mu.Lock()
-		f.marks = append(f.marks, Mark{At: a.At.Std(), Text: a.text()})
-		mark := len(f.marks) - 1
+		f.played = append(f.played, PlayedFault{At: a.At.Std(), Description: a.describe()})
+		mark := len(f.played) - 1
 		f.mu.Unlock()
 		f.work.Go(func() {
 			if err := f.act(ctx, a); err != nil && ctx.Err() == nil {
 				f.mu.Lock()
-				f.errs = append(f.errs, fmt.Errorf("fault %s: %w", a.text(), err))
+				f.errs = append(f.errs, fmt.Errorf("fault %s: %w", a.describe(), err))
 				f.mu.Unlock()
 			}
 			f.mu.Lock()
 			defer f.mu.Unlock()
-			if a.For > 0 || a.Do == "upgrade" {
-				f.marks[mark].Until = f.run.clock.now()
+			if a.For > 0 || a.Kind == "upgrade" {
+				f.played[mark].Until = f.run.clock.now()
 			}
 		})
 	}
 }
 
-// text words an action for people.
-func (a Action) text() string {
-	words := []string{a.Do}
-	if kinds[a.Do].on != "discovery" && kinds[a.Do].on != "load" {
-		words = append(words, kinds[a.Do].on+"s", fmt.Sprint(a.Targets))
+// describe words an action for people.
+func (a PlannedFault) describe() string {
+	words := []string{a.Kind}
+	if faultKinds[a.Kind].on != "discovery" && faultKinds[a.Kind].on != "load" {
+		words = append(words, faultKinds[a.Kind].on+"s", fmt.Sprint(a.Targets))
 	}
 	if a.Size != 0 {
 		words = append(words, fmt.Sprintf("size %g", a.Size))
@@ -97,15 +97,15 @@
 }
 
 // act carries out one action on all its targets: at once, or one after another where it has a pause.
-func (f *faults) act(ctx context.Context, a Action) error {
-	one := map[string]func(context.Context, Action, int) error{
-		"sidecar": f.sidecar, "server": f.server, "discovery": f.discovery, "link": f.link,
+func (f *faults) act(ctx context.Context, a PlannedFault) error {
+	one := map[string]func(context.Context, PlannedFault, int) error{
+		"sidecar": f.sidecarFault, "server": f.serverFault, "discovery": f.discovery, "link": f.link,
 		"load": f.load,
-	}[kinds[a.Do].on]
+	}[faultKinds[a.Kind].on]
 	var all sync.WaitGroup
 	errs := make(chan error, len(a.Targets))
 	for i, target := range a.Targets {
-		if i > 0 && a.Pause > 0 && kinds[a.Do].on != "link" && kinds[a.Do].on != "discovery" && !sleep(ctx, a.Pause.Std()) {
+		if i > 0 && a.Pause > 0 && faultKinds[a.Kind].on != "link" && faultKinds[a.Kind].on != "discovery" && !sleep(ctx, a.Pause.Std()) {
 			break
 		}
 		all.Go(func() { errs <- one(ctx, a, target) })
@@ -125,25 +125,25 @@
 }
 
 // load carries out what is not in the arrivals already.
-func (f *faults) load(ctx context.Context, a Action, _ int) error {
-	if a.Do != "busy" {
+func (f *faults) load(ctx context.Context, a PlannedFault, _ int) error {
+	if a.Kind != "busy" {
 		return nil
 	}
 	return keepBusy(ctx, f.run.processes.launch, int(a.Size), a.For.Std())
 }
 
 // mended waits until an action's time is over; false: it is for good, or the run ends before.
-func mended(ctx context.Context, a Action) bool { return a.For > 0 && sleep(ctx, a.For.Std()) }
+func mended(ctx context.Context, a PlannedFault) bool { return a.For > 0 && sleep(ctx, a.For.Std()) }
 
-func (f *faults) sidecar(ctx context.Context, a Action, i int) error {
+func (f *faults) sidecarFault(ctx context.Context, a PlannedFault, i int) error {
 	p := f.run.processes
 	h := f.run.hollow
-	if a.Do == "push" {
+	if a.Kind == "push" {
 		return h.push(ctx, i, int(a.Size))
 	}
 	if h.holder(i) != nil {
 		from := time.Now()
-		err := h.end(i, a.Do == "stop")
+		err := h.end(i, a.Kind == "stop")
 		if err == nil && a.For == 0 {
 			err = h.lost(ctx, i, from)
 		}
@@ -157,29 +157,29 @@
 		_, err := p.start(i)
 		return err
 	}
-	if slices.Contains([]string{"kill", "stop", "upgrade", "term", "swap"}, a.Do) {
-		f.lives[i].Lock()
-		defer f.lives[i].Unlock()
+	if slices.Contains([]string{"kill", "stop", "upgrade", "term", "swap"}, a.Kind) {
+		f.restartMu[i].Lock()
+		defer f.restartMu[i].Unlock()
 	}
-	switch a.Do {
+	switch a.Kind {
 	case "kill":
 		p.kill(i)
 		if !mended(ctx, a) {
 			return nil
 		}
 		f.mu.Lock()
-		err := p.damage(i, a.State, f.rng)
+		err := p.damageState(i, a.State, f.rng)
 		f.mu.Unlock()
 		return errors.Join(err, again())
 	case "stop":
-		if q := p.of(i); q != nil {
+		if q := p.running(i); q != nil {
 			p.stop(q)
 		}
 		if mended(ctx, a) {
 			return again()
 		}
 	case "pause":
-		q := p.of(i)
+		q := p.running(i)
 		p.pause(q, true)
 		mended(ctx, a)
 		p.pause(q, false)
@@ -210,7 +210,7 @@
 }
 
 // hangUps has a sidecar read its configuration again, several times in a row.
-func (f *faults) hangUps(ctx context.Context, a Action, i int) error {
+func (f *faults) hangUps(ctx context.Context, a PlannedFault, i int) error {
 	for range int(a.Size) {
 		if err := f.run.processes.reload(i); err != nil {
 			return err
@@ -222,29 +222,29 @@
 	return nil
 }
 
-func (f *faults) server(ctx context.Context, a Action, i int) error {
-	s, r, list := f.run.servers, f.run.roster, f.run.scene.List
+func (f *faults) serverFault(ctx context.Context, a PlannedFault, i int) error {
+	s, r, list := f.run.servers, f.run.roster, f.run.scenario.Discovery
 	entry := func(life world.Life) world.Entry { return world.Entry{Server: i, Life: life} }
 	fresh := func() world.Entry {
 		e := entry(world.Ready)
 		e.Started = f.run.clock.now()
 		return e
 	}
-	switch a.Do {
+	switch a.Kind {
 	case "crash":
 		s.crash(i)
-		r.hear(list.Notice.Std(), entry(world.Gone))
+		r.hear(list.UpdateDelay.Std(), entry(world.Gone))
 		if mended(ctx, a) {
-			r.hear(list.Notice.Std(), fresh())
+			r.hear(list.UpdateDelay.Std(), fresh())
 			return s.start(i)
 		}
 	case "replace":
 		s.crash(i)
-		r.hear(list.Notice.Std(), entry(world.Gone))
+		r.hear(list.UpdateDelay.Std(), entry(world.Gone))
 		sleep(ctx, a.For.Std())
 		if ctx.Err() == nil {
-			i = a.Spares[slices.Index(a.Targets, i)]
-			r.hear(list.Notice.Std(), fresh())
+			i = a.Replacements[slices.Index(a.Targets, i)]
+			r.hear(list.UpdateDelay.Std(), fresh())
 			return s.start(i)
 		}
 	case "silence":
@@ -252,27 +252,27 @@
 		r.hear(list.Silence.Std(), entry(world.Gone))
 		if mended(ctx, a) {
 			s.silence(i, false)
-			r.hear(list.Notice.Std(), fresh())
+			r.hear(list.UpdateDelay.Std(), fresh())
 		}
 	case "drain":
-		r.hear(list.Notice.Std(), entry(world.Draining))
+		r.hear(list.UpdateDelay.Std(), entry(world.Draining))
 		if mended(ctx, a) {
-			r.hear(list.Notice.Std(), entry(world.Ready))
+			r.hear(list.UpdateDelay.Std(), entry(world.Ready))
 		}
 	case "slow":
-		s.change(i, func(m *world.Server) { m.Slow(a.Size) })
+		s.changeModel(i, func(m *world.Server) { m.Slow(a.Size) })
 		if mended(ctx, a) {
-			s.change(i, func(m *world.Server) { m.Slow(1) })
+			s.changeModel(i, func(m *world.Server) { m.Slow(1) })
 		}
 	case "err":
-		s.change(i, func(m *world.Server) { m.Err(a.Size) })
+		s.changeModel(i, func(m *world.Server) { m.Err(a.Size) })
 		if mended(ctx, a) {
-			s.change(i, func(m *world.Server) { m.Err(0) })
+			s.changeModel(i, func(m *world.Server) { m.Err(0) })
 		}
 	case "refuse":
-		s.change(i, func(m *world.Server) { m.Refuse(true) })
+		s.changeModel(i, func(m *world.Server) { m.Refuse(true) })
 		if mended(ctx, a) {
-			s.change(i, func(m *world.Server) { m.Refuse(false) })
+			s.changeModel(i, func(m *world.Server) { m.Refuse(false) })
 		}
 	case "spoil", "hang", "reset", "close":
 		f.misbehaviour(ctx, a, i)
@@ -291,9 +291,9 @@
 
 // disturb does something to a sidecar's surroundings: its system calls, its clock, or who connects. It ends at the
 // process that it began at, whichever is the sidecar's by then.
-func (f *faults) disturb(ctx context.Context, a Action, i int) {
-	q := f.run.processes.of(i)
-	switch a.Do {
+func (f *faults) disturb(ctx context.Context, a PlannedFault, i int) {
+	q := f.run.processes.running(i)
+	switch a.Kind {
 	case "calls":
 		q.disturb(a.Size)
 		mended(ctx, a)
@@ -312,9 +312,9 @@
 }
 
 // misbehaviour has a server answer badly while a fault lasts.
-func (f *faults) misbehaviour(ctx context.Context, a Action, i int) {
+func (f *faults) misbehaviour(ctx context.Context, a PlannedFault, i int) {
 	s := f.run.servers
-	switch a.Do {
+	switch a.Kind {
 	case "reset":
 		s.misbehave(i, (*server).reset)
 		return
@@ -324,7 +324,7 @@
 	}
 	set := func(share float64) func(u *server) {
 		return func(u *server) {
-			if a.Do == "hang" {
+			if a.Kind == "hang" {
 				u.hangs = share
 			} else {
 				u.spoils = share
@@ -337,13 +337,13 @@
 }
 
 // beRude has strangers connect to a sidecar, one after the other, while the fault lasts.
-func (f *faults) beRude(ctx context.Context, a Action, sidecar int) {
+func (f *faults) beRude(ctx context.Context, a PlannedFault, sidecar int) {
 	ctx, cancel := context.WithTimeout(ctx, a.For.Std())
 	defer cancel()
 	h, c := f.run.history, f.run.clock
 	for n := 0; ctx.Err() == nil; n++ {
 		from := c.now()
-		if err := rude(f.run.net.at(sidecar, clientPort), rudeKinds[n%len(rudeKinds)]); err != nil {
+		if err := rude(f.run.net.address(sidecar, clientPort), rudeKinds[n%len(rudeKinds)]); err != nil {
 			h.note(&h.peers, "a stranger that came to sidecar %s at %v: %v", sidecarName(sidecar), from, err)
 		}
 		sleep(ctx, rudeRest)
@@ -353,10 +353,10 @@
 // byHand calls at every sidecar's console, as an operator does: again and again until it says yes.
 func (f *faults) byHand(ctx context.Context, call string, server int) {
 	var all sync.WaitGroup
-	for i := range f.run.scene.Fleet.Sidecars {
+	for i := range f.run.scenario.Fleet.Sidecars {
 		all.Go(func() {
 			for ctx.Err() == nil {
-				if q := f.run.processes.of(i); q != nil {
+				if q := f.run.processes.running(i); q != nil {
 					if call == "enable-server" { // from the moment that it may be heard
 						f.run.history.tell(Told{At: f.run.clock.now(), Sidecar: i, Server: server, ByHand: true})
 					}
@@ -374,9 +374,9 @@
 	all.Wait()
 }
 
-func (f *faults) discovery(ctx context.Context, a Action, _ int) error {
+func (f *faults) discovery(ctx context.Context, a PlannedFault, _ int) error {
 	r := f.run.roster
-	switch a.Do {
+	switch a.Kind {
 	case "away":
 		r.outage(true)
 		if mended(ctx, a) {
@@ -398,7 +398,7 @@
 		if err := f.run.hollow.lists(ctx, r.move); err != nil {
 			return err
 		}
-		for i := range f.run.scene.Fleet.Sidecars {
+		for i := range f.run.scenario.Fleet.Sidecars {
 			if err := f.run.processes.reload(i); err != nil {
 				return err
 			}
@@ -407,14 +407,14 @@
 	return nil
 }
 
-func (f *faults) link(ctx context.Context, a Action, i int) error {
+func (f *faults) link(ctx context.Context, a PlannedFault, i int) error {
 	set := func(on bool) {
 		change := func(w *weather) {
 			size := a.Size
 			if !on {
 				size = 0
 			}
-			switch a.Do {
+			switch a.Kind {
 			case "cut":
 				w.cut = on
 			case "delay":
@@ -456,7 +456,7 @@
 		h.changed(f.run.clock)
 	}
 	oneLink := a.Way != "both" && len(a.Targets)*len(a.Peers) == 1 // the others ask for those two
-	if a.Do == "cut" && !oneLink || a.Do == "limit" {
+	if a.Kind == "cut" && !oneLink || a.Kind == "limit" {
 		h.life(&h.cuts, span{i, from, f.run.clock.now()})
 	}
 	return nil
--- a/internal/lab/hold.go
+++ b/internal/lab/hold.go
@@ -37,7 +37,7 @@
 		_ = syscall.Setrlimit(syscall.RLIMIT_NOFILE, &limit) // or some will not start, and say so
 	}
 	h := &holder{all: make(map[int]*sidecar.Hollow), late: newLateness()}
-	go h.late.watch(newClock(), context.Background().Done())
+	go h.late.measure(newClock(), context.Background().Done())
 	server := rpc.NewServer()
 	if err := server.RegisterName("Hold", h); err != nil {
 		panic(err) // of methods that the compiler has seen
@@ -214,7 +214,7 @@
 	for number, one := range h.running() {
 		r.Traffic[number] = one.Traffic()
 	}
-	r.CPU, r.Goroutines = cpuOf(syscall.RUSAGE_SELF), runtime.NumGoroutine()
+	r.CPU, r.Goroutines = cpuTime(syscall.RUSAGE_SELF), runtime.NumGoroutine()
 	if collect {
 		runtime.GC()
 		var m runtime.MemStats
@@ -226,7 +226,7 @@
 
 // Lateness judges the time since the last call of it, which was so long ago.
 func (h *holder) Lateness(length time.Duration, why *string) error {
-	*why = h.late.judge(length)
+	*why = h.late.reason(length)
 	h.late.reset()
 	return nil
 }
--- a/internal/lab/hollow.go
+++ b/internal/lab/hollow.go
@@ -57,17 +57,17 @@
 	if n == 0 {
 		return nil
 	}
-	where := s.from
-	if line := s.lines["fleet.hollow"]; line > 0 {
-		where = fmt.Sprintf("%s:%d", s.from, line)
+	where := s.file
+	if line := s.keyLines["fleet.hollow"]; line > 0 {
+		where = fmt.Sprintf("%s:%d", s.file, line)
 	}
-	need := int64(n)*int64(hollowBytes+memberBytes*s.all()+listedBytes*s.Fleet.Servers) + int64(s.Fleet.Sidecars)*wholeBytes
+	need := int64(n)*int64(hollowBytes+memberBytes*s.totalSidecars()+listedBytes*s.Fleet.Servers) + int64(s.Fleet.Sidecars)*wholeBytes
 	switch processes := s.Fleet.Sidecars + (n+heldMost-1)/heldMost; {
 	case need > memory/2:
 		return fmt.Errorf("%s: key \"fleet.hollow\" is %d: about %d MiB are needed, and %d, half of this machine's memory, are allowed", where, n, need>>20, memory>>21)
 	case processes > processMost:
 		return fmt.Errorf("%s: key \"fleet.hollow\" is %d: %d processes beside it, %d are allowed", where, n, processes, processMost)
-	case s.Fleet.Mesh && s.all() > 400:
+	case s.Fleet.Mesh && s.totalSidecars() > 400:
 		return fmt.Errorf("%s: key \"fleet.hollow\" is %d: with fleet.mesh 400 sidecars of both kinds are allowed", where, n)
 	}
 	return nil
@@ -108,7 +108,7 @@
 func (r *run) startHollow(ctx context.Context) (err error) {
 	h := &hollows{run: r, ctx: ctx, figures: make(map[string][]float64)}
 	r.hollow = h
-	s := r.scene
+	s := r.scenario
 	if s.Fleet.Hollow == 0 {
 		return nil
 	}
@@ -116,8 +116,8 @@
 	if err != nil {
 		return err
 	}
-	for from := s.Fleet.Sidecars; from < s.all(); from += heldMost {
-		one, err := h.begin(program, from, min(from+heldMost, s.all()))
+	for from := s.Fleet.Sidecars; from < s.totalSidecars(); from += heldMost {
+		one, err := h.begin(program, from, min(from+heldMost, s.totalSidecars()))
 		if err != nil {
 			return err
 		}
@@ -127,7 +127,7 @@
 	err = h.each(func(one *held) error {
 		var specs []HollowSpec
 		for i := one.from; i < one.to; i++ {
-			config, err := r.processes.configure(i, 0)
+			config, err := r.processes.writeConfig(i, 0)
 			if err != nil {
 				return err
 			}
@@ -139,7 +139,7 @@
 		return err
 	}
 	started := time.Now()
-	for i := s.Fleet.Sidecars; i < s.all(); i++ {
+	for i := s.Fleet.Sidecars; i < s.totalSidecars(); i++ {
 		r.history.runs(i, r.clock.now(), true)
 	}
 	h.count("hollow_started_s", started.Sub(began).Seconds())
@@ -149,7 +149,7 @@
 		if err != nil {
 			return err
 		}
-		if !seen && l.Least == s.all() {
+		if !seen && l.Least == s.totalSidecars() {
 			seen = true
 			h.count("hollow_see_all_s", time.Since(started).Seconds())
 		}
@@ -203,7 +203,7 @@
 	if err := h.call(one, "Hold.Look", Question{}, &l); err != nil {
 		return nil, errors.Join(fmt.Errorf("a holder of hollow sidecars: %w", err), one.cmd.Process.Kill())
 	}
-	one.base, _, _ = usage(one.cmd.Process.Pid)
+	one.base, _, _ = processUsage(one.cmd.Process.Pid)
 	return one, nil
 }
 
@@ -322,7 +322,7 @@
 // again starts one that has ended.
 func (h *hollows) again(sidecar int) error {
 	p := h.run.processes
-	config, err := p.configure(sidecar, 0)
+	config, err := p.writeConfig(sidecar, 0)
 	if err != nil {
 		return err
 	}
@@ -379,7 +379,7 @@
 	from := time.Now()
 	if one := h.holder(sidecar); one != nil {
 		err = h.call(one, "Hold.ReadRules", sidecar, &struct{}{})
-	} else if q := p.of(sidecar); q != nil {
+	} else if q := p.running(sidecar); q != nil {
 		err = q.cmd.Process.Signal(syscall.SIGHUP)
 	}
 	if err != nil {
@@ -415,8 +415,8 @@
 
 // wholeInForce says whether all whole sidecars have a version in force.
 func (h *hollows) wholeInForce(version uint64) bool {
-	for i := range h.run.scene.Fleet.Sidecars {
-		if q := h.run.processes.of(i); q != nil {
+	for i := range h.run.scenario.Fleet.Sidecars {
+		if q := h.run.processes.running(i); q != nil {
 			stat, err := statOf(q.console)
 			if err != nil || stat["app.rules_version"] < float64(version) {
 				return false
@@ -500,7 +500,7 @@
 		if err := h.call(one, "Hold.Report", collect, &had); err != nil {
 			return err
 		}
-		rss, _, _ := usage(one.cmd.Process.Pid)
+		rss, _, _ := processUsage(one.cmd.Process.Pid)
 		mu.Lock()
 		defer mu.Unlock()
 		for i, t := range had.Traffic {
@@ -516,8 +516,8 @@
 	if err != nil {
 		return nil, err
 	}
-	for i := range h.run.scene.Fleet.Sidecars {
-		q := h.run.processes.of(i)
+	for i := range h.run.scenario.Fleet.Sidecars {
+		q := h.run.processes.running(i)
 		if q == nil {
 			continue
 		}
--- a/internal/lab/judge.go
+++ b/internal/lab/judge.go
@@ -52,7 +52,7 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for _, inv := range invariants {
-		if !slices.Contains(s.Hold, inv.name) {
+		if !slices.Contains(s.Invariants, inv.name) {
 			continue
 		}
 		v := Verdict{Invariant: inv.name, Judged: !late || !inv.timed}
@@ -222,7 +222,7 @@
 func leftAlone(h *History, _ *Scenario, broken func(string, ...any)) {
 	for _, t := range h.tries {
 		for _, r := range t.Reached {
-			if t.Left > 0 && r.At > t.Left+leftSlack+holdUp+socketRoom {
+			if t.Left > 0 && r.At > t.Left+leftSlack+maxStall+socketRoom {
 				broken("request %s came to server %d at %v; its client had left at %v", t.ID, r.Server, r.At, t.Left)
 			}
 		}
--- a/internal/lab/lab.go
+++ b/internal/lab/lab.go
@@ -41,19 +41,21 @@
 	return c
 }
 
-// begin has the clock come to zero after d.
-func (c clock) begin(d time.Duration) { c.offset.Store(int64(time.Since(c.made) + d)) }
+// startIn has the clock come to zero after d.
+func (c clock) startIn(d time.Duration) { c.offset.Store(int64(time.Since(c.made) + d)) }
 
 func (c clock) now() time.Duration { return time.Since(c.made) - time.Duration(c.offset.Load()) }
 
-func (c clock) at(d time.Duration) time.Time { return c.made.Add(d + time.Duration(c.offset.Load())) }
+func (c clock) timeAt(d time.Duration) time.Time {
+	return c.made.Add(d + time.Duration(c.offset.Load()))
+}
 
 // lateness is how late the lab itself ran: a timer that should go off does so later where the machine is busy.
 type lateness struct {
-	mu   sync.Mutex
-	hist *hdrhistogram.Histogram
-	gaps []gap // the times in which it was very late
-	over int   // and how many more there were
+	mu          sync.Mutex
+	hist        *hdrhistogram.Histogram
+	gaps        []gap // the times in which it was very late
+	gapsDropped int   // and how many more there were
 }
 
 type gap struct{ from, to time.Duration }
@@ -68,8 +70,8 @@
 
 func newLateness() *lateness { return &lateness{hist: hdrhistogram.New(1, 60_000_000, 3)} }
 
-// watch measures until stop is closed.
-func (l *lateness) watch(c clock, stop <-chan struct{}) {
+// measure measures until stop is closed.
+func (l *lateness) measure(c clock, stop <-chan struct{}) {
 	t := time.NewTimer(latePoll)
 	defer t.Stop()
 	for due := c.now() + latePoll; ; {
@@ -79,14 +81,14 @@
 		case <-t.C:
 		}
 		now := c.now()
-		l.count(due, now)
+		l.record(due, now)
 		due = now + latePoll
 		t.Reset(latePoll)
 	}
 }
 
-// count takes that something due was done at a moment.
-func (l *lateness) count(due, done time.Duration) {
+// record takes that something due was done at a moment.
+func (l *lateness) record(due, done time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	_ = l.hist.RecordValue(min(max(1, (done-due).Microseconds()), 60_000_000)) // in range
@@ -94,7 +96,7 @@
 		return
 	}
 	if len(l.gaps) >= gapsMost {
-		l.over++
+		l.gapsDropped++
 		return
 	}
 	l.gaps = append(l.gaps, gap{due, done})
@@ -105,11 +107,11 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.hist.Reset()
-	l.gaps, l.over = nil, 0
+	l.gaps, l.gapsDropped = nil, 0
 }
 
-// judge says whether a run of that length was late, and why.
-func (l *lateness) judge(length time.Duration) string {
+// reason says whether a run of that length was late, and why.
+func (l *lateness) reason(length time.Duration) string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var lost time.Duration
@@ -119,26 +121,26 @@
 	if p99 := time.Duration(l.hist.ValueAtQuantile(99)) * time.Microsecond; p99 > lateTail {
 		return fmt.Sprintf("the lab's timers went off up to %v late in 99 of 100 cases, %v is allowed", p99, lateTail)
 	}
-	if part := float64(lost) / float64(length); part > lateParts || l.over > 0 {
+	if part := float64(lost) / float64(length); part > lateParts || l.gapsDropped > 0 {
 		return fmt.Sprintf("the lab stood still for %v in all, in gaps of over %v", lost, lateGap)
 	}
 	return ""
 }
 
 // counter counts by second, for plots. It is safe for concurrent use.
-type counter struct{ by []atomic.Int64 }
+type counter struct{ perSecond []atomic.Int64 }
 
 func newCounter(seconds int) *counter { return &counter{make([]atomic.Int64, seconds+2)} }
 
 // add counts n in the second of a moment; what is outside of the run counts in the nearest.
 func (c *counter) add(at time.Duration, n int64) {
-	c.by[min(max(0, int(at/time.Second)), len(c.by)-1)].Add(n)
+	c.perSecond[min(max(0, int(at/time.Second)), len(c.perSecond)-1)].Add(n)
 }
 
 func (c *counter) values() []float64 {
-	v := make([]float64, len(c.by))
-	for i := range c.by {
-		v[i] = float64(c.by[i].Load())
+	v := make([]float64, len(c.perSecond))
+	for i := range c.perSecond {
+		v[i] = float64(c.perSecond[i].Load())
 	}
 	return v
 }
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -29,7 +29,7 @@
 // TestMain lets the test program stand in for a sidecar that does wrong, and for a lab that is killed.
 func TestMain(m *testing.M) {
 	sysfault.Launch()
-	if Hold() || Busy() {
+	if Hold() || RunBusyLoop() {
 		return
 	}
 	switch {
@@ -169,7 +169,7 @@
 }
 
 // scene reads a scenario that a test has as text.
-func scene(t testing.TB, text string) *Scenario {
+func readScenario(t testing.TB, text string) *Scenario {
 	t.Helper()
 	s, err := ReadScenario("test.toml", []byte("about = 'a test'\n"+text))
 	if err != nil {
@@ -178,8 +178,8 @@
 	return s
 }
 
-// play plays a scenario and tells which invariants broke.
-func play(t *testing.T, s *Scenario, o Options) (*Result, map[string]Verdict) {
+// playScenario plays a scenario and tells which invariants broke.
+func playScenario(t *testing.T, s *Scenario, o Options) (*Result, map[string]Verdict) {
 	t.Helper()
 	res, err := Play(t.Context(), s, o)
 	if err != nil {
@@ -213,7 +213,7 @@
 	} {
 		t.Run(strings.TrimSpace(c.wrong+" "+c.breaks), func(t *testing.T) {
 			t.Parallel()
-			s := scene(t, fmt.Sprintf(`for = "4s"
+			s := readScenario(t, fmt.Sprintf(`for = "4s"
 [fleet]
 sidecars = 2
 servers = 3
@@ -230,11 +230,11 @@
 notice = "100ms"
 %s`, c.wrong, c.faults))
 			if c.breaks == "" || c.breaks == "drains" || c.breaks == "cold" {
-				s.Serve.FallAt = map[string]float64{"cold": 1}[c.breaks] // no server falls for other reasons
+				s.Server.FallAt = map[string]float64{"cold": 1}[c.breaks] // no server falls for other reasons
 			} else {
-				s.Serve.FallAt = 0
+				s.Server.FallAt = 0
 			}
-			res, broken := play(t, s, Options{Seed: 1, Program: os.Args[0]})
+			res, broken := playScenario(t, s, Options{Seed: 1, Program: os.Args[0]})
 			for name, v := range broken {
 				if name != c.breaks && !(c.wrong == "ends" && name == "answered") { // what it held ends with it
 					t.Errorf("%s is broken too: %v", name, v.Findings)
@@ -277,7 +277,7 @@
 // happens, every invariant holds, and the result can be read again.
 func TestRealFleetUnderFaults(t *testing.T) {
 	t.Parallel()
-	s := scene(t, `for = "7s"
+	s := readScenario(t, `for = "7s"
 [fleet]
 sidecars = 4
 servers = 6
@@ -329,7 +329,7 @@
 do = "silence"
 target = "3"`)
 	dir := t.TempDir()
-	res, broken := play(t, s, Options{Seed: 3, Program: realProgram(t), Out: dir})
+	res, broken := playScenario(t, s, Options{Seed: 3, Program: realProgram(t), Out: dir})
 	for name, v := range broken {
 		t.Errorf("%s is broken %d times: %s", name, v.Broken, strings.Join(v.Findings, "\n"))
 	}
@@ -353,11 +353,11 @@
 }
 
 func TestSameSeedSamePlan(t *testing.T) {
-	s := scene(t, "[[fault]]\nat='1s'\ndo='kill'\ntarget='50%'\n[[fault]]\nat='0s'\ndo='slow'\nsize=2\ntarget='25%'")
+	s := readScenario(t, "[[fault]]\nat='1s'\ndo='kill'\ntarget='50%'\n[[fault]]\nat='0s'\ndo='slow'\nsize=2\ntarget='25%'")
 	if !reflect.DeepEqual(s.Plan(4), s.Plan(4)) || !reflect.DeepEqual(s.arrivals(4), s.arrivals(4)) {
 		t.Error("the same seed gives another plan or other requests")
 	}
-	if plan := s.Plan(4); plan[0].Do != "slow" || len(plan[1].Targets) != 2 {
+	if plan := s.Plan(4); plan[0].Kind != "slow" || len(plan[1].Targets) != 2 {
 		t.Errorf("plan %v", plan)
 	}
 	other := false
@@ -397,14 +397,14 @@
 // A sidecar that does not come up, and one that ends at once, are errors that name it.
 func TestSidecarsThatDoNotStart(t *testing.T) {
 	t.Parallel()
-	s := scene(t, "[fleet]\nsidecars=1\nservers=1\nfile=\"nonsense = 1\"")
+	s := readScenario(t, "[fleet]\nsidecars=1\nservers=1\nfile=\"nonsense = 1\"")
 	if _, err := Play(t.Context(), s, Options{Program: realProgram(t)}); err == nil || !strings.Contains(err.Error(), "n0") || !strings.Contains(err.Error(), "nonsense") {
 		t.Errorf("error %v", err)
 	}
 	if _, err := Play(t.Context(), s, Options{Program: "/nonexistent"}); err == nil {
 		t.Error("a program that does not exist was played")
 	}
-	many := scene(t, "[fleet]\nsidecars=400\nservers=400\n[load]\nuse=5")
+	many := readScenario(t, "[fleet]\nsidecars=400\nservers=400\n[load]\nuse=5")
 	if _, err := Play(t.Context(), many, Options{}); err == nil || !strings.Contains(err.Error(), "descriptors") {
 		t.Errorf("error %v", err)
 	}
--- a/internal/lab/manners.go
+++ b/internal/lab/manners.go
@@ -26,11 +26,11 @@
 
 // manner is how a client makes a try.
 type manner struct {
-	leaves   bool // before its time is up
-	long     int  // bytes of its body and of its answer; 0: short ones
-	slow     time.Duration
-	hurry    time.Duration // the time that it has; 0: the usual
-	pipeline int           // tries on one connection, sent at once; 0: one, on a connection that is kept
+	leaves    bool // before its time is up
+	longBytes int  // bytes of its body and of its answer; 0: short ones
+	slow      time.Duration
+	hurry     time.Duration // the time that it has; 0: the usual
+	pipeline  int           // tries on one connection, sent at once; 0: one, on a connection that is kept
 }
 
 // mannerAt draws how a client behaves by what the timetable has at a moment.
@@ -38,7 +38,7 @@
 	drawn := func(do string) bool { return rng.Float64() < s.shareOf(do, now) }
 	m.leaves = drawn("leave")
 	if drawn("long") {
-		m.long = longLeast + rng.IntN(longMost-longLeast)
+		m.longBytes = longLeast + rng.IntN(longMost-longLeast)
 	}
 	if drawn("dawdle") {
 		m.slow = time.Duration(rng.Int64N(int64(slowMost)))
@@ -46,7 +46,7 @@
 	if drawn("hurry") {
 		m.hurry = hurryLeast + time.Duration(rng.Int64N(int64(hurryMost-hurryLeast)))
 	}
-	if drawn("pipeline") && m.long == 0 && m.slow == 0 {
+	if drawn("pipeline") && m.longBytes == 0 && m.slow == 0 {
 		m.pipeline = 2 + rng.IntN(pipeMost-1)
 	}
 	return m
@@ -55,22 +55,22 @@
 // shareOf is the size of a fault of the load at a moment, by the timetable; the largest, where there are several.
 func (s *Scenario) shareOf(do string, now time.Duration) (share float64) {
 	for _, f := range s.Fault {
-		if f.Do == do && now >= f.At.Std() && now < f.At.Std()+f.For.Std() {
+		if f.Kind == do && now >= f.At.Std() && now < f.At.Std()+f.For.Std() {
 			share = max(share, f.Size)
 		}
 	}
 	return share
 }
 
-// body is a request's body: slow clients write it in pieces, and their time begins with its last byte.
-type body struct {
+// requestBody is a request's body: slow clients write it in pieces, and their time begins with its last byte.
+type requestBody struct {
 	text  *strings.Reader
 	pause time.Duration // before each piece
 	piece int           // bytes of one; 0: no limit
 	whole func()        // hears that the last byte goes out
 }
 
-func (b *body) Read(p []byte) (int, error) {
+func (b *requestBody) Read(p []byte) (int, error) {
 	if b.text.Len() == 0 {
 		return 0, io.EOF
 	}
@@ -88,13 +88,13 @@
 // bodyOf words a try's body in its manner.
 func (k *clients) bodyOf(t *Try, m manner, patience time.Duration) (text string, reader io.Reader) {
 	text = `{"n":1}`
-	if m.long > 0 {
-		text = strings.Repeat(t.ID, m.long/len(t.ID))
+	if m.longBytes > 0 {
+		text = strings.Repeat(t.ID, m.longBytes/len(t.ID))
 	}
-	if m.long == 0 && m.slow == 0 {
+	if m.longBytes == 0 && m.slow == 0 {
 		return text, strings.NewReader(text)
 	}
-	b := &body{text: strings.NewReader(text), whole: func() { k.history.sent(t, k.clock.now(), patience) }}
+	b := &requestBody{text: strings.NewReader(text), whole: func() { k.history.sent(t, k.clock.now(), patience) }}
 	if m.slow > 0 {
 		b.pause, b.piece = m.slow/slowPieces, len(text)/slowPieces+1
 	}
@@ -115,7 +115,7 @@
 		}
 	}
 	first, last := tries[0], tries[len(tries)-1]
-	c, err := net.DialTimeout("tcp", k.net.at(first.Sidecar, clientPort), dialTime)
+	c, err := net.DialTimeout("tcp", k.net.address(first.Sidecar, clientPort), dialTime)
 	if err != nil {
 		for _, t := range tries {
 			k.history.end(t, k.clock.now(), Unreachable, 0, "", false, false)
@@ -123,8 +123,8 @@
 		return first
 	}
 	defer c.Close()
-	_ = c.SetDeadline(k.clock.at(last.Owed + k.scene.Load.late())) // fails only on a closed one
-	_, _ = io.WriteString(c, text.String())                        // that it is closed shows as answers are read
+	_ = c.SetDeadline(k.clock.timeAt(last.Owed + k.scenario.Load.extraWait())) // fails only on a closed one
+	_, _ = io.WriteString(c, text.String())                                    // that it is closed shows as answers are read
 	r := bufio.NewReader(c)
 	for i, t := range tries {
 		end, status, answer, partial := readAnswer(r)
@@ -171,8 +171,8 @@
 // query words the part of a try's URL that tells its server what to answer.
 func (m manner) query(a world.Arrival, body string) string {
 	text := fmt.Sprintf("work=%v", a.Work)
-	if m.long > 0 {
-		text += fmt.Sprintf("&answer=%d&sum=%s", m.long, sumOf([]byte(body)))
+	if m.longBytes > 0 {
+		text += fmt.Sprintf("&answer=%d&sum=%s", m.longBytes, sumOf([]byte(body)))
 	}
 	return text
 }
--- a/internal/lab/process.go
+++ b/internal/lab/process.go
@@ -43,49 +43,49 @@
 
 // process is one process of a sidecar.
 type process struct {
-	sidecar int
-	turn    int // number among its sidecar's processes
-	cmd     *exec.Cmd
-	console string
-	log     string
-	ended   chan struct{} // closed at its end
-	wanted  bool          // that it ends
-	paused  bool
-	written float64      // bytes to disks
-	calls   *callFaults  // nil: it is not under supervision
-	born    atomic.Int64 // when it was ready, by the run's clock; until then far ahead
+	sidecar      int
+	turn         int // number among its sidecar's processes
+	cmd          *exec.Cmd
+	console      string
+	log          string
+	ended        chan struct{} // closed at its end
+	endExpected  bool          // that it ends
+	paused       bool
+	bytesWritten float64      // bytes to disks
+	calls        *callFaults  // nil: it is not under supervision
+	readyAt      atomic.Int64 // when it was ready, by the run's clock; until then far ahead
 }
 
 // processes are all sidecars' processes.
 type processes struct {
-	clock   clock
-	scene   *Scenario
-	history *History
-	net     *subnet
-	roster  *roster
-	program string
-	dir     string // of this run
-	logs    string
-	record  *record
-	seed    uint64
-	starter chan func() // runs on one thread, that lives as long as the lab: the processes die with it
-	closed  sync.Once
-	routes  func(sidecar int) map[string]string
-
-	mu      sync.Mutex
-	current []*process // by sidecar; nil: none
-	turns   []int
-	all     []*process
-	maxRSS  float64 // MiB
-	allRSS  float64 // of all at once
-	maxFDs  int
-	written float64       // bytes that all processes have written to disks, by the last looks at them
-	cpu     time.Duration // of all that have ended
+	clock    clock
+	scenario *Scenario
+	history  *History
+	net      *subnet
+	roster   *roster
+	program  string
+	dir      string // of this run
+	logs     string
+	record   *record
+	seed     uint64
+	starter  chan func() // runs on one thread, that lives as long as the lab: the processes die with it
+	closed   sync.Once
+	routes   func(sidecar int) map[string]string
+
+	mu           sync.Mutex
+	current      []*process // by sidecar; nil: none
+	turns        []int
+	all          []*process
+	maxRSS       float64 // MiB
+	maxTotalRSS  float64 // of all at once
+	maxFDs       int
+	bytesWritten float64       // bytes that all processes have written to disks, by the last looks at them
+	cpu          time.Duration // of all that have ended
 }
 
 func newProcesses(s *Scenario, c clock, h *History, n *subnet, r *roster, program, dir, logs string, rec *record, seed uint64) *processes {
 	p := &processes{
-		clock: c, scene: s, history: h, net: n, roster: r, program: program, dir: dir, logs: logs, record: rec, seed: seed,
+		clock: c, scenario: s, history: h, net: n, roster: r, program: program, dir: dir, logs: logs, record: rec, seed: seed,
 		starter: make(chan func()), current: make([]*process, s.Fleet.Sidecars), turns: make([]int, s.Fleet.Sidecars),
 		routes: func(int) map[string]string { return nil },
 	}
@@ -103,8 +103,8 @@
 	return filepath.Join(p.dir, "state", strconv.Itoa(sidecar))
 }
 
-// configure writes a sidecar's configuration for the process of that turn.
-func (p *processes) configure(sidecar, turn int) (path string, err error) {
+// writeConfig writes a sidecar's configuration for the process of that turn.
+func (p *processes) writeConfig(sidecar, turn int) (path string, err error) {
 	folder := filepath.Join(p.dir, "config")
 	if err := errors.Join(os.MkdirAll(p.stateDir(sidecar), 0o755), os.MkdirAll(folder, 0o755)); err != nil {
 		return "", err
@@ -114,10 +114,10 @@
 			return "", err
 		}
 	}
-	s := p.scene
+	s := p.scenario
 	file := map[string]any{
-		"name": sidecarName(sidecar), "listen": p.net.at(sidecar, clientPort), "discovery": p.roster.address(sidecar),
-		"console": p.net.at(sidecar, consolePort+turn%consoles),
+		"name": sidecarName(sidecar), "listen": p.net.address(sidecar, clientPort), "discovery": p.roster.address(sidecar),
+		"console": p.net.address(sidecar, consolePort+turn%consoles),
 		"seed":    strconv.FormatUint(rand.New(rand.NewPCG(p.seed, 5+uint64(sidecar)<<16+uint64(turn)<<40)).Uint64(), 16),
 		"limits":  map[string]any{"cores": 1, "memory_mb": s.Fleet.MemoryMB, "sockets": s.Fleet.Sockets},
 	}
@@ -132,7 +132,7 @@
 			text += fmt.Sprintf("%q = %q\n", name, address)
 		}
 		text = strings.NewReplacer(
-			"{name}", sidecarName(sidecar), "{host}", p.net.host(sidecar), "{peer}", p.net.at(sidecar, peerPort), "{rules}", p.rulesFile(sidecar),
+			"{name}", sidecarName(sidecar), "{host}", p.net.host(sidecar), "{peer}", p.net.address(sidecar, peerPort), "{rules}", p.rulesFile(sidecar),
 			"{seed0}", p.joinBy(0), "{seed1}", p.joinBy(1), "{seed2}", p.joinBy(2),
 		).Replace(text)
 		fleet := filepath.Join(folder, fmt.Sprintf("%d.toml", sidecar))
@@ -156,12 +156,12 @@
 
 // joinBy is a sidecar as others can join by it without a route.
 func (p *processes) joinBy(sidecar int) string {
-	return sidecarName(sidecar) + "/" + p.net.at(sidecar, peerPort)
+	return sidecarName(sidecar) + "/" + p.net.address(sidecar, peerPort)
 }
 
 // settings are the platform's settings object.
 func (p *processes) settings(sidecar int) map[string]any {
-	s := p.scene
+	s := p.scenario
 	var zones []string
 	for z := range s.Fleet.Zones {
 		zones = append(zones, zoneName(z))
@@ -182,7 +182,7 @@
 		})
 	}
 	return map[string]any{
-		"balancers": cmp.Or(s.Fleet.Told, s.all()), "me": sidecar, "zone": s.zoneOf(sidecar), "zones": zones, "period_ms": 2,
+		"balancers": cmp.Or(s.Fleet.StatedSidecars, s.totalSidecars()), "me": sidecar, "zone": s.zoneOf(sidecar), "zones": zones, "period_ms": 2,
 		"discovery": "ask", "weights": "nominal", "worth_by": "work",
 		"caps": map[string]any{
 			"conn_idle_ms": ms(serverIdle), "dial_timeout_ms": 75, "may_cancel": true, "most_tries": 6, "max_open": 26451,
@@ -191,8 +191,8 @@
 		"charges": map[string]any{"cross_zone": 0.03}, "client_habits": map[string]any{"marks_retry": true},
 		"classes": classes, "orgs": orgs,
 		"rules": map[string]any{
-			"answer_slack_ms": 8, "ask_within_ms": 10_000, "cold_from": s.Serve.ColdFrom, "cold_ms": ms(s.Serve.ColdTime.Std()),
-			"fall_multiple": s.Serve.FallAt, "overload_for_ms": ms(s.Serve.FallFor.Std()), "stop_sending_within_ms": ms(drainGrace),
+			"answer_slack_ms": 8, "ask_within_ms": 10_000, "cold_from": s.Server.ColdFrom, "cold_ms": ms(s.Server.ColdTime.Std()),
+			"fall_multiple": s.Server.FallAt, "overload_for_ms": ms(s.Server.FallFor.Std()), "stop_sending_within_ms": ms(drainGrace),
 		},
 		"telemetry": map[string]any{"how": "silent", "columns": []string{}},
 	}
@@ -206,15 +206,15 @@
 	turn := p.turns[sidecar]
 	p.turns[sidecar]++
 	p.mu.Unlock()
-	config, err := p.configure(sidecar, turn)
+	config, err := p.writeConfig(sidecar, turn)
 	if err != nil {
 		return nil, err
 	}
 	q := &process{
-		sidecar: sidecar, turn: turn, console: p.net.at(sidecar, consolePort+turn%consoles), ended: make(chan struct{}),
+		sidecar: sidecar, turn: turn, console: p.net.address(sidecar, consolePort+turn%consoles), ended: make(chan struct{}),
 		log: filepath.Join(p.logs, fmt.Sprintf("%s-%d.log", sidecarName(sidecar), turn)),
 	}
-	q.born.Store(math.MaxInt64)
+	q.readyAt.Store(math.MaxInt64)
 	out, err := os.Create(q.log)
 	if err != nil {
 		return nil, err
@@ -226,10 +226,10 @@
 		q.cmd.Dir, q.cmd.Stdout, q.cmd.Stderr = p.dir, out, out
 		q.cmd.Env = append(os.Environ(), "EDGE_CONFIG="+config, "TMPDIR="+p.stateDir(sidecar), "EDGE_LISTEN=", "EDGE_FLEET=")
 		q.cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
-		if os.Getuid() == 0 && !p.scene.Fleet.Supervised { // this program, which begins each supervised one, may be nobody else's to run
+		if os.Getuid() == 0 && !p.scenario.Fleet.Supervised { // this program, which begins each supervised one, may be nobody else's to run
 			q.cmd.SysProcAttr.Credential = &syscall.Credential{Uid: ordinary, Gid: ordinary}
 		}
-		err := p.onStarter(func() error { return p.begin(q) })
+		err := p.onStarter(func() error { return p.startProcess(q) })
 		if err == nil {
 			break
 		}
@@ -246,11 +246,11 @@
 	p.all = append(p.all, q)
 	p.mu.Unlock()
 	go p.wait(q)
-	if err := p.ready(q); err != nil {
+	if err := p.waitReady(q); err != nil {
 		return q, err
 	}
 	at := p.clock.now()
-	q.born.Store(int64(at))
+	q.readyAt.Store(int64(at))
 	p.history.runs(sidecar, at, true)
 	if turn > 0 {
 		p.history.life(&p.history.started, span{sidecar, born, p.clock.now()})
@@ -269,11 +269,11 @@
 func (p *processes) launch(cmd *exec.Cmd) error { return p.onStarter(cmd.Start) }
 
 // begin starts a process, under supervision where the scenario wants that.
-func (p *processes) begin(q *process) (err error) {
-	if !p.scene.Fleet.Supervised {
+func (p *processes) startProcess(q *process) (err error) {
+	if !p.scenario.Fleet.Supervised {
 		return q.cmd.Start()
 	}
-	q.calls, err = startSupervised(q.cmd, p.seed+uint64(q.sidecar)<<16+uint64(q.turn)<<40, p.roster.servers.broken)
+	q.calls, err = startSupervised(q.cmd, p.seed+uint64(q.sidecar)<<16+uint64(q.turn)<<40, p.roster.servers.noteBrokenConnection)
 	return err
 }
 
@@ -326,7 +326,7 @@
 	err := q.cmd.Wait()
 	p.mu.Lock()
 	p.cpu += q.cmd.ProcessState.UserTime() + q.cmd.ProcessState.SystemTime()
-	wanted := q.wanted
+	wanted := q.endExpected
 	last := p.current[q.sidecar] == q
 	if last {
 		p.current[q.sidecar] = nil
@@ -359,10 +359,10 @@
 	return strings.TrimSpace(string(raw))
 }
 
-// ready waits until the process serves: its console says so, and it answers where clients connect.
-func (p *processes) ready(q *process) error {
+// waitReady waits until the process serves: its console says so, and it answers where clients connect.
+func (p *processes) waitReady(q *process) error {
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: readyTime}
-	most := readyTime + time.Duration(p.scene.Fleet.Sidecars)*readyEach
+	most := readyTime + time.Duration(p.scenario.Fleet.Sidecars)*readyEach
 	end := time.Now().Add(most)
 	var last error
 	for time.Now().Before(end) {
@@ -376,7 +376,7 @@
 			last = fmt.Errorf("its console at %s: %q, %w", q.console, answer, err)
 			continue
 		}
-		res, err := client.Get("http://" + p.net.at(q.sidecar, clientPort) + "/up")
+		res, err := client.Get("http://" + p.net.address(q.sidecar, clientPort) + "/up")
 		if err == nil {
 			res.Body.Close()
 			if res.StatusCode == http.StatusOK {
@@ -404,8 +404,8 @@
 	return strings.TrimSpace(answer), err
 }
 
-// of is a sidecar's process of now, or nil.
-func (p *processes) of(sidecar int) *process {
+// running is a sidecar's process of now, or nil.
+func (p *processes) running(sidecar int) *process {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.current[sidecar]
@@ -413,13 +413,13 @@
 
 // kill ends a sidecar's process at once.
 func (p *processes) kill(sidecar int) {
-	q := p.of(sidecar)
+	q := p.running(sidecar)
 	if q == nil {
 		return
 	}
 	from := p.clock.now()
 	p.mu.Lock()
-	q.wanted = true
+	q.endExpected = true
 	p.mu.Unlock()
 	_ = q.cmd.Process.Kill() // it may have ended by itself
 	<-q.ended
@@ -429,7 +429,7 @@
 // stop tells a process to stop and waits for its end.
 func (p *processes) stop(q *process) {
 	p.mu.Lock()
-	q.wanted = true
+	q.endExpected = true
 	p.mu.Unlock()
 	_ = q.cmd.Process.Signal(syscall.SIGTERM) // it may have ended by itself
 	select {
@@ -462,7 +462,7 @@
 
 // starve takes a share of the time from a process, a piece in each starvePeriod, until the context ends.
 func (p *processes) starve(ctx context.Context, sidecar int, share float64) {
-	q := p.of(sidecar)
+	q := p.running(sidecar)
 	if q == nil {
 		return
 	}
@@ -477,7 +477,7 @@
 
 // upgrade starts a process beside the old one, which is told to stop once the new one is ready.
 func (p *processes) upgrade(sidecar int) error {
-	old := p.of(sidecar)
+	old := p.running(sidecar)
 	if _, err := p.start(sidecar); err != nil {
 		return err
 	}
@@ -489,11 +489,11 @@
 
 // reload has a sidecar read its configuration again.
 func (p *processes) reload(sidecar int) error {
-	q := p.of(sidecar)
+	q := p.running(sidecar)
 	if q == nil {
 		return nil
 	}
-	if _, err := p.configure(sidecar, q.turn); err != nil {
+	if _, err := p.writeConfig(sidecar, q.turn); err != nil {
 		return err
 	}
 	if q.mayReload(p.clock.now()) {
@@ -518,13 +518,13 @@
 
 // mayReload says whether the platform may tell a process to read its configuration again.
 func (q *process) mayReload(now time.Duration) bool {
-	born := q.born.Load()
+	born := q.readyAt.Load()
 	return born != math.MaxInt64 && now >= time.Duration(born)+noReload
 }
 
 // fileLimit bounds what files of a process may hold, in place of a disk that is full.
 func (p *processes) fileLimit(sidecar int, bytes uint64) error {
-	q := p.of(sidecar)
+	q := p.running(sidecar)
 	if q == nil {
 		return nil
 	}
@@ -542,8 +542,8 @@
 	return nil
 }
 
-// damage does to a state folder what the scenario wants.
-func (p *processes) damage(sidecar int, how string, rng *rand.Rand) error {
+// damageState does to a state folder what the scenario wants.
+func (p *processes) damageState(sidecar int, how string, rng *rand.Rand) error {
 	dir := p.stateDir(sidecar)
 	if how == "readonly" {
 		return os.Chmod(dir, 0o555)
@@ -589,31 +589,31 @@
 	defer func() {
 		p.mu.Lock()
 		defer p.mu.Unlock()
-		p.allRSS = max(p.allRSS, sum)
+		p.maxTotalRSS = max(p.maxTotalRSS, sum)
 	}()
 	for _, q := range live {
-		rss, fds, ok := usage(q.cmd.Process.Pid)
+		rss, fds, ok := processUsage(q.cmd.Process.Pid)
 		if !ok {
 			continue // it has just ended
 		}
 		sum += rss
 		p.mu.Lock()
 		p.maxRSS, p.maxFDs = max(p.maxRSS, rss), max(p.maxFDs, fds)
-		if now := writtenBy(q.cmd.Process.Pid); now > q.written {
-			p.written, q.written = p.written+now-q.written, now
+		if now := writtenBy(q.cmd.Process.Pid); now > q.bytesWritten {
+			p.bytesWritten, q.bytesWritten = p.bytesWritten+now-q.bytesWritten, now
 		}
 		p.mu.Unlock()
-		if rss > float64(p.scene.Fleet.MemoryMB) {
-			p.history.note(&p.history.over, "at %v sidecar %s has %.1f MiB of %d", p.clock.now(), sidecarName(q.sidecar), rss, p.scene.Fleet.MemoryMB)
+		if rss > float64(p.scenario.Fleet.MemoryMB) {
+			p.history.note(&p.history.over, "at %v sidecar %s has %.1f MiB of %d", p.clock.now(), sidecarName(q.sidecar), rss, p.scenario.Fleet.MemoryMB)
 		}
-		if fds > p.scene.Fleet.Sockets {
-			p.history.note(&p.history.over, "at %v sidecar %s has %d descriptors of %d", p.clock.now(), sidecarName(q.sidecar), fds, p.scene.Fleet.Sockets)
+		if fds > p.scenario.Fleet.Sockets {
+			p.history.note(&p.history.over, "at %v sidecar %s has %d descriptors of %d", p.clock.now(), sidecarName(q.sidecar), fds, p.scenario.Fleet.Sockets)
 		}
 	}
 }
 
-// usage reads a process's memory in MiB and its descriptors.
-func usage(pid int) (rss float64, fds int, ok bool) {
+// processUsage reads a process's memory in MiB and its descriptors.
+func processUsage(pid int) (rss float64, fds int, ok bool) {
 	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/statm", pid))
 	if err != nil {
 		return 0, 0, false
--- a/internal/lab/relay.go
+++ b/internal/lab/relay.go
@@ -36,14 +36,14 @@
 	mesh     *mesh
 	from, to int
 
-	mu      sync.Mutex
-	now     weather
-	changed chan struct{} // closed with each change
-	rng     *rand.Rand
-	free    time.Time // when the link has room for the next bytes, where it is limited
-	flying  int       // packets under way
-	lost    int       // and those that were cut off or dropped
-	open    int       // connections
+	mu         sync.Mutex
+	conditions weather
+	changed    chan struct{} // closed with each change
+	rng        *rand.Rand
+	free       time.Time // when the link has room for the next bytes, where it is limited
+	flying     int       // packets under way
+	lost       int       // and those that were cut off or dropped
+	open       int       // connections
 }
 
 // gate is where all others reach one sidecar: one socket for packets and one for streams, or one of each for each of the
@@ -54,15 +54,15 @@
 	tcp  []*net.TCPListener
 }
 
-// out is the socket by which packets go out from a sidecar's address at the gate's port.
-func (g *gate) out(sidecar int) *net.UDPConn { return g.udp[min(sidecar, len(g.udp)-1)] }
+// sendSocket is the socket by which packets go out from a sidecar's address at the gate's port.
+func (g *gate) sendSocket(sidecar int) *net.UDPConn { return g.udp[min(sidecar, len(g.udp)-1)] }
 
 // mesh is the network between sidecars: a gate for each sidecar, and a link for each ordered pair.
 type mesh struct {
-	net   *subnet
-	gates []*gate
-	links [][]*link // by from and to
-	added *lateSum  // the relays' own added time
+	net        *subnet
+	gates      []*gate
+	links      [][]*link // by from and to
+	addedDelay *lateSum  // the relays' own added time
 
 	flying atomic.Int64 // packets under way on all links
 
@@ -75,20 +75,20 @@
 
 // lateSum sums how much later than wanted the relays passed packets on.
 type lateSum struct {
-	mu   sync.Mutex
-	sum  time.Duration
-	n    int
-	most time.Duration
+	mu  sync.Mutex
+	sum time.Duration
+	n   int
+	max time.Duration
 }
 
 func (l *lateSum) add(d time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.sum, l.n, l.most = l.sum+d, l.n+1, max(l.most, d)
+	l.sum, l.n, l.max = l.sum+d, l.n+1, max(l.max, d)
 }
 
 func newMesh(sidecars int, n *subnet, seed uint64) (*mesh, error) {
-	m := &mesh{net: n, added: new(lateSum), conns: make(map[net.Conn]bool), done: make(chan struct{})}
+	m := &mesh{net: n, addedDelay: new(lateSum), conns: make(map[net.Conn]bool), done: make(chan struct{})}
 	for to := range sidecars {
 		g, err := m.gate(to, sidecars)
 		if err != nil {
@@ -121,7 +121,7 @@
 
 // gate opens one.
 func (m *mesh) gate(to, sidecars int) (*gate, error) {
-	port, err := m.net.port()
+	port, err := m.net.allocatePort()
 	if err != nil {
 		return nil, err
 	}
@@ -133,7 +133,7 @@
 	for _, p := range udp {
 		_ = p.SetReadBuffer(packetRoom) // as much as the system gives
 	}
-	tcp, err := m.net.open(port, sidecars, whose)
+	tcp, err := m.net.listen(port, sidecars, whose)
 	if err != nil {
 		for _, p := range udp {
 			p.Close()
@@ -145,7 +145,7 @@
 
 // link is the way from the sidecar at an address that was called to another; nil: there is none.
 func (m *mesh) link(called netip.Addr, to int) *link {
-	from := m.net.sidecar(called)
+	from := m.net.sidecarAt(called)
 	if from < 0 || from >= len(m.links) {
 		return nil
 	}
@@ -157,7 +157,7 @@
 	r := make(map[string]string)
 	for to, g := range m.gates {
 		if to != sidecar {
-			r[sidecarName(to)] = m.net.at(sidecar, g.port)
+			r[sidecarName(to)] = m.net.address(sidecar, g.port)
 		}
 	}
 	return r
@@ -171,7 +171,7 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	change(&l.now)
+	change(&l.conditions)
 	close(l.changed)
 	l.changed = make(chan struct{})
 }
@@ -197,7 +197,7 @@
 // packets passes the packets to one sidecar on until the mesh is closed.
 func (m *mesh) packets(to int, p *net.UDPConn) {
 	buffer, oob := make([]byte, packetMost), make([]byte, 256)
-	address, from := netip.AddrPortFrom(m.net.ip(to), peerPort), source(m.net.ip(to))
+	address, from := netip.AddrPortFrom(m.net.ip(to), peerPort), sourceAddress(m.net.ip(to))
 	for {
 		n, more, _, _, err := p.ReadMsgUDPAddrPort(buffer, oob)
 		if errors.Is(err, net.ErrClosed) {
@@ -212,11 +212,11 @@
 		if l == nil {
 			continue // by an address that is no other's of this run
 		}
-		back := m.gates[l.from].out(to) // the address at its port is where the receiver reaches the sender
+		back := m.gates[l.from].sendSocket(to) // the address at its port is where the receiver reaches the sender
 		for _, wait := range l.fate(n) {
 			if wait == 0 {
 				_, _, _ = back.WriteMsgUDPAddrPort(buffer[:n], from, address) // packets may be lost
-				m.added.add(time.Since(came))
+				m.addedDelay.add(time.Since(came))
 				continue
 			}
 			packet := append([]byte(nil), buffer[:n]...)
@@ -225,11 +225,11 @@
 				m.flying.Add(-1)
 				l.mu.Lock()
 				l.flying--
-				cut := l.now.cut
+				cut := l.conditions.cut
 				l.mu.Unlock()
 				if !cut {
 					_, _, _ = back.WriteMsgUDPAddrPort(packet, from, address)
-					m.added.add(time.Since(due))
+					m.addedDelay.add(time.Since(due))
 				}
 			})
 		}
@@ -240,7 +240,7 @@
 func (l *link) fate(bytes int) (waits []time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	w := l.now
+	w := l.conditions
 	if w.cut || l.rng.Float64() < w.drop {
 		l.lost++
 		return nil
@@ -268,7 +268,7 @@
 
 // queue is how long bytes wait for a link that is limited.
 func (l *link) queue(bytes int) time.Duration {
-	if l.now.rate <= 0 {
+	if l.conditions.rate <= 0 {
 		return 0
 	}
 	now := time.Now()
@@ -276,7 +276,7 @@
 		l.free = now
 	}
 	wait := l.free.Sub(now)
-	l.free = l.free.Add(time.Duration(float64(bytes) / l.now.rate * float64(time.Second)))
+	l.free = l.free.Add(time.Duration(float64(bytes) / l.conditions.rate * float64(time.Second)))
 	return wait
 }
 
@@ -299,7 +299,7 @@
 		}
 		m.work.Go(func() {
 			defer l.enter(-1)
-			l.stream(c)
+			l.relayStream(c)
 		})
 	}
 }
@@ -316,15 +316,15 @@
 	return true
 }
 
-// stream passes one connection on. While the link is cut nothing passes, and nothing ends: nobody is told.
-func (l *link) stream(c net.Conn) {
+// relayStream passes one connection on. While the link is cut nothing passes, and nothing ends: nobody is told.
+func (l *link) relayStream(c net.Conn) {
 	defer c.Close()
 	if !l.mesh.hold(c) || !l.clear() {
 		return
 	}
 	defer l.mesh.drop(c)
 	dialer := net.Dialer{Timeout: 5 * time.Second}
-	peer, err := dialer.Dial("tcp", l.mesh.net.at(l.to, peerPort))
+	peer, err := dialer.Dial("tcp", l.mesh.net.address(l.to, peerPort))
 	if err != nil {
 		return
 	}
@@ -362,7 +362,7 @@
 func (l *link) clear() bool {
 	for {
 		l.mu.Lock()
-		cut, changed := l.now.cut, l.changed
+		cut, changed := l.conditions.cut, l.changed
 		l.mu.Unlock()
 		if !cut {
 			return true
@@ -389,7 +389,7 @@
 			n, err := from.Read(data)
 			if n > 0 {
 				l.mu.Lock()
-				wait := l.now.delay + l.queue(n)
+				wait := l.conditions.delay + l.queue(n)
 				l.mu.Unlock()
 				select {
 				case pieces <- piece{time.Now().Add(wait), data[:n]}:
--- a/internal/lab/relay_test.go
+++ b/internal/lab/relay_test.go
@@ -11,28 +11,28 @@
 	"time"
 )
 
-// peers are three ends with a mesh between them: each has a packet socket and a listener. Most tests use the first two.
-type peers struct {
+// relayPeers are three ends with a mesh between them: each has a packet socket and a listener. Most tests use the first two.
+type relayPeers struct {
 	mesh *mesh
 	udp  [3]*net.UDPConn
 	tcp  [3]net.Listener
 }
 
-func newPeers(t testing.TB, wide bool) *peers {
+func newPeers(t testing.TB, wide bool) *relayPeers {
 	t.Helper()
 	n := land(t, wide)
 	var err error
-	p := new(peers)
+	p := new(relayPeers)
 	if p.mesh, err = newMesh(len(p.udp), n, 1); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(p.mesh.close)
 	for i := range p.udp {
-		at, _ := net.ResolveUDPAddr("udp", n.at(i, peerPort))
+		at, _ := net.ResolveUDPAddr("udp", n.address(i, peerPort))
 		if p.udp[i], err = net.ListenUDP("udp", at); err != nil {
 			t.Fatal(err)
 		}
-		if p.tcp[i], err = net.Listen("tcp", n.at(i, peerPort)); err != nil {
+		if p.tcp[i], err = net.Listen("tcp", n.address(i, peerPort)); err != nil {
 			t.Fatal(err)
 		}
 		t.Cleanup(func() { p.udp[i].Close(); p.tcp[i].Close() })
@@ -41,7 +41,7 @@
 }
 
 // send sends a packet from one end to the other, by the relay.
-func (p *peers) send(t testing.TB, from int, text string) {
+func (p *relayPeers) send(t testing.TB, from int, text string) {
 	t.Helper()
 	to, _ := net.ResolveUDPAddr("udp", p.mesh.routes(from)[sidecarName(1-from)])
 	if _, err := p.udp[from].WriteToUDP([]byte(text), to); err != nil {
@@ -50,7 +50,7 @@
 }
 
 // receive waits for a packet and answers the address that it came from.
-func (p *peers) receive(t testing.TB, at int) (string, *net.UDPAddr) {
+func (p *relayPeers) receive(t testing.TB, at int) (string, *net.UDPAddr) {
 	t.Helper()
 	b := make([]byte, 2048)
 	_ = p.udp[at].SetReadDeadline(time.Now().Add(20 * time.Second))
@@ -263,7 +263,7 @@
 		p.send(b, 0, "a packet of about the size that gossip has, more or less, give or take some")
 		p.receive(b, 1)
 	}
-	b.ReportMetric(float64(p.mesh.added.sum.Microseconds())/float64(p.mesh.added.n), "added-µs/packet")
+	b.ReportMetric(float64(p.mesh.addedDelay.sum.Microseconds())/float64(p.mesh.addedDelay.n), "added-µs/packet")
 }
 
 func BenchmarkRelayStream(b *testing.B) {
--- a/internal/lab/report.go
+++ b/internal/lab/report.go
@@ -61,24 +61,24 @@
 		Figures []figure
 	}{R: r}
 	k := run.clients
-	late := k.count[Served].values()
+	late := k.outcomes[Served].values()
 	for i, v := range k.inTime.values() {
 		late[i] -= v
 	}
-	lost := k.count[Broken].values()
-	for i, v := range k.count[Unreachable].values() {
+	lost := k.outcomes[Broken].values()
+	for i, v := range k.outcomes[Unreachable].values() {
 		lost[i] += v
 	}
 	var p50, p99 []float64
-	for _, h := range k.seconds {
+	for _, h := range k.latencyBySecond {
 		p50 = append(p50, float64(h.ValueAtQuantile(50))/1000)
 		p99 = append(p99, float64(h.ValueAtQuantile(99))/1000)
 	}
 	var servers, sidecars []curve
-	for i, c := range run.servers.tally {
+	for i, c := range run.servers.arrivals {
 		servers = append(servers, curve{serverName(i), c.values()})
 	}
-	for i, c := range k.served {
+	for i, c := range k.servedBySidecar {
 		sidecars = append(sidecars, curve{sidecarName(i), c.values()})
 	}
 	for _, p := range []struct {
@@ -86,16 +86,16 @@
 		curves      []curve
 	}{
 		{"Requests by their end, in the second in which they were due", "requests a second", []curve{
-			{"in time", k.inTime.values()}, {"late", late}, {"refused", k.count[Refused].values()}, {"failed", k.count[Failed].values()},
-			{"gave up", k.count[GaveUp].values()}, {"broken or unreachable", lost},
+			{"in time", k.inTime.values()}, {"late", late}, {"refused", k.outcomes[Refused].values()}, {"failed", k.outcomes[Failed].values()},
+			{"gave up", k.outcomes[GaveUp].values()}, {"broken or unreachable", lost},
 		}},
 		{"Time of an answer, from when its request was due", "milliseconds", []curve{{"p50", p50}, {"p99", p99}}},
 		{"Attempts that reached each server", "attempts a second", servers},
-		{"Servers that a crowd has made slow", "servers", []curve{{"tipped", run.servers.tipped.values()}}},
+		{"Servers that a crowd has made slow", "servers", []curve{{"tipped", run.servers.congested.values()}}},
 		{"Requests served by each sidecar", "requests a second", sidecars},
-		{"Sends to the ready, warm servers", "against their mean", spreadCurves(run.servers.tally, run.fits, run.scene.For.Std())},
+		{"Sends to the ready, warm servers", "against their mean", spreadCurves(run.servers.arrivals, run.fits, run.scenario.For.Std())},
 	} {
-		svg, err := drawPlot(p.unit, p.curves, run.faults.marks, run.scene.For.Std())
+		svg, err := drawPlot(p.unit, p.curves, run.faults.played, run.scenario.For.Std())
 		if err != nil {
 			return nil, err
 		}
@@ -110,7 +110,7 @@
 }
 
 // drawPlot draws curves over time, with a line where each fault began and a lighter one where it was mended.
-func drawPlot(unit string, curves []curve, marks []Mark, length time.Duration) ([]byte, error) {
+func drawPlot(unit string, curves []curve, marks []PlayedFault, length time.Duration) ([]byte, error) {
 	p := plot.New()
 	p.X.Label.Text, p.Y.Label.Text = "seconds", unit
 	p.X.Min, p.X.Max, p.Y.Min = 0, length.Seconds(), 0
--- a/internal/lab/result.go
+++ b/internal/lab/result.go
@@ -56,24 +56,24 @@
 }
 
 // result judges and counts a run that is over.
-func (r *run) result(o Options, plan []Action, lab, length time.Duration) *Result {
-	s := r.scene
+func (r *run) result(o Options, plan []PlannedFault, lab, length time.Duration) *Result {
+	s := r.scenario
 	res := &Result{
 		Schema: resultSchema, Scenario: s.Name, About: s.About, Seed: o.Seed, Sidecars: s.Fleet.Sidecars, Servers: s.Fleet.Servers,
 		Commit: commit(), Program: digest(o.Program), Began: time.Now().Add(-length).UTC(), Seconds: s.For.Std().Seconds(),
-		Late: r.late.judge(length), Hollow: s.Fleet.Hollow,
+		Late: r.lateness.reason(length), Hollow: s.Fleet.Hollow,
 	}
 	for _, why := range r.hollow.late {
 		res.Late = strings.TrimPrefix(res.Late+"; "+why, "; ")
 	}
 	for _, a := range plan {
-		res.Plan = append(res.Plan, fmt.Sprintf("%v %s", a.At, a.text()))
+		res.Plan = append(res.Plan, fmt.Sprintf("%v %s", a.At, a.describe()))
 	}
 	res.Verdicts = judge(r.history, s, res.Late != "")
 	r.fits = r.fitTimes(plan)
 	res.Figures = r.figures(lab)
 	r.spread(plan, res.Figures)
-	for _, c := range r.servers.tally {
+	for _, c := range r.servers.arrivals {
 		res.Sends = append(res.Sends, c.values()[:int(s.For.Std()/time.Second)])
 	}
 	return res
@@ -81,7 +81,7 @@
 
 // figures counts a run.
 func (r *run) figures(lab time.Duration) map[string]float64 {
-	h, s, k := r.history, r.scene, r.clients
+	h, s, k := r.history, r.scenario, r.clients
 	f := make(map[string]float64)
 	var asked, inTime, work, tries float64
 	ends := make(map[Outcome]float64)
@@ -129,21 +129,21 @@
 	r.roster.mu.Unlock()
 	r.processes.mu.Lock()
 	f["cpu_ms"] = float64(r.processes.cpu.Milliseconds()) / n
-	f["rss_mib"], f["descriptors"], f["rss_all_mib"] = r.processes.maxRSS, float64(r.processes.maxFDs), r.processes.allRSS
-	f["written_kib_min"] = r.processes.written / 1024 / float64(s.Fleet.Sidecars) / s.For.Std().Minutes()
+	f["rss_mib"], f["descriptors"], f["rss_all_mib"] = r.processes.maxRSS, float64(r.processes.maxFDs), r.processes.maxTotalRSS
+	f["written_kib_min"] = r.processes.bytesWritten / 1024 / float64(s.Fleet.Sidecars) / s.For.Std().Minutes()
 	r.processes.mu.Unlock()
 	f["lab_cpu_ms"] = float64(lab.Milliseconds()) / n
 	var used syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &used); err == nil {
 		f["lab_rss_mib"] = float64(used.Maxrss) / 1024
 	}
-	r.late.mu.Lock()
-	f["lab_late_ms"], f["lab_late_most_ms"] = float64(r.late.hist.ValueAtQuantile(99))/1000, float64(r.late.hist.Max())/1000
-	r.late.mu.Unlock()
+	r.lateness.mu.Lock()
+	f["lab_late_ms"], f["lab_late_most_ms"] = float64(r.lateness.hist.ValueAtQuantile(99))/1000, float64(r.lateness.hist.Max())/1000
+	r.lateness.mu.Unlock()
 	if r.mesh != nil {
-		r.mesh.added.mu.Lock()
-		f["relay_packets"], f["relay_added_us"] = float64(r.mesh.added.n), float64(r.mesh.added.sum.Microseconds())/max(1, float64(r.mesh.added.n))
-		r.mesh.added.mu.Unlock()
+		r.mesh.addedDelay.mu.Lock()
+		f["relay_packets"], f["relay_added_us"] = float64(r.mesh.addedDelay.n), float64(r.mesh.addedDelay.sum.Microseconds())/max(1, float64(r.mesh.addedDelay.n))
+		r.mesh.addedDelay.mu.Unlock()
 	}
 	r.restarts(f)
 	r.detection(f)
@@ -153,7 +153,7 @@
 		f["recovery_s"] = back
 	}
 	r.returned(f)
-	f["capacity"], f["use"] = s.capacity(), s.Load.Use
+	f["capacity"], f["use"] = s.capacity(), s.Load.Utilization
 	return f
 }
 
@@ -229,7 +229,7 @@
 		return 0, false
 	}
 	before := r.inTimeShare(1, int(first/time.Second))
-	end := int(r.scene.For.Std() / time.Second)
+	end := int(r.scenario.For.Std() / time.Second)
 	for i := int((last + time.Second - 1) / time.Second); i+2 <= end; i++ {
 		if r.inTimeShare(i, i+1) >= asBefore*before && r.inTimeShare(i+1, i+2) >= asBefore*before {
 			return max(0, float64(i)-last.Seconds()), true
@@ -249,7 +249,7 @@
 // slow. A run that ends sooner tells nothing of that.
 func (r *run) returned(f map[string]float64) {
 	first, last, ok := r.trouble()
-	from, end := last+returnsIn, int(r.scene.For.Std()/time.Second)
+	from, end := last+returnsIn, int(r.scenario.For.Std()/time.Second)
 	if !ok || int(first/time.Second) < 2 || int(from/time.Second)+2 > end {
 		return
 	}
@@ -271,31 +271,31 @@
 		}
 	}
 	tipped := 0.0
-	for _, v := range r.servers.tipped.values()[second:end] {
+	for _, v := range r.servers.congested.values()[second:end] {
 		tipped += v
 	}
 	f["after_refused"], f["after_tries"] = refused/max(1, n), tries/max(1, n)
-	f["after_tipped"] = tipped / float64(end-second) / float64(r.scene.Fleet.Servers)
+	f["after_tipped"] = tipped / float64(end-second) / float64(r.scenario.Fleet.Servers)
 }
 
 // trouble is when the first fault began, and when the last was mended, or began if it is for good.
 func (r *run) trouble() (first, last time.Duration, ok bool) {
-	for i, m := range r.faults.marks {
+	for i, m := range r.faults.played {
 		if i == 0 {
 			first = m.At
 		}
 		first, last = min(first, m.At), max(last, m.At, m.Until)
 	}
-	return first, last, len(r.faults.marks) > 0
+	return first, last, len(r.faults.played) > 0
 }
 
 // inTimeShare is the share of the requests due in some seconds that was answered in time.
 func (r *run) inTimeShare(from, to int) float64 {
 	in, total := 0.0, 0.0
-	for i := max(0, from); i < min(to, len(r.clients.inTime.by)); i++ {
-		in += float64(r.clients.inTime.by[i].Load())
-		for _, c := range r.clients.count {
-			total += float64(c.by[i].Load())
+	for i := max(0, from); i < min(to, len(r.clients.inTime.perSecond)); i++ {
+		in += float64(r.clients.inTime.perSecond[i].Load())
+		for _, c := range r.clients.outcomes {
+			total += float64(c.perSecond[i].Load())
 		}
 	}
 	return in / max(total, 1)
--- a/internal/lab/roster.go
+++ b/internal/lab/roster.go
@@ -54,22 +54,22 @@
 	r := &roster{
 		clock: c, history: h, net: n, scene: s, servers: servers, changed: make(chan struct{}), muted: make(chan struct{}),
 		list: world.NewRoster(s.Fleet.Servers, firstVersion),
-		desk: world.NewDesk(s.List.Call.Std(), s.List.Line.Std(), s.List.Wait.Std()),
+		desk: world.NewDesk(s.Discovery.CallCost.Std(), s.Discovery.LineCost.Std(), s.Discovery.MaxWait.Std()),
 	}
-	r.list.Reserve(s.spares())
-	for range s.all() {
-		r.knows = append(r.knows, make([]bool, s.Fleet.Servers+s.spares()))
+	r.list.Reserve(s.replacementServers())
+	for range s.totalSidecars() {
+		r.knows = append(r.knows, make([]bool, s.Fleet.Servers+s.replacementServers()))
 	}
 	return r, r.open()
 }
 
 // open begins to serve at the address of now.
 func (r *roster) open() error {
-	port, err := r.net.port()
+	port, err := r.net.allocatePort()
 	if err != nil {
 		return err
 	}
-	all, err := r.net.open(port, r.scene.all(), "discovery")
+	all, err := r.net.listen(port, r.scene.totalSidecars(), "discovery")
 	if err != nil {
 		return err
 	}
@@ -101,7 +101,7 @@
 		return err
 	}
 	for _, l := range doors {
-		endListener(l)
+		closeListener(l)
 	}
 	soon, cancel := context.WithTimeout(context.Background(), oldClose)
 	go func() {
@@ -116,7 +116,7 @@
 func (r *roster) address(sidecar int) string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.net.at(sidecar, r.port)
+	return r.net.address(sidecar, r.port)
 }
 
 // hear takes what happened to a server; the list knows it after the lag.
@@ -165,13 +165,13 @@
 func (r *roster) crawl(by time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.desk.Call = r.scene.List.Call.Std() + by
+	r.desk.Call = r.scene.Discovery.CallCost.Std() + by
 }
 
 // ServeHTTP is discovery's side of the protocol.
 func (r *roster) ServeHTTP(w http.ResponseWriter, req *http.Request) {
 	local, _ := req.Context().Value(http.LocalAddrContextKey).(net.Addr)
-	sidecar := r.net.caller(local)
+	sidecar := r.net.callerAt(local)
 	if req.URL.Path != "/discovery/hosts" || sidecar < 0 || sidecar >= len(r.knows) {
 		http.NotFound(w, req)
 		return
@@ -326,11 +326,11 @@
 	l := listingJSON{Generation: version, Reset: whole, Instances: []instance{}}
 	for _, e := range entries {
 		i := instance{
-			InstanceID: serverName(e.Server), HostPort: r.servers.at(sidecar, e.Server),
+			InstanceID: serverName(e.Server), HostPort: r.servers.address(sidecar, e.Server),
 			Zone: zoneName(r.scene.zoneOf(e.Server)), MachineType: "one-core", Cell: e.Server / 4, Lifecycle: string(e.Life), Weight: 1,
 		}
 		if e.Started > 0 {
-			i.StartedAtMs = r.clock.at(e.Started).UnixMilli()
+			i.StartedAtMs = r.clock.timeAt(e.Started).UnixMilli()
 		}
 		l.Instances = append(l.Instances, i)
 	}
--- a/internal/lab/run.go
+++ b/internal/lab/run.go
@@ -18,10 +18,10 @@
 
 // Options say how a scenario is played.
 type Options struct {
-	Seed    uint64
-	Program string                // path of the sidecar; see Build
-	Out     string                // folder for the result, the report and the logs; empty: none are kept
-	Live    func(second Progress) // called once a second, where it is not nil
+	Seed       uint64
+	Program    string                // path of the sidecar; see Build
+	Out        string                // folder for the result, the report and the logs; empty: none are kept
+	OnProgress func(second Progress) // called once a second, where it is not nil
 }
 
 // Progress is what a run has come to, second by second.
@@ -29,7 +29,7 @@
 	At                             time.Duration
 	Asked, InTime, Refused, Failed int // in the second before last: later ones are not settled
 	Open, Sidecars, Servers        int
-	Tipped, Held                   int      // servers that a crowd has made slow; requests that all servers have
+	Tipped, RequestsHeld           int      // servers that a crowd has made slow; requests that all servers have
 	Marks                          []string // faults that began in the last second
 }
 
@@ -38,11 +38,11 @@
 
 // run is one play of a scenario.
 type run struct {
-	scene     *Scenario
+	scenario  *Scenario
 	clock     clock
 	history   *History
 	net       *subnet
-	late      *lateness
+	lateness  *lateness
 	servers   *servers
 	roster    *roster
 	processes *processes
@@ -78,7 +78,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if err := descriptors(s, wide); err != nil {
+	if err := ensureDescriptors(s, wide); err != nil {
 		return nil, err
 	}
 	rec, err := newRecord()
@@ -91,7 +91,7 @@
 			return nil, err
 		}
 	}
-	if o.Program, err = settle(o.Program, rec.dir); err != nil {
+	if o.Program, err = copyProgram(o.Program, rec.dir); err != nil {
 		return nil, err
 	}
 	logs := filepath.Join(rec.dir, "logs")
@@ -101,7 +101,7 @@
 	if err := os.MkdirAll(logs, 0o755); err != nil {
 		return nil, err
 	}
-	r := &run{scene: s, clock: newClock(), history: new(History), late: newLateness()}
+	r := &run{scenario: s, clock: newClock(), history: new(History), lateness: newLateness()}
 	if r.net, err = claimSubnet(); err != nil {
 		return nil, err
 	}
@@ -122,7 +122,7 @@
 		r.processes.close(soon)
 	}()
 	if s.Fleet.Mesh {
-		if r.mesh, err = newMesh(s.all(), r.net, o.Seed); err != nil {
+		if r.mesh, err = newMesh(s.totalSidecars(), r.net, o.Seed); err != nil {
 			return nil, err
 		}
 		defer r.mesh.close()
@@ -131,9 +131,9 @@
 	return r.play(ctx, o)
 }
 
-// settle copies the program into the run's folder: it stays the same for the whole run, and whoever sidecars run as
+// copyProgram copies the program into the run's folder: it stays the same for the whole run, and whoever sidecars run as
 // can reach it.
-func settle(program, dir string) (string, error) {
+func copyProgram(program, dir string) (string, error) {
 	from, err := os.Open(program)
 	if err != nil {
 		return "", err
@@ -148,9 +148,9 @@
 	return path, errors.Join(err, to.Close())
 }
 
-// needed is how many descriptors the lab may need for a scenario; wide: one listener hears all sidecars.
-func needed(s *Scenario, wide bool) int {
-	n, listeners := s.all(), s.Fleet.Servers+s.spares()+4
+// descriptorsNeeded is how many descriptors the lab may need for a scenario; wide: one listener hears all sidecars.
+func descriptorsNeeded(s *Scenario, wide bool) int {
+	n, listeners := s.totalSidecars(), s.Fleet.Servers+s.replacementServers()+4
 	need := 200 + int(90*s.busiest()) + s.Fleet.Sidecars*2*min(s.Fleet.Servers, 12) + 2*s.Fleet.Hollow // requests under way, for a second and at two ends; connections kept
 	if s.Fleet.Mesh {
 		listeners += 2 * n
@@ -162,9 +162,9 @@
 	return need + listeners
 }
 
-// descriptors sees whether the machine lets the lab open what the scenario needs, and asks for more.
-func descriptors(s *Scenario, wide bool) error {
-	need, why := needed(s, wide), ""
+// ensureDescriptors sees whether the machine lets the lab open what the scenario needs, and asks for more.
+func ensureDescriptors(s *Scenario, wide bool) error {
+	need, why := descriptorsNeeded(s, wide), ""
 	if !wide {
 		why = "; one listener may not hear all of loopback here (SO_BINDTODEVICE), so that there is one for each pair"
 	}
@@ -187,10 +187,10 @@
 
 // play starts the sidecars, plays all parts, stops everything and judges.
 func (r *run) play(ctx context.Context, o Options) (*Result, error) {
-	s := r.scene
+	s := r.scenario
 	arrivals, plan := s.arrivals(o.Seed), s.Plan(o.Seed)
 	r.history.asked = make([]Asked, len(arrivals))
-	r.clients = newClients(s, r.clock, r.history, r.net, r.late)
+	r.clients = newClients(s, r.clock, r.history, r.net, r.lateness)
 	if err := r.startAll(ctx); err != nil {
 		return nil, err
 	}
@@ -199,13 +199,13 @@
 		return nil, err
 	}
 	began := time.Now()
-	r.clock.begin(100 * time.Millisecond)
+	r.clock.startIn(100 * time.Millisecond)
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	stop := make(chan struct{})
 	var watchers, players sync.WaitGroup
-	watchers.Go(func() { r.late.watch(r.clock, stop) })
-	watchers.Go(func() { r.watch(stop, o.Live) })
+	watchers.Go(func() { r.lateness.measure(r.clock, stop) })
+	watchers.Go(func() { r.monitor(stop, o.OnProgress) })
 	if s.members() {
 		watchers.Go(func() { r.watchViews(stop) })
 	}
@@ -215,9 +215,9 @@
 	if err := r.hollow.resting(false); err != nil {
 		return nil, err
 	}
-	r.faults = &faults{run: r, lives: make([]sync.Mutex, s.Fleet.Sidecars), rng: rand.New(rand.NewPCG(o.Seed, 7))}
+	r.faults = &faults{run: r, restartMu: make([]sync.Mutex, s.Fleet.Sidecars), rng: rand.New(rand.NewPCG(o.Seed, 7))}
 	players.Go(func() { r.faults.play(ctx, plan) })
-	before := cpuOf(syscall.RUSAGE_SELF)
+	before := cpuTime(syscall.RUSAGE_SELF)
 	r.clients.play(arrivals, ctx.Done())
 	failed := ctx.Err()
 	sleep(ctx, s.For.Std()-r.clock.now())
@@ -228,8 +228,8 @@
 	players.Wait()
 	close(stop)
 	watchers.Wait()
-	lab := cpuOf(syscall.RUSAGE_SELF) - before
-	if r.scene.Fleet.Hollow > 0 {
+	lab := cpuTime(syscall.RUSAGE_SELF) - before
+	if r.scenario.Fleet.Hollow > 0 {
 		if err := r.hollow.lateness(time.Since(began), "whole run"); err != nil {
 			return nil, err
 		}
@@ -260,8 +260,8 @@
 // startAll starts all sidecars, some at a time.
 func (r *run) startAll(ctx context.Context) error {
 	places := make(chan struct{}, 16)
-	errs := make(chan error, r.scene.Fleet.Sidecars)
-	for i := range r.scene.Fleet.Sidecars {
+	errs := make(chan error, r.scenario.Fleet.Sidecars)
+	for i := range r.scenario.Fleet.Sidecars {
 		go func() {
 			places <- struct{}{}
 			defer func() { <-places }()
@@ -274,7 +274,7 @@
 		}()
 	}
 	var bad []error
-	for range r.scene.Fleet.Sidecars {
+	for range r.scenario.Fleet.Sidecars {
 		if err := <-errs; err != nil {
 			bad = append(bad, err)
 		}
@@ -286,7 +286,7 @@
 }
 
 // watch samples the processes and tells of the run, once a second.
-func (r *run) watch(stop <-chan struct{}, live func(Progress)) {
+func (r *run) monitor(stop <-chan struct{}, live func(Progress)) {
 	t := time.NewTicker(time.Second)
 	defer t.Stop()
 	told := 0
@@ -299,14 +299,14 @@
 		r.processes.sample()
 		now := r.clock.now()
 		p := Progress{At: now, Open: int(r.clients.live.Load())}
-		p.Tipped, p.Held, p.Servers = r.servers.sample()
+		p.Tipped, p.RequestsHeld, p.Servers = r.servers.sample()
 		if live == nil {
 			continue
 		}
 		second := int(now/time.Second) - 2
-		if second >= 0 && second < len(r.clients.inTime.by) {
-			for o, c := range r.clients.count {
-				n := int(c.by[second].Load())
+		if second >= 0 && second < len(r.clients.inTime.perSecond) {
+			for o, c := range r.clients.outcomes {
+				n := int(c.perSecond[second].Load())
 				p.Asked += n
 				switch o {
 				case Served:
@@ -316,24 +316,24 @@
 					p.Failed += n
 				}
 			}
-			p.InTime = int(r.clients.inTime.by[second].Load())
+			p.InTime = int(r.clients.inTime.perSecond[second].Load())
 		}
-		for i := range r.scene.Fleet.Sidecars {
-			if r.processes.of(i) != nil {
+		for i := range r.scenario.Fleet.Sidecars {
+			if r.processes.running(i) != nil {
 				p.Sidecars++
 			}
 		}
 		r.faults.mu.Lock()
-		for ; told < len(r.faults.marks); told++ {
-			p.Marks = append(p.Marks, r.faults.marks[told].Text)
+		for ; told < len(r.faults.played); told++ {
+			p.Marks = append(p.Marks, r.faults.played[told].Description)
 		}
 		r.faults.mu.Unlock()
 		live(p)
 	}
 }
 
-// cpuOf is the processor time of this process, or of its children that have ended.
-func cpuOf(whose int) time.Duration {
+// cpuTime is the processor time of this process, or of its children that have ended.
+func cpuTime(whose int) time.Duration {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(whose, &u); err != nil {
 		return 0
@@ -342,12 +342,12 @@
 }
 
 // Live prints a line a second.
-func Live(w io.Writer) func(Progress) {
+func ProgressPrinter(w io.Writer) func(Progress) {
 	return func(p Progress) {
 		for _, m := range p.Marks {
 			fmt.Fprintf(w, "%6s  *** %s\n", p.At.Round(time.Second), m)
 		}
 		fmt.Fprintf(w, "%6s  asked %4d/s  in time %4d  refused %3d  failed %3d  open %3d  sidecars %d  servers %d, %d tipped, with %d\n",
-			p.At.Round(time.Second), p.Asked, p.InTime, p.Refused, p.Failed, p.Open, p.Sidecars, p.Servers, p.Tipped, p.Held)
+			p.At.Round(time.Second), p.Asked, p.InTime, p.Refused, p.Failed, p.Open, p.Sidecars, p.Servers, p.Tipped, p.RequestsHeld)
 	}
 }
--- a/internal/lab/scenario.go
+++ b/internal/lab/scenario.go
@@ -16,50 +16,50 @@
 
 // Scenario is a scenario file: a fleet, its load, a timetable of faults, and what must hold.
 type Scenario struct {
-	Name     string         `toml:"-"` // that of its file
-	from     string         // the file
-	lines    map[string]int // where its keys stand
-	Patience time.Duration  `toml:"-"` // every class's aim and deadline, where no verdict may hang on them; 0: the operators'
+	Name       string         `toml:"-"` // that of its file
+	file       string         // the file
+	keyLines   map[string]int // where its keys stand
+	TimeLimits time.Duration  `toml:"-"` // every class's aim and deadline, where no verdict may hang on them; 0: the operators'
 
-	About string        `toml:"about" need:"yes" help:"what the scenario is for, in a line"`
-	For   conf.Duration `toml:"for" default:"20s" min:"1s" max:"1h" help:"how long clients make requests"`
-	Hold  []string      `toml:"hold" default:"answered once honest known drains cold limits members agreed duties alive" oneof:"answered once honest known drains cold limits members agreed duties alive final left told peers guarded" help:"the invariants that are checked over the whole history; docs/lab.md words them"`
-	Fleet fleetSpec     `toml:"fleet"`
-	Load  loadSpec      `toml:"load"`
-	Serve serverSpec    `toml:"server"`
-	List  listSpec      `toml:"discovery"`
-	Fault []Fault       `toml:"fault"`
+	About      string        `toml:"about" need:"yes" help:"what the scenario is for, in a line"`
+	For        conf.Duration `toml:"for" default:"20s" min:"1s" max:"1h" help:"how long clients make requests"`
+	Invariants []string      `toml:"hold" default:"answered once honest known drains cold limits members agreed duties alive" oneof:"answered once honest known drains cold limits members agreed duties alive final left told peers guarded" help:"the invariants that are checked over the whole history; docs/lab.md words them"`
+	Fleet      fleetSpec     `toml:"fleet"`
+	Load       loadSpec      `toml:"load"`
+	Server     serverSpec    `toml:"server"`
+	Discovery  listSpec      `toml:"discovery"`
+	Fault      []Fault       `toml:"fault"`
 }
 
 type fleetSpec struct {
-	Sidecars   int     `toml:"sidecars" default:"4" min:"1" max:"400" help:"real sidecar processes, each with clients of its own"`
-	Hollow     int     `toml:"hollow" default:"0" min:"0" max:"10000" help:"hollow sidecars besides: control alone, many in a process, with no clients; numbered after the others"`
-	Servers    int     `toml:"servers" default:"8" min:"1" max:"4000" help:"queue servers, spread evenly over the zones"`
-	Zones      int     `toml:"zones" default:"2" min:"1" max:"8" help:"zones, named a, b and so on"`
-	MemoryMB   int     `toml:"memory_mb" default:"64" unit:"MiB" min:"16" max:"4096" help:"a sidecar's limit"`
-	Sockets    int     `toml:"sockets" default:"384" min:"64" max:"4096" help:"descriptors that a sidecar may hold"`
-	Told       int     `toml:"told" default:"0" min:"0" max:"100000" help:"how many sidecars the settings say that there are; 0: as many as there are"`
-	Quota      float64 `toml:"quota" default:"0.83" min:"0.01" max:"10" help:"all tenants' quotas, as a share of what the servers can do"`
-	Mesh       bool    `toml:"mesh" default:"false" help:"whether sidecars reach each other, through the lab's relays"`
-	Supervised bool    `toml:"supervised" default:"false" help:"whether the faults calls, forward and back can be played: sidecars run with their system calls and clock led by the lab"`
-	File       string  `toml:"file" help:"the fleet file of every sidecar, in TOML; the lab adds the routes"`
+	Sidecars       int     `toml:"sidecars" default:"4" min:"1" max:"400" help:"real sidecar processes, each with clients of its own"`
+	Hollow         int     `toml:"hollow" default:"0" min:"0" max:"10000" help:"hollow sidecars besides: control alone, many in a process, with no clients; numbered after the others"`
+	Servers        int     `toml:"servers" default:"8" min:"1" max:"4000" help:"queue servers, spread evenly over the zones"`
+	Zones          int     `toml:"zones" default:"2" min:"1" max:"8" help:"zones, named a, b and so on"`
+	MemoryMB       int     `toml:"memory_mb" default:"64" unit:"MiB" min:"16" max:"4096" help:"a sidecar's limit"`
+	Sockets        int     `toml:"sockets" default:"384" min:"64" max:"4096" help:"descriptors that a sidecar may hold"`
+	StatedSidecars int     `toml:"told" default:"0" min:"0" max:"100000" help:"how many sidecars the settings say that there are; 0: as many as there are"`
+	Quota          float64 `toml:"quota" default:"0.83" min:"0.01" max:"10" help:"all tenants' quotas, as a share of what the servers can do"`
+	Mesh           bool    `toml:"mesh" default:"false" help:"whether sidecars reach each other, through the lab's relays"`
+	Supervised     bool    `toml:"supervised" default:"false" help:"whether the faults calls, forward and back can be played: sidecars run with their system calls and clock led by the lab"`
+	File           string  `toml:"file" help:"the fleet file of every sidecar, in TOML; the lab adds the routes"`
 }
 
 type loadSpec struct {
-	Use     float64       `toml:"use" default:"0.5" min:"0" max:"5" help:"work asked for, as a share of what the servers can do when warm"`
-	Each    float64       `toml:"each" default:"0" min:"0" max:"1000" help:"requests a second for each sidecar in the mean, whatever the servers can do; 0: by use"`
-	Skew    float64       `toml:"skew" default:"0.5" min:"0" max:"3" help:"standard deviation of the sidecars' parts of the traffic, against the mean"`
-	Keys    int           `toml:"keys" default:"2500" min:"1" max:"1000000" help:"distinct keys"`
-	Zipf    float64       `toml:"zipf" default:"1" min:"0" max:"3" help:"exponent of the keys' popularity"`
-	Retries int           `toml:"retries" default:"3" min:"0" max:"10" help:"a client's further tries"`
-	Try     float64       `toml:"try" default:"0.4" min:"0.05" max:"1" help:"a try is given up after this share of the deadline"`
-	Backoff conf.Duration `toml:"backoff" default:"15ms" min:"0s" max:"10s" help:"pause before a client's further try, where it was told none"`
-	Late    conf.Duration `toml:"late" default:"0s" min:"0s" max:"10s" help:"how much longer than its time a client waits for its answer"`
-	Publish string        `toml:"publish" default:"unsafe" oneof:"unsafe keyed safe" help:"what a repeat of a publish request may do"`
-	Rebuild string        `toml:"rebuild" default:"keyed" oneof:"unsafe keyed safe" help:"and of a rebuild request"`
-	Within  conf.Duration `toml:"within" default:"4s" min:"50ms" max:"1m" help:"keyed requests: for how long a zone drops repeats"`
-	Urgent  float64       `toml:"urgent" default:"1" min:"0.1" max:"10" help:"every class's aim and deadline, against the usual"`
-	Heed    float64       `toml:"heed" default:"0.4" min:"0" max:"1" help:"share of clients that heed Retry-After"`
+	Utilization float64       `toml:"use" default:"0.5" min:"0" max:"5" help:"work asked for, as a share of what the servers can do when warm"`
+	Each        float64       `toml:"each" default:"0" min:"0" max:"1000" help:"requests a second for each sidecar in the mean, whatever the servers can do; 0: by use"`
+	Skew        float64       `toml:"skew" default:"0.5" min:"0" max:"3" help:"standard deviation of the sidecars' parts of the traffic, against the mean"`
+	Keys        int           `toml:"keys" default:"2500" min:"1" max:"1000000" help:"distinct keys"`
+	Zipf        float64       `toml:"zipf" default:"1" min:"0" max:"3" help:"exponent of the keys' popularity"`
+	Retries     int           `toml:"retries" default:"3" min:"0" max:"10" help:"a client's further tries"`
+	Try         float64       `toml:"try" default:"0.4" min:"0.05" max:"1" help:"a try is given up after this share of the deadline"`
+	Backoff     conf.Duration `toml:"backoff" default:"15ms" min:"0s" max:"10s" help:"pause before a client's further try, where it was told none"`
+	ExtraWait   conf.Duration `toml:"late" default:"0s" min:"0s" max:"10s" help:"how much longer than its time a client waits for its answer"`
+	Publish     string        `toml:"publish" default:"unsafe" oneof:"unsafe keyed safe" help:"what a repeat of a publish request may do"`
+	Rebuild     string        `toml:"rebuild" default:"keyed" oneof:"unsafe keyed safe" help:"and of a rebuild request"`
+	Within      conf.Duration `toml:"within" default:"4s" min:"50ms" max:"1m" help:"keyed requests: for how long a zone drops repeats"`
+	Urgent      float64       `toml:"urgent" default:"1" min:"0.1" max:"10" help:"every class's aim and deadline, against the usual"`
+	Heed        float64       `toml:"heed" default:"0.4" min:"0" max:"1" help:"share of clients that heed Retry-After"`
 }
 
 type serverSpec struct {
@@ -88,17 +88,17 @@
 }
 
 type listSpec struct {
-	Notice  conf.Duration `toml:"notice" default:"2s" min:"0s" max:"5m" help:"until the list knows that a server's process died, drains or is back"`
-	Silence conf.Duration `toml:"silence" default:"8s" min:"0s" max:"5m" help:"until it knows that one is silent"`
-	Call    conf.Duration `toml:"call" default:"2ms" min:"0s" max:"10s" help:"of discovery's service that a call takes"`
-	Line    conf.Duration `toml:"line" default:"200us" min:"0s" max:"1s" help:"and each line of its answer"`
-	Wait    conf.Duration `toml:"wait" default:"1s" min:"1ms" max:"1m" help:"a call that would wait longer fails"`
+	UpdateDelay conf.Duration `toml:"notice" default:"2s" min:"0s" max:"5m" help:"until the list knows that a server's process died, drains or is back"`
+	Silence     conf.Duration `toml:"silence" default:"8s" min:"0s" max:"5m" help:"until it knows that one is silent"`
+	CallCost    conf.Duration `toml:"call" default:"2ms" min:"0s" max:"10s" help:"of discovery's service that a call takes"`
+	LineCost    conf.Duration `toml:"line" default:"200us" min:"0s" max:"1s" help:"and each line of its answer"`
+	MaxWait     conf.Duration `toml:"wait" default:"1s" min:"1ms" max:"1m" help:"a call that would wait longer fails"`
 }
 
 // Fault is one line of the timetable.
 type Fault struct {
 	At     conf.Duration `toml:"at" need:"yes" min:"0s" max:"1h" help:"when, after the first request"`
-	Do     string        `toml:"do" need:"yes" oneof:"kill stop term swap crowd busy pause starve upgrade full push calls deaf forward back hup rude spoil hang reset close late mute leave long dawdle hurry pipeline crash slow err silence replace refuse drain out away move stale crawl burst cut delay drop duplicate reorder limit" help:"what; docs/lab.md words them"`
+	Kind   string        `toml:"do" need:"yes" oneof:"kill stop term swap crowd busy pause starve upgrade full push calls deaf forward back hup rude spoil hang reset close late mute leave long dawdle hurry pipeline crash slow err silence replace refuse drain out away move stale crawl burst cut delay drop duplicate reorder limit" help:"what; docs/lab.md words them"`
 	Target string        `toml:"target" help:"whom: all, 3, 0-2, 25%, or zone a; of sidecars, servers or links, as the fault has it"`
 	Peer   string        `toml:"peer" help:"links only: the other end, in the same form; empty: all others"`
 	Way    string        `toml:"way" default:"both" oneof:"both out in" help:"links only: both ways, or from or to the target"`
@@ -108,8 +108,8 @@
 	State  string        `toml:"state" default:"kept" oneof:"kept emptied truncated flipped readonly" help:"kill: what becomes of the state folder before the restart"`
 }
 
-// kinds says what each fault is done to, and which of them need a size.
-var kinds = map[string]struct {
+// faultKinds says what each fault is done to, and which of them need a size.
+var faultKinds = map[string]struct {
 	on   string
 	size bool
 }{
@@ -135,24 +135,24 @@
 		return nil, err
 	}
 	var err error
-	if s.lines, err = conf.KeyLines(raw); err != nil {
+	if s.keyLines, err = conf.KeyLines(raw); err != nil {
 		return nil, fmt.Errorf("%s: %w", name, err)
 	}
-	s.from = name
-	if err := s.check(); err != nil {
+	s.file = name
+	if err := s.validate(); err != nil {
 		return nil, fmt.Errorf("%s: %w", name, err)
 	}
 	return s, nil
 }
 
-// check finds what no single key can be blamed for.
-func (s *Scenario) check() error {
+// validate finds what no single key can be blamed for.
+func (s *Scenario) validate() error {
 	var bad []error
 	for i, f := range s.Fault {
 		fail := func(format string, args ...any) {
-			bad = append(bad, fmt.Errorf("fault[%d], %s at %v: %s", i, f.Do, f.At, fmt.Sprintf(format, args...)))
+			bad = append(bad, fmt.Errorf("fault[%d], %s at %v: %s", i, f.Kind, f.At, fmt.Sprintf(format, args...)))
 		}
-		kind := kinds[f.Do]
+		kind := faultKinds[f.Kind]
 		if kind.size && f.Size == 0 {
 			fail("a size is needed")
 		}
@@ -175,7 +175,7 @@
 				fail("a time (for) is needed")
 			}
 		}
-		if slices.Contains(supervisedOnly, f.Do) && !s.Fleet.Supervised {
+		if slices.Contains(supervisedOnly, f.Kind) && !s.Fleet.Supervised {
 			fail("it needs fleet.supervised")
 		}
 		if kind.on != "link" && f.Peer != "" {
@@ -188,12 +188,12 @@
 // targets lists whom a fault is done to, in order. A share is drawn at random; with no rng the first ones are taken.
 func (s *Scenario) targets(f Fault, text string, rng *rand.Rand) ([]int, error) {
 	n := s.Fleet.Sidecars
-	switch kinds[f.Do].on {
+	switch faultKinds[f.Kind].on {
 	case "link":
-		n = s.all()
+		n = s.totalSidecars()
 	case "sidecar":
-		if slices.Contains(toHollow, f.Do) {
-			n = s.all()
+		if slices.Contains(toHollow, f.Kind) {
+			n = s.totalSidecars()
 		}
 	case "server":
 		n = s.Fleet.Servers
@@ -257,41 +257,41 @@
 // toHollow are the faults of sidecars that hollow ones take too.
 var toHollow = []string{"kill", "stop", "push"}
 
-// all is the number of sidecars of both kinds.
-func (s *Scenario) all() int { return s.Fleet.Sidecars + s.Fleet.Hollow }
+// totalSidecars is the number of sidecars of both kinds.
+func (s *Scenario) totalSidecars() int { return s.Fleet.Sidecars + s.Fleet.Hollow }
 
 // zoneOf is the zone of a sidecar or a server by its number.
 func (s *Scenario) zoneOf(i int) int { return i % s.Fleet.Zones }
 
 func zoneName(zone int) string { return string(rune('a' + zone)) }
 
-// Action is one fault as it is played: the targets are drawn.
-type Action struct {
+// PlannedFault is one fault as it is played: the targets are drawn.
+type PlannedFault struct {
 	Fault
 	Targets, Peers []int `toml:"-"`
-	Spares         []int `toml:"-"` // replace: who comes in each target's place
+	Replacements   []int `toml:"-"` // replace: who comes in each target's place
 }
 
 // Plan draws what the timetable leaves open. The same seed gives the same plan.
-func (s *Scenario) Plan(seed uint64) []Action {
+func (s *Scenario) Plan(seed uint64) []PlannedFault {
 	rng := rand.New(rand.NewPCG(seed, 3))
-	var plan []Action
+	var plan []PlannedFault
 	spare := s.Fleet.Servers
 	for _, f := range s.Fault {
-		a := Action{Fault: f}
+		a := PlannedFault{Fault: f}
 		a.Targets, _ = s.targets(f, f.Target, rng) // checked when the file was read
-		if f.Do == "replace" {
+		if f.Kind == "replace" {
 			for range a.Targets {
-				a.Spares = append(a.Spares, spare)
+				a.Replacements = append(a.Replacements, spare)
 				spare++
 			}
 		}
-		if kinds[f.Do].on == "link" {
+		if faultKinds[f.Kind].on == "link" {
 			a.Peers, _ = s.targets(f, cmp.Or(f.Peer, "all"), rng)
 		}
 		plan = append(plan, a)
 	}
-	slices.SortStableFunc(plan, func(a, b Action) int { return cmp.Compare(a.At, b.At) })
+	slices.SortStableFunc(plan, func(a, b PlannedFault) int { return cmp.Compare(a.At, b.At) })
 	return plan
 }
 
@@ -305,8 +305,8 @@
 	for i := range classes {
 		c := &classes[i]
 		c.Aim, c.Deadline = scaled(c.Aim, s.Load.Urgent), scaled(c.Deadline, s.Load.Urgent)
-		if s.Patience > 0 {
-			c.Aim, c.Deadline = s.Patience, s.Patience
+		if s.TimeLimits > 0 {
+			c.Aim, c.Deadline = s.TimeLimits, s.TimeLimits
 		}
 		if c.Effect == world.Keyed {
 			c.Window = s.Load.Within.Std()
@@ -336,7 +336,7 @@
 	}
 	spec.Rate = s.work() / spec.MeanWork().Seconds()
 	for _, f := range s.Fault {
-		if f.Do == "burst" {
+		if f.Kind == "burst" {
 			spec.Bursts = append(spec.Bursts, world.Burst{At: f.At.Std(), For: f.For.Std(), Times: f.Size})
 		}
 	}
@@ -349,24 +349,24 @@
 		mean := (&world.LoadSpec{Classes: s.classes()}).MeanWork().Seconds()
 		return s.Load.Each * float64(s.Fleet.Sidecars) * mean
 	}
-	return s.Load.Use * s.capacity()
+	return s.Load.Utilization * s.capacity()
 }
 
 // busiest is the same with all bursts.
 func (s *Scenario) busiest() float64 {
 	work := s.work()
 	for _, f := range s.Fault {
-		if f.Do == "burst" {
+		if f.Kind == "burst" {
 			work *= max(1, f.Size)
 		}
 	}
 	return work
 }
 
-// spares is how many servers come in others' places, numbered after the servers that there are at the start.
-func (s *Scenario) spares() (n int) {
+// replacementServers is how many servers come in others' places, numbered after the servers that there are at the start.
+func (s *Scenario) replacementServers() (n int) {
 	for _, f := range s.Fault {
-		if f.Do == "replace" {
+		if f.Kind == "replace" {
 			some, _ := s.targets(f, f.Target, nil) // checked when the file was read
 			n += len(some)
 		}
@@ -376,13 +376,13 @@
 
 // capacity is the work in seconds that all servers can do in a second when they are warm.
 func (s *Scenario) capacity() float64 {
-	return float64(s.Fleet.Servers) * s.Serve.Cores * s.Serve.Speed
+	return float64(s.Fleet.Servers) * s.Server.Cores * s.Server.Speed
 }
 
-// server is the model of one queue server.
-func (s *Scenario) server(i int, zone *world.Zone, seed uint64) *world.Server {
+// serverModel is the model of one queue server.
+func (s *Scenario) serverModel(i int, zone *world.Zone, seed uint64) *world.Server {
 	rng := rand.New(rand.NewPCG(seed, 4+uint64(i)<<8))
-	c := s.Serve
+	c := s.Server
 	spec := world.ServerSpec{
 		Cores: c.Cores, Speed: max(0.1, c.Speed*(1+c.Spread*rng.NormFloat64())), Slots: c.Slots, Room: c.Room,
 		Thrash: 0.3, ThrashAt: 11 * c.Cores,
@@ -408,7 +408,7 @@
 	}
 	s.Fleet.Sidecars, s.Fleet.Servers = cmp.Or(sidecars, s.Fleet.Sidecars), cmp.Or(servers, s.Fleet.Servers)
 	s.Fleet.Hollow = cmp.Or(hollow, s.Fleet.Hollow)
-	return s.check()
+	return s.validate()
 }
 
 // Stretch makes the scenario last so long. Its faults move with it.
@@ -422,5 +422,5 @@
 		s.Fault[i].At = conf.Duration(float64(s.Fault[i].At) * by)
 		s.Fault[i].For = conf.Duration(float64(s.Fault[i].For) * by)
 	}
-	return s.check()
+	return s.validate()
 }
--- a/internal/lab/soak.go
+++ b/internal/lab/soak.go
@@ -95,15 +95,15 @@
 	for i := range soakFaults {
 		text += soakFault(rng, soakKinds[(int(seed)+i*5+rng.IntN(5))%len(soakKinds)])
 	}
-	if seed >= SoakWiderFrom {
+	if seed >= ExtendedSoakFrom {
 		text += soakCrossings(rand.New(rand.NewPCG(seed, 10)), cmp.Or(sidecars, drawn))
 	}
 	return ReadScenario(fmt.Sprintf("soak-%d.toml", seed), []byte(text))
 }
 
-// SoakWiderFrom is the first seed whose soak has terminations by the page's timing and crossings besides; those before it draw
+// ExtendedSoakFrom is the first seed whose soak has terminations by the page's timing and crossings besides; those before it draw
 // what they drew when they were noted.
-const SoakWiderFrom = 100_000
+const ExtendedSoakFrom = 100_000
 
 // soakCrossings words terminations of sidecars with series of signals, an upgrade of one whose accept fails, and, in some soaks, a
 // crowd of idle clients (also while discovery is away), many clients at once, and a busy machine.
@@ -159,7 +159,7 @@
 		length = min(length, time.Duration(rng.Int64N(int64(kind.longest))))
 	}
 	if kind.do == "pause" {
-		length = holdUp
+		length = maxStall
 	}
 	if !kind.once {
 		text += fmt.Sprintf("for = '%v'\n", length.Round(time.Millisecond))
@@ -180,14 +180,14 @@
 	return text
 }
 
-// Kinds lists the kinds of faults that a scenario plays, in order.
-func (s *Scenario) Kinds() (all []string) {
+// FaultKinds lists the kinds of faults that a scenario plays, in order.
+func (s *Scenario) FaultKinds() (all []string) {
 	for _, f := range s.Fault {
-		all = append(all, f.Do)
+		all = append(all, f.Kind)
 	}
 	slices.Sort(all)
 	return slices.Compact(all)
 }
 
 // late is how much longer than its time a client waits for its answer.
-func (l loadSpec) late() time.Duration { return conf.Duration(l.Late).Std() }
+func (l loadSpec) extraWait() time.Duration { return conf.Duration(l.ExtraWait).Std() }
--- a/internal/lab/soak_test.go
+++ b/internal/lab/soak_test.go
@@ -22,7 +22,7 @@
 		t.Fatal(err)
 	}
 	red := knownRedSeeds(t)
-	for _, seed := range []uint64{1002, 1005, SoakWiderFrom + 1, SoakWiderFrom + 4} {
+	for _, seed := range []uint64{1002, 1005, ExtendedSoakFrom + 1, ExtendedSoakFrom + 4} {
 		if red[seed] {
 			t.Logf("seed %d is left out: see KNOWN-RED.txt", seed)
 			continue
@@ -31,8 +31,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		t.Logf("seed %d: %s", seed, strings.Join(s.Kinds(), " "))
-		res, _ := play(t, s, Options{Seed: seed, Program: program})
+		t.Logf("seed %d: %s", seed, strings.Join(s.FaultKinds(), " "))
+		res, _ := playScenario(t, s, Options{Seed: seed, Program: program})
 		for _, v := range res.Verdicts {
 			if !v.Held {
 				t.Errorf("seed %d: %s broke %d times: %s", seed, v.Invariant, v.Broken, strings.Join(v.Findings, "\n"))
@@ -64,18 +64,18 @@
 	return seeds
 }
 
-// Seeds that were noted before draw what they drew, and those from SoakWiderFrom on have terminations and crossings besides.
+// Seeds that were noted before draw what they drew, and those from ExtendedSoakFrom on have terminations and crossings besides.
 func TestWiderSoakDrawsMore(t *testing.T) {
 	var kinds []string
-	for _, seed := range []uint64{SoakWiderFrom - 1, SoakWiderFrom, SoakWiderFrom + 1, SoakWiderFrom + 2, SoakWiderFrom + 3, SoakWiderFrom + 4, SoakWiderFrom + 5} {
+	for _, seed := range []uint64{ExtendedSoakFrom - 1, ExtendedSoakFrom, ExtendedSoakFrom + 1, ExtendedSoakFrom + 2, ExtendedSoakFrom + 3, ExtendedSoakFrom + 4, ExtendedSoakFrom + 5} {
 		s, err := Soak(seed, 0)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if more := len(s.Fault) > soakFaults; more != (seed >= SoakWiderFrom) {
+		if more := len(s.Fault) > soakFaults; more != (seed >= ExtendedSoakFrom) {
 			t.Errorf("seed %d draws %d faults", seed, len(s.Fault))
 		}
-		kinds = append(kinds, s.Kinds()...)
+		kinds = append(kinds, s.FaultKinds()...)
 	}
 	for _, want := range []string{"term", "swap", "deaf", "crowd", "busy"} {
 		if !slices.Contains(kinds, want) {
@@ -103,7 +103,7 @@
 		"never answered beside it":        {Try{End: GaveUp, Fresh: true, Sent: 20*s + 500*ms, Ended: 20*s + 600*ms}, true},
 	} {
 		h.tries = []*Try{&c.try}
-		for _, v := range judge(h, scene(t, "hold=['final']\n[fleet]\nservers=2"), false) {
+		for _, v := range judge(h, readScenario(t, "hold=['final']\n[fleet]\nservers=2"), false) {
 			if v.Held == c.broken {
 				t.Errorf("%s: held %v", name, v.Held)
 			}
@@ -115,7 +115,7 @@
 func TestTerminationKillsAtTheEarliest(t *testing.T) {
 	const after = 300 * time.Millisecond
 	p := &processes{clock: newClock(), history: new(History), current: make([]*process, 1)}
-	p.clock.begin(0)
+	p.clock.startIn(0)
 	cmd := exec.Command("sh", "-c", "trap '' TERM HUP; echo deaf; while :; do sleep 0.05; done")
 	out, err := cmd.StdoutPipe()
 	if err != nil {
@@ -158,7 +158,7 @@
 		if !slices.Equal(a.Fault, b.Fault) || a.Fleet != b.Fleet {
 			t.Errorf("seed %d draws two scenarios", seed)
 		}
-		kinds = append(kinds, a.Kinds()...)
+		kinds = append(kinds, a.FaultKinds()...)
 		overlap := 0
 		for i, f := range a.Fault {
 			for _, g := range a.Fault[:i] {
@@ -202,7 +202,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			h := &History{tries: []*Try{&c.try}, killed: c.killed}
-			scenario := scene(t, "hold=['final','left','told','peers','guarded']\n[fleet]\nservers=2")
+			scenario := readScenario(t, "hold=['final','left','told','peers','guarded']\n[fleet]\nservers=2")
 			for _, v := range judge(h, scenario, false) {
 				if v.Held == (v.Invariant == c.broken) {
 					t.Errorf("%s held: %v; %v", v.Invariant, v.Held, v.Findings)
@@ -211,7 +211,7 @@
 		})
 	}
 	h := &History{peers: []string{"x"}, broken: []string{"x"}}
-	for _, v := range judge(h, scene(t, "hold=['peers','guarded']\n[fleet]\nservers=2"), false) {
+	for _, v := range judge(h, readScenario(t, "hold=['peers','guarded']\n[fleet]\nservers=2"), false) {
 		if v.Held {
 			t.Errorf("%s held", v.Invariant)
 		}
@@ -221,7 +221,7 @@
 // A slow client's time begins as its last byte is handed over, neither before nor at a later read.
 func TestSlowBodyEndsWithItsLastByte(t *testing.T) {
 	whole := 0
-	b := &body{text: strings.NewReader("abcde"), piece: 2, whole: func() { whole++ }}
+	b := &requestBody{text: strings.NewReader("abcde"), piece: 2, whole: func() { whole++ }}
 	for _, want := range []struct{ n, whole int }{{2, 0}, {2, 0}, {1, 1}, {0, 1}} {
 		if n, err := b.Read(make([]byte, 10)); n != want.n || whole != want.whole || (err == io.EOF) != (n == 0) {
 			t.Errorf("read %d bytes, error %v, ended %d times; want %+v", n, err, whole, want)
--- a/internal/lab/spoil.go
+++ b/internal/lab/spoil.go
@@ -60,8 +60,8 @@
 	}
 }
 
-// spoil answers in one of the ways, and ends the connection. It says whether the answer may be taken for whole.
-func spoil(w http.ResponseWriter, body string, draw int, settle func(way string, whole bool)) {
+// writeSpoilt answers in one of the ways, and ends the connection. It says whether the answer may be taken for whole.
+func writeSpoilt(w http.ResponseWriter, body string, draw int, settle func(way string, whole bool)) {
 	way := spoilt[draw%len(spoilt)]
 	c, _, err := http.NewResponseController(w).Hijack()
 	if err != nil {
--- a/internal/lab/spread.go
+++ b/internal/lab/spread.go
@@ -34,9 +34,9 @@
 
 // fitTimes says when each server is ready and warm, from zero on: not while something was done to it, nor until it is warm
 // again and the list has said so.
-func (r *run) fitTimes(plan []Action) []fit {
-	s := r.scene
-	all := make([]fit, s.Fleet.Servers+s.spares())
+func (r *run) fitTimes(plan []PlannedFault) []fit {
+	s := r.scenario
+	all := make([]fit, s.Fleet.Servers+s.replacementServers())
 	for i := range s.Fleet.Servers {
 		all[i] = fit{{0, s.For.Std()}}
 	}
@@ -53,20 +53,20 @@
 		all[server] = left
 	}
 	for _, a := range plan {
-		if kinds[a.Do].on != "server" {
+		if faultKinds[a.Kind].on != "server" {
 			continue
 		}
-		back := s.List.Notice.Std()
-		if a.Do == "crash" || a.Do == "silence" || a.Do == "replace" {
-			back = max(back, s.Serve.ColdTime.Std())
+		back := s.Discovery.UpdateDelay.Std()
+		if a.Kind == "crash" || a.Kind == "silence" || a.Kind == "replace" {
+			back = max(back, s.Server.ColdTime.Std())
 		}
 		for i, server := range a.Targets {
 			from := a.At.Std() + time.Duration(i)*a.Pause.Std()
 			to := s.For.Std()
 			switch {
-			case a.Do == "replace":
+			case a.Kind == "replace":
 				if warm := from + a.For.Std() + back; warm < to {
-					all[a.Spares[i]] = fit{{warm, to}}
+					all[a.Replacements[i]] = fit{{warm, to}}
 				}
 			case a.For > 0:
 				to = from + a.For.Std() + back
@@ -75,8 +75,8 @@
 		}
 	}
 	for i, u := range r.servers.all {
-		if u.pushed {
-			without(i, u.fell, s.For.Std())
+		if u.collapsed {
+			without(i, u.collapsedAt, s.For.Std())
 		}
 	}
 	return all
@@ -263,8 +263,8 @@
 
 // spread counts how evenly a run's sends fell: up to its first fault, and from some seconds after the last began. Herds
 // are counted from the first fault on: they come in the first moments.
-func (r *run) spread(plan []Action, f map[string]float64) {
-	length := r.scene.For.Std()
+func (r *run) spread(plan []PlannedFault, f map[string]float64) {
+	length := r.scenario.For.Std()
 	before, after := length, length
 	for i, a := range plan {
 		at := a.At.Std()
@@ -288,7 +288,7 @@
 		h := herdFigures(sends, fits, part.herds, part.to)
 		f[part.name+"herd"], f[part.name+"herd_chance"] = h[0], h[1]
 	}
-	opened := r.servers.dialled.values()
+	opened := r.servers.connections.values()
 	for second, n := range opened {
 		f["server_conns"] += n
 		if len(plan) > 0 && time.Duration(second)*time.Second >= plan[0].At.Std() {
--- a/internal/lab/spread_test.go
+++ b/internal/lab/spread_test.go
@@ -13,14 +13,14 @@
 // that it has none then.
 func history(t *testing.T, text string, weight func(server int) float64, skip func(at time.Duration, server int) bool) *run {
 	t.Helper()
-	r := &run{scene: scene(t, text), history: new(History), servers: &servers{dialled: newCounter(60)}}
+	r := &run{scenario: readScenario(t, text), history: new(History), servers: &servers{connections: newCounter(60)}}
 	rng := rand.New(rand.NewPCG(1, 1))
 	try := r.history.begin(0, 0, 0, 0)
-	for server := range r.scene.Fleet.Servers + r.scene.spares() {
+	for server := range r.scenario.Fleet.Servers + r.scenario.replacementServers() {
 		for at := 0.0; ; {
 			at += rng.ExpFloat64() / (12 * weight(server))
 			now := time.Duration(at * float64(time.Second))
-			if now > r.scene.For.Std() {
+			if now > r.scenario.For.Std() {
 				break
 			}
 			if !skip(now, server) {
@@ -77,7 +77,7 @@
 			for i := range c.herd {
 				try.Reached = append(try.Reached, Reached{Server: 3, At: 20*s + time.Duration(i)*time.Millisecond})
 			}
-			plan := r.scene.Plan(1)
+			plan := r.scenario.Plan(1)
 			r.fits = r.fitTimes(plan)
 			f := make(map[string]float64)
 			r.spread(plan, f)
@@ -118,7 +118,7 @@
 		if err := s.Stretch(14 * time.Second); err != nil {
 			t.Fatal(err)
 		}
-		res, broken := play(t, s, Options{Seed: 1, Program: realProgram(t)})
+		res, broken := playScenario(t, s, Options{Seed: 1, Program: realProgram(t)})
 		if len(broken) > 0 {
 			t.Errorf("broken: %v", broken)
 		}
--- a/internal/lab/state_test.go
+++ b/internal/lab/state_test.go
@@ -42,7 +42,7 @@
 // confirms. With the folder as it was, the server is out and nothing is said.
 func TestDamagedStateIsNeverSilent(t *testing.T) {
 	t.Parallel()
-	r := stage(t, scene(t, "[fleet]\nsidecars=1\nservers=2"))
+	r := stage(t, readScenario(t, "[fleet]\nsidecars=1\nservers=2"))
 	rng := rand.New(rand.NewPCG(1, 1))
 	told, kept := 0, 0
 	for i := range 24 {
@@ -57,7 +57,7 @@
 			}
 		}
 		r.processes.kill(0)
-		if err := r.processes.damage(0, how, rng); err != nil {
+		if err := r.processes.damageState(0, how, rng); err != nil {
 			t.Fatal(err)
 		}
 		if q, err = r.processes.start(0); err != nil {
@@ -107,7 +107,7 @@
 // A state folder that is removed at work is made again by the next call, which holds over the next kill.
 func TestStateFolderRemovedAtWork(t *testing.T) {
 	t.Parallel()
-	r := stage(t, scene(t, "[fleet]\nsidecars=1\nservers=3"))
+	r := stage(t, readScenario(t, "[fleet]\nsidecars=1\nservers=3"))
 	for i := range 4 {
 		q, err := r.processes.start(0)
 		if err != nil {
@@ -137,7 +137,7 @@
 func TestKilledAmidACompaction(t *testing.T) {
 	t.Parallel()
 	const callers = 4
-	r := stage(t, scene(t, fmt.Sprintf("[fleet]\nsidecars=1\nservers=%d\nfile='''[state]\nlimit=32'''", callers+1)))
+	r := stage(t, readScenario(t, fmt.Sprintf("[fleet]\nsidecars=1\nservers=%d\nfile='''[state]\nlimit=32'''", callers+1)))
 	folder := filepath.Join(r.processes.stateDir(0), "sidecar-n0.kept")
 	half := func() bool { // a file is being written
 		names, _ := filepath.Glob(filepath.Join(folder, "*.tmp"))
@@ -189,7 +189,7 @@
 		}
 		r.processes.mu.Lock()
 		for _, p := range ending {
-			p.wanted = true
+			p.endExpected = true
 		}
 		r.processes.mu.Unlock()
 		for _, p := range ending {
--- a/internal/lab/terminate.go
+++ b/internal/lab/terminate.go
@@ -46,15 +46,15 @@
 
 // terminate ends a sidecar's process by a series of signals, and kills it at the page's earliest. Clients use their
 // connections until then.
-func (f *faults) terminate(ctx context.Context, a Action, i int) error {
+func (f *faults) terminate(ctx context.Context, a PlannedFault, i int) error {
 	if int(a.Size) == earlyTerm {
-		f.terminateOne(ctx, f.run.processes.of(i), plainTerm)
+		f.terminateOne(ctx, f.run.processes.running(i), plainTerm)
 		f.run.roster.restarted(i)
 		if _, err := f.run.processes.start(i); err != nil {
 			return err
 		}
 	}
-	f.terminateOne(ctx, f.run.processes.of(i), int(a.Size))
+	f.terminateOne(ctx, f.run.processes.running(i), int(a.Size))
 	if !mended(ctx, a) {
 		return nil
 	}
@@ -64,9 +64,9 @@
 }
 
 // replaceBySeries starts a process beside the old one, which is terminated once the new one is ready.
-func (f *faults) replaceBySeries(ctx context.Context, a Action, i int) error {
+func (f *faults) replaceBySeries(ctx context.Context, a PlannedFault, i int) error {
 	defer f.run.history.changed(f.run.clock)
-	old := f.run.processes.of(i)
+	old := f.run.processes.running(i)
 	if _, err := f.run.processes.start(i); err != nil {
 		return err
 	}
@@ -82,7 +82,7 @@
 	f.mu.Lock()
 	seed := f.rng.Uint64()
 	f.mu.Unlock()
-	after := f.run.scene.killAfter()
+	after := f.run.scenario.killAfter()
 	clung, release := context.WithCancel(ctx)
 	var clients sync.WaitGroup
 	defer clients.Wait()
@@ -105,7 +105,7 @@
 // answered when it is killed is the kill's only where it came within killSlack of the signal.
 func (p *processes) terminate(q *process, series int, after time.Duration) {
 	p.mu.Lock()
-	q.wanted = true
+	q.endExpected = true
 	p.mu.Unlock()
 	send := func(signal syscall.Signal) { _ = q.cmd.Process.Signal(signal) } // it may have ended by itself
 	if series == hangupBefore {
@@ -155,7 +155,7 @@
 // cling sends requests one behind the other on connections that it keeps for as long as they stay open, until ctx ends.
 func (k *clients) cling(ctx context.Context, sidecar int, rng *rand.Rand) {
 	for ctx.Err() == nil {
-		c, err := net.DialTimeout("tcp", k.net.at(sidecar, clientPort), dialTime)
+		c, err := net.DialTimeout("tcp", k.net.address(sidecar, clientPort), dialTime)
 		if err != nil {
 			sleep(ctx, clingRest)
 			continue
@@ -164,7 +164,7 @@
 		for fresh := true; ctx.Err() == nil; fresh = false {
 			t, text := k.clung(sidecar, rng)
 			_, _ = c.Write(text) // that it is closed shows as the answer is read
-			if k.hear(c, r, t, fresh) == Broken {
+			if k.readTryAnswer(c, r, t, fresh) == Broken {
 				break
 			}
 			sleep(ctx, time.Duration(rng.Int64N(int64(clingRest))))
@@ -176,7 +176,7 @@
 // holdBack connects, sends all but the end of a request, and the end at some moment within a time.
 func (k *clients) holdBack(ctx context.Context, sidecar int, rng *rand.Rand, within time.Duration) {
 	const end = 2 // bytes
-	c, err := net.DialTimeout("tcp", k.net.at(sidecar, clientPort), dialTime)
+	c, err := net.DialTimeout("tcp", k.net.address(sidecar, clientPort), dialTime)
 	if err != nil {
 		return
 	}
@@ -196,22 +196,22 @@
 		k.history.end(t, k.clock.now(), Unreachable, 0, "", false, false)
 		return
 	}
-	k.hear(c, r, t, true)
+	k.readTryAnswer(c, r, t, true)
 }
 
-// hear reads a try's answer, and says how it ended.
-func (k *clients) hear(c net.Conn, r *bufio.Reader, t *Try, fresh bool) Outcome {
+// readTryAnswer reads a try's answer, and says how it ended.
+func (k *clients) readTryAnswer(c net.Conn, r *bufio.Reader, t *Try, fresh bool) Outcome {
 	k.history.mu.Lock()
 	owed := t.Owed
 	k.history.mu.Unlock()
-	_ = c.SetDeadline(k.clock.at(owed + k.scene.Load.late())) // fails only on a closed one
+	_ = c.SetDeadline(k.clock.timeAt(owed + k.scenario.Load.extraWait())) // fails only on a closed one
 	end, status, answer, partial := readAnswer(r)
 	k.history.end(t, k.clock.now(), end, status, answer, partial, fresh)
 	return end
 }
 
 // crowd holds so many idle connections to a sidecar while a fault lasts, and opens others for those that it closes.
-func (f *faults) crowd(ctx context.Context, a Action, i int) {
+func (f *faults) crowd(ctx context.Context, a PlannedFault, i int) {
 	ctx, cancel := context.WithTimeout(ctx, a.For.Std())
 	defer cancel()
 	h, from := f.run.history, f.run.clock.now()
@@ -219,7 +219,7 @@
 	for range int(a.Size) {
 		all.Go(func() {
 			for ctx.Err() == nil {
-				c, err := net.DialTimeout("tcp", f.run.net.at(i, clientPort), dialTime)
+				c, err := net.DialTimeout("tcp", f.run.net.address(i, clientPort), dialTime)
 				if err == nil {
 					stop := context.AfterFunc(ctx, func() { c.Close() })
 					_, _ = io.Copy(io.Discard, c) // until either side ends it
--- a/internal/lab/twice_test.go
+++ b/internal/lab/twice_test.go
@@ -26,12 +26,12 @@
 		t.Run(do, func(t *testing.T) {
 			old, next := sleeper(t), sleeper(t)
 			p := &processes{clock: newClock(), history: new(History), current: []*process{old}}
-			f := &faults{run: &run{processes: p, hollow: new(hollows), clock: p.clock, history: p.history}, lives: make([]sync.Mutex, 1)}
+			f := &faults{run: &run{processes: p, hollow: new(hollows), clock: p.clock, history: p.history}, restartMu: make([]sync.Mutex, 1)}
 			ctx, mend := context.WithCancel(t.Context())
 			ended := make(chan error, 1)
 			go func() {
-				a := Action{Fault: Fault{Do: do, Size: 1, For: conf.Duration(time.Hour)}}
-				ended <- f.sidecar(ctx, a, 0)
+				a := PlannedFault{Fault: Fault{Kind: do, Size: 1, For: conf.Duration(time.Hour)}}
+				ended <- f.sidecarFault(ctx, a, 0)
 			}()
 			waitFor(t, "the fault to begin", func() bool { return struck(old) })
 			p.mu.Lock()
@@ -54,15 +54,15 @@
 func TestReloadDisturbsNoProcessThatStarts(t *testing.T) {
 	q := sleeper(t) // SIGHUP ends it
 	q.ended = make(chan struct{})
-	q.born.Store(math.MaxInt64)
+	q.readyAt.Store(math.MaxInt64)
 	if q.mayReload(time.Hour) {
 		t.Error("a process that is not ready may be told")
 	}
-	q.born.Store(int64(time.Minute))
+	q.readyAt.Store(int64(time.Minute))
 	if q.mayReload(time.Minute+noReload-1) || !q.mayReload(time.Minute+noReload) {
 		t.Error("a process may be told at another moment than a second behind being ready")
 	}
-	s := scene(t, "[fleet]\nsidecars=1\nservers=1")
+	s := readScenario(t, "[fleet]\nsidecars=1\nservers=1")
 	n, err := claimSubnet()
 	if err != nil {
 		t.Fatal(err)
@@ -79,12 +79,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := &processes{clock: c, scene: s, history: h, net: n, roster: r, dir: t.TempDir(), routes: func(int) map[string]string { return nil }}
-	first, err := p.configure(0, 1)
+	p := &processes{clock: c, scenario: s, history: h, net: n, roster: r, dir: t.TempDir(), routes: func(int) map[string]string { return nil }}
+	first, err := p.writeConfig(0, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	second, err := p.configure(0, 2)
+	second, err := p.writeConfig(0, 2)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/lab/upstream.go
+++ b/internal/lab/upstream.go
@@ -37,13 +37,13 @@
 
 // servers are the stand-ins for all queue servers. One lock serialises their models, which share zones.
 type servers struct {
-	clock   clock
-	history *History
-	net     *subnet
-	tally   []*counter // requests that reached each, by second
-	dialled *counter   // connections that were opened to all
-	tipped  *counter   // servers that a crowd has made slow, by second
-	held    *counter   // requests that all servers have
+	clock        clock
+	history      *History
+	net          *subnet
+	arrivals     []*counter // requests that reached each, by second
+	connections  *counter   // connections that were opened to all
+	congested    *counter   // servers that a crowd has made slow, by second
+	requestsHeld *counter   // requests that all servers have
 
 	mu  sync.Mutex
 	all []*server
@@ -51,30 +51,30 @@
 
 // server is one of them: a model behind the listeners at its port.
 type server struct {
-	of      *servers
-	number  int
-	port    int
-	sockets int
-	callers int // sidecars
-	model   *world.Server
-	waiting map[uint64]chan world.Ended // by job
-	last    uint64
-	timer   *time.Timer
-	doors   []*door // none while its process is dead
-	conns   map[*conn]bool
-	pushed  bool          // over, in this life
-	fell    time.Duration // when it was, for good
-	silent  chan struct{} // not nil while it says nothing; closed when it speaks again
-	http    *http.Server
-	spoils  float64 // share of answers that it spoils
-	hangs   float64 // and of requests that it never answers
+	servers     *servers
+	number      int
+	port        int
+	sockets     int
+	callers     int // sidecars
+	model       *world.Server
+	waiting     map[uint64]chan world.Ended // by job
+	last        uint64
+	timer       *time.Timer
+	endpoints   []*door // none while its process is dead
+	conns       map[*conn]bool
+	collapsed   bool          // over, in this life
+	collapsedAt time.Duration // when it was, for good
+	silent      chan struct{} // not nil while it says nothing; closed when it speaks again
+	http        *http.Server
+	spoils      float64 // share of answers that it spoils
+	hangs       float64 // and of requests that it never answers
 }
 
 func newServers(s *Scenario, seed uint64, c clock, h *History, n *subnet) (*servers, error) {
 	seconds := int(s.For.Std() / time.Second)
 	all := &servers{
 		clock: c, history: h, net: n,
-		dialled: newCounter(seconds), tipped: newCounter(seconds), held: newCounter(seconds),
+		connections: newCounter(seconds), congested: newCounter(seconds), requestsHeld: newCounter(seconds),
 	}
 	zones := make([]*world.Zone, s.Fleet.Zones)
 	for i := range zones {
@@ -84,9 +84,9 @@
 			}
 		}
 	}
-	for i := range s.Fleet.Servers + s.spares() {
+	for i := range s.Fleet.Servers + s.replacementServers() {
 		u := &server{
-			of: all, number: i, sockets: s.Serve.Sockets, callers: s.Fleet.Sidecars, model: s.server(i, zones[s.zoneOf(i)], seed),
+			servers: all, number: i, sockets: s.Server.Sockets, callers: s.Fleet.Sidecars, model: s.serverModel(i, zones[s.zoneOf(i)], seed),
 			waiting: make(map[uint64]chan world.Ended), conns: make(map[*conn]bool),
 		}
 		u.timer = time.AfterFunc(time.Hour, u.tick)
@@ -98,20 +98,20 @@
 					defer all.mu.Unlock()
 					u.advance()
 					u.model.Connect(all.clock.now())
-					u.look()
-					all.dialled.add(all.clock.now(), 1)
+					u.update()
+					all.connections.add(all.clock.now(), 1)
 				}
 			},
 			ConnContext: func(ctx context.Context, c net.Conn) context.Context { return context.WithValue(ctx, connKey{}, c) },
 		}
 		all.all = append(all.all, u)
-		all.tally = append(all.tally, newCounter(seconds))
+		all.arrivals = append(all.arrivals, newCounter(seconds))
 		var err error
-		u.port, err = n.port()
+		u.port, err = n.allocatePort()
 		switch {
 		case err != nil:
 		case i < s.Fleet.Servers:
-			err = u.open()
+			err = u.listen()
 		default: // its place is taken by nobody yet
 			u.model.Crash(c.now())
 		}
@@ -124,11 +124,13 @@
 }
 
 // at is where a sidecar reaches a server.
-func (a *servers) at(sidecar, server int) string { return a.net.at(sidecar, a.all[server].port) }
+func (a *servers) address(sidecar, server int) string {
+	return a.net.address(sidecar, a.all[server].port)
+}
 
 // broken takes that a sidecar finds its connection to a server broken, so that a long answer on it is cut off. It says
 // whether there is such a server.
-func (a *servers) broken(local, remote netip.AddrPort) bool {
+func (a *servers) noteBrokenConnection(local, remote netip.AddrPort) bool {
 	i := slices.IndexFunc(a.all, func(u *server) bool { return u.port == int(remote.Port()) })
 	if i < 0 {
 		return false
@@ -149,7 +151,7 @@
 	defer a.mu.Unlock()
 	for _, u := range a.all {
 		u.advance()
-		u.look()
+		u.update()
 		held += u.model.Held()
 		if u.model.Tipped() {
 			tipped++
@@ -159,8 +161,8 @@
 		}
 	}
 	now := a.clock.now()
-	a.tipped.add(now, int64(tipped))
-	a.held.add(now, int64(held))
+	a.congested.add(now, int64(tipped))
+	a.requestsHeld.add(now, int64(held))
 	return tipped, held, up
 }
 
@@ -186,21 +188,21 @@
 	listener *net.TCPListener              // nil: refused
 	fillers  []net.Conn                    // fill the queue of a door that is silent
 	parked   chan struct{}                 // has one where nobody accepts any more, as the server is silent or the door is held
-	held     atomic.Pointer[chan struct{}] // not nil while connections don't come up here; closed when they do again
+	resumed  atomic.Pointer[chan struct{}] // not nil while connections don't come up here; closed when they do again
 }
 
-// open listens, and serves what comes.
-func (u *server) open() error {
-	all, err := u.of.net.open(u.port, u.callers, fmt.Sprintf("server %d", u.number))
+// listen listens, and serves what comes.
+func (u *server) listen() error {
+	all, err := u.servers.net.listen(u.port, u.callers, fmt.Sprintf("server %d", u.number))
 	if err != nil {
 		return err
 	}
-	u.of.mu.Lock()
-	defer u.of.mu.Unlock()
-	u.doors = nil
+	u.servers.mu.Lock()
+	defer u.servers.mu.Unlock()
+	u.endpoints = nil
 	for _, l := range all {
 		d := &door{server: u, listener: l, parked: make(chan struct{}, 1)}
-		u.doors = append(u.doors, d)
+		u.endpoints = append(u.endpoints, d)
 		go func() { _ = u.http.Serve(&doorway{d, l}) }() // ends with the listener
 	}
 	return nil
@@ -208,23 +210,23 @@
 
 // ways are a server's doors of now.
 func (u *server) ways() []*door {
-	u.of.mu.Lock()
-	defer u.of.mu.Unlock()
-	return u.doors
+	u.servers.mu.Lock()
+	defer u.servers.mu.Unlock()
+	return u.endpoints
 }
 
 func (d *door) shut() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.listener != nil {
-		endListener(d.listener)
+		closeListener(d.listener)
 		d.listener = nil
 	}
-	d.empty()
+	d.closeFillers()
 }
 
-// empty lets the fillers go.
-func (d *door) empty() {
+// closeFillers lets the fillers go.
+func (d *door) closeFillers() {
 	for _, c := range d.fillers {
 		c.Close()
 	}
@@ -247,7 +249,7 @@
 	}
 	at := d.listener.Addr().(*net.TCPAddr)
 	if at.IP.IsUnspecified() {
-		at.IP = net.IP(d.server.of.net.ip(0).AsSlice())
+		at.IP = net.IP(d.server.servers.net.ip(0).AsSlice())
 	}
 	for range fillMost {
 		if c, err := net.DialTimeout("tcp", at.String(), fillTime); err == nil {
@@ -268,7 +270,7 @@
 	if d.listener == nil {
 		return
 	}
-	d.empty()
+	d.closeFillers()
 	select {
 	case <-d.parked:
 	default:
@@ -290,21 +292,21 @@
 // meanwhile comes up when its first packet is sent again, after a second.
 func (d *door) hold() {
 	held := make(chan struct{})
-	if d.held.CompareAndSwap(nil, &held) {
+	if d.resumed.CompareAndSwap(nil, &held) {
 		d.hush()
 	}
 }
 
 // release ends hold.
 func (d *door) release() {
-	held := d.held.Swap(nil)
+	held := d.resumed.Swap(nil)
 	if held == nil {
 		return
 	}
 	defer close(*held)
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.empty()
+	d.closeFillers()
 	if d.listener != nil {
 		d.queue(backlog)
 		_ = d.listener.SetDeadline(time.Time{}) // fails only on a closed one
@@ -334,7 +336,7 @@
 
 // doorway is a door's listener as net/http has it.
 type doorway struct {
-	d *door
+	endpoint *door
 	*net.TCPListener
 }
 
@@ -342,22 +344,22 @@
 func (w *doorway) Accept() (net.Conn, error) {
 	for {
 		c, err := w.TCPListener.AcceptTCP()
-		u, caller := w.d.server, -1
+		u, caller := w.endpoint.server, -1
 		if err == nil {
-			if caller = u.of.net.caller(c.LocalAddr()); caller < 0 || caller >= u.callers { // by an address that is none of this run's
+			if caller = u.servers.net.callerAt(c.LocalAddr()); caller < 0 || caller >= u.callers { // by an address that is none of this run's
 				c.Close()
 				continue
 			}
 		}
-		u.of.mu.Lock()
+		u.servers.mu.Lock()
 		silent := u.silent
 		if err == nil && silent == nil && u.model.Up() {
 			wrapped := &conn{TCPConn: c, server: u, sidecar: caller}
 			u.conns[wrapped] = true
-			u.of.mu.Unlock()
+			u.servers.mu.Unlock()
 			return wrapped, nil
 		}
-		u.of.mu.Unlock()
+		u.servers.mu.Unlock()
 		var timeout net.Error
 		late := errors.As(err, &timeout) && timeout.Timeout()
 		switch {
@@ -367,14 +369,14 @@
 		case !late:
 			return nil, err
 		}
-		w.d.park(silent)
+		w.endpoint.park(silent)
 	}
 }
 
 // park waits while the server is silent, or the door is held.
 func (d *door) park(silent chan struct{}) {
 	untils := []chan struct{}{silent}
-	if held := d.held.Load(); held != nil {
+	if held := d.resumed.Load(); held != nil {
 		untils = append(untils, *held)
 	}
 	for _, until := range untils {
@@ -394,12 +396,12 @@
 	*net.TCPConn
 	server  *server
 	sidecar int
-	cut     atomic.Pointer[func(why string)] // notes that the exchange on it is cut off by the server; nil: there is none
+	onCut   atomic.Pointer[func(why string)] // notes that the exchange on it is cut off by the server; nil: there is none
 }
 
 // breakOff takes that the server ends the connection, whatever is on it.
 func (c *conn) breakOff(why string) {
-	if cut := c.cut.Load(); cut != nil {
+	if cut := c.onCut.Load(); cut != nil {
 		(*cut)(why)
 	}
 }
@@ -408,9 +410,9 @@
 
 // heard waits while the server is silent; afterwards the connection is reset.
 func (c *conn) heard() error {
-	c.server.of.mu.Lock()
+	c.server.servers.mu.Lock()
 	silent := c.server.silent
-	c.server.of.mu.Unlock()
+	c.server.servers.mu.Unlock()
 	if silent == nil {
 		return nil
 	}
@@ -436,9 +438,9 @@
 }
 
 func (c *conn) Close() error {
-	c.server.of.mu.Lock()
+	c.server.servers.mu.Lock()
 	delete(c.server.conns, c)
-	c.server.of.mu.Unlock()
+	c.server.servers.mu.Unlock()
 	return c.TCPConn.Close()
 }
 
@@ -471,7 +473,7 @@
 }
 
 func (u *server) shut() {
-	for _, d := range u.doors {
+	for _, d := range u.endpoints {
 		d.release()
 		d.shut()
 	}
@@ -486,7 +488,7 @@
 }
 
 func (u *server) down() {
-	u.model.Crash(u.of.clock.now())
+	u.model.Crash(u.servers.clock.now())
 	u.drop()
 	u.speak()
 	u.shut()
@@ -508,9 +510,9 @@
 		return nil
 	}
 	a.all[i].model.Start(a.clock.now())
-	a.all[i].pushed = false
+	a.all[i].collapsed = false
 	a.mu.Unlock()
-	return a.all[i].open()
+	return a.all[i].listen()
 }
 
 // silence makes a server's machine vanish, or brings it back; its process is then a new one.
@@ -556,27 +558,27 @@
 	all.Wait()
 }
 
-// change does something to a server's model.
-func (a *servers) change(i int, f func(*world.Server)) {
+// changeModel does something to a server's model.
+func (a *servers) changeModel(i int, f func(*world.Server)) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	u := a.all[i]
 	u.advance()
 	f(u.model)
-	u.look()
+	u.update()
 }
 
 // tick plays a server on by its timer.
 func (u *server) tick() {
-	u.of.mu.Lock()
-	defer u.of.mu.Unlock()
+	u.servers.mu.Lock()
+	defer u.servers.mu.Unlock()
 	u.advance()
-	u.look()
+	u.update()
 }
 
 // advance plays the model on, and hands out what has ended.
 func (u *server) advance() {
-	for _, e := range u.model.Advance(u.of.clock.now()) {
+	for _, e := range u.model.Advance(u.servers.clock.now()) {
 		if c := u.waiting[e.ID]; c != nil {
 			c <- e
 			delete(u.waiting, e.ID)
@@ -584,31 +586,31 @@
 	}
 }
 
-// look sets the timer, and sees whether the server has fallen over.
-func (u *server) look() {
-	if u.model.Fell() && !u.pushed {
-		u.pushed, u.fell = true, u.of.clock.now()
-		h := u.of.history
-		h.note(&h.fallen, "at %v server %d was pushed over when it was cold", u.of.clock.now(), u.number)
+// update sets the timer, and sees whether the server has fallen over.
+func (u *server) update() {
+	if u.model.Fell() && !u.collapsed {
+		u.collapsed, u.collapsedAt = true, u.servers.clock.now()
+		h := u.servers.history
+		h.note(&h.fallen, "at %v server %d was pushed over when it was cold", u.servers.clock.now(), u.number)
 		u.drop()
 		u.speak()
 		u.shut()
 	}
 	if at, ok := u.model.Next(); ok {
-		u.timer.Reset(max(0, at-u.of.clock.now()))
+		u.timer.Reset(max(0, at-u.servers.clock.now()))
 	}
 }
 
 // ServeHTTP is the server's side of the protocol.
 func (u *server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	c := r.Context().Value(connKey{}).(*conn)
-	at := u.of.clock.now()
+	at := u.servers.clock.now()
 	if r.URL.Path == "/alive" {
-		u.of.mu.Lock()
+		u.servers.mu.Lock()
 		u.advance()
 		u.model.Inspect(at)
-		u.look()
-		u.of.mu.Unlock()
+		u.update()
+		u.servers.mu.Unlock()
 		return
 	}
 	id := r.Header.Get("X-Request-ID")
@@ -616,31 +618,31 @@
 		http.Error(w, "no X-Request-ID", http.StatusNotFound)
 		return
 	}
-	c.cut.Store(nil)
+	c.onCut.Store(nil)
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, bodyLimit))
 	if err != nil {
 		return // its last byte never came: it has not begun
 	}
-	t, n := u.of.history.reach(id, Reached{Server: u.number, Sidecar: c.sidecar, At: at, Verdict: world.Full, Told: toldTime(r.Header.Get("X-Timeout")), Port: portOf(c.RemoteAddr())})
+	t, n := u.servers.history.reach(id, Reached{Server: u.number, Sidecar: c.sidecar, At: at, Verdict: world.Full, Told: toldTime(r.Header.Get("X-Timeout")), Port: portOf(c.RemoteAddr())})
 	if t == nil {
 		http.Error(w, "an id that no client sent", http.StatusBadRequest)
 		return
 	}
 	if sum := r.URL.Query().Get("sum"); sum != "" && sum != sumOf(body) {
-		h := u.of.history
+		h := u.servers.history
 		h.note(&h.strays, "at %v server %d got a body of %d bytes with request %s that its client did not send", at, u.number, len(body), id)
 	}
-	u.of.tally[u.number].add(at, 1)
+	u.servers.arrivals[u.number].add(at, 1)
 	work, err := time.ParseDuration(r.URL.Query().Get("work"))
 	if err != nil {
 		http.Error(w, "no work", http.StatusBadRequest)
 		return
 	}
 	ended, job, verdict := u.take(work, keyHash(r.Header.Get("X-Route-Key")), keyHash(r.Header.Get("Idempotency-Key")))
-	u.of.history.settle(t, n, verdict, "")
-	step := func(format string, args ...any) { u.of.history.step(t, n, u.of.clock.now(), format, args...) }
+	u.servers.history.settle(t, n, verdict, "")
+	step := func(format string, args ...any) { u.servers.history.step(t, n, u.servers.clock.now(), format, args...) }
 	cut := func(why string) { step("%s", why) }
-	c.cut.Store(&cut)
+	c.onCut.Store(&cut)
 	switch verdict {
 	case world.Full:
 		w.Header().Set("X-Not-Processed", "1")
@@ -674,20 +676,20 @@
 		body = strings.Repeat(body, 1+min(size, bodyLimit)/len(body))
 	}
 	hang, spoils, draw := u.misbehaves()
-	step := func(format string, args ...any) { u.of.history.step(t, n, u.of.clock.now(), format, args...) }
+	step := func(format string, args ...any) { u.servers.history.step(t, n, u.servers.clock.now(), format, args...) }
 	if hang {
-		u.of.history.spoil(t, n)
+		u.servers.history.spoil(t, n)
 		step("hangs")
 		<-r.Context().Done()
 		step("connection ended")
 		return
 	}
-	u.of.history.settle(t, n, world.Taken, body)
+	u.servers.history.settle(t, n, world.Taken, body)
 	if spoils {
-		spoil(w, body, draw, func(way string, whole bool) {
+		writeSpoilt(w, body, draw, func(way string, whole bool) {
 			step("spoils: %s", way)
 			if !whole {
-				u.of.history.spoil(t, n)
+				u.servers.history.spoil(t, n)
 			}
 		})
 		step("connection ended")
@@ -700,10 +702,10 @@
 	}
 	c := r.Context().Value(connKey{}).(*conn)
 	cut := func(why string) {
-		u.of.history.spoil(t, n)
+		u.servers.history.spoil(t, n)
 		step("%s", why)
 	}
-	c.cut.Store(&cut)
+	c.onCut.Store(&cut)
 	step("begins a long answer")
 	sent, err := answerLong(w, body, draw)
 	step("sent %d of %d bytes, error %v", sent, len(body), err)
@@ -740,8 +742,8 @@
 
 // misbehaves draws whether a request is never answered, or its answer spoilt, and in which way.
 func (u *server) misbehaves() (hangs, spoils bool, draw int) {
-	u.of.mu.Lock()
-	defer u.of.mu.Unlock()
+	u.servers.mu.Lock()
+	defer u.servers.mu.Unlock()
 	return rand.Float64() < u.hangs, rand.Float64() < u.spoils, rand.IntN(len(spoilt))
 }
 
@@ -773,15 +775,15 @@
 
 // take hands a request to the model.
 func (u *server) take(work time.Duration, key, unique uint64) (chan world.Ended, uint64, world.Verdict) {
-	u.of.mu.Lock()
-	defer u.of.mu.Unlock()
+	u.servers.mu.Lock()
+	defer u.servers.mu.Unlock()
 	u.advance()
-	defer u.look()
+	defer u.update()
 	if len(u.conns) > u.sockets {
 		return nil, 0, world.Full
 	}
 	u.last++
-	v := u.model.Arrive(u.of.clock.now(), world.Job{ID: u.last, Work: work, Key: key, Unique: unique})
+	v := u.model.Arrive(u.servers.clock.now(), world.Job{ID: u.last, Work: work, Key: key, Unique: unique})
 	if v != world.Taken {
 		return nil, 0, v
 	}
@@ -792,10 +794,10 @@
 
 // cancel takes that nobody waits for a job any more.
 func (u *server) cancel(job uint64) {
-	u.of.mu.Lock()
-	defer u.of.mu.Unlock()
+	u.servers.mu.Lock()
+	defer u.servers.mu.Unlock()
 	u.advance()
 	u.model.Cancel(job)
 	delete(u.waiting, job)
-	u.look()
+	u.update()
 }
--- a/internal/lab/views.go
+++ b/internal/lab/views.go
@@ -49,7 +49,7 @@
 
 // members says whether the sidecars of a scenario take part in membership, and somebody wants to know what they see.
 func (s *Scenario) members() bool {
-	judged := slices.Contains(s.Hold, "members") || slices.Contains(s.Hold, "agreed")
+	judged := slices.Contains(s.Invariants, "members") || slices.Contains(s.Invariants, "agreed")
 	return judged && strings.Contains(s.Fleet.File, "[member]")
 }
 
@@ -64,8 +64,8 @@
 			return
 		case <-t.C:
 		}
-		for i := range r.scene.Fleet.Sidecars {
-			q := r.processes.of(i)
+		for i := range r.scenario.Fleet.Sidecars {
+			q := r.processes.running(i)
 			if q == nil {
 				continue
 			}
@@ -73,8 +73,8 @@
 			go func() {
 				defer func() { <-places }()
 				at := r.clock.now()
-				if v, err := askView(q.console, r.scene.all()); err == nil {
-					v.at, v.born, v.sidecar = at, time.Duration(q.born.Load()), i
+				if v, err := askView(q.console, r.scenario.totalSidecars()); err == nil {
+					v.at, v.born, v.sidecar = at, time.Duration(q.readyAt.Load()), i
 					r.history.mu.Lock()
 					defer r.history.mu.Unlock()
 					r.history.views = append(r.history.views, v)
@@ -88,7 +88,7 @@
 func (r *run) watchDuties(stop <-chan struct{}) {
 	var all sync.WaitGroup
 	defer all.Wait()
-	for i := range r.scene.Fleet.Sidecars {
+	for i := range r.scenario.Fleet.Sidecars {
 		all.Go(func() {
 			t := time.NewTicker(dutyPoll)
 			defer t.Stop()
@@ -98,7 +98,7 @@
 					return
 				case <-t.C:
 				}
-				q := r.processes.of(i)
+				q := r.processes.running(i)
 				if q == nil {
 					continue
 				}
@@ -329,7 +329,7 @@
 		}
 		same := steady.quiet(from, v.at) && !h.cut(from, v.at)
 		ups := 0
-		for i := range s.all() {
+		for i := range s.totalSidecars() {
 			up, down := steady.since(i, from, v.at+viewTime)
 			same = same && (up || down)
 			if up {
--- a/internal/lab/views_test.go
+++ b/internal/lab/views_test.go
@@ -11,7 +11,7 @@
 
 // Each way in which a view can be wrong is found, and none where a fault has just been or still is.
 func TestViewsAreJudged(t *testing.T) {
-	s := scene(t, "[fleet]\nsidecars=3")
+	s := readScenario(t, "[fleet]\nsidecars=3")
 	const sec = time.Second
 	for what, c := range map[string]struct {
 		at      time.Duration
@@ -60,8 +60,8 @@
 func TestGarbageAtRealSidecars(t *testing.T) {
 	t.Parallel()
 	const n = 3
-	r := stage(t, scene(t, "[fleet]\nsidecars=3\nservers=2\nmemory_mb=48"))
-	r.scene.Fleet.File = fmt.Sprintf("[member]\nlisten='{peer}'\ncluster='lab'\nseeds=['%s','%s']", r.net.at(0, peerPort), r.net.at(1, peerPort))
+	r := stage(t, readScenario(t, "[fleet]\nsidecars=3\nservers=2\nmemory_mb=48"))
+	r.scenario.Fleet.File = fmt.Sprintf("[member]\nlisten='{peer}'\ncluster='lab'\nseeds=['%s','%s']", r.net.address(0, peerPort), r.net.address(1, peerPort))
 	var all []*process
 	for i := range n {
 		q, err := r.processes.start(i)
@@ -98,7 +98,7 @@
 	boast = append(append(boast, "Join"...), 0xc3)
 	var held []net.Conn
 	for i := range 600 {
-		target := r.net.at(i%n, peerPort)
+		target := r.net.address(i%n, peerPort)
 		b := make([]byte, []int{1, 3, 40, 1400, 60_000}[i%5])
 		for j := range b {
 			b[j] = byte(rng.Uint32())
@@ -134,7 +134,7 @@
 		s.Close()
 	}
 	for i, q := range all {
-		if rss, _, ok := usage(q.cmd.Process.Pid); !ok || rss > 48 {
+		if rss, _, ok := processUsage(q.cmd.Process.Pid); !ok || rss > 48 {
 			t.Errorf("sidecar %d: %v, %.1f MiB", i, ok, rss)
 		}
 		says(t, q, "ready")
@@ -148,8 +148,8 @@
 func amid(t *testing.T, file, faults string) *Result {
 	t.Helper()
 	file = "[member]\nlisten = \"{peer}\"\ncluster = \"lab\"\nseeds = [\"n0\", \"n1\"]\n" + file
-	s := scene(t, "for = '30s'\n[fleet]\nsidecars = 4\nservers = 4\nmesh = true\nfile = '''"+file+"'''\n[load]\nuse = 0.1\n"+faults)
-	res, broken := play(t, s, Options{Seed: 1, Program: realProgram(t)})
+	s := readScenario(t, "for = '30s'\n[fleet]\nsidecars = 4\nservers = 4\nmesh = true\nfile = '''"+file+"'''\n[load]\nuse = 0.1\n"+faults)
+	res, broken := playScenario(t, s, Options{Seed: 1, Program: realProgram(t)})
 	for name, v := range broken {
 		t.Errorf("%s: %v", name, v.Findings)
 	}
@@ -199,8 +199,8 @@
 		"one token at two":      {[]tokenSeen{{0, sec, 0, "x", 6}, {0, sec, 1, "x", 6}}, false},
 		"the same one all time": {[]tokenSeen{{0, sec, 0, "x", 6}, {2 * sec, 3 * sec, 0, "x", 6}}, true},
 	} {
-		s := scene(t, "[fleet]\nsidecars=2")
-		s.Hold = []string{"duties"}
+		s := readScenario(t, "[fleet]\nsidecars=2")
+		s.Invariants = []string{"duties"}
 		if v := judge(&History{tokens: c.seen}, s, false); len(v) != 1 || v[0].Held != c.good {
 			t.Errorf("%s: %+v", what, v)
 		}
