--- a/internal/lab/upstream.go
+++ b/internal/lab/upstream.go
@@ -591,7 +591,7 @@
 	if u.model.CrashedCold() && !u.collapsed {
 		u.collapsed, u.collapsedAt = true, u.servers.clock.now()
 		h := u.servers.history
-		h.note(&h.fallen, "at %v server %d was pushed over when it was cold", u.servers.clock.now(), u.number)
+		h.addFinding(&h.collapsedCold, "at %v server %d was pushed over when it was cold", u.servers.clock.now(), u.number)
 		u.drop()
 		u.speak()
 		u.shut()
@@ -623,14 +623,14 @@
 	if err != nil {
 		return // its last byte never came: it has not begun
 	}
-	t, n := u.servers.history.reach(id, Reached{Server: u.number, Sidecar: c.sidecar, At: at, Verdict: world.Rejected, Told: toldTime(r.Header.Get("X-Timeout")), Port: portOf(c.RemoteAddr())})
+	t, n := u.servers.history.recordReached(id, Reached{Server: u.number, Sidecar: c.sidecar, At: at, Verdict: world.Rejected, Told: toldTime(r.Header.Get("X-Timeout")), Port: portOf(c.RemoteAddr())})
 	if t == nil {
 		http.Error(w, "an id that no client sent", http.StatusBadRequest)
 		return
 	}
-	if sum := r.URL.Query().Get("sum"); sum != "" && sum != sumOf(body) {
+	if sum := r.URL.Query().Get("sum"); sum != "" && sum != bodyHash(body) {
 		h := u.servers.history
-		h.note(&h.strays, "at %v server %d got a body of %d bytes with request %s that its client did not send", at, u.number, len(body), id)
+		h.addFinding(&h.unknownRequests, "at %v server %d got a body of %d bytes with request %s that its client did not send", at, u.number, len(body), id)
 	}
 	u.servers.arrivals[u.number].add(at, 1)
 	work, err := time.ParseDuration(r.URL.Query().Get("work"))
@@ -639,8 +639,10 @@
 		return
 	}
 	ended, job, verdict := u.take(work, keyHash(r.Header.Get("X-Route-Key")), keyHash(r.Header.Get("Idempotency-Key")))
-	u.servers.history.settle(t, n, verdict, "")
-	step := func(format string, args ...any) { u.servers.history.step(t, n, u.servers.clock.now(), format, args...) }
+	u.servers.history.recordVerdict(t, n, verdict, "")
+	step := func(format string, args ...any) {
+		u.servers.history.recordStep(t, n, u.servers.clock.now(), format, args...)
+	}
 	cut := func(why string) { step("%s", why) }
 	c.onCut.Store(&cut)
 	switch verdict {
@@ -676,20 +678,22 @@
 		body = strings.Repeat(body, 1+min(size, bodyLimit)/len(body))
 	}
 	hang, spoils, draw := u.misbehaves()
-	step := func(format string, args ...any) { u.servers.history.step(t, n, u.servers.clock.now(), format, args...) }
+	step := func(format string, args ...any) {
+		u.servers.history.recordStep(t, n, u.servers.clock.now(), format, args...)
+	}
 	if hang {
-		u.servers.history.spoil(t, n)
+		u.servers.history.markSpoilt(t, n)
 		step("hangs")
 		<-r.Context().Done()
 		step("connection ended")
 		return
 	}
-	u.servers.history.settle(t, n, world.Accepted, body)
+	u.servers.history.recordVerdict(t, n, world.Accepted, body)
 	if spoils {
 		writeSpoilt(w, body, draw, func(way string, whole bool) {
 			step("spoils: %s", way)
 			if !whole {
-				u.servers.history.spoil(t, n)
+				u.servers.history.markSpoilt(t, n)
 			}
 		})
 		step("connection ended")
@@ -702,7 +706,7 @@
 	}
 	c := r.Context().Value(connKey{}).(*conn)
 	cut := func(why string) {
-		u.servers.history.spoil(t, n)
+		u.servers.history.markSpoilt(t, n)
 		step("%s", why)
 	}
 	c.onCut.Store(&cut)
