--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -1,5 +1,5 @@
-// Package fleet reads the fleet file: the configuration of the parts that join sidecars to each other. Without such a
-// file a sidecar stands alone, and none of these parts is there. Each part has a section of its own.
+// Package fleet reads the fleet file, which configures the cooperation of sidecars: membership, duties, rule sets and the
+// sharing of traffic figures. Without such a file a sidecar runs on its own. Each part has its own section.
 package fleet
 
 import (
@@ -12,51 +12,51 @@
 	"arrowgw/internal/conf"
 )
 
-// routesMost is how many routes a file may have.
-const routesMost = 10_000
+// maxRoutes is the maximum number of routes in a fleet file.
+const maxRoutes = 10_000
 
-// File is a fleet file. Its zero value is that of a sidecar that stands alone.
+// File is the content of a fleet file. Its zero value configures a sidecar that runs on its own.
 type File struct {
 	Duty   Duty              `toml:"duty"`
 	Member Member            `toml:"member"`
 	Rules  Rules             `toml:"rules"`
 	Spread Spread            `toml:"spread"`
 	State  State             `toml:"state"`
-	Routes map[string]string `toml:"routes" help:"address (IP:port) by which this process reaches a peer, by the peer's name; one without a route is reached where it says that it is"`
+	Routes map[string]string `toml:"routes" help:"address (IP:port) at which this process reaches a peer, by peer name; a peer without a route is reached at the address it announces"`
 }
 
-// State is the section of the durable state.
+// State is the section for the durable state.
 type State struct {
-	Limit int `toml:"limit" default:"1024" min:"32" max:"65536" unit:"KiB" help:"size of the state's files together; a new one is begun at half of it"`
+	Limit int `toml:"limit" default:"1024" min:"32" max:"65536" unit:"KiB" help:"maximum total size of the state files; a new file is started at half of it"`
 }
 
-// Spread is the section of the fleet's spread over the servers (docs/spread.md).
+// Spread is the section for the distribution of the fleet's traffic over the servers (docs/spread.md).
 type Spread struct {
-	Share bool `toml:"share" default:"false" help:"members tell each other how much traffic they have, and each chooses its servers, and how often they come, by what all have; the same at all"`
+	Share bool `toml:"share" default:"false" help:"members share their request rates, and each chooses its server subset and weights by the rates of all; must be the same in all members"`
 }
 
-// Member is the section of membership (docs/membership.md).
+// Member is the section for membership (docs/membership.md).
 type Member struct {
-	Listen  string        `toml:"listen" help:"address (IP:port, UDP and TCP) where peers reach this process; empty: no membership"`
-	Cluster string        `toml:"cluster" help:"name of the fleet, the same at all; packets of others are passed over"`
-	Seeds   []string      `toml:"seeds" help:"some members to join by: NAME (which has a route), NAME/IP:port or IP:port"`
-	Probe   conf.Duration `toml:"probe" default:"100ms" min:"20ms" max:"10s" help:"time between two probes of others; the same at all"`
-	Forget  conf.Duration `toml:"forget" default:"15m" min:"1m" max:"24h" help:"a member that was lost is called, and counted unless its address refuses, for so long"`
+	Listen  string        `toml:"listen" help:"address (IP:port, UDP and TCP) at which peers reach this process; empty: no membership"`
+	Cluster string        `toml:"cluster" help:"name of the fleet, the same in all members; packets of other fleets are ignored"`
+	Seeds   []string      `toml:"seeds" help:"members to contact in order to join: NAME (which needs a route), NAME/IP:port or IP:port"`
+	Probe   conf.Duration `toml:"probe" default:"100ms" min:"20ms" max:"10s" help:"interval between probes of other members; must be the same in all members"`
+	Forget  conf.Duration `toml:"forget" default:"15m" min:"1m" max:"24h" help:"how long reconnects to a lost member are tried; meanwhile it counts as a member unless its address refuses connections"`
 }
 
-// Duty is the section of duties (docs/duties.md).
+// Duty is the section for duties (docs/duties.md).
 type Duty struct {
-	Voters []string      `toml:"voters" help:"names of the three or five members that keep the table of duties, the same at all; none: no duties"`
-	Lease  conf.Duration `toml:"lease" default:"3s" min:"1s" max:"1m" help:"a lost holder's duty is passed on after this and a little more"`
-	Report bool          `toml:"report" default:"false" help:"the duty report: its holder has a line on the whole fleet in its log every 10 s"`
+	Voters []string      `toml:"voters" help:"names of the three or five members that keep the table of duties, the same in all members; empty: no duties"`
+	Lease  conf.Duration `toml:"lease" default:"3s" min:"1s" max:"1m" help:"lease of a duty; the duty of a lost holder is reassigned shortly after it expires"`
+	Report bool          `toml:"report" default:"false" help:"enables the duty report: its holder logs a summary of the whole fleet every 10 s"`
 }
 
-// Rules is the section of rule sets (docs/rules.md).
+// Rules is the section for rule sets (docs/rules.md).
 type Rules struct {
-	File string `toml:"file" help:"path of the rule set that this process pushes where it is newer, read at the start and at SIGHUP; there need be none; empty: no rule sets"`
+	File string `toml:"file" help:"path of the rule set that this process pushes if it is newer than the one in force, read at the start and at SIGHUP; the file may be missing; empty: no rule sets"`
 }
 
-// check finds what no single key can be blamed for.
+// check reports an invalid listen address, or one without a cluster name.
 func (m *Member) check() error {
 	if m.Listen == "" {
 		return nil
@@ -65,42 +65,42 @@
 		return fmt.Errorf("key \"member.listen\": %w", err)
 	}
 	if m.Cluster == "" {
-		return errors.New("key \"member.cluster\" is needed beside member.listen")
+		return errors.New("key \"member.cluster\" is required with member.listen")
 	}
 	return nil
 }
 
-// Read reads the fleet file at path.
+// Read reads and checks the fleet file at path.
 func Read(path string) (*File, error) {
 	var f File
 	if err := conf.Read(path, &f); err != nil {
 		return nil, err
 	}
-	if len(f.Routes) > routesMost {
-		return nil, fmt.Errorf("%s: %d routes, %d are allowed", path, len(f.Routes), routesMost)
+	if len(f.Routes) > maxRoutes {
+		return nil, fmt.Errorf("%s: %d routes, at most %d are allowed", path, len(f.Routes), maxRoutes)
 	}
-	var bad []error
+	var errs []error
 	if err := f.Member.check(); err != nil {
-		bad = append(bad, fmt.Errorf("%s: %w", path, err))
+		errs = append(errs, fmt.Errorf("%s: %w", path, err))
 	}
 	switch n := len(f.Duty.Voters); {
 	case n != 0 && n != 1 && n != 3 && n != 5:
-		bad = append(bad, fmt.Errorf("%s: key \"duty.voters\": %d voters: 3 or 5 are allowed, or 1 where its loss may stop all duties", path, n))
+		errs = append(errs, fmt.Errorf("%s: key \"duty.voters\": %d voters: must be 3 or 5, or 1 if its loss may stop all duties", path, n))
 	case n > 0 && f.Member.Listen == "":
-		bad = append(bad, fmt.Errorf("%s: key \"duty.voters\" needs member.listen beside it", path))
+		errs = append(errs, fmt.Errorf("%s: key \"duty.voters\" needs member.listen", path))
 	}
 	if f.Rules.File != "" && len(f.Duty.Voters) == 0 {
-		bad = append(bad, fmt.Errorf("%s: key \"rules.file\" needs duty.voters beside it", path))
+		errs = append(errs, fmt.Errorf("%s: key \"rules.file\" needs duty.voters", path))
 	}
 	if f.Spread.Share && f.Member.Listen == "" {
-		bad = append(bad, fmt.Errorf("%s: key \"spread.share\" needs member.listen beside it", path))
+		errs = append(errs, fmt.Errorf("%s: key \"spread.share\" needs member.listen", path))
 	}
 	for _, peer := range slices.Sorted(maps.Keys(f.Routes)) {
 		if _, err := netip.ParseAddrPort(f.Routes[peer]); err != nil {
-			bad = append(bad, fmt.Errorf("%s: key %q: %w", path, "routes."+peer, err))
+			errs = append(errs, fmt.Errorf("%s: key %q: %w", path, "routes."+peer, err))
 		}
 	}
-	if err := errors.Join(bad...); err != nil {
+	if err := errors.Join(errs...); err != nil {
 		return nil, err
 	}
 	return &f, nil
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -39,7 +39,7 @@
 	}
 }
 
-// The page that lists the keys has each as the program has it.
+// Every key must be listed in docs/configuration.md with the same type, default, bounds and help text.
 func TestKeysAreListed(t *testing.T) {
 	page, err := os.ReadFile("../../docs/configuration.md")
 	if err != nil {
