--- a/internal/logging/logs.go
+++ b/internal/logging/logs.go
@@ -1,5 +1,5 @@
-// Package logging sets up the log that all programs write to standard error: log/slog, one event one name, with the
-// names and the attribute keys that docs/operations.md lists.
+// Package logging sets up the log that all programs write to standard error with log/slog. Each event has one message, and
+// docs/operations.md lists the messages and their attribute keys.
 package logging
 
 import (
@@ -8,25 +8,26 @@
 	"log/slog"
 )
 
-// Setup makes w the log, as EDGE_LOG (text or json) and EDGE_LOG_LEVEL (debug, info, warn or error) say. With
-// neither it is text, from info on. A word that it does not know is an error, and the log is as with neither.
+// Setup makes w the destination of the default slog logger. EDGE_LOG sets the format (text or json, default text) and
+// EDGE_LOG_LEVEL the level (debug, info, warn or error, default info). For an unknown value Setup uses the default and
+// returns an error.
 func Setup(w io.Writer, env func(string) string) error {
 	var level slog.Level
 	options := &slog.HandlerOptions{Level: &level}
-	var bad error
+	var invalid error
 	if text := env("EDGE_LOG_LEVEL"); text != "" {
 		if err := level.UnmarshalText([]byte(text)); err != nil {
-			bad, level = fmt.Errorf("EDGE_LOG_LEVEL is %q: debug, info, warn and error are allowed", text), slog.LevelInfo
+			invalid, level = fmt.Errorf("EDGE_LOG_LEVEL is %q: debug, info, warn and error are allowed", text), slog.LevelInfo
 		}
 	}
 	var handler slog.Handler = slog.NewTextHandler(w, options)
-	switch form := env("EDGE_LOG"); form {
+	switch format := env("EDGE_LOG"); format {
 	case "json":
 		handler = slog.NewJSONHandler(w, options)
 	case "", "text":
 	default:
-		bad = fmt.Errorf("EDGE_LOG is %q: text and json are allowed", form)
+		invalid = fmt.Errorf("EDGE_LOG is %q: text and json are allowed", format)
 	}
 	slog.SetDefault(slog.New(handler))
-	return bad
+	return invalid
 }
--- a/internal/meter/meter.go
+++ b/internal/meter/meter.go
@@ -1,4 +1,4 @@
-// Package meter counts what goes through sockets, by what it is for and which way.
+// Package meter counts the bytes and units sent and received over sockets, by purpose.
 package meter
 
 import (
@@ -6,13 +6,13 @@
 	"sync/atomic"
 )
 
-// Kind is what bytes are for.
+// Kind is the purpose of traffic on a connection.
 type Kind int
 
-// The kinds of what control sends and is sent.
+// The kinds of control traffic.
 const (
-	Packets   Kind = iota // membership's, UDP
-	Exchanges             // membership's, TCP: whole exchanges, and probes that no packet answered
+	Packets   Kind = iota // membership over UDP
+	Exchanges             // membership over TCP: full state exchanges, and probes that were not answered over UDP
 	Duties
 	Rules
 	Discovery
@@ -23,16 +23,16 @@
 // KindNames are the names of the kinds, indexed by Kind.
 var KindNames = [kinds]string{"packets", "exchanges", "duties", "rules", "discovery", "other"}
 
-// Count is what went one way. Bytes are payload: the headers of packets and segments are not in them.
+// Count is the traffic in one direction. Bytes are payload, without the headers of packets and segments.
 type Count struct {
 	Bytes int64
-	Units int64 // packets, or for streams the connections: opened for out, accepted for in
+	Units int64 // packets; for streams, connections (opened ones count as sent, accepted ones as received)
 }
 
-// Traffic is what went through some sockets, both ways, by kind.
+// Traffic is the traffic in both directions, by kind.
 type Traffic struct{ In, Out [kinds]Count }
 
-// Meter counts. Its methods are safe for concurrent use; nil counts nothing.
+// Meter counts traffic. Its methods are safe for concurrent use. A nil Meter counts nothing.
 type Meter struct {
 	in, out [kinds]struct{ bytes, units atomic.Int64 }
 }
@@ -53,7 +53,7 @@
 	}
 }
 
-// Traffic is what was counted so far.
+// Traffic returns the totals so far.
 func (m *Meter) Traffic() (t Traffic) {
 	if m == nil {
 		return t
@@ -66,12 +66,13 @@
 }
 
 // Add returns the sum t+o.
-func (t Traffic) Add(o Traffic) Traffic { return t.each(o, 1) }
+func (t Traffic) Add(o Traffic) Traffic { return t.addScaled(o, 1) }
 
 // Sub returns the difference t-o: the traffic since o, if o is an earlier result of the same meter.
-func (t Traffic) Sub(o Traffic) Traffic { return t.each(o, -1) }
+func (t Traffic) Sub(o Traffic) Traffic { return t.addScaled(o, -1) }
 
-func (t Traffic) each(o Traffic, sign int64) Traffic {
+// addScaled returns t + sign*o.
+func (t Traffic) addScaled(o Traffic, sign int64) Traffic {
 	for k := range kinds {
 		t.In[k].Bytes += sign * o.In[k].Bytes
 		t.In[k].Units += sign * o.In[k].Units
@@ -95,22 +96,23 @@
 	return &conn{c, m, k}
 }
 
+// conn is a connection whose bytes are counted.
 type conn struct {
 	net.Conn
-	m *Meter
-	k Kind
+	meter *Meter
+	kind  Kind
 }
 
 // Read implements net.Conn.
 func (c *conn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
-	c.m.AddReceived(c.k, n, 0)
+	c.meter.AddReceived(c.kind, n, 0)
 	return n, err
 }
 
 // Write implements net.Conn.
 func (c *conn) Write(p []byte) (int, error) {
 	n, err := c.Conn.Write(p)
-	c.m.AddSent(c.k, n, 0)
+	c.meter.AddSent(c.kind, n, 0)
 	return n, err
 }
--- a/internal/meter/meter_test.go
+++ b/internal/meter/meter_test.go
@@ -6,13 +6,13 @@
 	"testing"
 )
 
-// What goes over a counted connection is counted at either end, by kind and way; a nil meter leaves it as it is.
+// Bytes and connections must be counted at both ends by kind and direction. A nil meter must return the connection unchanged.
 func TestConn(t *testing.T) {
 	var a, b Meter
 	here, there := net.Pipe()
 	from, to := a.WrapConn(here, Rules, true), b.WrapConn(there, Rules, false)
 	go func() {
-		_, _ = io.WriteString(from, "hello") // its reader counts
+		_, _ = io.WriteString(from, "hello") // a failed write shows in what the reader gets
 		from.Close()
 	}()
 	if got, err := io.ReadAll(to); err != nil || string(got) != "hello" {
@@ -24,7 +24,7 @@
 		t.Errorf("sent %v, received %v, want 5 bytes over 1 connection", out, in)
 	}
 	if since := a.Traffic().Sub(before); since.Out[Packets] != (Count{100, 1}) || since.Out[Rules] != (Count{}) {
-		t.Errorf("since then: %v", since)
+		t.Errorf("since before: %v, want 1 packet of 100 bytes only", since)
 	}
 	var none *Meter
 	none.AddSent(Rules, 1, 1)
