--- a/internal/member/list.go
+++ b/internal/member/list.go
@@ -17,91 +17,94 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// create starts the library.
-func (g *Group) create() (*memberlist.Memberlist, error) {
-	quiet := log.New(&libraryLog{group: g}, "", 0)
-	inner, err := g.network()
+// createList opens the transport and starts memberlist on it.
+func (g *Group) createList() (*memberlist.Memberlist, error) {
+	logger := log.New(&libraryLog{group: g}, "", 0)
+	inner, err := g.openTransport()
 	if err != nil {
 		return nil, err
 	}
-	c := memberlist.DefaultLANConfig()
-	c.Name, c.Label, c.Logger = g.cfg.Name, g.cfg.Cluster, quiet
-	c.Transport = newTransport(inner, g.cfg.Routes, g.refused, g.listening, g.cfg.Meter, g.cfg.StreamKinds)
-	c.Delegate, c.Events, c.Alive, c.Ping, c.Conflict = g, g, g, g, g
-	c.ProbeInterval, c.ProbeTimeout = g.cfg.ProbeInterval, g.cfg.ProbeInterval*2/5
-	c.SuspicionMult, c.SuspicionMaxTimeoutMult = g.suspicion(), 3
-	c.GossipInterval, c.GossipNodes, c.RetransmitMult = g.cfg.ProbeInterval, 4, 4
-	c.PushPullInterval, c.TCPTimeout = 30*time.Second, streamTime
-	c.EnableCompression = false
-	c.DeadNodeReclaimTime = time.Millisecond // a name is free for another address once its holder is dead
-	c.HandoffQueueDepth = 1024
-	list, err := memberlist.Create(c)
+	config := memberlist.DefaultLANConfig()
+	config.Name, config.Label, config.Logger = g.cfg.Name, g.cfg.Cluster, logger
+	config.Transport = newRoutedTransport(inner, g.cfg.Routes, g.recordContact, g.listenerFor, g.cfg.Meter, g.cfg.StreamKinds)
+	config.Delegate, config.Events, config.Alive, config.Ping, config.Conflict = g, g, g, g, g
+	config.ProbeInterval, config.ProbeTimeout = g.cfg.ProbeInterval, g.cfg.ProbeInterval*2/5
+	config.SuspicionMult, config.SuspicionMaxTimeoutMult = g.suspicionMult(), 3
+	config.GossipInterval, config.GossipNodes, config.RetransmitMult = g.cfg.ProbeInterval, 4, 4
+	config.PushPullInterval, config.TCPTimeout = 30*time.Second, streamTimeout
+	config.EnableCompression = false
+	config.DeadNodeReclaimTime = time.Millisecond // a dead member's name may be taken over at another address at once
+	config.HandoffQueueDepth = 1024
+	list, err := memberlist.Create(config)
 	if err != nil {
 		return nil, errors.Join(err, inner.Shutdown())
 	}
-	g.carry(inner)
+	g.setTransport(inner)
 	return list, nil
 }
 
-func (g *Group) network() (memberlist.NodeAwareTransport, error) {
+// openTransport returns the configured transport, or one on sockets at Config.Listen.
+func (g *Group) openTransport() (memberlist.NodeAwareTransport, error) {
 	if g.cfg.NewTransport != nil {
 		return g.cfg.NewTransport(g.cfg)
 	}
-	return listen(g.cfg.Listen, g.cfg.Meter)
+	return listenSockets(g.cfg.Listen, g.cfg.Meter)
 }
 
-// carry sets by what streams of other kinds are opened; nil: by nothing.
-func (g *Group) carry(t memberlist.NodeAwareTransport) {
+// setTransport sets the transport that Dial uses. With nil, Dial fails.
+func (g *Group) setTransport(t memberlist.NodeAwareTransport) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.transport = t
 }
 
-// suspicion is how many times the probes' interval and log10 of the members a suspect has to object, so that a process that
-// stands still for most of a second is not declared dead in a small fleet either.
-func (g *Group) suspicion() int {
-	return max(3, int(math.Ceil(suspectProbes/max(1, math.Log10(float64(g.cfg.ExpectedMembers))))))
+// suspicionMult returns memberlist's SuspicionMult: a suspected member has SuspicionMult * max(1, log10(members)) probe
+// intervals to refute the suspicion. It is chosen so that a process that stalls for most of a second is not declared dead,
+// in a small fleet either.
+func (g *Group) suspicionMult() int {
+	return max(3, int(math.Ceil(suspicionProbes/max(1, math.Log10(float64(g.cfg.ExpectedMembers))))))
 }
 
-// libraryLog takes the library's lines to the log, at the level for people who look for a fault in it. Its word that a
-// member did not answer is the only way in which the library tells of a suspicion of this process's own.
+// libraryLog forwards memberlist's log lines to the group's log at debug level. It also parses the line that reports an
+// unanswered probe, because memberlist reports this process's own suspicions in no other way.
 type libraryLog struct{ group *Group }
 
 func (l *libraryLog) Write(line []byte) (int, error) {
 	text := string(bytes.TrimSpace(line))
 	var name string
 	if n, _ := fmt.Sscanf(text, "[INFO] memberlist: Suspect %s has failed, no acks received", &name); n == 1 {
-		l.group.suspect(name)
+		l.group.recordSuspicion(name)
 	}
 	l.group.log.Debug("memberlist", "says", text)
 	return len(line), nil
 }
 
-// suspect takes that a member did not answer this process.
-func (g *Group) suspect(name string) {
+// recordSuspicion records that the named member did not answer this process's probe.
+func (g *Group) recordSuspicion(name string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if e := g.table[name]; e != nil && e.state == Present {
-		e.suspected = time.Now()
+	if e := g.members[name]; e != nil && e.state == Present {
+		e.suspectedAt = time.Now()
 	}
 }
 
-// refused takes that a member's address refuses or closes at once, or (false) that it spoke.
-func (g *Group) refused(name string, yes bool) {
+// recordContact records the result of a connection to the named member: refused is true if its address refused the
+// connection or closed it without sending anything, false if the member sent data.
+func (g *Group) recordContact(name string, refused bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	switch e := g.table[name]; {
+	switch e := g.members[name]; {
 	case e == nil:
-	case !yes:
-		e.word, e.suspected = time.Now(), time.Time{}
+	case !refused:
+		e.lastContact, e.suspectedAt = time.Now(), time.Time{}
 	case e.state == Silent:
-		e.state, e.since = Gone, time.Now()
+		e.state, e.stateSince = Gone, time.Now()
 		g.log.Info("membership", "member", name, "state", Gone)
 	}
 }
 
 // NodeMeta implements memberlist.Delegate.
-func (g *Group) NodeMeta(int) []byte { return g.encode() }
+func (g *Group) NodeMeta(int) []byte { return g.encodeMeta() }
 
 // NotifyMsg implements memberlist.Delegate.
 func (g *Group) NotifyMsg([]byte) {}
@@ -109,210 +112,213 @@
 // GetBroadcasts implements memberlist.Delegate.
 func (g *Group) GetBroadcasts(int, int) [][]byte { return nil }
 
-// LocalState implements memberlist.Delegate: the views go with full exchanges too, where no packet passes.
+// LocalState implements memberlist.Delegate. Full state exchanges carry the views too, in case no packets get through.
 func (g *Group) LocalState(bool) []byte { return g.AckPayload() }
 
 // MergeRemoteState implements memberlist.Delegate.
-func (g *Group) MergeRemoteState(raw []byte, _ bool) { g.hear(raw) }
+func (g *Group) MergeRemoteState(raw []byte, _ bool) { g.mergeViews(raw) }
 
-// viewBytes is a view on the wire: its digest, and the ms since it was held.
+// viewBytes is the encoded size of a view: its digest (8 bytes) and the milliseconds since a process last held it (4 bytes).
 const viewBytes = 12
 
-// AckPayload implements memberlist.PingDelegate: the views that were heard of lately.
+// AckPayload implements memberlist.PingDelegate. It returns the views that were held recently, encoded.
 func (g *Group) AckPayload() []byte {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := time.Now()
-	g.look(now)
+	g.refreshLocked(now)
 	raw := make([]byte, 0, len(g.views)*viewBytes)
-	for digest, at := range g.views {
+	for digest, lastHeld := range g.views {
 		raw = binary.BigEndian.AppendUint64(raw, digest)
-		raw = binary.BigEndian.AppendUint32(raw, uint32(now.Sub(at)/time.Millisecond))
+		raw = binary.BigEndian.AppendUint32(raw, uint32(now.Sub(lastHeld)/time.Millisecond))
 	}
 	return raw
 }
 
 // NotifyPingComplete implements memberlist.PingDelegate.
 func (g *Group) NotifyPingComplete(other *memberlist.Node, _ time.Duration, raw []byte) {
-	g.refused(other.Name, false)
-	g.hear(raw)
+	g.recordContact(other.Name, false)
+	g.mergeViews(raw)
 }
 
-// hear takes in the views that another has heard of. One that is older than the time for which views count is none.
-func (g *Group) hear(raw []byte) {
-	if len(raw)%viewBytes != 0 || len(raw) > viewsMost*viewBytes {
+// mergeViews adds the views that another process sent, in the form of AckPayload. Views older than viewTTL are dropped.
+func (g *Group) mergeViews(raw []byte) {
+	if len(raw)%viewBytes != 0 || len(raw) > maxViews*viewBytes {
 		return
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := time.Now()
-	g.heard = now
+	g.viewsReceivedAt = now
 	for ; len(raw) > 0; raw = raw[viewBytes:] {
 		digest := binary.BigEndian.Uint64(raw)
-		at := now.Add(-time.Duration(binary.BigEndian.Uint32(raw[8:])) * time.Millisecond)
-		if old, ok := g.views[digest]; !ok || at.After(old) {
-			g.views[digest] = at
+		lastHeld := now.Add(-time.Duration(binary.BigEndian.Uint32(raw[8:])) * time.Millisecond)
+		if old, ok := g.views[digest]; !ok || lastHeld.After(old) {
+			g.views[digest] = lastHeld
 		}
 	}
-	g.look(now)
+	g.refreshLocked(now)
 }
 
-// NotifyAlive implements memberlist.AliveDelegate: an error keeps the library from believing the word.
+// NotifyAlive implements memberlist.AliveDelegate. An error makes memberlist ignore the alive message.
 func (g *Group) NotifyAlive(n *memberlist.Node) error {
 	var m meta
 	if err := json.Unmarshal(n.Meta, &m); err != nil {
-		return fmt.Errorf("its particulars can't be read: %w", err)
+		return fmt.Errorf("unreadable node metadata: %w", err)
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if n.Name == g.cfg.Name {
-		if m.Start > g.cfg.Start && n.Address() == g.ownAddress() {
-			g.standLocked(Replaced) // there can be only one process at an address
-			return fmt.Errorf("a later process has this name")
+		if m.Start > g.cfg.Start && n.Address() == g.ownAddressLocked() {
+			g.setStandingLocked(Replaced) // only one process can listen at an address
+			return fmt.Errorf("a later process of this name is running")
 		}
-		return nil // an earlier one's is refuted by the library
+		return nil // memberlist refutes a message of an earlier process
 	}
-	e := g.table[n.Name]
+	e := g.members[n.Name]
 	switch {
-	case e == nil && len(g.table) >= membersMost:
-		return fmt.Errorf("there are %d members", membersMost)
+	case e == nil && len(g.members) >= maxMembers:
+		return fmt.Errorf("the limit of %d members is reached", maxMembers)
 	case e != nil && m.Start < e.Start && e.address == n.Address():
-		return fmt.Errorf("process %d has ended, %d came after it", m.Start, e.Start)
+		return fmt.Errorf("process %d has been replaced by process %d", m.Start, e.Start)
 	}
 	return nil
 }
 
-// ownAddress is where the others reach this process. mu is held.
-func (g *Group) ownAddress() string {
-	if e := g.table[g.cfg.Name]; e != nil {
+// ownAddressLocked returns the address at which peers reach this process, or "" if it is not known yet. g.mu must be held.
+func (g *Group) ownAddressLocked() string {
+	if e := g.members[g.cfg.Name]; e != nil {
 		return e.address
 	}
 	return ""
 }
 
-// NotifyConflict implements memberlist.ConflictDelegate: a live process at another address has a name that is taken.
+// NotifyConflict implements memberlist.ConflictDelegate: a live process at another address uses the name of a known member.
 func (g *Group) NotifyConflict(existing, other *memberlist.Node) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if existing.Name == g.cfg.Name {
-		g.clash = time.Now()
-		g.standLocked(Conflict)
+		g.conflictAt = time.Now()
+		g.setStandingLocked(Conflict)
 	}
 	g.log.Debug("membership", "conflict", existing.Name, "at", existing.Address(), "and", other.Address())
 }
 
 // NotifyJoin implements memberlist.EventDelegate.
-func (g *Group) NotifyJoin(n *memberlist.Node) { g.enter(n) }
+func (g *Group) NotifyJoin(n *memberlist.Node) { g.recordAlive(n) }
 
 // NotifyUpdate implements memberlist.EventDelegate.
-func (g *Group) NotifyUpdate(n *memberlist.Node) { g.enter(n) }
+func (g *Group) NotifyUpdate(n *memberlist.Node) { g.recordAlive(n) }
 
-func (g *Group) enter(n *memberlist.Node) {
+// recordAlive enters a member that memberlist reports as joined or updated, and starts a new view if that changes it.
+func (g *Group) recordAlive(n *memberlist.Node) {
 	var m meta
 	if err := json.Unmarshal(n.Meta, &m); err != nil {
-		return // NotifyAlive has refused it
+		return // NotifyAlive has already rejected it
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := time.Now()
-	e := g.table[n.Name]
+	e := g.members[n.Name]
 	if e == nil {
 		e = new(entry)
-		g.table[n.Name] = e
+		g.members[n.Name] = e
 	}
 	if e.state != Present {
-		e.since = now
+		e.stateSince = now
 	}
 	if e.state != Present && e.state != "" || e.state == Present && m.Start != e.Start {
 		g.log.Info("membership", "member", n.Name, "state", Present, "start", m.Start, "before", cmp.Or(e.state, "unknown"), "startBefore", e.Start)
 	}
-	if m.Load != nil && (e.Load == nil || *m.Load != *e.Load || m.Start != e.Start) {
-		e.told = now
+	if m.Report != nil && (e.Report == nil || *m.Report != *e.Report || m.Start != e.Start) {
+		e.reportedAt = now
 	}
-	e.meta, e.mark, e.address, e.state, e.suspected = m, markOf(n.Name, lasting(n.Meta)), n.Address(), Present, time.Time{}
-	if n.Name != g.cfg.Name && g.stands == Alone {
-		g.standLocked(Member)
+	e.meta, e.hash, e.address, e.state, e.suspectedAt = m, memberHash(n.Name, withoutTraffic(n.Meta)), n.Address(), Present, time.Time{}
+	if n.Name != g.cfg.Name && g.ownStanding == Alone {
+		g.setStandingLocked(Member)
 	}
-	g.changed(now)
+	g.updateViewLocked(now)
 }
 
 // NotifyLeave implements memberlist.EventDelegate.
 func (g *Group) NotifyLeave(n *memberlist.Node) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	e := g.table[n.Name]
+	e := g.members[n.Name]
 	if e == nil || n.Name == g.cfg.Name {
 		return
 	}
 	now := time.Now()
-	e.state, e.since = Silent, now
-	if e.Phase == Draining { // whoever goes with a word has said that before
+	e.state, e.stateSince = Silent, now
+	if e.Phase == Draining { // a process that leaves gracefully announces draining first
 		e.state = Left
 	}
 	g.log.Info("membership", "member", n.Name, "state", e.state, "start", e.Start)
-	g.changed(now)
+	g.updateViewLocked(now)
 }
 
-// play keeps this process a member: it joins, calls those that were lost, and sees that views come to agree.
-// What it began beside that may go on for some seconds; it is counted in work.
-func (g *Group) play(ctx context.Context, list *memberlist.Memberlist, work *sync.WaitGroup) {
-	exchanging, telling := make(chan struct{}, 1), make(chan struct{}, 1)
-	exchange := func(with ...string) {
-		if len(with) == 0 {
+// maintain keeps this process a member until ctx ends or Leave is called: it joins, reconnects to lost members, publishes
+// changed metadata and exchanges full state while views differ. Exchanges run in goroutines counted in background; they may
+// outlast maintain by some seconds.
+func (g *Group) maintain(ctx context.Context, list *memberlist.Memberlist, background *sync.WaitGroup) {
+	exchanging, updating := make(chan struct{}, 1), make(chan struct{}, 1)
+	exchange := func(peers ...string) {
+		if len(peers) == 0 {
 			return
 		}
-		once(work, exchanging, func() {
-			if _, err := list.Join(with); err != nil {
+		startUnlessRunning(background, exchanging, func() {
+			if _, err := list.Join(peers); err != nil {
 				g.log.Debug("membership", "exchange", err)
 			}
 		})
 	}
-	const beat = 250 * time.Millisecond
-	tick := time.NewTicker(beat)
-	defer tick.Stop()
-	last, next, pause := time.Now(), time.Now(), beat
+	const checkInterval = 250 * time.Millisecond
+	ticker := time.NewTicker(checkInterval)
+	defer ticker.Stop()
+	lastTick, nextExchange, interval := time.Now(), time.Now(), checkInterval
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-g.leaving:
+		case <-g.leaveRequested:
 			return
-		case <-tick.C:
+		case <-ticker.C:
 		}
 		now := time.Now()
-		if gap := now.Sub(last); gap > stall+beat {
+		if gap := now.Sub(lastTick); gap > stallThreshold+checkInterval {
 			g.log.Warn("membership", "stoodStill", gap)
 			g.mu.Lock()
-			g.starved = now.Add(starvedFor)
+			g.starvedUntil = now.Add(starvedPeriod)
 			g.mu.Unlock()
-			next = now
+			nextExchange = now
 		}
-		last = now
-		if g.untold() { // again until it is: the library drops an update that crosses an objection of its own
-			once(work, telling, func() { _ = list.UpdateNode(leaveTime) }) // it goes with full exchanges, where no packet passes
+		lastTick = now
+		if g.metaOutdated() { // repeated until it is published: memberlist drops an update that coincides with a refutation of its own
+			startUnlessRunning(background, updating, func() { _ = list.UpdateNode(leaveTimeout) }) // a full exchange carries it too if packets are lost
 		}
-		if now.Before(next) {
+		if now.Before(nextExchange) {
 			continue
 		}
-		switch stands, others := g.standing(); {
-		case stands == Replaced:
+		switch standing, others := g.standingAndPeers(); {
+		case standing == Replaced:
 			return
 		case others == 0:
-			exchange(g.pick(append(g.strangers(), g.others(func(*entry) bool { return true })...), 3)...)
-			pause = min(2*pause, lastPause)
+			exchange(g.pickRandom(append(g.absentSeeds(), g.peersWhere(func(*entry) bool { return true })...), 3)...)
+			interval = min(2*interval, maxRejoinInterval)
 		default:
-			pause = time.Second
-			exchange(g.calls()...)
+			interval = time.Second
+			exchange(g.exchangeTargets()...)
 		}
-		next = now.Add(pause/2 + time.Duration(g.rng.Int64N(int64(pause))))
+		nextExchange = now.Add(interval/2 + time.Duration(g.rng.Int64N(int64(interval))))
 	}
 }
 
-// once does something beside, unless it is being done.
-func once(work *sync.WaitGroup, busy chan struct{}, do func()) {
+// startUnlessRunning runs do in a goroutine counted in background, unless the previous one started with busy still runs.
+// busy must have a capacity of one.
+func startUnlessRunning(background *sync.WaitGroup, busy chan struct{}, do func()) {
 	select {
 	case busy <- struct{}{}:
-		work.Go(func() {
+		background.Go(func() {
 			defer func() { <-busy }()
 			do()
 		})
@@ -320,62 +326,63 @@
 	}
 }
 
-// callsEach is how often in a second one that is lost is called by the whole fleet, about: as often in a large one, or it would be
-// run over when it is back.
-const callsEach = 3
+// reconnectsPerSecond is about how many times per second all members together try to reach one lost member. It does not
+// grow with the fleet, so that a member that comes back is not overloaded.
+const reconnectsPerSecond = 3
 
-// calls are whom to make an exchange with now: one that was lost or is a stranger, and one that is present while views differ or
-// this process has been away.
-func (g *Group) calls() (with []string) {
-	lost := append(g.others(func(e *entry) bool { return e.state == Silent || e.state == Gone }), g.strangers()...)
-	if _, others := g.standing(); g.rng.IntN(others+1) >= callsEach*len(lost) {
+// exchangeTargets draws the peers to exchange full state with now, in memberlist's address form: at most one lost member
+// or absent seed, and one present member if views differ, this process was stalled recently, or no views have arrived lately.
+func (g *Group) exchangeTargets() (targets []string) {
+	lost := append(g.peersWhere(func(e *entry) bool { return e.state == Silent || e.state == Gone }), g.absentSeeds()...)
+	if _, others := g.standingAndPeers(); g.rng.IntN(others+1) >= reconnectsPerSecond*len(lost) {
 		lost = nil
 	}
 	g.mu.Lock()
 	now := time.Now()
-	unsure := !g.agreed || now.Before(g.starved) || now.Sub(g.heard) > g.viewKept()/2
+	exchangeViews := !g.agreed || now.Before(g.starvedUntil) || now.Sub(g.viewsReceivedAt) > g.viewTTL()/2
 	g.mu.Unlock()
-	if unsure {
-		with = g.pick(g.others(func(e *entry) bool { return e.state == Present }), 1)
+	if exchangeViews {
+		targets = g.pickRandom(g.peersWhere(func(e *entry) bool { return e.state == Present }), 1)
 	}
-	return append(with, g.pick(lost, 1)...)
+	return append(targets, g.pickRandom(lost, 1)...)
 }
 
-// others are members of one kind but for this process, in the library's form.
-func (g *Group) others(kind func(*entry) bool) (all []string) {
+// peersWhere returns the members for which match is true, without this process, as NAME/IP:PORT in sorted order.
+func (g *Group) peersWhere(match func(*entry) bool) (peers []string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	for name, e := range g.table {
-		if name != g.cfg.Name && kind(e) {
-			all = append(all, name+"/"+e.address)
+	for name, e := range g.members {
+		if name != g.cfg.Name && match(e) {
+			peers = append(peers, name+"/"+e.address)
 		}
 	}
-	slices.Sort(all) // so that what is drawn hangs on the seed alone
-	return all
+	slices.Sort(peers) // makes random draws depend on the seed alone
+	return peers
 }
 
-// strangers are seeds and known members whose names are not present; of a seed without a name nobody knows.
-func (g *Group) strangers() (all []string) {
+// absentSeeds returns the seeds and previously known peers that match no present member. A seed without a name is compared
+// by its address alone.
+func (g *Group) absentSeeds() (seeds []string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	for _, s := range slices.Concat(g.cfg.Seeds, g.cfg.KnownPeers) {
-		r, err := g.resolve(s)
-		if err != nil || r == "" {
+	for _, seed := range slices.Concat(g.cfg.Seeds, g.cfg.KnownPeers) {
+		resolved, err := g.resolveSeed(seed)
+		if err != nil || resolved == "" {
 			continue
 		}
-		known := false
-		for name, e := range g.table {
-			known = known || e.state == Present && (r == e.address || r == name+"/"+e.address || r == name+"/"+g.cfg.Routes[name])
+		present := false
+		for name, e := range g.members {
+			present = present || e.state == Present && (resolved == e.address || resolved == name+"/"+e.address || resolved == name+"/"+g.cfg.Routes[name])
 		}
-		if !known {
-			all = append(all, r)
+		if !present {
+			seeds = append(seeds, resolved)
 		}
 	}
-	return all
+	return seeds
 }
 
-// pick draws up to n of some.
-func (g *Group) pick(from []string, n int) []string {
-	g.rng.Shuffle(len(from), func(i, j int) { from[i], from[j] = from[j], from[i] })
-	return from[:min(n, len(from))]
+// pickRandom draws up to n of the candidates. It reorders candidates.
+func (g *Group) pickRandom(candidates []string, n int) []string {
+	g.rng.Shuffle(len(candidates), func(i, j int) { candidates[i], candidates[j] = candidates[j], candidates[i] })
+	return candidates[:min(n, len(candidates))]
 }
--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -1,14 +1,15 @@
-// Package member tells who of a fleet is present, who was lost and who has left, on hashicorp/memberlist.
+// Package member tracks which members of a fleet are present, lost or have left. It is built on hashicorp/memberlist.
 // docs/membership.md is its contract; in short:
 //
-//   - Nothing waits for it. It joins, rejoins and gives up by itself, for as long as Run lasts, and ends with it.
-//   - Once faults end, all processes that reach each other come to see the same members (View.Agreed).
-//   - A process is told from an earlier one under its name by its number (Config.Start): who has heard of the later one
-//     believes nothing of the earlier any more.
-//   - It never promises that a member that it shows runs, nor that two processes see the same at one moment.
+//   - No other part of the process waits for it. It joins and rejoins on its own for as long as Run lasts.
+//   - Once faults end, all processes that can reach each other come to see the same members (View.Agreed).
+//   - Config.Start distinguishes a process from earlier ones of the same name. A member that has heard of the later
+//     process ignores messages about the earlier one.
+//   - It does not guarantee that a member shown as present is running, nor that two processes see the same members at the
+//     same moment.
 //
-// Everything that it holds is bounded: members by membersMost, those lost by Config.ForgetAfter, views by viewsMost, streams
-// by streamsMost. Times are read from the monotonic clock; none is compared between machines.
+// All state is bounded: members by maxMembers, lost members by Config.ForgetAfter, views by maxViews, streams by
+// maxInboundStreams. Times are read from the monotonic clock and never compared between machines.
 package member
 
 import (
@@ -36,94 +37,91 @@
 	"arrowgw/internal/meter"
 )
 
-// Phase is what a process says of itself.
+// Phase is the stage of its life that a process announces to the fleet.
 type Phase string
 
-// The phases.
 const (
 	Starting Phase = "starting"
 	Serving  Phase = "serving"
-	Starved  Phase = "starved"  // it stood still lately
-	Draining Phase = "draining" // told to stop; it leaves soon
+	Starved  Phase = "starved"  // it was stalled recently
+	Draining Phase = "draining" // it is stopping and leaves soon
 )
 
-// State is what is known of a member.
+// State is what this process knows about a member.
 type State string
 
-// The states.
 const (
 	Present State = "present"
-	Silent  State = "silent" // lost without a word: it may have ended, or be cut off
-	Gone    State = "gone"   // lost, and its address refuses or closes at once: its process has ended
-	Left    State = "left"   // it had said so
+	Silent  State = "silent" // lost unannounced: it may have ended, or the network may be partitioned
+	Gone    State = "gone"   // lost, and its address refuses or closes connections: its process has ended
+	Left    State = "left"   // it left after announcing that
 )
 
-// Standing is where this process stands itself.
+// Standing is this process's own status in the fleet.
 type Standing string
 
-// The standings.
 const (
-	Waiting  Standing = "waiting"  // for its address, which is in use
-	Alone    Standing = "alone"    // nobody was reached so far
-	Member   Standing = "member"   // of a fleet
-	Conflict Standing = "conflict" // a live process at another address has the name
-	Replaced Standing = "replaced" // a later process has the name: this one takes no part any more
+	Waiting  Standing = "waiting"  // its listen address is still in use or can't be opened
+	Alone    Standing = "alone"    // no other member has been reached so far
+	Member   Standing = "member"   // it has reached at least one other member
+	Conflict Standing = "conflict" // a live process at another address uses the same name
+	Replaced Standing = "replaced" // a later process has taken over the name and address: this one no longer takes part
 )
 
 const (
-	membersMost = 4096
-	viewsMost   = 8
-	keptMost    = 64 // members that Known tells, for a later start
-	metaMost    = memberlist.MetaMaxSize
-	loadMost    = 64 // of these for a word on traffic
-
-	suspectProbes = 9 // probes' time that a suspect has to object, where members are few
-
-	suspectedFor = 10 * time.Second // a suspicion that came to nothing is forgotten by then
-	leftKept     = time.Minute      // one that has left is shown for so long
-	stall        = time.Second      // a process that stood still for this long has missed what others said of it
-	starvedFor   = 10 * time.Second // and is not trusted for this long
-	addressWait  = 50 * time.Millisecond
-	leaveTime    = 500 * time.Millisecond // the word of leaving may take so long
-	tellEvery    = 2 * time.Minute        // traffic is told again after about this long
-	tellPause    = 4 * time.Second        // and about this long after the last word, if it has changed
-	tellChange   = 1.3                    // by this factor,
-	tellOver     = 20 * time.Second       // taken over about this long,
-	tellJump     = 1.5                    // or at once where it is off by this factor,
-	tellSteps    = 4                      // in steps of 2^(1/tellSteps) requests a second,
-	tellLeast    = -3 * tellSteps         // an eighth at least,
-	tellMost     = 20 * tellSteps         // and about a million at most
-	trafficKept  = 5 * time.Minute        // an older word on traffic counts for nothing
-	indexMost    = 1 << 20
-	streamTime   = time.Second     // so may a dial, and each side of an exchange
-	lastPause    = 4 * time.Second // between two attempts to reach anybody at all
+	maxMembers         = 4096
+	maxViews           = 8
+	maxKnownPeers      = 64 // peers that KnownPeers returns, to be saved for a later start
+	maxMetaBytes       = memberlist.MetaMaxSize
+	reportReserveBytes = 64 // part of maxMetaBytes that a traffic report may use
+
+	suspicionProbes = 9 // minimum number of probe intervals that a suspected member has to refute
+
+	suspicionTTL          = 10 * time.Second       // after this an unconfirmed suspicion is no longer shown
+	leftMemberTTL         = time.Minute            // how long a member that has left is still shown
+	stallThreshold        = time.Second            // a process stalled for longer has missed messages about itself
+	starvedPeriod         = 10 * time.Second       // how long after a stall the process counts as starved
+	addressRetryInterval  = 50 * time.Millisecond  // between attempts to open a listen address that is in use
+	leaveTimeout          = 500 * time.Millisecond // limit for broadcasting a leave or a metadata update
+	reportRefreshInterval = 2 * time.Minute        // an unchanged traffic report is repeated after about this long
+	reportMinInterval     = 4 * time.Second        // a changed one is published no sooner than about this after the last
+	reportChangeFactor    = 1.3                    // the rate has to differ by more than this to count as changed
+	rateAveragingTime     = 20 * time.Second       // time constant of the moving average of the rate
+	rateJumpFactor        = 1.5                    // a rate that differs from the average by more replaces it
+	stepsPerDoubling      = 4                      // a step is a factor of 2^(1/stepsPerDoubling)
+	minStep               = -3 * stepsPerDoubling  // an eighth of a request per second
+	maxStep               = 20 * stepsPerDoubling  // about a million requests per second
+	reportTTL             = 5 * time.Minute        // an older traffic report is ignored
+	maxIndex              = 1 << 20
+	streamTimeout         = time.Second     // memberlist's TCP timeout, and the limit for a stream's first byte
+	maxRejoinInterval     = 4 * time.Second // largest interval between attempts to reach any member
 )
 
-// Config says who this process is and how it finds the others.
+// Config identifies this process and tells it how to find its peers.
 type Config struct {
 	Name    string // unique in the fleet
-	Start   uint64 // of two processes under one name the later has the higher one
+	Start   uint64 // identifies the process among those of the same name; a later process has a higher number
 	Zone    string
-	Version string // of the program
-	Digest  string // of what should be the same everywhere in the configuration
-	Forms   string // of rule sets that it reads
+	Version string // version of the program
+	Digest  string // digest of the settings that should be the same in all members
+	Forms   string // rule set forms that this process can read
 
-	Listen          netip.AddrPort // UDP and TCP
-	Cluster         string         // on every packet: other fleets' are passed over
-	Seeds           []string       // NAME (reached by its route), NAME/IP:PORT or IP:PORT
+	Listen          netip.AddrPort // for both UDP and TCP
+	Cluster         string         // fleet name, sent as a label on every packet; packets with another label are ignored
+	Seeds           []string       // NAME (which needs a route), NAME/IP:PORT or IP:PORT
 	KnownPeers      []string       // result of KnownPeers in an earlier process; used like Seeds
 	Routes          map[string]string
-	ProbeInterval   time.Duration // between two probes; 0: 100 ms
-	ExpectedMembers int           // members, about: for how long a suspect has to object
-	ForgetAfter     time.Duration // a member that was lost is forgotten after this; 0: 15 min
-	Index           int           // this process's number in the fleet, told along with its traffic
+	ProbeInterval   time.Duration // time between two probes; 0 means 100 ms
+	ExpectedMembers int           // approximate size of the fleet; sets how long a suspected member has to refute
+	ForgetAfter     time.Duration // how long a lost member is kept; 0 means 15 minutes
+	Index           int           // this process's index in the fleet, published with its traffic
 	ShareTraffic    bool          // reserves metadata space for ReportTraffic; has to be set if that is called
 
-	Meter       *meter.Meter        // counts bytes; nil: nobody does
-	StreamKinds map[byte]meter.Kind // what streams of other parts count as; one that is not in it is Other
+	Meter       *meter.Meter        // counts the bytes sent and received; may be nil
+	StreamKinds map[byte]meter.Kind // by first byte of a stream: the kind it is counted as, if not meter.Other
 
 	Log          *slog.Logger
-	NewTransport func(Config) (memberlist.NodeAwareTransport, error) // nil: sockets at Listen
+	NewTransport func(Config) (memberlist.NodeAwareTransport, error) // nil means sockets at Listen
 }
 
 // MemberInfo is one member as this process knows it.
@@ -137,149 +135,151 @@
 	Phase          Phase
 	State          State
 	Address        string
-	StateAge       time.Duration // in this state for so long
-	LastContactAge time.Duration // since its last own word to this process; -1: none so far
-	Suspected      bool          // by this process: it did not answer
-	Index          int           // its number in the fleet, where Traffic is known
-	Traffic        float64       // requests a second, coarse; 0: not told, or too long ago
+	StateAge       time.Duration // time since State last changed
+	LastContactAge time.Duration // time since the member last answered this process directly; -1 if never
+	Suspected      bool          // it did not answer a probe of this process recently
+	Index          int           // its Config.Index; valid if Traffic is above 0
+	Traffic        float64       // approximate requests per second; 0 if not reported, or too long ago
 }
 
-// View is what a process sees. It is a copy.
+// View is the fleet as this process sees it. It is a copy.
 type View struct {
-	Number   uint64 // grows with each change of who is present
-	Digest   uint64 // the same at all processes that see the same
+	Number   uint64 // grows with each change of the members present
+	Digest   uint64 // equal in processes that see the same members present
 	Standing Standing
-	Members  []MemberInfo // by name, this process included
-
-	Present       int
-	Suspected     int
-	Silent        int
-	DistinctViews int           // different views that were heard of lately, this one's included
-	Agreed        bool          // there is one, and somebody to agree with
-	AgreementAge  time.Duration // for so long
-	Starved       bool          // this process stood still lately: its own word is not worth much
+	Members  []MemberInfo // sorted by name, this process included
+
+	Present       int           // number of present members, this process included
+	Suspected     int           // number of present members that this process suspects
+	Silent        int           // number of silent members
+	DistinctViews int           // number of different views held by members recently, this one included
+	Agreed        bool          // there is one view only, and another member has confirmed it
+	AgreementAge  time.Duration // time since Agreed last changed
+	Starved       bool          // this process was stalled recently, so its view may be outdated
 }
 
-// meta travels with each member.
+// meta is the node metadata that members publish, encoded as JSON.
 type meta struct {
-	Start   uint64 `json:"n"`
-	Zone    string `json:"z,omitempty"`
-	Version string `json:"v,omitempty"`
-	Digest  string `json:"d,omitempty"`
-	Phase   Phase  `json:"p"`
-	Forms   string `json:"f,omitempty"`
-	Load    *load  `json:"l,omitempty"` // the last: lasting cuts it out
+	Start   uint64         `json:"n"`
+	Zone    string         `json:"z,omitempty"`
+	Version string         `json:"v,omitempty"`
+	Digest  string         `json:"d,omitempty"`
+	Phase   Phase          `json:"p"`
+	Forms   string         `json:"f,omitempty"`
+	Report  *trafficReport `json:"l,omitempty"` // has to be the last field: withoutTraffic cuts it out
 }
 
-// load is a process's word on its traffic.
-type load struct {
-	Index int    `json:"i"`
-	Step  int    `json:"t"` // of 2^(1/tellSteps) requests a second
-	Said  uint64 `json:"s"` // grows with each word
+// trafficReport is a process's published request rate.
+type trafficReport struct {
+	Index    int    `json:"i"`
+	Step     int    `json:"t"` // the rate is 2^(Step/stepsPerDoubling) requests per second
+	Sequence uint64 `json:"s"` // grows with each report
 }
 
-// lasting is what of a member's particulars makes a view. Its traffic changes all the time and is nobody's coming or going.
-func lasting(raw []byte) []byte {
-	head, tail, found := bytes.Cut(raw, []byte(`,"l":{`))
+// withoutTraffic returns a member's encoded metadata without its traffic report. View digests are computed from this part
+// only, because the traffic changes all the time while the members stay the same.
+func withoutTraffic(raw []byte) []byte {
+	before, after, found := bytes.Cut(raw, []byte(`,"l":{`))
 	if !found {
 		return raw
 	}
-	_, tail, _ = bytes.Cut(tail, []byte("}"))
-	return append(bytes.Clone(head), tail...)
+	_, after, _ = bytes.Cut(after, []byte("}"))
+	return append(bytes.Clone(before), after...)
 }
 
-// traffic is what a word on traffic is worth at its age; 0 where it can't be used.
-func (l *load) traffic(age time.Duration) float64 {
-	if l == nil || age > trafficKept || l.Index < 0 || l.Index > indexMost || l.Step < tellLeast || l.Step > tellMost {
+// rate returns the reported requests per second, or 0 if the report is missing, older than reportTTL or out of range.
+func (r *trafficReport) rate(age time.Duration) float64 {
+	if r == nil || age > reportTTL || r.Index < 0 || r.Index > maxIndex || r.Step < minStep || r.Step > maxStep {
 		return 0
 	}
-	return math.Exp2(float64(l.Step) / tellSteps)
+	return math.Exp2(float64(r.Step) / stepsPerDoubling)
 }
 
-// entry is a member in the table.
+// entry is what this process knows about a member.
 type entry struct {
 	meta
-	mark      uint64 // a hash of the name and the meta as it came
-	address   string
-	state     State
-	since     time.Time
-	word      time.Time
-	suspected time.Time
-	told      time.Time // its last word on its traffic came
+	hash        uint64 // memberHash of the name and the metadata without traffic
+	address     string
+	state       State
+	stateSince  time.Time
+	lastContact time.Time
+	suspectedAt time.Time
+	reportedAt  time.Time // when its latest traffic report arrived
 }
 
-// Group is a process's part in its fleet. Its methods are safe for concurrent use.
+// Group is this process's membership in its fleet. Its methods are safe for concurrent use.
 type Group struct {
-	cfg Config
-	log *slog.Logger
-	rng *rand.Rand // of Run's goroutine
-	jit *rand.Rand // of whoever calls ReportTraffic
-
-	mu        sync.Mutex // never held while the library is called, as the library calls back under locks of its own
-	phase     Phase
-	load      *load     // this process's own word
-	rate      float64   // its traffic over tellOver
-	ratedAt   time.Time // when that was taken
-	tellAt    time.Time // it may change from then on
-	tellBy    time.Time // and is said again then
-	stands    Standing
-	table     map[string]*entry
-	number    uint64
-	digest    uint64
-	views     map[uint64]time.Time // digest: when somebody was known to hold it
-	agreed    bool
-	since     time.Time // of agreed
-	starved   time.Time // until then
-	heard     time.Time // another's views were last heard of
-	kinds     map[byte]*listener
-	transport memberlist.NodeAwareTransport // while Run has the address
-	swept     time.Time                     // the table was last looked through
-	clash     time.Time                     // another address was last heard to have the name
-
-	leaving chan struct{} // closed by Leave: to go with a word
-	closing chan struct{} // closed by Close: to go without
-	once    [2]sync.Once
-	ended   chan struct{} // closed when Run has returned
+	cfg        Config
+	log        *slog.Logger
+	rng        *rand.Rand // used by Run's goroutine only
+	reportRand *rand.Rand // jitter for ReportTraffic; guarded by mu
+
+	mu              sync.Mutex // must not be held in calls of memberlist, which calls back while holding its own locks
+	phase           Phase
+	report          *trafficReport // this process's own latest report
+	averageRate     float64        // moving average of its traffic, requests per second
+	rateUpdatedAt   time.Time      // when averageRate was last updated
+	nextReportAt    time.Time      // earliest time of the next report
+	reportDueAt     time.Time      // when the report is repeated even if unchanged
+	ownStanding     Standing
+	members         map[string]*entry
+	viewNumber      uint64
+	viewDigest      uint64
+	views           map[uint64]time.Time // by digest: when a member last held the view
+	agreed          bool
+	agreedSince     time.Time // when agreed last changed
+	starvedUntil    time.Time // this process counts as starved until then
+	viewsReceivedAt time.Time // when another member's views last arrived
+	listeners       map[byte]*listener
+	transport       memberlist.NodeAwareTransport // nil unless Run holds the address
+	sweptAt         time.Time                     // when members were last checked for expiry
+	conflictAt      time.Time                     // when another address last claimed this process's name
+
+	leaveRequested chan struct{} // closed by Leave: Run announces that it leaves
+	closeRequested chan struct{} // closed by Close: Run ends unannounced
+	once           [2]sync.Once
+	done           chan struct{} // closed when Run has returned
 }
 
-// New makes a group, or names the field that can't be used. It does nothing until Run.
+// New returns a group, or an error that names the invalid field of cfg. The group does nothing until Run.
 func New(cfg Config) (*Group, error) {
 	cfg.ProbeInterval = cmp.Or(cfg.ProbeInterval, 100*time.Millisecond)
 	cfg.ForgetAfter = cmp.Or(cfg.ForgetAfter, 15*time.Minute)
 	g := &Group{
-		cfg: cfg, log: cfg.Log, phase: Starting, stands: Waiting,
-		rng:   rand.New(rand.NewPCG(cfg.Start, uint64(len(cfg.Name)))),
-		jit:   rand.New(rand.NewPCG(cfg.Start, markOf(cfg.Name, nil))),
-		table: make(map[string]*entry), kinds: make(map[byte]*listener), views: make(map[uint64]time.Time), since: time.Now(),
-		leaving: make(chan struct{}), closing: make(chan struct{}), ended: make(chan struct{}),
+		cfg: cfg, log: cfg.Log, phase: Starting, ownStanding: Waiting,
+		rng:        rand.New(rand.NewPCG(cfg.Start, uint64(len(cfg.Name)))),
+		reportRand: rand.New(rand.NewPCG(cfg.Start, memberHash(cfg.Name, nil))),
+		members:    make(map[string]*entry), listeners: make(map[byte]*listener), views: make(map[uint64]time.Time), agreedSince: time.Now(),
+		leaveRequested: make(chan struct{}), closeRequested: make(chan struct{}), done: make(chan struct{}),
 	}
 	if g.log == nil {
 		g.log = slog.Default()
 	}
 	switch {
 	case cfg.Name == "" || strings.ContainsAny(cfg.Name, "/ \n") || len(cfg.Name) > 128:
-		return nil, fmt.Errorf("member: name %q: 1 to 128 characters, no blank and no slash", cfg.Name)
+		return nil, fmt.Errorf("member: name %q: must have 1 to 128 characters, no space and no slash", cfg.Name)
 	case cfg.Cluster == "" || len(cfg.Cluster) > memberlist.LabelMaxSize:
-		return nil, fmt.Errorf("member: cluster %q: 1 to %d characters", cfg.Cluster, memberlist.LabelMaxSize)
+		return nil, fmt.Errorf("member: cluster %q: must have 1 to %d characters", cfg.Cluster, memberlist.LabelMaxSize)
 	case cfg.NewTransport == nil && !cfg.Listen.IsValid():
-		return nil, errors.New("member: listen is no IP:port")
+		return nil, errors.New("member: listen is not an IP:port")
 	case cfg.ProbeInterval < 20*time.Millisecond:
-		return nil, fmt.Errorf("member: probe %v is under 20ms", cfg.ProbeInterval)
-	case cfg.ShareTraffic && (cfg.Index < 0 || cfg.Index > indexMost):
-		return nil, fmt.Errorf("member: index %d: 0 to %d", cfg.Index, indexMost)
-	case len(g.encode()) > metaMost, cfg.ShareTraffic && len(g.encode()) > metaMost-loadMost:
-		return nil, fmt.Errorf("member: zone, version and digest are more than %d bytes together", metaMost)
+		return nil, fmt.Errorf("member: probe %v is below 20ms", cfg.ProbeInterval)
+	case cfg.ShareTraffic && (cfg.Index < 0 || cfg.Index > maxIndex):
+		return nil, fmt.Errorf("member: index %d: must be from 0 to %d", cfg.Index, maxIndex)
+	case len(g.encodeMeta()) > maxMetaBytes, cfg.ShareTraffic && len(g.encodeMeta()) > maxMetaBytes-reportReserveBytes:
+		return nil, fmt.Errorf("member: node metadata (zone, version, digest and forms) exceeds %d bytes", maxMetaBytes)
 	}
 	for _, s := range slices.Concat(cfg.Seeds, cfg.KnownPeers) {
-		if _, err := g.resolve(s); err != nil {
+		if _, err := g.resolveSeed(s); err != nil {
 			return nil, err
 		}
 	}
 	return g, nil
 }
 
-// resolve makes the library's form, NAME/IP:PORT, of a seed. It is empty for this process itself.
-func (g *Group) resolve(seed string) (string, error) {
+// resolveSeed converts a seed to memberlist's form, NAME/IP:PORT or IP:PORT, using the routes. It returns "" for this
+// process itself.
+func (g *Group) resolveSeed(seed string) (string, error) {
 	name, address, both := strings.Cut(seed, "/")
 	if !both {
 		name, address = "", seed
@@ -296,7 +296,7 @@
 		address = route
 	}
 	if _, err := netip.ParseAddrPort(address); err != nil {
-		return "", fmt.Errorf("member: seed %q is no IP:port, no NAME/IP:port and no name of a route", seed)
+		return "", fmt.Errorf("member: seed %q is not IP:port, NAME/IP:port or the name of a route", seed)
 	}
 	if name == "" {
 		return address, nil
@@ -304,14 +304,15 @@
 	return name + "/" + address, nil
 }
 
-func (g *Group) encode() []byte {
+// encodeMeta returns this process's current metadata as JSON.
+func (g *Group) encodeMeta() []byte {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	raw, err := json.Marshal(meta{g.cfg.Start, g.cfg.Zone, g.cfg.Version, g.cfg.Digest, g.phase, g.cfg.Forms, g.load})
+	encoded, err := json.Marshal(meta{g.cfg.Start, g.cfg.Zone, g.cfg.Version, g.cfg.Digest, g.phase, g.cfg.Forms, g.report})
 	if err != nil {
-		panic(err) // of plain fields
+		panic(err) // can't happen: the fields are strings and integers
 	}
-	return raw
+	return encoded
 }
 
 // SetPhase sets the phase that is announced to the other members.
@@ -322,89 +323,93 @@
 }
 
 // ReportTraffic updates the rate of this process's traffic, in requests per second. It may be called at any interval. The rate
-// is averaged, rounded to a step and published at the first call, then when it has changed by tellChange and about
-// tellPause has passed, and in any case about every tellEvery.
+// is averaged, rounded to a step and published at the first call, then when it has changed by reportChangeFactor
+// and about reportMinInterval has passed, and in any case about every reportRefreshInterval.
 func (g *Group) ReportTraffic(rate float64) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := time.Now()
-	if rate = min(rate, math.MaxInt32); !(rate > 0) { // no number either
+	if rate = min(rate, math.MaxInt32); !(rate > 0) { // negative or NaN
 		rate = 0
 	}
-	since := now.Sub(g.ratedAt)
-	g.ratedAt = now
-	if rate > g.rate*tellJump || rate < g.rate/tellJump {
-		g.rate = rate
-	}
-	g.rate += (rate - g.rate) * min(1, since.Seconds()/tellOver.Seconds())
-	at := min(max(tellLeast, tellSteps*math.Log2(g.rate)), tellMost)
-	l := load{Index: g.cfg.Index, Step: int(math.Round(at))}
-	if g.load != nil {
-		l.Said = g.load.Said
-		off := math.Abs(at - float64(g.load.Step))
-		if now.Before(g.tellAt) || off <= tellSteps*math.Log2(tellChange) && now.Before(g.tellBy) {
+	elapsed := now.Sub(g.rateUpdatedAt)
+	g.rateUpdatedAt = now
+	if rate > g.averageRate*rateJumpFactor || rate < g.averageRate/rateJumpFactor {
+		g.averageRate = rate
+	}
+	g.averageRate += (rate - g.averageRate) * min(1, elapsed.Seconds()/rateAveragingTime.Seconds())
+	step := min(max(minStep, stepsPerDoubling*math.Log2(g.averageRate)), maxStep)
+	next := trafficReport{Index: g.cfg.Index, Step: int(math.Round(step))}
+	if g.report != nil {
+		next.Sequence = g.report.Sequence
+		difference := math.Abs(step - float64(g.report.Step))
+		if now.Before(g.nextReportAt) || difference <= stepsPerDoubling*math.Log2(reportChangeFactor) && now.Before(g.reportDueAt) {
 			return
 		}
-		if off <= 1 {
-			l.Step = g.load.Step // arcs move with it: not for noise
+		if difference <= 1 {
+			next.Step = g.report.Step // peers recompute their server subsets when it changes, which noise should not cause
 		}
 	}
-	l.Said++
-	g.load = &l
-	some := func(d time.Duration) time.Time { return now.Add(d*3/4 + time.Duration(g.jit.Int64N(int64(d/2)))) } // not all in step
-	g.tellAt, g.tellBy = some(tellPause), some(tellEvery)
+	next.Sequence++
+	g.report = &next
+	jittered := func(d time.Duration) time.Time { // keeps members from publishing at the same time
+		return now.Add(d*3/4 + time.Duration(g.reportRand.Int64N(int64(d/2))))
+	}
+	g.nextReportAt, g.reportDueAt = jittered(reportMinInterval), jittered(reportRefreshInterval)
 }
 
-// untold says that the others have not been told the phase that this process is in, or its last word on its traffic.
-func (g *Group) untold() bool {
+// metaOutdated reports whether this process's phase or traffic report differs from the metadata last published.
+func (g *Group) metaOutdated() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	e := g.table[g.cfg.Name]
-	return e != nil && (e.Phase != g.phase || g.load != nil && (e.Load == nil || *e.Load != *g.load))
+	e := g.members[g.cfg.Name]
+	return e != nil && (e.Phase != g.phase || g.report != nil && (e.Report == nil || *e.Report != *g.report))
 }
 
-// Leave ends Run with a word to the others, which then know that this process has left.
-func (g *Group) Leave() { g.end(0, g.leaving) }
+// Leave announces to the other members that this process leaves, and ends Run. It returns once Run has returned.
+func (g *Group) Leave() { g.stop(0, g.leaveRequested) }
 
-// Close ends Run without a word: another process goes on under the name.
-func (g *Group) Close() { g.end(1, g.closing) }
+// Close ends Run without announcing it, so that a successor process can continue under the same name. It returns once Run
+// has returned.
+func (g *Group) Close() { g.stop(1, g.closeRequested) }
 
-func (g *Group) end(which int, c chan struct{}) {
-	g.once[which].Do(func() { close(c) })
-	<-g.ended
+// stop closes the requested channel once and waits for Run to return. which is the channel's index in g.once.
+func (g *Group) stop(which int, requested chan struct{}) {
+	g.once[which].Do(func() { close(requested) })
+	<-g.done
 }
 
-// KnownPeers returns the first keptMost present members by name, this process excluded, as NAME/IP:PORT. They can be
+// KnownPeers returns the first maxKnownPeers present members by name, this process excluded, as NAME/IP:PORT. They can be
 // passed to a later process as Config.KnownPeers.
 func (g *Group) KnownPeers() (known []string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	for _, name := range slices.Sorted(maps.Keys(g.table)) {
-		if e := g.table[name]; e.state == Present && name != g.cfg.Name && len(known) < keptMost {
+	for _, name := range slices.Sorted(maps.Keys(g.members)) {
+		if e := g.members[name]; e.state == Present && name != g.cfg.Name && len(known) < maxKnownPeers {
 			known = append(known, name+"/"+e.address)
 		}
 	}
 	return known
 }
 
-// View tells what this process sees now.
+// View returns the fleet as this process sees it now.
 func (g *Group) View() View {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := time.Now()
-	g.look(now)
-	v := g.head(now)
-	for _, name := range slices.Sorted(maps.Keys(g.table)) {
-		e := g.table[name]
+	g.refreshLocked(now)
+	v := g.summaryLocked(now)
+	for _, name := range slices.Sorted(maps.Keys(g.members)) {
+		e := g.members[name]
 		m := MemberInfo{
 			Name: name, Start: e.Start, Zone: e.Zone, Version: e.Version, Digest: e.Digest, Forms: e.Forms, Phase: e.Phase, State: e.state,
-			Address: e.address, StateAge: now.Sub(e.since), LastContactAge: -1, Suspected: g.suspects(e, now),
+			Address: e.address, StateAge: now.Sub(e.stateSince), LastContactAge: -1, Suspected: g.suspectsLocked(e, now),
 		}
-		if m.Traffic = e.Load.traffic(now.Sub(e.told)); m.Traffic > 0 {
-			m.Index = e.Load.Index
+		if m.Traffic = e.Report.rate(now.Sub(e.reportedAt)); m.Traffic > 0 {
+			m.Index = e.Report.Index
 		}
-		if !e.word.IsZero() {
-			m.LastContactAge = now.Sub(e.word)
+		if !e.lastContact.IsZero() {
+			m.LastContactAge = now.Sub(e.lastContact)
 		}
 		switch {
 		case e.state == Silent:
@@ -425,15 +430,15 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := time.Now()
-	g.look(now)
-	v := g.head(now)
-	for _, e := range g.table {
+	g.refreshLocked(now)
+	v := g.summaryLocked(now)
+	for _, e := range g.members {
 		switch e.state {
 		case Silent:
 			v.Silent++
 		case Present:
 			v.Present++
-			if g.suspects(e, now) {
+			if g.suspectsLocked(e, now) {
 				v.Suspected++
 			}
 		}
@@ -445,159 +450,165 @@
 func (g *Group) IsPresent(name string) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	e := g.table[name]
+	e := g.members[name]
 	return e != nil && e.state == Present
 }
 
-// head is a view without its members. mu is held.
-func (g *Group) head(now time.Time) View {
+// summaryLocked returns the view without Members and the counts. g.mu must be held.
+func (g *Group) summaryLocked(now time.Time) View {
 	return View{
-		Number: g.number, Digest: g.digest, Standing: g.stands, DistinctViews: len(g.views), Agreed: g.agreed,
-		AgreementAge: now.Sub(g.since), Starved: now.Before(g.starved),
+		Number: g.viewNumber, Digest: g.viewDigest, Standing: g.ownStanding, DistinctViews: len(g.views), Agreed: g.agreed,
+		AgreementAge: now.Sub(g.agreedSince), Starved: now.Before(g.starvedUntil),
 	}
 }
 
-func (g *Group) suspects(e *entry, now time.Time) bool {
-	return e.state == Present && !e.suspected.IsZero() && now.Sub(e.suspected) < suspectedFor
+// suspectsLocked reports whether a member is present but has failed to answer a probe of this process recently. g.mu must
+// be held.
+func (g *Group) suspectsLocked(e *entry, now time.Time) bool {
+	return e.state == Present && !e.suspectedAt.IsZero() && now.Sub(e.suspectedAt) < suspicionTTL
 }
 
-// markOf is a member's part of a view's digest.
-func markOf(name string, raw []byte) uint64 {
+// memberHash returns a member's contribution to the digest of a view.
+func memberHash(name string, raw []byte) uint64 {
 	h := fnv.New64a()
-	_, _ = io.WriteString(h, name+"\x00") // a hash takes everything
+	_, _ = io.WriteString(h, name+"\x00") // writing to a hash never fails
 	_, _ = h.Write(raw)
 	return h.Sum64()
 }
 
-// changed takes that who is present has changed: a new view begins. mu is held.
-func (g *Group) changed(now time.Time) {
-	if g.digest != 0 {
-		g.views[g.digest] = now // it was held until now
+// updateViewLocked recomputes the view's digest, and starts a new view if the members present have changed. g.mu must be
+// held.
+func (g *Group) updateViewLocked(now time.Time) {
+	if g.viewDigest != 0 {
+		g.views[g.viewDigest] = now // the previous view was held until now
 	}
 	var d uint64
-	for _, e := range g.table { // the sum is the same in any order
+	for _, e := range g.members { // a sum does not depend on the order
 		if e.state == Present {
-			d += e.mark
+			d += e.hash
 		}
 	}
-	if d != g.digest {
-		g.digest = d
-		g.number++
+	if d != g.viewDigest {
+		g.viewDigest = d
+		g.viewNumber++
 	}
-	g.look(now)
+	g.refreshLocked(now)
 }
 
-// viewKept is how long a view counts after the last word of somebody who held it: several times what a word takes to go round.
-func (g *Group) viewKept() time.Duration { return 40 * g.cfg.ProbeInterval }
+// viewTTL returns how long a view counts after a member was last known to hold it. It is several times the time that a
+// message takes to reach all members.
+func (g *Group) viewTTL() time.Duration { return 40 * g.cfg.ProbeInterval }
 
-// look drops views and members that nothing was heard of for long, and sees whether all agree. mu is held.
-func (g *Group) look(now time.Time) {
-	if g.digest != 0 {
-		g.views[g.digest] = now
+// refreshLocked drops expired views and members, ends a conflict that is over, and updates whether all members agree. g.mu
+// must be held.
+func (g *Group) refreshLocked(now time.Time) {
+	if g.viewDigest != 0 {
+		g.views[g.viewDigest] = now
 	}
-	maps.DeleteFunc(g.views, func(_ uint64, at time.Time) bool { return now.Sub(at) > g.viewKept() })
-	for len(g.views) > viewsMost {
+	maps.DeleteFunc(g.views, func(_ uint64, at time.Time) bool { return now.Sub(at) > g.viewTTL() })
+	for len(g.views) > maxViews {
 		oldest := slices.MinFunc(slices.Collect(maps.Keys(g.views)), func(a, b uint64) int { return g.views[a].Compare(g.views[b]) })
 		delete(g.views, oldest)
 	}
-	if now.Sub(g.swept) > time.Second {
-		g.swept = now
-		maps.DeleteFunc(g.table, func(_ string, e *entry) bool {
-			return e.state == Left && now.Sub(e.since) > leftKept || e.state != Present && now.Sub(e.since) > g.cfg.ForgetAfter
+	if now.Sub(g.sweptAt) > time.Second {
+		g.sweptAt = now
+		maps.DeleteFunc(g.members, func(_ string, e *entry) bool {
+			return e.state == Left && now.Sub(e.stateSince) > leftMemberTTL || e.state != Present && now.Sub(e.stateSince) > g.cfg.ForgetAfter
 		})
 	}
-	if g.stands == Conflict && now.Sub(g.clash) > 2*g.viewKept() {
-		g.standLocked(Member)
+	if g.ownStanding == Conflict && now.Sub(g.conflictAt) > 2*g.viewTTL() {
+		g.setStandingLocked(Member)
 	}
-	heard := now.Sub(g.heard) <= g.viewKept() // or there is nobody to agree with
-	if agreed := len(g.views) == 1 && g.stands == Member && heard; agreed != g.agreed {
-		g.agreed, g.since = agreed, now
-		g.log.Info("membership", "agreed", agreed, "views", len(g.views), "number", g.number, "digest", fmt.Sprintf("%x", g.digest))
+	viewsReceived := now.Sub(g.viewsReceivedAt) <= g.viewTTL() // without recent views of others there is no agreement
+	if agreed := len(g.views) == 1 && g.ownStanding == Member && viewsReceived; agreed != g.agreed {
+		g.agreed, g.agreedSince = agreed, now
+		g.log.Info("membership", "agreed", agreed, "views", len(g.views), "number", g.viewNumber, "digest", fmt.Sprintf("%x", g.viewDigest))
 	}
 }
 
-// stand enters where this process stands.
-func (g *Group) stand(s Standing) {
+// setStanding sets this process's standing. Replaced is final.
+func (g *Group) setStanding(s Standing) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.standLocked(s)
+	g.setStandingLocked(s)
 }
 
-func (g *Group) standLocked(s Standing) {
-	if g.stands == s || g.stands == Replaced {
+// setStandingLocked is setStanding for callers that hold g.mu.
+func (g *Group) setStandingLocked(s Standing) {
+	if g.ownStanding == s || g.ownStanding == Replaced {
 		return
 	}
-	g.log.Info("membership", "standing", s, "before", g.stands)
-	g.stands = s
+	g.log.Info("membership", "standing", s, "before", g.ownStanding)
+	g.ownStanding = s
 }
 
-// standing tells where this process stands, and how many others are present.
-func (g *Group) standing() (s Standing, others int) {
+// standingAndPeers returns this process's standing and the number of other members that are present.
+func (g *Group) standingAndPeers() (s Standing, others int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	for name, e := range g.table {
+	for name, e := range g.members {
 		if e.state == Present && name != g.cfg.Name {
 			others++
 		}
 	}
-	return g.stands, others
+	return g.ownStanding, others
 }
 
-// Run takes part in the fleet until ctx ends, Leave or Close. It waits for its address as long as that is in use.
+// Run takes part in the fleet until ctx ends or Leave or Close is called. While the listen address is in use, it waits.
 func (g *Group) Run(ctx context.Context) {
-	defer close(g.ended)
+	defer close(g.done)
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	go func() {
 		select {
 		case <-ctx.Done():
-		case <-g.leaving:
-		case <-g.closing:
+		case <-g.leaveRequested:
+		case <-g.closeRequested:
 			cancel()
 		}
 	}()
-	list := g.open(ctx)
+	list := g.waitAndCreate(ctx)
 	if list == nil {
 		return
 	}
-	g.stand(Alone)
-	defer g.carry(nil)
-	var work sync.WaitGroup
-	g.play(ctx, list, &work)
+	g.setStanding(Alone)
+	defer g.setTransport(nil)
+	var background sync.WaitGroup
+	g.maintain(ctx, list, &background)
 	select {
-	case <-g.leaving:
-		if err := list.Leave(leaveTime); err != nil {
+	case <-g.leaveRequested:
+		if err := list.Leave(leaveTimeout); err != nil {
 			g.log.Warn("membership", "leaving", err)
 		}
 	default:
 	}
-	if err := list.Shutdown(); err != nil { // which gives the address up at once
+	if err := list.Shutdown(); err != nil { // frees the address before it returns
 		g.log.Warn("membership", "ending", err)
 	}
-	work.Wait()
+	background.Wait()
 }
 
-// open takes the address, as soon as it is free, and starts the library there.
-func (g *Group) open(ctx context.Context) *memberlist.Memberlist {
-	told := false
+// waitAndCreate starts memberlist as soon as the listen address is free. It returns nil if ctx ends or Leave is called first.
+func (g *Group) waitAndCreate(ctx context.Context) *memberlist.Memberlist {
+	logged := false
 	for {
-		list, err := g.create()
+		list, err := g.createList()
 		if err == nil {
 			return list
 		}
-		if !told {
+		if !logged {
 			g.log.Warn("membership", "waiting", err)
-			told = true
+			logged = true
 		}
-		pause := addressWait
+		wait := addressRetryInterval
 		if !errors.Is(err, syscall.EADDRINUSE) {
-			pause = lastPause // nothing that passes soon
+			wait = maxRejoinInterval // other errors rarely go away quickly
 		}
 		select {
-		case <-time.After(pause):
+		case <-time.After(wait):
 		case <-ctx.Done():
 			return nil
-		case <-g.leaving:
+		case <-g.leaveRequested:
 			return nil
 		}
 	}
--- a/internal/member/member_test.go
+++ b/internal/member/member_test.go
@@ -15,26 +15,26 @@
 )
 
 var (
-	members = flag.Int("members", 30, "processes in the tests at scale")
-	seeds   = flag.Int("seeds", 10, "runs of the test of random faults")
-	probe   = flag.Duration("probe", 0, "time between two probes, in place of the default")
+	members = flag.Int("members", 30, "number of processes in the tests at scale")
+	seeds   = flag.Int("seeds", 10, "number of runs of the random fault test")
+	probe   = flag.Duration("probe", 0, "time between two probes; 0 means the default")
 )
 
-// At scale: all start within a second with three seeds; one is killed; nothing happens for a while; one in ten leaves.
-// The figures are printed, and bounds well above them hold.
+// Runs a fleet at scale: all processes start within a second with three seeds, five are killed one after the other, the fleet
+// is idle for a while, and one process in ten leaves. Prints the times measured and checks them against generous bounds.
 func TestAtScale(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := *members
 		f := newFleet(t, 1)
-		defer f.end()
-		f.expect = n
-		f.probe = *probe
+		defer f.killAll()
+		f.expectedMembers = n
+		f.probeInterval = *probe
 		for i := range n {
-			f.begin(i)
+			f.startNode(i)
 			time.Sleep(time.Second / time.Duration(n))
 		}
-		right, agreed := f.settled(40 * time.Second)
-		t.Logf("%d start within 1 s: all see all after %v, agree after %v", n, right, agreed)
+		right, agreed := f.waitForAgreement(40 * time.Second)
+		t.Logf("%d processes start within 1 s: all views are right after %v, all agree after %v", n, right, agreed)
 		var first, last []time.Duration
 		for k := range 5 {
 			victim := n - 1 - k
@@ -43,7 +43,7 @@
 			for len(seen) < len(f.live) {
 				time.Sleep(20 * time.Millisecond)
 				for i, g := range f.live {
-					if !seen[i] && g.stateOf(name(victim)) != Present {
+					if !seen[i] && g.stateOf(nodeName(victim)) != Present {
 						if len(seen) == 0 {
 							first = append(first, time.Since(began))
 						}
@@ -51,30 +51,30 @@
 					}
 				}
 				if time.Since(began) > 10*time.Second {
-					t.Fatalf("%d of %d have found out after 10 s", len(seen), len(f.live))
+					t.Fatalf("%d of %d have detected the kill after 10 s", len(seen), len(f.live))
 				}
 			}
 			last = append(last, time.Since(began))
 			time.Sleep(2 * time.Second)
 		}
-		t.Logf("a kill is found out by the first after %v, by all after %v", first, last)
-		f.settled(20 * time.Second)
-		f.m.set(func() { f.m.packets, f.m.bytes = 0, 0 })
-		const calm = 30 * time.Second
+		t.Logf("a kill is detected by the first process after %v, by all after %v", first, last)
+		f.waitForAgreement(20 * time.Second)
+		f.mesh.update(func() { f.mesh.packets, f.mesh.bytes = 0, 0 })
+		const idle = 30 * time.Second
 		numbers := make(map[int]uint64)
 		for i, g := range f.live {
 			numbers[i] = g.View().Number
 		}
-		time.Sleep(calm)
+		time.Sleep(idle)
 		for i, g := range f.live {
 			if v := g.View(); v.Number != numbers[i] || !v.Agreed {
-				t.Errorf("%s: view %d after a calm time, %d before; agreed %v", name(i), v.Number, numbers[i], v.Agreed)
+				t.Errorf("%s: view %d after an idle time, %d before; agreed %v", nodeName(i), v.Number, numbers[i], v.Agreed)
 			}
 		}
-		per := float64(len(f.live)) * calm.Seconds()
+		memberSeconds := float64(len(f.live)) * idle.Seconds()
 		var mem runtime.MemStats
 		runtime.ReadMemStats(&mem)
-		t.Logf("calm: %.0f packets and %.0f bytes sent a second a member; %.0f kB of heap each", float64(f.m.packets)/per, float64(f.m.bytes)/per,
+		t.Logf("idle: %.0f packets and %.0f bytes sent per second and member; %.0f kB of heap each", float64(f.mesh.packets)/memberSeconds, float64(f.mesh.bytes)/memberSeconds,
 			float64(mem.HeapAlloc)/float64(len(f.live))/1024)
 		for k := range max(1, n/10) {
 			g := f.live[k]
@@ -82,77 +82,77 @@
 			go func() { g.SetPhase(Draining); time.Sleep(time.Second); g.Leave() }()
 		}
 		time.Sleep(2 * time.Second)
-		right, agreed = f.settled(20 * time.Second)
+		right, agreed = f.waitForAgreement(20 * time.Second)
 		for i, g := range f.live {
 			for _, m := range g.View().Members {
-				if atoi(m.Name) < max(1, n/10) && m.State != Left {
-					t.Errorf("%s: %s is %s, though it said that it leaves", name(i), m.Name, m.State)
+				if nodeIndex(m.Name) < max(1, n/10) && m.State != Left {
+					t.Errorf("%s: %s is %s, want left", nodeName(i), m.Name, m.State)
 				}
 			}
 		}
-		t.Logf("one in ten leaves: all see it %v after the last, agree after %v", right, agreed)
+		t.Logf("one in ten leaves: all views are right %v after the last, all agree after %v", right, agreed)
 	})
 }
 
-// Random faults, some at a time: kills, restarts, planned stops, cuts of any kind, losses. Once they end, all that live see all
-// that live and agree, whatever came before; and the later process of each name.
+// Plays random overlapping faults: kills, restarts, planned stops, network partitions and packet loss. Once they end, every
+// live process must see exactly the live processes, the latest of each name, and agree.
 func TestRandomFaults(t *testing.T) {
 	var worst, worstAgreed time.Duration
 	for seed := range *seeds {
 		synctest.Test(t, func(t *testing.T) {
 			f := newFleet(t, uint64(seed))
-			defer f.end()
-			f.probe = *probe
-			rng := f.m.rng
+			defer f.killAll()
+			f.probeInterval = *probe
+			rng := f.mesh.rng
 			n := 5 + rng.IntN(8)
 			for i := range n {
-				f.begin(i)
+				f.startNode(i)
 			}
-			log := ""
+			played := ""
 			for range 12 {
 				i, j := 0, 0
-				f.m.set(func() { i, j = rng.IntN(n), rng.IntN(n) })
-				_, lives := f.live[i]
+				f.mesh.update(func() { i, j = rng.IntN(n), rng.IntN(n) })
+				_, live := f.live[i]
 				switch k := (i + 7*j) % 8; {
-				case k < 2 && lives && len(f.live) > 2:
-					log += fmt.Sprintf(" kill %d", i)
+				case k < 2 && live && len(f.live) > 2:
+					played += fmt.Sprintf(" kill %d", i)
 					f.kill(i)
-				case k == 2 && lives && len(f.live) > 2:
-					log += fmt.Sprintf(" leave %d", i)
+				case k == 2 && live && len(f.live) > 2:
+					played += fmt.Sprintf(" leave %d", i)
 					f.leave(i)
-				case !lives:
-					log += fmt.Sprintf(" start %d", i)
-					f.begin(i)
+				case !live:
+					played += fmt.Sprintf(" start %d", i)
+					f.startNode(i)
 				case k < 5:
-					log += fmt.Sprintf(" cut at %d", j)
-					f.m.set(func() { f.m.cut = func(a, b int) bool { return (a < j) != (b < j) } })
+					played += fmt.Sprintf(" cut at %d", j)
+					f.mesh.update(func() { f.mesh.cut = func(a, b int) bool { return (a < j) != (b < j) } })
 				case k == 5:
-					log += fmt.Sprintf(" one way from %d", j)
-					f.m.set(func() { f.m.cut = func(a, b int) bool { return a == j } })
+					played += fmt.Sprintf(" one way from %d", j)
+					f.mesh.update(func() { f.mesh.cut = func(a, b int) bool { return a == j } })
 				case k == 6:
-					log += " loss"
-					f.m.set(func() { f.m.loss = 0.4 })
+					played += " loss"
+					f.mesh.update(func() { f.mesh.loss = 0.4 })
 				default:
-					log += " mend"
-					f.m.set(func() { f.m.loss, f.m.cut = 0, func(int, int) bool { return false } })
+					played += " mend"
+					f.mesh.update(func() { f.mesh.loss, f.mesh.cut = 0, func(int, int) bool { return false } })
 				}
 				time.Sleep(time.Duration(200+100*(i*j%60)) * time.Millisecond)
 			}
-			f.m.set(func() { f.m.loss, f.m.cut = 0, func(int, int) bool { return false } })
+			f.mesh.update(func() { f.mesh.loss, f.mesh.cut = 0, func(int, int) bool { return false } })
 			defer func() {
 				if t.Failed() {
-					t.Logf("seed %d, %d processes:%s", seed, n, log)
+					t.Logf("seed %d, %d processes:%s", seed, n, played)
 				}
 			}()
-			right, agreed := f.settled(40 * time.Second)
+			right, agreed := f.waitForAgreement(40 * time.Second)
 			worst, worstAgreed = max(worst, right), max(worstAgreed, agreed)
 		})
 	}
-	t.Logf("%d runs: all see all %v after the last fault at the most, and agree after %v", *seeds, worst, worstAgreed)
+	t.Logf("%d runs: all views are right at most %v after the last fault, all agree after %v", *seeds, worst, worstAgreed)
 }
 
-// states counts a view's members by their state.
-func states(g *Group) map[State]int {
+// countStates counts the members of a view by state.
+func countStates(g *Group) map[State]int {
 	all := make(map[State]int)
 	for _, m := range g.View().Members {
 		all[m.State]++
@@ -160,168 +160,168 @@
 	return all
 }
 
-// The hard cases, each by itself, in a fleet of six.
-func TestHardCases(t *testing.T) {
+// Plays single faults and unusual situations, each in a fleet of six.
+func TestFaultScenarios(t *testing.T) {
 	const n = 6
 	for what, play := range map[string]func(t *testing.T, f *fleet){
-		"halves for eleven minutes": func(t *testing.T, f *fleet) {
-			f.m.set(func() { f.m.cut = func(a, b int) bool { return (a < 3) != (b < 3) } })
+		"partitioned in halves for eleven minutes": func(t *testing.T, f *fleet) {
+			f.mesh.update(func() { f.mesh.cut = func(a, b int) bool { return (a < 3) != (b < 3) } })
 			time.Sleep(11 * time.Minute)
 			for i, g := range f.live {
-				if s := states(g); s[Present] != 3 || s[Silent] != 3 || s[Gone] != 0 {
-					t.Errorf("%s on its side: %v", name(i), s)
+				if s := countStates(g); s[Present] != 3 || s[Silent] != 3 || s[Gone] != 0 {
+					t.Errorf("%s on its side: %v", nodeName(i), s)
 				}
 			}
-			f.m.set(func() { f.m.cut = func(int, int) bool { return false } })
-			f.settled(30 * time.Second)
+			f.mesh.update(func() { f.mesh.cut = func(int, int) bool { return false } })
+			f.waitForAgreement(30 * time.Second)
 		},
-		"three parts": func(t *testing.T, f *fleet) {
-			f.m.set(func() { f.m.cut = func(a, b int) bool { return a/2 != b/2 } })
+		"partitioned in three parts": func(t *testing.T, f *fleet) {
+			f.mesh.update(func() { f.mesh.cut = func(a, b int) bool { return a/2 != b/2 } })
 			time.Sleep(time.Minute)
 			for i, g := range f.live {
-				if s := states(g); s[Present] != 2 || s[Silent] != 4 {
-					t.Errorf("%s on its side: %v", name(i), s)
+				if s := countStates(g); s[Present] != 2 || s[Silent] != 4 {
+					t.Errorf("%s on its side: %v", nodeName(i), s)
 				}
 			}
-			f.m.set(func() { f.m.cut = func(int, int) bool { return false } })
-			f.settled(30 * time.Second)
+			f.mesh.update(func() { f.mesh.cut = func(int, int) bool { return false } })
+			f.waitForAgreement(30 * time.Second)
 		},
-		"halves with one on both sides": func(t *testing.T, f *fleet) {
-			f.m.set(func() { f.m.cut = func(a, b int) bool { return (a < 3) != (b < 3) && a != 5 && b != 5 } })
-			time.Sleep(time.Minute) // what is seen meanwhile is not promised
+		"partitioned in halves with one member on both sides": func(t *testing.T, f *fleet) {
+			f.mesh.update(func() { f.mesh.cut = func(a, b int) bool { return (a < 3) != (b < 3) && a != 5 && b != 5 } })
+			time.Sleep(time.Minute) // the views in the meantime are unspecified
 			if !slices.ContainsFunc(f.groups(), func(g *Group) bool { return !g.View().Agreed }) {
-				t.Log("all agree: the one on both sides speaks for them")
+				t.Log("all agree: the member on both sides relays for both")
 			}
-			f.m.set(func() { f.m.cut = func(int, int) bool { return false } })
-			f.settled(30 * time.Second)
+			f.mesh.update(func() { f.mesh.cut = func(int, int) bool { return false } })
+			f.waitForAgreement(30 * time.Second)
 		},
 		"a link that works one way": func(t *testing.T, f *fleet) {
-			f.m.set(func() { f.m.cut = func(a, b int) bool { return a == 4 && b == 1 } })
+			f.mesh.update(func() { f.mesh.cut = func(a, b int) bool { return a == 4 && b == 1 } })
 			time.Sleep(time.Minute)
-			for i, g := range f.live { // the others ask for those two
-				if s := states(g); s[Present] != n {
-					t.Errorf("%s: %v", name(i), s)
+			for i, g := range f.live { // other members probe on behalf of those two
+				if s := countStates(g); s[Present] != n {
+					t.Errorf("%s: %v", nodeName(i), s)
 				}
 			}
 		},
-		"nothing of one comes through": func(t *testing.T, f *fleet) {
-			f.m.set(func() { f.m.cut = func(a, b int) bool { return a == 4 } })
+		"one member can't send": func(t *testing.T, f *fleet) {
+			f.mesh.update(func() { f.mesh.cut = func(a, b int) bool { return a == 4 } })
 			time.Sleep(time.Minute)
-			if s := states(f.live[1]); s[Present] != n-1 || s[Silent] != 1 {
-				t.Errorf("of the others one sees %v", s)
+			if s := countStates(f.live[1]); s[Present] != n-1 || s[Silent] != 1 {
+				t.Errorf("another member sees %v", s)
 			}
-			f.m.set(func() { f.m.cut = func(int, int) bool { return false } })
-			f.settled(30 * time.Second)
+			f.mesh.update(func() { f.mesh.cut = func(int, int) bool { return false } })
+			f.waitForAgreement(30 * time.Second)
 		},
-		"all packets lost, streams pass": func(t *testing.T, f *fleet) {
-			f.m.set(func() { f.m.loss = 1 })
+		"all packets lost, streams work": func(t *testing.T, f *fleet) {
+			f.mesh.update(func() { f.mesh.loss = 1 })
 			time.Sleep(time.Minute)
 			for i, g := range f.live {
-				if s := states(g); s[Present] != n {
-					t.Errorf("%s: %v", name(i), s)
+				if s := countStates(g); s[Present] != n {
+					t.Errorf("%s: %v", nodeName(i), s)
 				}
 			}
-			f.begin(n)
+			f.startNode(n)
 			f.kill(2)
-			f.settled(2 * time.Minute)
+			f.waitForAgreement(2 * time.Minute)
 		},
 		"one in ten packets lost for five minutes": func(t *testing.T, f *fleet) {
-			f.m.set(func() { f.m.loss = 0.1 })
+			f.mesh.update(func() { f.mesh.loss = 0.1 })
 			number := f.live[0].View().Number
 			time.Sleep(5 * time.Minute)
 			if v := f.live[0].View(); v.Number != number || v.Present != n {
-				t.Errorf("view %d with %d, %d before", v.Number, v.Present, number)
+				t.Errorf("view %d with %d members present, want view %d with all", v.Number, v.Present, number)
 			}
 		},
 		"two in five packets lost": func(t *testing.T, f *fleet) {
-			f.m.set(func() { f.m.loss = 0.4 })
+			f.mesh.update(func() { f.mesh.loss = 0.4 })
 			time.Sleep(time.Minute)
-			f.settled(30 * time.Second)
+			f.waitForAgreement(30 * time.Second)
 		},
 		"flapping every two seconds": func(t *testing.T, f *fleet) {
 			for range 15 {
 				f.kill(4)
 				time.Sleep(2 * time.Second)
-				f.begin(4)
+				f.startNode(4)
 				time.Sleep(2 * time.Second)
 			}
-			f.settled(30 * time.Second)
+			f.waitForAgreement(30 * time.Second)
 		},
 		"all seeds dead": func(t *testing.T, f *fleet) {
 			for i := range 3 {
 				f.kill(i)
 			}
-			f.settled(10 * time.Second)
+			f.waitForAgreement(10 * time.Second)
 			late := f.config(7)
-			late.KnownPeers = f.live[4].KnownPeers() // what its state has of the fleet
-			f.live[7] = f.run(late)
-			f.settled(20 * time.Second)
-			g := f.run(f.config(8)) // and one that knows nobody
+			late.KnownPeers = f.live[4].KnownPeers() // as if read from the saved state
+			f.live[7] = f.startWith(late)
+			f.waitForAgreement(20 * time.Second)
+			g := f.startWith(f.config(8)) // a process that knows no peers
 			time.Sleep(10 * time.Second)
 			if v := g.View(); v.Standing != Alone || v.Agreed {
-				t.Errorf("with all seeds dead: %+v", v)
+				t.Errorf("with all seeds dead: %+v, want it alone", v)
 			}
 			g.Close()
 		},
-		"seeds of another farm": func(t *testing.T, f *fleet) {
+		"seeds of another fleet": func(t *testing.T, f *fleet) {
 			c := f.config(9)
 			c.Cluster = "last year's"
-			g := f.run(c)
+			g := f.startWith(c)
 			time.Sleep(20 * time.Second)
 			if v := g.View(); v.Standing != Alone || v.Present != 1 {
-				t.Errorf("it sees %d, and is %s", v.Present, v.Standing)
+				t.Errorf("%d members present, standing %s, want it alone", v.Present, v.Standing)
 			}
-			f.settled(time.Second) // and nobody sees it
+			f.waitForAgreement(time.Second) // the members must not see it
 			g.Close()
 		},
 		"one name at two addresses": func(t *testing.T, f *fleet) {
 			c := f.config(7)
-			c.Name = name(3)
-			g := f.run(c)
+			c.Name = nodeName(3)
+			g := f.startWith(c)
 			time.Sleep(10 * time.Second)
 			if s := g.View().Standing; s != Conflict {
-				t.Errorf("the second is %s", s)
+				t.Errorf("the second process is %s, want conflict", s)
 			}
 			for i, o := range f.live {
-				if m := find(o, name(3)); m.Address != place(3) || m.State != Present {
-					t.Errorf("%s has it at %s", name(i), m.Address)
+				if m := memberNamed(o, nodeName(3)); m.Address != addressOf(3) || m.State != Present {
+					t.Errorf("%s sees it at %s", nodeName(i), m.Address)
 				}
 			}
-			f.kill(3) // the name is free now
+			f.kill(3) // frees the name
 			f.live[3] = g
-			f.settled(time.Minute)
+			f.waitForAgreement(time.Minute)
 		},
-		"an upgrade": func(t *testing.T, f *fleet) {
+		"upgrade to a successor process": func(t *testing.T, f *fleet) {
 			old, numbers := f.live[4], make(map[int]uint64)
 			for i, g := range f.live {
 				numbers[i] = g.View().Number
 			}
-			f.begin(4)
+			f.startNode(4)
 			time.Sleep(5 * time.Second)
 			if s := f.live[4].View().Standing; s != Waiting {
-				t.Errorf("the new process is %s beside the old one", s)
+				t.Errorf("the successor is %s while the old process runs, want waiting", s)
 			}
 			old.Close()
-			for range 400 { // it is never away
+			for range 400 { // the member must stay present throughout
 				time.Sleep(20 * time.Millisecond)
 				for i, g := range f.live {
-					if m := find(g, name(4)); i != 4 && m.State != Present {
-						t.Fatalf("%s has it as %s", name(i), m.State)
+					if m := memberNamed(g, nodeName(4)); i != 4 && m.State != Present {
+						t.Fatalf("%s sees it as %s", nodeName(i), m.State)
 					}
 				}
 			}
-			f.settled(20 * time.Second)
+			f.waitForAgreement(20 * time.Second)
 		},
-		"an earlier process that wakes up": func(t *testing.T, f *fleet) {
+		"an earlier process that is still running": func(t *testing.T, f *fleet) {
 			earlier := f.live[4]
-			f.m.set(func() { delete(f.m.ports, place(4)) }) // it hears nothing, and believes itself in charge
+			f.mesh.update(func() { delete(f.mesh.endpoints, addressOf(4)) }) // it receives nothing and still considers itself the member
 			time.Sleep(10 * time.Second)
-			f.begin(4)
-			f.settled(20 * time.Second)
-			time.Sleep(30 * time.Second) // it calls the others all the time
-			f.settled(time.Second)
+			f.startNode(4)
+			f.waitForAgreement(20 * time.Second)
+			time.Sleep(30 * time.Second) // it keeps sending to the other members
+			f.waitForAgreement(time.Second)
 			if s := earlier.View().Standing; s != Replaced {
-				t.Errorf("the earlier process is %s", s)
+				t.Errorf("the earlier process is %s, want replaced", s)
 			}
 			earlier.Close()
 		},
@@ -329,25 +329,25 @@
 			f.leave(5)
 			f.kill(4)
 			time.Sleep(30 * time.Second)
-			if s := states(f.live[0]); s[Left] != 1 || s[Gone] != 1 {
-				t.Errorf("after a stop and a kill: %v", s)
+			if s := countStates(f.live[0]); s[Left] != 1 || s[Gone] != 1 {
+				t.Errorf("after a planned stop and a kill: %v", s)
 			}
 			time.Sleep(16 * time.Minute)
-			if s := states(f.live[0]); len(s) != 1 || s[Present] != 4 {
+			if s := countStates(f.live[0]); len(s) != 1 || s[Present] != 4 {
 				t.Errorf("after 16 minutes: %v", s)
 			}
 		},
 		"another version and configuration": func(t *testing.T, f *fleet) {
 			c := f.config(7)
 			c.Version, c.Digest = "v2", "c2"
-			f.live[7] = f.run(c)
-			f.settled(20 * time.Second)
-			if m := find(f.live[0], name(7)); m.Version != "v2" || m.Digest != "c2" || m.Phase != Serving {
-				t.Errorf("seen as %+v", m)
+			f.live[7] = f.startWith(c)
+			f.waitForAgreement(20 * time.Second)
+			if m := memberNamed(f.live[0], nodeName(7)); m.Version != "v2" || m.Digest != "c2" || m.Phase != Serving {
+				t.Errorf("it is seen as %+v", m)
 			}
 		},
-		"garbage": func(t *testing.T, f *fleet) {
-			p, err := f.m.open(99)
+		"random packets and streams": func(t *testing.T, f *fleet) {
+			p, err := f.mesh.listen(99)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -355,15 +355,15 @@
 			for i := range 2000 {
 				b := make([]byte, 1+i%1500)
 				for j := range b {
-					f.m.set(func() { b[j] = byte(f.m.rng.Uint32()) })
+					f.mesh.update(func() { b[j] = byte(f.mesh.rng.Uint32()) })
 				}
-				if i%2 == 0 { // behind the right label
-					b = append(append([]byte{244, byte(len(f.label))}, f.label...), byte(i/2%14))
+				if i%2 == 0 { // with the right label
+					b = append(append([]byte{244, byte(len(f.cluster))}, f.cluster...), byte(i/2%14))
 					b = append(b, make([]byte, i%40)...)
 				}
-				_, _ = p.WriteTo(b, place(i%n))
+				_, _ = p.WriteTo(b, addressOf(i%n))
 				if i%20 == 0 {
-					if c, err := p.DialTimeout(place(i%n), time.Second); err == nil {
+					if c, err := p.DialTimeout(addressOf(i%n), time.Second); err == nil {
 						_ = c.SetDeadline(time.Now().Add(time.Second))
 						_, _ = c.Write(b)
 						c.Close()
@@ -371,24 +371,25 @@
 				}
 				time.Sleep(5 * time.Millisecond)
 			}
-			f.settled(20 * time.Second)
+			f.waitForAgreement(20 * time.Second)
 		},
 	} {
 		t.Run(what, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				f := newFleet(t, 3)
-				defer f.end()
-				f.probe = *probe
+				defer f.killAll()
+				f.probeInterval = *probe
 				for i := range n {
-					f.begin(i)
+					f.startNode(i)
 				}
-				f.settled(20 * time.Second)
+				f.waitForAgreement(20 * time.Second)
 				play(t, f)
 			})
 		})
 	}
 }
 
+// groups returns the groups of all live processes.
 func (f *fleet) groups() (all []*Group) {
 	for _, g := range f.live {
 		all = append(all, g)
@@ -396,8 +397,8 @@
 	return all
 }
 
-// find is a member as a process sees it.
-func find(g *Group, name string) MemberInfo {
+// memberNamed returns the named member as a process sees it, or a zero MemberInfo.
+func memberNamed(g *Group, name string) MemberInfo {
 	for _, m := range g.View().Members {
 		if m.Name == name {
 			return m
@@ -406,8 +407,9 @@
 	return MemberInfo{}
 }
 
-// A replayed word of an earlier process is not believed, and neither is a member without particulars.
-func TestWordsThatAreNotBelieved(t *testing.T) {
+// Alive messages of an earlier process, members with unreadable metadata, members above the limit and malformed or too many
+// views must be rejected.
+func TestInvalidMessagesAreRejected(t *testing.T) {
 	g, err := New(newFleet(t, 1).config(0))
 	if err != nil {
 		t.Fatal(err)
@@ -430,20 +432,20 @@
 			t.Errorf("%s %s: %v", c.node.Name, c.node.Meta, err)
 		}
 	}
-	for i := len(g.table); i < membersMost; i++ {
+	for i := len(g.members); i < maxMembers; i++ {
 		g.NotifyJoin(node(fmt.Sprint("m", i), 1))
 	}
-	if g.NotifyAlive(node("one too many", 1)) == nil {
-		t.Error("the table has no bound")
+	if g.NotifyAlive(node("above the limit", 1)) == nil {
+		t.Error("a member above the limit was accepted")
 	}
-	for _, raw := range []string{"x", strings.Repeat("x", viewBytes*(viewsMost+1))} {
-		g.hear([]byte(raw))
+	for _, raw := range []string{"x", strings.Repeat("x", viewBytes*(maxViews+1))} {
+		g.mergeViews([]byte(raw))
 	}
 	for i := range 100 {
-		g.hear([]byte(fmt.Sprintf("digest%02d\x00\x00\x00\x01", i)))
+		g.mergeViews([]byte(fmt.Sprintf("digest%02d\x00\x00\x00\x01", i)))
 	}
-	if v := g.View(); v.DistinctViews > viewsMost {
-		t.Errorf("%d views are kept", v.DistinctViews)
+	if v := g.View(); v.DistinctViews > maxViews {
+		t.Errorf("%d views are kept, want at most the limit", v.DistinctViews)
 	}
 }
 
--- a/internal/member/sockets.go
+++ b/internal/member/sockets.go
@@ -13,14 +13,15 @@
 )
 
 const (
-	packetMost = 64 << 10
-	packetRoom = 512 << 10 // of the kernel, for packets that wait for a processor
-	acceptWait = 100 * time.Millisecond
+	maxPacketBytes     = 64 << 10
+	receiveBufferBytes = 512 << 10 // kernel buffer for packets that arrive while the process is not scheduled
+	acceptRetryDelay   = 100 * time.Millisecond
 )
 
-// sockets is a transport on a UDP and a TCP port. The library's own makes 64 KiB of garbage for each packet that comes,
-// which in a sidecar of 32 MiB is most of its heap, and hides why it can't listen.
-type sockets struct {
+// socketTransport is a memberlist transport on a UDP and a TCP port. It replaces memberlist's own, which allocates 64 KiB
+// for each packet received (in a sidecar with 32 MiB of memory, most of the heap) and does not return the error of a failed
+// listen.
+type socketTransport struct {
 	udp     *net.UDPConn
 	tcp     *net.TCPListener
 	packets chan *memberlist.Packet
@@ -31,52 +32,54 @@
 	meter   *meter.Meter
 }
 
-// listen takes both ports, or neither.
-func listen(at netip.AddrPort, m *meter.Meter) (*sockets, error) {
-	tcp, err := net.ListenTCP("tcp", net.TCPAddrFromAddrPort(at))
+// listenSockets opens the UDP and the TCP port, or neither.
+func listenSockets(address netip.AddrPort, m *meter.Meter) (*socketTransport, error) {
+	tcp, err := net.ListenTCP("tcp", net.TCPAddrFromAddrPort(address))
 	if err != nil {
 		return nil, err
 	}
-	at = netip.AddrPortFrom(at.Addr(), uint16(tcp.Addr().(*net.TCPAddr).Port)) // where it was 0, whichever is free
-	udp, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(at))
+	address = netip.AddrPortFrom(address.Addr(), uint16(tcp.Addr().(*net.TCPAddr).Port)) // with port 0 the kernel has chosen one
+	udp, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(address))
 	if err != nil {
 		tcp.Close()
 		return nil, err
 	}
-	_ = udp.SetReadBuffer(packetRoom) // less room means more loss under load, no more
-	s := &sockets{
+	_ = udp.SetReadBuffer(receiveBufferBytes) // on error a smaller buffer loses more packets under load
+	s := &socketTransport{
 		udp: udp, tcp: tcp, packets: make(chan *memberlist.Packet), streams: make(chan net.Conn), done: make(chan struct{}),
 		meter: m,
 	}
-	s.work.Go(s.receive)
-	s.work.Go(s.accept)
+	s.work.Go(s.receivePackets)
+	s.work.Go(s.acceptStreams)
 	return s, nil
 }
 
-func (s *sockets) receive() {
-	room := make([]byte, packetMost)
+// receivePackets passes received packets to memberlist until the transport is shut down.
+func (s *socketTransport) receivePackets() {
+	buffer := make([]byte, maxPacketBytes)
 	for {
-		n, from, err := s.udp.ReadFromUDP(room)
-		came := time.Now()
+		n, from, err := s.udp.ReadFromUDP(buffer)
+		receivedAt := time.Now()
 		if err != nil {
 			if errors.Is(err, net.ErrClosed) {
 				return
 			}
-			continue // the kernel's word that somebody's port was closed
+			continue // an ICMP error: a peer's port was closed
 		}
 		if n == 0 {
 			continue
 		}
 		s.meter.AddReceived(meter.Packets, n, 1)
 		select {
-		case s.packets <- &memberlist.Packet{Buf: append([]byte(nil), room[:n]...), From: from, Timestamp: came}:
+		case s.packets <- &memberlist.Packet{Buf: append([]byte(nil), buffer[:n]...), From: from, Timestamp: receivedAt}:
 		case <-s.done:
 			return
 		}
 	}
 }
 
-func (s *sockets) accept() {
+// acceptStreams passes accepted connections to memberlist until the transport is shut down.
+func (s *socketTransport) acceptStreams() {
 	for {
 		c, err := s.tcp.Accept()
 		if err != nil {
@@ -84,7 +87,7 @@
 				return
 			}
 			select {
-			case <-time.After(acceptWait): // no descriptor is free, say
+			case <-time.After(acceptRetryDelay): // for example out of file descriptors
 				continue
 			case <-s.done:
 				return
@@ -100,16 +103,16 @@
 }
 
 // FinalAdvertiseAddr implements memberlist.Transport.
-func (s *sockets) FinalAdvertiseAddr(string, int) (net.IP, int, error) {
-	at := s.tcp.Addr().(*net.TCPAddr)
-	if v4 := at.IP.To4(); v4 != nil {
-		return v4, at.Port, nil
+func (s *socketTransport) FinalAdvertiseAddr(string, int) (net.IP, int, error) {
+	address := s.tcp.Addr().(*net.TCPAddr)
+	if v4 := address.IP.To4(); v4 != nil {
+		return v4, address.Port, nil
 	}
-	return at.IP, at.Port, nil
+	return address.IP, address.Port, nil
 }
 
 // WriteTo implements memberlist.Transport.
-func (s *sockets) WriteTo(b []byte, address string) (time.Time, error) {
+func (s *socketTransport) WriteTo(b []byte, address string) (time.Time, error) {
 	to, err := netip.ParseAddrPort(address)
 	if err != nil {
 		return time.Time{}, err
@@ -121,36 +124,36 @@
 }
 
 // WriteToAddress implements memberlist.NodeAwareTransport.
-func (s *sockets) WriteToAddress(b []byte, a memberlist.Address) (time.Time, error) {
+func (s *socketTransport) WriteToAddress(b []byte, a memberlist.Address) (time.Time, error) {
 	return s.WriteTo(b, a.Addr)
 }
 
 // DialTimeout implements memberlist.Transport.
-func (s *sockets) DialTimeout(address string, timeout time.Duration) (net.Conn, error) {
+func (s *socketTransport) DialTimeout(address string, timeout time.Duration) (net.Conn, error) {
 	return (&net.Dialer{Timeout: timeout, LocalAddr: &net.TCPAddr{IP: s.tcp.Addr().(*net.TCPAddr).IP}}).Dial("tcp", address)
 }
 
 // DialAddressTimeout implements memberlist.NodeAwareTransport.
-func (s *sockets) DialAddressTimeout(a memberlist.Address, timeout time.Duration) (net.Conn, error) {
+func (s *socketTransport) DialAddressTimeout(a memberlist.Address, timeout time.Duration) (net.Conn, error) {
 	return s.DialTimeout(a.Addr, timeout)
 }
 
 // PacketCh implements memberlist.Transport.
-func (s *sockets) PacketCh() <-chan *memberlist.Packet { return s.packets }
+func (s *socketTransport) PacketCh() <-chan *memberlist.Packet { return s.packets }
 
 // StreamCh implements memberlist.Transport.
-func (s *sockets) StreamCh() <-chan net.Conn { return s.streams }
+func (s *socketTransport) StreamCh() <-chan net.Conn { return s.streams }
 
-// IngestPacket implements memberlist.NodeAwareTransport's older part; nothing here comes in another way.
-func (s *sockets) IngestPacket(net.Conn, net.Addr, time.Time, bool) error {
+// IngestPacket implements memberlist.NodeAwareTransport. It is not supported.
+func (s *socketTransport) IngestPacket(net.Conn, net.Addr, time.Time, bool) error {
 	return errors.ErrUnsupported
 }
 
-// IngestStream is as IngestPacket.
-func (s *sockets) IngestStream(net.Conn) error { return errors.ErrUnsupported }
+// IngestStream implements memberlist.NodeAwareTransport. It is not supported.
+func (s *socketTransport) IngestStream(net.Conn) error { return errors.ErrUnsupported }
 
-// Shutdown implements memberlist.Transport: the ports are free when it returns.
-func (s *sockets) Shutdown() error {
+// Shutdown implements memberlist.Transport. Both ports are free when it returns.
+func (s *socketTransport) Shutdown() error {
 	s.once.Do(func() { close(s.done) })
 	err := errors.Join(s.tcp.Close(), s.udp.Close())
 	s.work.Wait()
--- a/internal/member/streams.go
+++ b/internal/member/streams.go
@@ -8,45 +8,45 @@
 	"time"
 )
 
-// othersMost is how many streams of one kind wait to be taken.
-const othersMost = 16
+// maxPendingStreams is how many streams of one kind may wait for Accept.
+const maxPendingStreams = 16
 
-// listener takes streams of one kind that come to a group's address.
+// listener accepts the streams of one kind that arrive at a group's address. It implements net.Listener.
 type listener struct {
-	group *Group
-	kind  byte
-	ready chan net.Conn
-	done  chan struct{}
-	once  sync.Once
+	group   *Group
+	kind    byte
+	pending chan net.Conn
+	done    chan struct{}
+	once    sync.Once
 }
 
-// Listen takes the streams of a kind that other members Dial; it ends with its Close. The kind is no byte that the library's
-// own streams begin with (0 to 14 and 244).
+// Listen returns a listener for the streams of one kind that other members open with Dial. kind is the first byte of a stream;
+// it must not be one that memberlist's own streams begin with (0 to 14 and 244).
 func (g *Group) Listen(kind byte) net.Listener {
-	l := &listener{group: g, kind: kind, ready: make(chan net.Conn, othersMost), done: make(chan struct{})}
+	l := &listener{group: g, kind: kind, pending: make(chan net.Conn, maxPendingStreams), done: make(chan struct{})}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.kinds[kind] = l
+	g.listeners[kind] = l
 	return l
 }
 
-// listening is who takes streams of a kind, or nil.
-func (g *Group) listening(kind byte) *listener {
+// listenerFor returns the listener for streams of a kind, or nil.
+func (g *Group) listenerFor(kind byte) *listener {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.kinds[kind]
+	return g.listeners[kind]
 }
 
-// hand gives a stream to whoever accepts; where many wait, it is closed.
-func (l *listener) hand(c net.Conn) {
-	l.group.mu.Lock() // so that none is handed over behind the Close that empties ready
+// deliver queues a stream for Accept. It closes the stream if the listener is closed or its queue is full.
+func (l *listener) deliver(c net.Conn) {
+	l.group.mu.Lock() // so that no stream is queued after Close has emptied pending
 	defer l.group.mu.Unlock()
-	if l.group.kinds[l.kind] != l {
+	if l.group.listeners[l.kind] != l {
 		c.Close()
 		return
 	}
 	select {
-	case l.ready <- c:
+	case l.pending <- c:
 	default:
 		c.Close()
 	}
@@ -55,7 +55,7 @@
 // Accept implements net.Listener.
 func (l *listener) Accept() (net.Conn, error) {
 	select {
-	case c := <-l.ready:
+	case c := <-l.pending:
 		return c, nil
 	case <-l.done:
 		return nil, net.ErrClosed
@@ -66,14 +66,14 @@
 func (l *listener) Close() error {
 	l.once.Do(func() {
 		l.group.mu.Lock()
-		if l.group.kinds[l.kind] == l {
-			delete(l.group.kinds, l.kind)
+		if l.group.listeners[l.kind] == l {
+			delete(l.group.listeners, l.kind)
 		}
 		l.group.mu.Unlock()
 		close(l.done)
 		for {
 			select {
-			case c := <-l.ready:
+			case c := <-l.pending:
 				c.Close()
 			default:
 				return
@@ -86,26 +86,27 @@
 // Addr implements net.Listener.
 func (l *listener) Addr() net.Addr { return memberAddr(l.group.cfg.Name) }
 
-// Dial opens a stream of a kind to a member, by its route or to where it says that it is.
+// Dial opens a stream of a kind to the named member, at its route or else at the address that the member announces. timeout
+// bounds both the dial and the write of the kind.
 func (g *Group) Dial(name string, kind byte, timeout time.Duration) (net.Conn, error) {
 	g.mu.Lock()
 	t, address := g.transport, g.cfg.Routes[name]
-	if e := g.table[name]; e != nil && address == "" {
+	if e := g.members[name]; e != nil && address == "" {
 		address = e.address
 	}
 	g.mu.Unlock()
 	if t == nil {
-		return nil, errors.New("member: this process takes no part yet, or no more")
+		return nil, errors.New("member: membership is not running")
 	}
 	if address == "" {
-		return nil, fmt.Errorf("member: nothing is known of %q", name)
+		return nil, fmt.Errorf("member: no address is known for %q", name)
 	}
 	c, err := t.DialTimeout(address, timeout)
 	if err != nil {
 		return nil, err
 	}
-	_ = c.SetWriteDeadline(time.Now().Add(timeout)) // it fails on a closed one, as writing does
-	c = g.cfg.Meter.WrapConn(c, kindOf(g.cfg.StreamKinds, kind), true)
+	_ = c.SetWriteDeadline(time.Now().Add(timeout)) // fails only on a closed connection, where the write fails too
+	c = g.cfg.Meter.WrapConn(c, meterKind(g.cfg.StreamKinds, kind), true)
 	if _, err := c.Write([]byte{kind}); err != nil {
 		c.Close()
 		return nil, err
@@ -113,7 +114,7 @@
 	return c, c.SetWriteDeadline(time.Time{})
 }
 
-// memberAddr is a member's name as an address.
+// memberAddr is a member's name as a net.Addr.
 type memberAddr string
 
 func (a memberAddr) Network() string { return "member" }
--- a/internal/member/transport.go
+++ b/internal/member/transport.go
@@ -15,74 +15,75 @@
 )
 
 const (
-	streamsMost = 8       // streams of others at a time; more wait in the kernel's queue
-	streamBytes = 2 << 20 // of one stream; far above the state of the largest fleet
+	maxInboundStreams = 8       // inbound streams handled at a time; more wait in the kernel's accept queue
+	maxStreamBytes    = 2 << 20 // bytes read from one stream; far above the full state of the largest fleet
 )
 
-// transport is the library's way to the others: by routes, where there are any, and with bounds on what comes in.
-type transport struct {
+// routedTransport wraps memberlist's transport. It sends to members by their routes where they have one, bounds inbound
+// streams, and passes streams of other kinds to their listeners.
+type routedTransport struct {
 	memberlist.NodeAwareTransport
-	routes  map[string]string
-	refused func(name string, yes bool)
-	streams chan net.Conn
-	places  chan struct{}
-	kinds   func(kind byte) *listener // of streams that are not the library's; nil: nobody wants them
-	done    chan struct{}
-	once    sync.Once
-	meter   *meter.Meter
-	counts  map[byte]meter.Kind
+	routes        map[string]string
+	recordContact func(name string, refused bool)
+	streams       chan net.Conn
+	inboundSlots  chan struct{}
+	listenerFor   func(kind byte) *listener // the listener for a kind of stream, or nil if the stream is memberlist's
+	done          chan struct{}
+	once          sync.Once
+	meter         *meter.Meter
+	streamKinds   map[byte]meter.Kind
 }
 
-func newTransport(
-	inner memberlist.NodeAwareTransport, routes map[string]string, refused func(string, bool), kinds func(byte) *listener, m *meter.Meter, counts map[byte]meter.Kind,
-) *transport {
-	t := &transport{
-		NodeAwareTransport: inner, routes: routes, refused: refused, kinds: kinds,
-		streams: make(chan net.Conn), places: make(chan struct{}, streamsMost), done: make(chan struct{}),
-		meter: m, counts: counts,
+func newRoutedTransport(
+	inner memberlist.NodeAwareTransport, routes map[string]string, recordContact func(string, bool), listenerFor func(byte) *listener, counter *meter.Meter, streamKinds map[byte]meter.Kind,
+) *routedTransport {
+	t := &routedTransport{
+		NodeAwareTransport: inner, routes: routes, recordContact: recordContact, listenerFor: listenerFor,
+		streams: make(chan net.Conn), inboundSlots: make(chan struct{}, maxInboundStreams), done: make(chan struct{}),
+		meter: counter, streamKinds: streamKinds,
 	}
-	go t.admit()
+	go t.acceptStreams()
 	return t
 }
 
-// admit lets streams in, some at a time.
-func (t *transport) admit() {
+// acceptStreams dispatches inbound streams, at most maxInboundStreams at a time, until the transport is shut down.
+func (t *routedTransport) acceptStreams() {
 	for {
 		select {
-		case t.places <- struct{}{}:
+		case t.inboundSlots <- struct{}{}:
 		case <-t.done:
 			return
 		}
 		select {
 		case c := <-t.NodeAwareTransport.StreamCh():
-			go t.sort(c)
+			go t.dispatch(c)
 		case <-t.done:
 			return
 		}
 	}
 }
 
-// sort hands a stream to whoever it is for, by its first byte.
-func (t *transport) sort(c net.Conn) {
-	s := &stream{Conn: c, ended: func() { <-t.places }}
-	s.left.Store(streamBytes)
-	if c.SetReadDeadline(time.Now().Add(streamTime)) != nil {
+// dispatch reads a stream's first byte, and passes the stream to the listener for that kind or to memberlist.
+func (t *routedTransport) dispatch(c net.Conn) {
+	s := &stream{Conn: c, releaseSlot: func() { <-t.inboundSlots }}
+	s.bytesLeft.Store(maxStreamBytes)
+	if c.SetReadDeadline(time.Now().Add(streamTimeout)) != nil {
 		s.Close()
 		return
 	}
-	if _, err := io.ReadFull(c, s.start[:]); err != nil || c.SetReadDeadline(time.Time{}) != nil {
+	if _, err := io.ReadFull(c, s.firstByte[:]); err != nil || c.SetReadDeadline(time.Time{}) != nil {
 		s.Close()
 		return
 	}
-	if l := t.kinds(s.start[0]); l != nil {
-		s.last.Do(s.ended) // it may last: it has no place here any more
-		k := kindOf(t.counts, s.start[0])
+	if l := t.listenerFor(s.firstByte[0]); l != nil {
+		s.releaseOnce.Do(s.releaseSlot) // the stream may be long-lived: it no longer counts against the limit
+		k := meterKind(t.streamKinds, s.firstByte[0])
 		t.meter.AddReceived(k, 1, 0)
-		l.hand(t.meter.WrapConn(c, k, false))
+		l.deliver(t.meter.WrapConn(c, k, false))
 		return
 	}
 	t.meter.AddReceived(meter.Exchanges, 1, 0)
-	s.Conn, s.unread = t.meter.WrapConn(c, meter.Exchanges, false), true
+	s.Conn, s.firstByteUnread = t.meter.WrapConn(c, meter.Exchanges, false), true
 	select {
 	case t.streams <- s:
 	case <-t.done:
@@ -90,24 +91,25 @@
 	}
 }
 
-// kindOf is what streams of a kind of another part count as.
-func kindOf(counts map[byte]meter.Kind, kind byte) meter.Kind {
-	if k, ok := counts[kind]; ok {
+// meterKind returns the kind by which the meter counts streams that begin with the byte kind.
+func meterKind(streamKinds map[byte]meter.Kind, kind byte) meter.Kind {
+	if k, ok := streamKinds[kind]; ok {
 		return k
 	}
 	return meter.Other
 }
 
 // StreamCh implements memberlist.Transport.
-func (t *transport) StreamCh() <-chan net.Conn { return t.streams }
+func (t *routedTransport) StreamCh() <-chan net.Conn { return t.streams }
 
 // Shutdown implements memberlist.Transport.
-func (t *transport) Shutdown() error {
+func (t *routedTransport) Shutdown() error {
 	t.once.Do(func() { close(t.done) })
 	return t.NodeAwareTransport.Shutdown()
 }
 
-func (t *transport) route(a memberlist.Address) memberlist.Address {
+// route replaces the address of a member that has a route.
+func (t *routedTransport) route(a memberlist.Address) memberlist.Address {
 	if r, ok := t.routes[a.Name]; ok {
 		a.Addr = r
 	}
@@ -115,56 +117,58 @@
 }
 
 // WriteToAddress implements memberlist.NodeAwareTransport.
-func (t *transport) WriteToAddress(b []byte, a memberlist.Address) (time.Time, error) {
+func (t *routedTransport) WriteToAddress(b []byte, a memberlist.Address) (time.Time, error) {
 	return t.NodeAwareTransport.WriteToAddress(b, t.route(a))
 }
 
 // DialAddressTimeout implements memberlist.NodeAwareTransport.
-func (t *transport) DialAddressTimeout(a memberlist.Address, timeout time.Duration) (net.Conn, error) {
+func (t *routedTransport) DialAddressTimeout(a memberlist.Address, timeout time.Duration) (net.Conn, error) {
 	c, err := t.NodeAwareTransport.DialAddressTimeout(t.route(a), timeout)
 	if err != nil {
 		if errors.Is(err, syscall.ECONNREFUSED) || errors.Is(err, syscall.ECONNRESET) {
-			t.refused(a.Name, true)
+			t.recordContact(a.Name, true)
 		}
 		return nil, err
 	}
-	s := &stream{Conn: t.meter.WrapConn(c, meter.Exchanges, true), told: func(refused bool) { t.refused(a.Name, refused) }}
-	s.left.Store(streamBytes)
+	s := &stream{Conn: t.meter.WrapConn(c, meter.Exchanges, true), recordContact: func(refused bool) { t.recordContact(a.Name, refused) }}
+	s.bytesLeft.Store(maxStreamBytes)
 	return s, nil
 }
 
-// stream is a connection that carries no more than so many bytes in.
+// stream is a connection from which at most maxStreamBytes can be read.
 type stream struct {
 	net.Conn
-	left  atomic.Int64
-	told  func(refused bool) // hears once whether the other end spoke, or closed without a word; nil: nobody asks
-	ended func()
-	first sync.Once
-	last  sync.Once
-
-	start  [1]byte // has been read already
-	unread bool    // and is the first to be read again
+	bytesLeft     atomic.Int64
+	recordContact func(refused bool) // called once: refused if the peer closed without sending anything; may be nil
+	releaseSlot   func()
+	contactOnce   sync.Once
+	releaseOnce   sync.Once
+
+	firstByte       [1]byte // consumed by dispatch
+	firstByteUnread bool    // the next Read returns firstByte
 }
 
+// Read implements net.Conn. It fails once maxStreamBytes have been read.
 func (s *stream) Read(p []byte) (int, error) {
-	if s.left.Load() <= 0 {
-		return 0, errors.New("member: the stream is too long")
+	if s.bytesLeft.Load() <= 0 {
+		return 0, errors.New("member: stream exceeds its size limit")
 	}
-	if s.unread && len(p) > 0 {
-		s.unread = false
-		return copy(p, s.start[:]), nil
+	if s.firstByteUnread && len(p) > 0 {
+		s.firstByteUnread = false
+		return copy(p, s.firstByte[:]), nil
 	}
 	n, err := s.Conn.Read(p)
-	s.left.Add(-int64(n))
-	if s.told != nil && (n > 0 || errors.Is(err, io.EOF) || errors.Is(err, syscall.ECONNRESET)) {
-		s.first.Do(func() { s.told(n == 0) })
+	s.bytesLeft.Add(-int64(n))
+	if s.recordContact != nil && (n > 0 || errors.Is(err, io.EOF) || errors.Is(err, syscall.ECONNRESET)) {
+		s.contactOnce.Do(func() { s.recordContact(n == 0) })
 	}
 	return n, err
 }
 
+// Close implements net.Conn.
 func (s *stream) Close() error {
-	if s.ended != nil {
-		s.last.Do(s.ended)
+	if s.releaseSlot != nil {
+		s.releaseOnce.Do(s.releaseSlot)
 	}
 	return s.Conn.Close()
 }
