--- a/cmd/caperarch/callmatrix_test.go
+++ b/cmd/caperarch/callmatrix_test.go
@@ -15,12 +15,12 @@
 )
 
 const (
-	matrixEach     = 3  // each third call fails
-	matrixRequests = 20 // on a new connection each, and as many on one that is kept
+	failureInterval  = 3  // every third call fails
+	requestsPerPhase = 20 // requests on new connections, and again as many on one connection
 )
 
-// failingCalls are the system calls that a sidecar makes for a request, with the errors that Linux documents for them
-// and that may pass (accept(2), socket(2), connect(2), recv(2), send(2), epoll_ctl(2), poll(2), getsockname(2) and so on).
+// failingCalls are the system calls that a sidecar makes for a request, with the errors that may be transient according to the
+// Linux manual pages (accept(2), socket(2), connect(2), recv(2), send(2), epoll_ctl(2), poll(2), getsockname(2) and so on).
 var failingCalls = []struct {
 	name   string
 	number int
@@ -45,62 +45,68 @@
 	{"shutdown", unix.SYS_SHUTDOWN, []syscall.Errno{unix.ENOBUFS}},
 }
 
-// Whichever system call fails now and then, and with whatever error: each request has one whole, right answer, and the
-// sidecar goes on.
-func TestEachRequestIsAnsweredWhateverCallFails(t *testing.T) {
+// Whichever system call fails repeatedly, and with whichever error: every request must get one complete and correct answer, and
+// the sidecar must keep running.
+func TestRequestsAreAnsweredWhenSystemCallsFail(t *testing.T) {
 	for _, call := range failingCalls {
 		for _, errno := range call.errors {
-			t.Run(call.name+" "+unix.ErrnoName(errno), func(t *testing.T) { callsGo(t, call.number, matrixEach, failsWith(call.number, errno)) })
+			t.Run(call.name+" "+unix.ErrnoName(errno), func(t *testing.T) {
+				checkAnswersDespiteFaults(t, call.number, failureInterval, failureOf(call.number, errno))
+			})
 		}
 	}
 }
 
-// So too where the system has no room to wait for one more connection. Package net closes one that has come where that
-// fails behind accept, so that its client gets no answer.
-func TestConnectionOutlivesFailingWait(t *testing.T) {
+// Requests must also be answered if epoll_ctl fails because the system can't watch one more connection. Package net closes an accepted
+// connection in that case, so that its client would get no answer.
+func TestConnectionSurvivesFailingEpollCtl(t *testing.T) {
 	for _, errno := range []syscall.Errno{unix.ENOMEM, unix.ENOSPC} {
-		t.Run("epoll_ctl "+unix.ErrnoName(errno), func(t *testing.T) { callsGo(t, unix.SYS_EPOLL_CTL, matrixEach, failsWith(unix.SYS_EPOLL_CTL, errno)) })
+		t.Run("epoll_ctl "+unix.ErrnoName(errno), func(t *testing.T) {
+			checkAnswersDespiteFaults(t, unix.SYS_EPOLL_CTL, failureInterval, failureOf(unix.SYS_EPOLL_CTL, errno))
+		})
 	}
 }
 
-// So too where each read or write moves few bytes only.
-func TestEachRequestIsAnsweredByShortReadsAndWrites(t *testing.T) {
+// Requests must also be answered if each read or write transfers only a few bytes.
+func TestRequestsAreAnsweredWithShortReadsAndWrites(t *testing.T) {
 	for name, number := range map[string]int{"read": unix.SYS_READ, "write": unix.SYS_WRITE} {
-		t.Run(name, func(t *testing.T) { callsGo(t, number, 1, sysfault.Effect{Most: 3}) })
+		t.Run(name, func(t *testing.T) { checkAnswersDespiteFaults(t, number, 1, sysfault.Effect{Most: 3}) })
 	}
 }
 
-// failsWith is what becomes of a call that fails. Reads and writes fail on sockets, for which the errors are documented.
-func failsWith(number int, errno syscall.Errno) sysfault.Effect {
+// failureOf returns the effect that makes a call fail. Reads and writes fail on sockets only, because the errors are documented
+// for sockets.
+func failureOf(number int, errno syscall.Errno) sysfault.Effect {
 	return sysfault.Effect{Errno: errno, OnSocket: number == unix.SYS_READ || number == unix.SYS_WRITE}
 }
 
-// callsGo has every so many calls go in a way, while requests come on new connections, and then on one that is kept.
-func callsGo(t *testing.T, number, every int, effect sysfault.Effect) {
+// checkAnswersDespiteFaults applies effect to one call of each interval while it sends requests, first on new connections, then on one
+// connection. All must be answered.
+func checkAnswersDespiteFaults(t *testing.T, number, every int, effect sysfault.Effect) {
 	t.Parallel()
 	server := newQueueServer(t, answerAtOnce)
 	s := startFaulty(t, fmt.Sprintf(faultySettings, "127.0.0.1:1", server.listener.Addr(), 2000), false, []int{number}, nil)
 	calls := 0
-	s.will(func(sysfault.Call) sysfault.Effect {
+	s.setEffects(func(sysfault.Call) sysfault.Effect {
 		if calls++; calls%every == 0 {
 			return effect
 		}
 		return sysfault.Effect{}
 	})
-	for i := range matrixRequests {
+	for i := range requestsPerPhase {
 		c := s.connect()
 		id := fmt.Sprint("new", i)
 		c.send(request(id, time.Second))
-		c.wants(id, http.StatusOK)
+		c.wantAnswer(id, http.StatusOK)
 		c.conn.Close()
 	}
 	c := s.connect()
-	for i := range matrixRequests {
+	for i := range requestsPerPhase {
 		id := fmt.Sprint("kept", i)
 		c.send(request(id, time.Second))
-		c.wants(id, http.StatusOK)
+		c.wantAnswer(id, http.StatusOK)
 	}
-	if !s.lives() {
-		t.Errorf("the sidecar ended: %v", s.err)
+	if !s.running() {
+		t.Errorf("the sidecar exited: %v", s.exitErr)
 	}
 }
--- a/cmd/caperarch/faults_test.go
+++ b/cmd/caperarch/faults_test.go
@@ -25,11 +25,11 @@
 	"arrowgw/internal/sysfault"
 )
 
-// readAhead is more than a sidecar reads of what lies behind a request.
-const readAhead = 20000
+// unreadBytes is a number of bytes after a request that is larger than what the sidecar reads ahead.
+const unreadBytes = 20000
 
-// patience bounds every wait for what is to happen; only a broken program lets it pass.
-const patience = 20 * time.Second
+// eventTimeout bounds every wait for an expected event. Only a broken program reaches it.
+const eventTimeout = 20 * time.Second
 
 const faultySettings = `{"listen":"127.0.0.1:0","console":"127.0.0.1:0","discovery":%q,"seed":"1f","limits":{"memory_mb":192,"sockets":256},
 	"known":{"generation":1,"reset":true,"instances":[{"instanceId":"s-0","hostPort":%q,"zone":"","lifecycle":"ready","weight":1}]},
@@ -38,12 +38,12 @@
 	"orgs":[{"name":"north","share":1,"quota_per_s":1000}],
 	"rules":{"cold_from":0.3,"cold_ms":1000,"fall_multiple":2.5}}}`
 
-// queueServer is a server that takes requests as they come and answers as the test says.
+// queueServer is a server that reads requests and answers them with a function of the test.
 type queueServer struct {
 	listener net.Listener
 	answer   func(c net.Conn, id string)
-	arrived  chan string         // ids, in order
-	heard    func(*http.Request) // hears of each request before it is answered; may be nil
+	arrived  chan string         // request ids in order of arrival
+	observe  func(*http.Request) // called with each request before it is answered; may be nil
 }
 
 func newQueueServer(t *testing.T, answer func(c net.Conn, id string)) *queueServer {
@@ -80,20 +80,20 @@
 			return
 		}
 		id := request.Header.Get("X-Request-ID")
-		if s.heard != nil {
-			s.heard(request)
+		if s.observe != nil {
+			s.observe(request)
 		}
 		s.arrived <- id
 		s.answer(c, id)
 	}
 }
 
-// answerAtOnce answers with the request's id.
+// answerAtOnce answers at once, with the request's id as the body.
 func answerAtOnce(c net.Conn, id string) {
 	fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(id), id)
 }
 
-// faultySidecar is a real sidecar whose system calls go as the test decides.
+// faultySidecar is a sidecar process whose system calls are intercepted by the test.
 type faultySidecar struct {
 	t          *testing.T
 	supervisor *sysfault.Supervisor
@@ -103,24 +103,25 @@
 	pid        int
 	decide     atomic.Pointer[func(sysfault.Call) sysfault.Effect]
 
-	mu    sync.Mutex
-	log   strings.Builder
-	ended chan struct{}
-	err   error // its end, once ended is closed
+	mu      sync.Mutex
+	log     strings.Builder
+	exited  chan struct{}
+	exitErr error // result of Wait, valid once exited is closed
 }
 
-// startFaulty starts a sidecar and waits until it serves. decide may be nil; it can be changed later.
+// startFaulty starts a sidecar and waits until it serves. decide sets the effect of each intercepted call; it may be nil, and
+// setEffects can change it later.
 func startFaulty(t *testing.T, config string, clock bool, calls []int, decide func(sysfault.Call) sysfault.Effect) *faultySidecar {
 	t.Helper()
 	return startFaultyIn(t, t.TempDir(), config, clock, calls, decide)
 }
 
-// startFaultyIn is startFaulty with the sidecar's state in a folder, which may be another process's too.
+// startFaultyIn is startFaulty with the state folder given, which may be shared with another process.
 func startFaultyIn(t *testing.T, state, config string, clock bool, calls []int, decide func(sysfault.Call) sysfault.Effect) *faultySidecar {
 	t.Helper()
-	s := &faultySidecar{t: t, ended: make(chan struct{})}
-	s.will(decide)
-	cmd := program(t, config)
+	s := &faultySidecar{t: t, exited: make(chan struct{})}
+	s.setEffects(decide)
+	cmd := caperarchCommand(t, config)
 	s.config = strings.TrimPrefix(cmd.Env[len(cmd.Env)-1], "EDGE_CONFIG=")
 	cmd.Env = append(cmd.Env, "EDGE_LOG_LEVEL=debug", "TMPDIR="+state)
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
@@ -142,51 +143,52 @@
 			fmt.Fprintln(&s.log, lines.Text())
 			s.mu.Unlock()
 		}
-		s.err = cmd.Wait()
-		close(s.ended)
+		s.exitErr = cmd.Wait()
+		close(s.exited)
 	}()
 	t.Cleanup(func() {
-		_ = cmd.Process.Kill() // it fails only if it has ended
-		<-s.ended
+		_ = cmd.Process.Kill() // fails only if the process has ended
+		<-s.exited
 		s.supervisor.Wait()
 		if t.Failed() {
-			t.Logf("its log:\n%s", s.said())
+			t.Logf("its log:\n%s", s.logText())
 		}
 	})
-	s.listen = s.saying(`msg=serving.* listen=(\S+)`)
-	s.console = s.saying(`msg=console.* listen=(\S+)`)
+	s.listen = s.waitForLog(`msg=serving.* listen=(\S+)`)
+	s.console = s.waitForLog(`msg=console.* listen=(\S+)`)
 	return s
 }
 
-// will has calls go as decide says from now on; nil lets all go on.
-func (s *faultySidecar) will(decide func(sysfault.Call) sysfault.Effect) {
+// setEffects sets the function that decides the effect of each intercepted call. With nil all calls proceed normally.
+func (s *faultySidecar) setEffects(decide func(sysfault.Call) sysfault.Effect) {
 	if decide == nil {
 		decide = func(sysfault.Call) sysfault.Effect { return sysfault.Effect{} }
 	}
 	s.decide.Store(&decide)
 }
 
-func (s *faultySidecar) said() string {
+// logText returns the log so far.
+func (s *faultySidecar) logText() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.log.String()
 }
 
-// saying waits until the log matches, and returns the first group.
-func (s *faultySidecar) saying(pattern string) string {
+// waitForLog waits until the log matches the pattern, and returns the pattern's last group.
+func (s *faultySidecar) waitForLog(pattern string) string {
 	s.t.Helper()
-	look := regexp.MustCompile(pattern)
-	for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(2 * time.Millisecond) {
-		if m := look.FindStringSubmatch(s.said()); m != nil {
+	compiled := regexp.MustCompile(pattern)
+	for end := time.Now().Add(eventTimeout); time.Now().Before(end); time.Sleep(2 * time.Millisecond) {
+		if m := compiled.FindStringSubmatch(s.logText()); m != nil {
 			return m[len(m)-1]
 		}
 		select {
-		case <-s.ended:
-			s.t.Fatalf("it ended (%v) and never said %s", s.err, pattern)
+		case <-s.exited:
+			s.t.Fatalf("the sidecar exited (%v) without logging %s", s.exitErr, pattern)
 		default:
 		}
 	}
-	s.t.Fatalf("it never said %s", pattern)
+	s.t.Fatalf("the sidecar did not log %s", pattern)
 	return ""
 }
 
@@ -197,16 +199,17 @@
 	}
 }
 
-func (s *faultySidecar) lives() bool {
+// running reports whether the process has not exited.
+func (s *faultySidecar) running() bool {
 	select {
-	case <-s.ended:
+	case <-s.exited:
 		return false
 	default:
 		return true
 	}
 }
 
-// client is one connection of the application's.
+// client is one client connection.
 type client struct {
 	t    *testing.T
 	conn net.Conn
@@ -220,21 +223,22 @@
 		s.t.Fatal(err)
 	}
 	s.t.Cleanup(func() { c.Close() })
-	_ = c.SetDeadline(time.Now().Add(patience)) // fails only on a closed connection
+	_ = c.SetDeadline(time.Now().Add(eventTimeout)) // fails only on a closed connection
 	return &client{s.t, c, bufio.NewReader(c)}
 }
 
-// request words a request of the class.
+// request returns the text of a request of class look with a timeout.
 func request(id string, left time.Duration) string {
 	return fmt.Sprintf("GET /look HTTP/1.1\r\nHost: x\r\nX-Request-ID: %s\r\nX-Priority-Class: look\r\nX-Tenant-Id: north\r\nX-Timeout: %dm\r\n\r\n",
 		id, left.Milliseconds())
 }
 
-// send writes text. That a sidecar has closed shows when the answer is read.
+// send writes text. It ignores errors: a closed connection shows when the answer is read.
 func (c *client) send(text string) { _, _ = io.WriteString(c.conn, text) }
 
-// wants reads an answer, and says whether it is whole and, where it is a 200, that of the request.
-func (c *client) wants(id string, statuses ...int) {
+// wantAnswer reads an answer and fails the test unless it is complete, has one of the statuses and, if that is 200, has the
+// request's id as its body.
+func (c *client) wantAnswer(id string, statuses ...int) {
 	c.t.Helper()
 	res, err := http.ReadResponse(c.r, nil)
 	if err != nil {
@@ -243,7 +247,7 @@
 	}
 	body, err := io.ReadAll(res.Body)
 	if err != nil {
-		c.t.Errorf("request %s got no whole answer: %v", id, err)
+		c.t.Errorf("request %s got an incomplete answer: %v", id, err)
 	}
 	for _, want := range statuses {
 		if res.StatusCode == want && (want != http.StatusOK || string(body) == id) {
@@ -253,17 +257,17 @@
 	c.t.Errorf("request %s was answered %d %q, want one of %v", id, res.StatusCode, body, statuses)
 }
 
-// eventually waits until something holds.
+// eventually waits until a condition holds.
 func eventually(t *testing.T, what string, holds func() bool) {
 	t.Helper()
-	for end := time.Now().Add(patience); !holds(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(eventTimeout); !holds(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("waited in vain for %s", what)
+			t.Fatalf("timeout waiting for %s", what)
 		}
 	}
 }
 
-// A system call that fails for a moment costs no client its answer, and ends no sidecar.
+// A transient failure of a system call must neither cost a client its answer nor end the sidecar.
 func TestFailingSystemCallsLoseNoRequest(t *testing.T) {
 	for _, errno := range []syscall.Errno{
 		unix.ENFILE, unix.EMFILE, unix.ENOBUFS, unix.ENOMEM, unix.ECONNABORTED, unix.EINTR, unix.ENETUNREACH, unix.ENETDOWN, unix.EPROTO, unix.ENOPROTOOPT,
@@ -271,22 +275,22 @@
 	} {
 		t.Run("accept "+unix.ErrnoName(errno), func(t *testing.T) { acceptFails(t, errno) })
 	}
-	t.Run("accept at the end of listening", acceptFailsAtTheEnd)
-	t.Run("poll for a client that left", pollIsInterrupted)
-	t.Run("all looks for a client that left", looksFail)
-	t.Run("accept for a while, behind a request", acceptFailsForLong)
-	t.Run("read behind a last answer", readBehindAnswerIsInterrupted)
+	t.Run("accept during a stop", acceptFailsAtStop)
+	t.Run("poll that checks for a closed client connection", pollIsInterrupted)
+	t.Run("all checks for a closed client connection", clientChecksFail)
+	t.Run("accept for 0.5 s while a request waits", acceptFailsForLong)
+	t.Run("read after the last answer", readAfterAnswerIsInterrupted)
 	t.Run("listen at the start", listenFailsAtStart)
 	t.Run("connect to a server", connectFails)
 	t.Run("open at a reload", openFailsAtReload)
 }
 
-// acceptFails has every second call of accept fail, from each listener's first on: whichever call takes a connection,
-// the next one fails, while that connection's request is still to come.
+// acceptFails makes every second accept call on a listener fail, starting with the first. So whichever call accepts a
+// connection, the next one fails before that connection's request has arrived.
 func acceptFails(t *testing.T, errno syscall.Errno) {
 	server := newQueueServer(t, answerAtOnce)
 	var mu sync.Mutex
-	calls := make(map[uint64]int) // by listener: there is the console's too
+	calls := make(map[uint64]int) // by listener descriptor: the console has one too
 	s := startFaulty(t, fmt.Sprintf(faultySettings, "127.0.0.1:1", server.listener.Addr(), 2000), false, []int{unix.SYS_ACCEPT4}, func(c sysfault.Call) sysfault.Effect {
 		mu.Lock()
 		defer mu.Unlock()
@@ -299,29 +303,29 @@
 	})
 	first := s.connect()
 	second := s.connect()
-	// Two connections take six calls: each that takes one is an even one, and the last finds none. So the first
-	// connection is taken by the fourth at the latest, and the fifth fails behind it. Nobody comes to the console.
+	// Two connections take six calls: odd calls fail, even ones accept a connection, and the sixth finds none waiting. So the
+	// first connection is accepted by the fourth call at the latest, and the fifth fails after it. Nobody connects to the console.
 	eventually(t, "the sixth call of accept at a listener", func() bool {
 		mu.Lock()
 		defer mu.Unlock()
-		return slices.Max(append(slices.Collect(maps.Values(calls)), 0)) >= 6 || !s.lives()
+		return slices.Max(append(slices.Collect(maps.Values(calls)), 0)) >= 6 || !s.running()
 	})
 	first.send(request("q1", time.Second))
-	first.wants("q1", http.StatusOK)
+	first.wantAnswer("q1", http.StatusOK)
 	second.send(request("q2", time.Second))
-	second.wants("q2", http.StatusOK)
-	if !s.lives() {
-		t.Errorf("the sidecar ended: %v", s.err)
+	second.wantAnswer("q2", http.StatusOK)
+	if !s.running() {
+		t.Errorf("the sidecar exited: %v", s.exitErr)
 	}
 }
 
-// acceptFailsAtTheEnd leaves a connection in the listener's queue until a stop, where accept fails once more.
-func acceptFailsAtTheEnd(t *testing.T) {
+// acceptFailsAtStop keeps a connection in the listener's queue until the sidecar stops, when accept still fails for a while.
+func acceptFailsAtStop(t *testing.T) {
 	server := newQueueServer(t, answerAtOnce)
 	s := startFaulty(t, fmt.Sprintf(faultySettings, "127.0.0.1:1", server.listener.Addr(), 2000), false, []int{unix.SYS_ACCEPT4}, nil)
 	var failing atomic.Bool
 	failing.Store(true)
-	s.will(func(sysfault.Call) sysfault.Effect {
+	s.setEffects(func(sysfault.Call) sysfault.Effect {
 		if failing.Load() {
 			return sysfault.Effect{Errno: unix.EMFILE}
 		}
@@ -330,20 +334,22 @@
 	c := s.connect()
 	c.send(request("q1", 1500*time.Millisecond))
 	s.signal(syscall.SIGTERM)
-	s.saying("msg=(stopping)")
+	s.waitForLog("msg=(stopping)")
 	heal := time.AfterFunc(700*time.Millisecond, func() { failing.Store(false) })
 	defer heal.Stop()
-	c.wants("q1", http.StatusOK)
+	c.wantAnswer("q1", http.StatusOK)
 }
 
-// pollIsInterrupted has the look for a client's leaving end with EINTR, for a client whose leaving shows there alone.
+// pollIsInterrupted makes the poll that detects a closed client connection fail with EINTR, for a client whose leaving can be
+// detected in no other way.
 func pollIsInterrupted(t *testing.T) {
-	leavesUnheard(t, []int{unix.SYS_POLL, unix.SYS_PPOLL}, func(sysfault.Call) sysfault.Effect { return sysfault.Effect{Errno: unix.EINTR} })
+	clientLeavesWithUnreadBytes(t, []int{unix.SYS_POLL, unix.SYS_PPOLL}, func(sysfault.Call) sysfault.Effect { return sysfault.Effect{Errno: unix.EINTR} })
 }
 
-// looksFail has every look for a client's leaving fail, so that nothing tells whether it is there.
-func looksFail(t *testing.T) {
-	leavesUnheard(t, []int{unix.SYS_POLL, unix.SYS_PPOLL, unix.SYS_GETSOCKOPT}, func(c sysfault.Call) sysfault.Effect {
+// clientChecksFail makes every check for a closed client connection fail, so that the sidecar can't know whether the client is
+// still connected.
+func clientChecksFail(t *testing.T) {
+	clientLeavesWithUnreadBytes(t, []int{unix.SYS_POLL, unix.SYS_PPOLL, unix.SYS_GETSOCKOPT}, func(c sysfault.Call) sysfault.Effect {
 		switch {
 		case c.Number != unix.SYS_GETSOCKOPT:
 			return sysfault.Effect{Errno: unix.ENOMEM}
@@ -354,25 +360,25 @@
 	})
 }
 
-// leavesUnheard has a client leave behind bytes that net/http does not read, while its attempt connects and the calls go as
-// fails says. Nothing may go to the server.
-func leavesUnheard(t *testing.T, calls []int, fails func(sysfault.Call) sysfault.Effect) {
+// clientLeavesWithUnreadBytes has a client close its connection after sending bytes that net/http does not read, while the
+// sidecar's attempt is connecting and calls have the effects that fails returns. The request must not reach the server.
+func clientLeavesWithUnreadBytes(t *testing.T, calls []int, fails func(sysfault.Call) sysfault.Effect) {
 	server := newQueueServer(t, answerAtOnce)
-	connect := make(chan struct{}) // until it is closed no connection of the sidecar's comes up
+	connect := make(chan struct{}) // blocks the sidecar's connects until it is closed
 	s := startFaulty(t, fmt.Sprintf(faultySettings, "127.0.0.1:1", server.listener.Addr(), 5000), false, append(calls, unix.SYS_CONNECT), nil)
-	s.will(func(c sysfault.Call) sysfault.Effect {
+	s.setEffects(func(c sysfault.Call) sysfault.Effect {
 		if c.Number == unix.SYS_CONNECT {
 			return sysfault.Effect{Until: connect}
 		}
 		return fails(c)
 	})
 	c := s.connect()
-	c.send(request("q1", 4*time.Second) + strings.Repeat("G", readAhead)) // net/http does not look for an end behind that
-	s.saying(`msg="(request taken)" id=q1`)
+	c.send(request("q1", 4*time.Second) + strings.Repeat("G", unreadBytes)) // net/http does not detect a close after that
+	s.waitForLog(`msg="(request taken)" id=q1`)
 	c.conn.Close()
-	time.Sleep(150 * time.Millisecond) // the time that the rule allows, and more
+	time.Sleep(150 * time.Millisecond) // more than the time allowed to stop sending
 	close(connect)
-	s.saying(`msg="(attempt ended|request closed)" id=q1`)
+	s.waitForLog(`msg="(attempt ended|request closed)" id=q1`)
 	select {
 	case id := <-server.arrived:
 		t.Errorf("request %s went to the server 0.15 s after its client had left", id)
@@ -380,22 +386,22 @@
 	}
 }
 
-// acceptFailsForLong has accept fail while a request waits in the listener's queue: its server may be told no more time
-// than its client has left then.
+// acceptFailsForLong makes accept fail while a request waits in the listener's queue. The timeout that the server is given must
+// not exceed the time that the client has left then.
 func acceptFailsForLong(t *testing.T) {
 	const left, held, slack = 900 * time.Millisecond, 500 * time.Millisecond, 150 * time.Millisecond
 	type arrival struct {
-		at   time.Time
-		told time.Duration
+		at      time.Time
+		timeout time.Duration
 	}
 	arrivals := make(chan arrival, 1)
 	server := newQueueServer(t, answerAtOnce)
-	server.heard = func(r *http.Request) {
-		told, err := time.ParseDuration(strings.Replace(r.Header.Get("X-Timeout"), "m", "ms", 1))
+	server.observe = func(r *http.Request) {
+		timeout, err := time.ParseDuration(strings.Replace(r.Header.Get("X-Timeout"), "m", "ms", 1))
 		if err != nil {
 			t.Error(err)
 		}
-		arrivals <- arrival{time.Now(), told}
+		arrivals <- arrival{time.Now(), timeout}
 	}
 	var failing atomic.Bool
 	failing.Store(true)
@@ -410,58 +416,58 @@
 	c.send(request("q1", left))
 	time.Sleep(held)
 	failing.Store(false)
-	c.wants("q1", http.StatusOK)
+	c.wantAnswer("q1", http.StatusOK)
 	a := <-arrivals
-	if has := sent.Add(left).Sub(a.at); a.told > has+slack {
-		t.Errorf("the server was told %v, and the client had %v left", a.told, has)
+	if clientLeft := sent.Add(left).Sub(a.at); a.timeout > clientLeft+slack {
+		t.Errorf("the server was given a timeout of %v, and the client had %v left", a.timeout, clientLeft)
 	}
 }
 
-// readBehindAnswerIsInterrupted has the read of what lies behind a connection's last answer end with EINTR.
-func readBehindAnswerIsInterrupted(t *testing.T) {
+// readAfterAnswerIsInterrupted makes the read of unread bytes after a connection's last answer fail with EINTR.
+func readAfterAnswerIsInterrupted(t *testing.T) {
 	answers := make(chan struct{})
 	server := newQueueServer(t, func(c net.Conn, id string) { <-answers; answerAtOnce(c, id) })
 	s := startFaulty(t, fmt.Sprintf(faultySettings, "127.0.0.1:1", server.listener.Addr(), 5000), false, []int{unix.SYS_READ, unix.SYS_CLOSE}, nil)
 	c := s.connect()
-	c.send(request("q1", 4*time.Second) + strings.Repeat("G", readAhead))
+	c.send(request("q1", 4*time.Second) + strings.Repeat("G", unreadBytes))
 	<-server.arrived
-	s.signal(syscall.SIGTERM) // so that the answer ends the connection
-	s.saying("msg=(stopping)")
+	s.signal(syscall.SIGTERM) // makes the sidecar close the connection after the answer
+	s.waitForLog("msg=(stopping)")
 	var interrupted atomic.Int64
-	s.will(func(call sysfault.Call) sysfault.Effect {
+	s.setEffects(func(call sysfault.Call) sysfault.Effect {
 		if call.Number == unix.SYS_READ && call.Arguments[2] == 4<<10 && interrupted.Add(1)%2 == 1 {
 			return sysfault.Effect{Errno: unix.EINTR}
 		}
 		return sysfault.Effect{}
 	})
 	close(answers)
-	c.wants("q1", http.StatusOK)
+	c.wantAnswer("q1", http.StatusOK)
 	if _, err := c.r.ReadByte(); err != io.EOF {
-		t.Errorf("the connection ended with %v behind its last answer, want an end that takes no answer with it", err)
+		t.Errorf("the connection ended with %v after its last answer, want EOF: a reset may discard the answer", err)
 	}
 }
 
-// listenFailsAtStart has the first calls for a listener fail.
+// listenFailsAtStart makes the first calls of bind fail.
 func listenFailsAtStart(t *testing.T) {
 	server := newQueueServer(t, answerAtOnce)
 	var failures atomic.Int64
 	s := startFaulty(t, fmt.Sprintf(faultySettings, "127.0.0.1:1", server.listener.Addr(), 2000), false, []int{unix.SYS_BIND}, func(sysfault.Call) sysfault.Effect {
-		if failures.Add(1) <= 6 { // some are net's own, to learn what the machine can do
+		if failures.Add(1) <= 6 { // some are package net's probes of the machine's capabilities
 			return sysfault.Effect{Errno: unix.ENOBUFS}
 		}
 		return sysfault.Effect{}
 	})
 	c := s.connect()
 	c.send(request("q1", time.Second))
-	c.wants("q1", http.StatusOK)
+	c.wantAnswer("q1", http.StatusOK)
 }
 
-// connectFails has the first calls of socket and connect fail, for a request's connection among others.
+// connectFails makes the first calls of socket and connect fail, among them those for a request's connection.
 func connectFails(t *testing.T) {
 	server := newQueueServer(t, answerAtOnce)
 	s := startFaulty(t, fmt.Sprintf(faultySettings, "127.0.0.1:1", server.listener.Addr(), 2000), false, []int{unix.SYS_SOCKET, unix.SYS_CONNECT}, nil)
 	var failures atomic.Int64
-	s.will(func(c sysfault.Call) sysfault.Effect {
+	s.setEffects(func(c sysfault.Call) sysfault.Effect {
 		errno := map[int]syscall.Errno{unix.SYS_SOCKET: unix.ENOBUFS, unix.SYS_CONNECT: unix.EADDRNOTAVAIL}[c.Number]
 		if failures.Add(1) <= 3 {
 			return sysfault.Effect{Errno: errno}
@@ -470,13 +476,13 @@
 	})
 	c := s.connect()
 	c.send(request("q1", time.Second))
-	c.wants("q1", http.StatusOK)
-	if strings.Contains(s.said(), "ending=no_connection") {
-		t.Error("a failure of this machine's own ended an attempt")
+	c.wantAnswer("q1", http.StatusOK)
+	if strings.Contains(s.logText(), "ending=no_connection") {
+		t.Error("a local failure ended an attempt")
 	}
 }
 
-// openFailsAtReload has the first calls to read the new configuration fail.
+// openFailsAtReload makes the first calls to open the new configuration fail.
 func openFailsAtReload(t *testing.T) {
 	server := newQueueServer(t, answerAtOnce)
 	before := fmt.Sprintf(faultySettings, "127.0.0.1:1", server.listener.Addr(), 2000)
@@ -485,35 +491,35 @@
 		t.Fatal(err)
 	}
 	var failures atomic.Int64
-	s.will(func(sysfault.Call) sysfault.Effect {
+	s.setEffects(func(sysfault.Call) sysfault.Effect {
 		if failures.Add(1) <= 2 {
 			return sysfault.Effect{Errno: unix.EMFILE}
 		}
 		return sysfault.Effect{}
 	})
 	s.signal(syscall.SIGHUP)
-	s.saying("msg=(\"discovery moved\")")
+	s.waitForLog("msg=(\"discovery moved\")")
 }
 
-// Every request has its final answer, or an end that its client can see, half a second behind its time at the latest.
-func TestFinalAnswersComeInTime(t *testing.T) {
+// Every request must get its complete answer, or an end that its client can detect, at most half a second after its deadline.
+func TestAnswersEndInTime(t *testing.T) {
 	t.Run("stopping", stoppingAnswersLateRequests)
-	t.Run("standing stream", standingStreamEnds)
-	t.Run("standing long answer, by length", func(t *testing.T) { standingLongAnswerEnds(t, "Content-Length: 200000", "") })
-	t.Run("standing long answer, in chunks", func(t *testing.T) { standingLongAnswerEnds(t, "Transfer-Encoding: chunked", "30d40\r\n") })
-	t.Run("stream that goes on", slowStreamComesWhole)
-	t.Run("long answer that goes on", slowLongAnswerComesWhole)
+	t.Run("stalled stream", stalledStreamEnds)
+	t.Run("stalled long answer, with Content-Length", func(t *testing.T) { stalledLongAnswerEnds(t, "Content-Length: 200000", "") })
+	t.Run("stalled long answer, chunked", func(t *testing.T) { stalledLongAnswerEnds(t, "Transfer-Encoding: chunked", "30d40\r\n") })
+	t.Run("slow stream", slowStreamCompletes)
+	t.Run("slow long answer", slowLongAnswerCompletes)
 }
 
-// stoppingAnswersLateRequests sends requests late in a stop, while the server hangs.
+// stoppingAnswersLateRequests completes requests at various times during a stop, while the server hangs.
 func stoppingAnswersLateRequests(t *testing.T) {
 	const longest = 600 * time.Millisecond
 	server := newQueueServer(t, func(net.Conn, string) {})
 	s := startFaulty(t, fmt.Sprintf(faultySettings, "127.0.0.1:1", server.listener.Addr(), longest.Milliseconds()), false, nil, nil)
 	var clients []*client
-	moments := []time.Duration{200, 350, 450, 550, 620, 680, 800, 1000, 1100}
-	for i := range moments {
-		c := s.connect() // with part of a request: what stands idle ends with the stop
+	delays := []time.Duration{200, 350, 450, 550, 620, 680, 800, 1000, 1100}
+	for i := range delays {
+		c := s.connect() // gets part of a request, because a stop closes idle connections
 		text := request(fmt.Sprint("q", i), longest)
 		c.send(text[:len(text)-2])
 		clients = append(clients, c)
@@ -521,32 +527,32 @@
 	time.Sleep(50 * time.Millisecond)
 	began := time.Now()
 	s.signal(syscall.SIGTERM)
-	s.saying("msg=(stopping)")
+	s.waitForLog("msg=(stopping)")
 	var all sync.WaitGroup
 	for i, c := range clients {
 		all.Go(func() {
-			time.Sleep(time.Until(began.Add(moments[i] * time.Millisecond)))
+			time.Sleep(time.Until(began.Add(delays[i] * time.Millisecond)))
 			c.send("\r\n")
-			c.wants(fmt.Sprint("q", i), http.StatusServiceUnavailable, http.StatusBadGateway, http.StatusGatewayTimeout)
+			c.wantAnswer(fmt.Sprint("q", i), http.StatusServiceUnavailable, http.StatusBadGateway, http.StatusGatewayTimeout)
 		})
 	}
 	all.Wait()
 }
 
-// standingStreamEnds has a server begin an answer of no told length and then stand still.
-func standingStreamEnds(t *testing.T) {
-	standingAnswerEnds(t, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nfirst\r\n")
+// stalledStreamEnds has a server begin an answer of unknown length and then stall.
+func stalledStreamEnds(t *testing.T) {
+	stalledAnswerEnds(t, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nfirst\r\n")
 }
 
-// standingLongAnswerEnds has a server stand still in the middle of an answer of over 64 KiB: its client was held up for five
-// seconds, whatever its time.
-func standingLongAnswerEnds(t *testing.T, framing, before string) {
-	standingAnswerEnds(t, "HTTP/1.1 200 OK\r\n"+framing+"\r\n\r\n"+before+strings.Repeat("x", 100000))
+// stalledLongAnswerEnds has a server stall in the middle of an answer of over 64 KiB. Guards against the client being held up
+// for five seconds whatever its deadline.
+func stalledLongAnswerEnds(t *testing.T, framing, before string) {
+	stalledAnswerEnds(t, "HTTP/1.1 200 OK\r\n"+framing+"\r\n\r\n"+before+strings.Repeat("x", 100000))
 }
 
-// standingAnswerEnds has a server send part of an answer and then stand still: the client sees its end in time, and that it is
-// not whole.
-func standingAnswerEnds(t *testing.T, part string) {
+// stalledAnswerEnds has a server send part of an answer and then stall. The client must see the end of the answer in time, and
+// that it is incomplete.
+func stalledAnswerEnds(t *testing.T, part string) {
 	const left, slack = 500 * time.Millisecond, 500 * time.Millisecond
 	server := newQueueServer(t, func(c net.Conn, id string) { _, _ = io.WriteString(c, part) })
 	s := startFaulty(t, fmt.Sprintf(faultySettings, "127.0.0.1:1", server.listener.Addr(), left.Milliseconds()), false, nil, nil)
@@ -558,13 +564,13 @@
 		_, err = io.ReadAll(res.Body)
 	}
 	if err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Errorf("the answer that stands still ended with %v, want an end that shows that it is not whole", err)
+		t.Errorf("the stalled answer ended with %v, want an error that shows that it is incomplete", err)
 	}
 }
 
-// slowLongAnswerComesWhole has a server go on with an answer of over 64 KiB behind its client's deadline, with pauses that
-// grow: what it has shown so far is what it is judged by.
-func slowLongAnswerComesWhole(t *testing.T) {
+// slowLongAnswerCompletes has a server continue an answer of over 64 KiB past its client's deadline, with growing pauses. The
+// sidecar judges whether an answer is stalled by the pauses that it has shown so far, and must deliver all of it.
+func slowLongAnswerCompletes(t *testing.T) {
 	const left, piece = 300 * time.Millisecond, 30000
 	pauses := []time.Duration{100, 200, 350, 450, 650, 850, 100}
 	server := newQueueServer(t, func(c net.Conn, id string) {
@@ -586,8 +592,8 @@
 	}
 }
 
-// slowStreamComesWhole has a server go on with an answer of no told length long behind its client's deadline.
-func slowStreamComesWhole(t *testing.T) {
+// slowStreamCompletes has a server continue an answer of unknown length long past its client's deadline.
+func slowStreamCompletes(t *testing.T) {
 	const left, pieces = 200 * time.Millisecond, 15
 	server := newQueueServer(t, func(c net.Conn, id string) {
 		_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
@@ -605,18 +611,18 @@
 		t.Fatal(err)
 	}
 	if body, err := io.ReadAll(res.Body); err != nil || string(body) != strings.Repeat("piece", pieces) {
-		t.Errorf("the answer came as %q, error %v, want all of it", body, err)
+		t.Errorf("got answer %q, error %v, want all of it", body, err)
 	}
 }
 
-// A step of the wall clock takes no time from a request, and gives it none.
-func TestSteppedClockTakesNoTime(t *testing.T) {
+// A step of the wall clock must neither shorten nor extend a request's deadline.
+func TestClockStepDoesNotChangeDeadlines(t *testing.T) {
 	for _, by := range []time.Duration{time.Hour, 3 * time.Second, -3 * time.Second, -time.Hour} {
 		t.Run(by.String(), func(t *testing.T) { clockIsStepped(t, by) })
 	}
 }
 
-// clockIsStepped steps the clock while a request waits behind another on its connection.
+// clockIsStepped steps the clock while a pipelined request waits for the one before it on its connection.
 func clockIsStepped(t *testing.T, by time.Duration) {
 	release := make(chan struct{})
 	server := newQueueServer(t, func(c net.Conn, id string) {
@@ -631,8 +637,8 @@
 	<-server.arrived
 	s.supervisor.StepClock(by)
 	close(release)
-	c.wants("q1", http.StatusOK)
-	c.wants("q2", http.StatusOK)
+	c.wantAnswer("q1", http.StatusOK)
+	c.wantAnswer("q2", http.StatusOK)
 	c.send(request("q3", 4*time.Second))
-	c.wants("q3", http.StatusOK)
+	c.wantAnswer("q3", http.StatusOK)
 }
--- a/cmd/caperarch/main.go
+++ b/cmd/caperarch/main.go
@@ -1,5 +1,5 @@
-// Caperarch is a sidecar: it takes the requests of the application beside it and carries each to an
-// upstream, as the decision module says.
+// Caperarch is a sidecar load balancer. It accepts the requests of the client process on the same host and sends each to an
+// upstream server that the policy module chooses.
 package main
 
 import (
@@ -29,7 +29,7 @@
 )
 
 func main() {
-	if len(os.Args) < 2 { // as the platform starts it, with no parser's memory
+	if len(os.Args) < 2 { // how the platform starts it; not using cobra saves memory
 		if run() != nil {
 			os.Exit(1)
 		}
@@ -42,18 +42,18 @@
 	}
 	root.AddCommand(
 		&cobra.Command{
-			Use: "run", Short: "Serve, as EDGE_CONFIG says; it is what no command does too", Args: cobra.NoArgs,
-			SilenceErrors: true, // they are in the log
+			Use: "run", Short: "Serve with the configuration that EDGE_CONFIG names; the default without a command", Args: cobra.NoArgs,
+			SilenceErrors: true, // errors are in the log
 			RunE:          func(*cobra.Command, []string) error { return run() },
 		},
 		checkCommand(),
 		&cobra.Command{
-			Use: "call ADDRESS LINE...", Short: "Make one call at a sidecar's console, such as show-stat or disable-server ID",
+			Use: "call ADDRESS LINE...", Short: "Send one command to a sidecar's console, such as show-stat or disable-server ID",
 			Args: cobra.MinimumNArgs(2),
 			RunE: func(c *cobra.Command, args []string) error { return call(c.OutOrStdout(), args[0], args[1:]) },
 		},
 		&cobra.Command{
-			Use: "fleet ADDRESS [duties]", Short: "Print who of the fleet is there, or who has which duty, as the sidecar sees it whose console is at ADDRESS",
+			Use: "fleet ADDRESS [duties]", Short: "Print the members of the fleet, or the holders of duties, as seen by the sidecar whose console is at ADDRESS",
 			Args: cobra.RangeArgs(1, 2), ValidArgs: []string{"duties"},
 			RunE: func(c *cobra.Command, args []string) error {
 				switch {
@@ -62,40 +62,40 @@
 				case args[1] == "duties":
 					return showFleet(c.OutOrStdout(), args[0], "show-duties")
 				}
-				return fmt.Errorf("%q can't be shown; there is duties", args[1])
+				return fmt.Errorf("unknown argument %q; the only one is duties", args[1])
 			},
 		},
 		stateCommand(),
 		&cobra.Command{
-			Use: "version", Short: "Say which program this is", Args: cobra.NoArgs,
+			Use: "version", Short: "Print the version of this program", Args: cobra.NoArgs,
 			RunE: func(c *cobra.Command, _ []string) error { return version(c.OutOrStdout()) },
 		},
 	)
-	if root.Execute() != nil { // which has told why
+	if root.Execute() != nil { // cobra has printed the error
 		os.Exit(1)
 	}
 }
 
-// checkCommand reads the configuration and says what is wrong with it, or what would be in force.
+// checkCommand returns the command that prints the configuration with all defaults, or its errors.
 func checkCommand() *cobra.Command {
 	c := &cobra.Command{
-		Use: "check", Short: "Read the configuration, say what is wrong with it, or what would be in force", Args: cobra.NoArgs,
+		Use: "check", Short: "Check the configuration; print its errors, or the configuration with all defaults", Args: cobra.NoArgs,
 	}
-	config := c.Flags().String("config", os.Getenv("EDGE_CONFIG"), "the sidecar's configuration, a JSON file; EDGE_CONFIG if not given")
-	fleetFile := c.Flags().String("fleet", "", "the fleet file (TOML), in place of the one that the configuration names")
+	config := c.Flags().String("config", os.Getenv("EDGE_CONFIG"), "path of the sidecar's configuration (JSON); default is EDGE_CONFIG")
+	fleetFile := c.Flags().String("fleet", "", "path of the fleet file (TOML), instead of the one that the configuration names")
 	c.RunE = func(c *cobra.Command, _ []string) error {
 		return check(c.OutOrStdout(), c.ErrOrStderr(), *config, *fleetFile)
 	}
 	return c
 }
 
-// flushTime bounds how long the end waits for the log to be read.
-const flushTime = 100 * time.Millisecond
+// logFlushTimeout bounds how long the process waits at its end for the log to be written.
+const logFlushTimeout = 100 * time.Millisecond
 
-// run serves until it is told to stop. An error is in the log by then.
+// run serves until SIGTERM or SIGINT. It logs the error that it returns.
 func run() (err error) {
-	log := logging.NewAsyncWriter(os.Stderr) // whoever reads it may stall
-	defer log.Flush(flushTime)
+	log := logging.NewAsyncWriter(os.Stderr) // the reader of standard error may stall
+	defer log.Flush(logFlushTimeout)
 	defer func() {
 		if err != nil {
 			slog.Error("ends", "error", err)
@@ -104,15 +104,15 @@
 	if err := logging.Setup(log, os.Getenv); err != nil {
 		return err
 	}
-	// It has one core at most, and the heap is small: more threads and frequent collections only cost.
+	// The sidecar has one core at most and a small heap, so more threads and frequent collections only add cost.
 	runtime.GOMAXPROCS(1)
 	debug.SetGCPercent(400)
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
-	// One signal is kept while another is seen to: the file is read behind the last.
+	// The buffer keeps one signal while a reload is under way, so that the file is read again after the last signal.
 	reload := make(chan os.Signal, 1)
 	signal.Notify(reload, syscall.SIGHUP)
-	// A file that may not grow, and a log that nobody reads any more, are errors of their writes.
+	// Writes to a file at its size limit or to a closed log pipe then return errors instead of ending the process.
 	signal.Ignore(syscall.SIGXFSZ, syscall.SIGPIPE)
 	cfg, err := sidecar.ReadConfigAtStart(ctx, os.Getenv("EDGE_CONFIG"))
 	if err != nil {
@@ -121,10 +121,10 @@
 	return sidecar.Run(ctx, cfg, reload)
 }
 
-// check prints the configuration in force, or fails with what is wrong.
-func check(out, notes io.Writer, config, fleetFile string) error {
+// check prints the effective configuration, or returns its errors. Unknown keys are reported on warnings.
+func check(out, warnings io.Writer, config, fleetFile string) error {
 	if config == "" && fleetFile == "" {
-		return errors.New("nothing to check: give --config or --fleet")
+		return errors.New("nothing to check: set --config or --fleet")
 	}
 	var shown struct {
 		Sidecar *sidecar.Effective `toml:"sidecar,omitempty"`
@@ -135,10 +135,10 @@
 		if err != nil {
 			return err
 		}
-		told := cfg.Describe()
-		shown.Sidecar, shown.Fleet = &told, cfg.Fleet
+		effective := cfg.Describe()
+		shown.Sidecar, shown.Fleet = &effective, cfg.Fleet
 		for _, key := range cfg.Unknown {
-			fmt.Fprintf(notes, "caperarch: %s: key %q means nothing to this program; it is passed over\n", config, key)
+			fmt.Fprintf(warnings, "caperarch: %s: unknown key %q is ignored\n", config, key)
 		}
 	}
 	if fleetFile != "" {
@@ -153,12 +153,12 @@
 	return conf.Write(out, shown)
 }
 
-// errDamaged says that a state is damaged; all has been told by then.
+// errDamaged reports a damaged state whose details have been printed.
 var errDamaged = errors.New("the state is damaged")
 
-// stateCommand looks at a sidecar's durable state, and changes nothing.
+// stateCommand returns the command that inspects a sidecar's durable state. It only reads.
 func stateCommand() *cobra.Command {
-	root := &cobra.Command{Use: "state", Short: "Look at a sidecar's durable state; it may be at work"}
+	root := &cobra.Command{Use: "state", Short: "Inspect a sidecar's durable state; the sidecar may be running"}
 	add := func(name, short string, run func(out io.Writer, in *store.Inspection) error) {
 		root.AddCommand(&cobra.Command{
 			Use: name + " DIR", Short: short, Args: cobra.ExactArgs(1),
@@ -178,9 +178,9 @@
 			},
 		})
 	}
-	add("show", "Print what holds", showState)
-	add("verify", "Say what is damaged: exit code 0 sound, 1 damaged, 2 unusable", verifyState)
-	add("export", "Print all of it as JSON", func(out io.Writer, in *store.Inspection) error {
+	add("show", "Print the current values", showState)
+	add("verify", "Check the files for damage: exit code 0 sound, 1 damaged, 2 unusable", verifyState)
+	add("export", "Print the whole state as JSON", func(out io.Writer, in *store.Inspection) error {
 		e := json.NewEncoder(out)
 		e.SetIndent("", "  ")
 		return e.Encode(in)
@@ -188,6 +188,7 @@
 	return root
 }
 
+// showState prints the current values as a table, and any damage.
 func showState(out io.Writer, in *store.Inspection) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "SECTION\tKEY\tPUT AT\tBY\tVALUE")
@@ -212,6 +213,8 @@
 	return nil
 }
 
+// verifyState prints the condition of each file. It returns errDamaged if there is damage, or another error if files are
+// unreadable.
 func verifyState(out io.Writer, in *store.Inspection) error {
 	for _, f := range in.Files {
 		state := "sound"
@@ -224,7 +227,7 @@
 		fmt.Fprintln(out, "damaged:", d)
 	}
 	for _, name := range in.Refused {
-		fmt.Fprintln(out, name+": of a newer program, or unreadable")
+		fmt.Fprintln(out, name+": unreadable, or written by a newer program")
 	}
 	switch {
 	case len(in.Damage) > 0:
@@ -235,47 +238,47 @@
 	return nil
 }
 
-// callTime bounds a call at a console, which owes its answer within a second.
-const callTime = 5 * time.Second
+// consoleTimeout bounds a console call. The console has to answer within a second.
+const consoleTimeout = 5 * time.Second
 
-// call makes one call, prints the answer, and fails where the console says no.
+// call sends one command line to a console and prints the answer. It returns an error if the answer is a refusal (4xx or 5xx).
 func call(out io.Writer, address string, words []string) error {
-	conn, err := net.DialTimeout("tcp", address, callTime)
+	conn, err := net.DialTimeout("tcp", address, consoleTimeout)
 	if err != nil {
 		return err
 	}
 	defer conn.Close()
-	_ = conn.SetDeadline(time.Now().Add(callTime)) // fails only on a closed connection
+	_ = conn.SetDeadline(time.Now().Add(consoleTimeout)) // fails only on a closed connection
 	if _, err := fmt.Fprintln(conn, strings.Join(words, " ")); err != nil {
 		return err
 	}
 	answer, err := io.ReadAll(conn)
-	_, _ = out.Write(answer) // where nobody reads on, nobody is told
+	_, _ = out.Write(answer) // an error here means that the output is closed
 	switch {
 	case err != nil:
-		return fmt.Errorf("%s: the answer breaks off: %w", address, err)
+		return fmt.Errorf("%s: incomplete answer: %w", address, err)
 	case len(answer) == 0:
 		return fmt.Errorf("%s: no answer", address)
 	case strings.HasPrefix(string(answer), "4"), strings.HasPrefix(string(answer), "5"):
-		return fmt.Errorf("%s: the console says no", address)
+		return fmt.Errorf("%s: the console refused the command", address)
 	}
 	return nil
 }
 
-// showFleet prints what a sidecar sees of the fleet as a table.
-func showFleet(out io.Writer, address, what string) error {
+// showFleet sends a show command to a console and prints the answer as a table.
+func showFleet(out io.Writer, address, command string) error {
 	var answer strings.Builder
-	if err := call(&answer, address, []string{what}); err != nil {
+	if err := call(&answer, address, []string{command}); err != nil {
 		return errors.Join(err, errors.New(strings.TrimSpace(answer.String())))
 	}
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
-	whole := false
+	complete := false
 	for i, line := range strings.Split(strings.TrimRight(answer.String(), "\n"), "\n") {
 		switch {
 		case i == 0:
 			fmt.Fprintln(out, strings.TrimPrefix(line, "200 "))
 		case line == "EOF":
-			whole = true
+			complete = true
 		default:
 			fmt.Fprintln(w, line)
 		}
@@ -283,26 +286,26 @@
 	if err := w.Flush(); err != nil {
 		return err
 	}
-	if !whole {
-		return fmt.Errorf("%s: the answer breaks off", address)
+	if !complete {
+		return fmt.Errorf("%s: incomplete answer", address)
 	}
 	return nil
 }
 
-// version prints what the build knows of itself.
+// version prints the commit, its time, whether the tree was modified, and the Go version.
 func version(out io.Writer) error {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
-		return errors.New("this build tells nothing of itself")
+		return errors.New("this program contains no build information")
 	}
-	about := map[string]string{"vcs.revision": "unknown", "vcs.time": "", "vcs.modified": ""}
+	settings := map[string]string{"vcs.revision": "unknown", "vcs.time": "", "vcs.modified": ""}
 	for _, s := range info.Settings {
-		about[s.Key] = s.Value
+		settings[s.Key] = s.Value
 	}
-	changed := ""
-	if about["vcs.modified"] == "true" {
-		changed = ", with changes"
+	modified := ""
+	if settings["vcs.modified"] == "true" {
+		modified = ", with changes"
 	}
-	fmt.Fprintf(out, "caperarch %s %s%s, %s\n", about["vcs.revision"], about["vcs.time"], changed, info.GoVersion)
+	fmt.Fprintf(out, "caperarch %s %s%s, %s\n", settings["vcs.revision"], settings["vcs.time"], modified, info.GoVersion)
 	return nil
 }
--- a/cmd/caperarch/main_test.go
+++ b/cmd/caperarch/main_test.go
@@ -21,7 +21,7 @@
 	"arrowgw/internal/sysfault"
 )
 
-// TestMain lets the test program stand in for caperarch itself.
+// TestMain lets the test binary run as caperarch.
 func TestMain(m *testing.M) {
 	sysfault.Launch()
 	if os.Getenv("CAPERARCH_ITSELF") != "" {
@@ -31,8 +31,8 @@
 	os.Exit(m.Run())
 }
 
-// program is caperarch with a configuration, not started yet.
-func program(t *testing.T, config string, args ...string) *exec.Cmd {
+// caperarchCommand returns a command that runs caperarch with a configuration.
+func caperarchCommand(t *testing.T, config string, args ...string) *exec.Cmd {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "config.json")
 	if err := os.WriteFile(path, []byte(config), 0o600); err != nil {
@@ -43,13 +43,13 @@
 	return cmd
 }
 
-const usable = `{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"1f","limits":{"memory_mb":192,"sockets":1024},
+const usableConfig = `{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"1f","limits":{"memory_mb":192,"sockets":1024},
 	"settings":{"balancers":1,"caps":{"most_tries":3,"conn_idle_ms":30000,"dial_timeout_ms":250},
 	"classes":[{"name":"a","aim_ms":500,"hard_limit_ms":1000}]}}`
 
-func TestUnusableConfigEndsInOneLine(t *testing.T) {
+func TestInvalidConfigIsReportedInOneLine(t *testing.T) {
 	var log bytes.Buffer
-	cmd := program(t, strings.Replace(usable, "30000", "0", 1))
+	cmd := caperarchCommand(t, strings.Replace(usableConfig, "30000", "0", 1))
 	cmd.Stderr = &log
 	err := cmd.Run()
 	if err == nil || !strings.Contains(log.String(), "caps.conn_idle_ms") || strings.Count(log.String(), "\n") != 1 {
@@ -57,9 +57,9 @@
 	}
 }
 
-// It serves, with discovery out of reach too, and SIGTERM ends it with exit code 0.
+// The sidecar must serve although discovery is unreachable, and exit with code 0 on SIGTERM.
 func TestServesUntilSIGTERM(t *testing.T) {
-	cmd := program(t, usable)
+	cmd := caperarchCommand(t, usableConfig)
 	log, err := cmd.StderrPipe()
 	if err != nil {
 		t.Fatal(err)
@@ -67,8 +67,8 @@
 	if err := cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
-	stuck := time.AfterFunc(time.Minute, func() { _ = cmd.Process.Kill() }) // so that a hang fails
-	defer stuck.Stop()
+	killTimer := time.AfterFunc(time.Minute, func() { _ = cmd.Process.Kill() }) // makes a hang fail the test
+	defer killTimer.Stop()
 	address := ""
 	lines := bufio.NewScanner(log)
 	for address == "" && lines.Scan() {
@@ -85,20 +85,20 @@
 	if err := cmd.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
-	for lines.Scan() { // until it ends
+	for lines.Scan() { // until the sidecar exits
 	}
 	if err := cmd.Wait(); err != nil {
-		t.Errorf("ended with %v", err)
+		t.Errorf("the sidecar exited with %v", err)
 	}
 }
 
-// SIGHUP makes it read its configuration again and go to where discovery is now. A configuration
-// that can't be used is told and changes nothing.
+// On SIGHUP the sidecar must read its configuration again and use the new discovery address. It must log the error of an
+// invalid configuration and keep the old one.
 func TestReconfiguration(t *testing.T) {
-	asked := make(chan struct{}, 100)
-	place := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { asked <- struct{}{} }))
-	defer place.Close()
-	cmd := program(t, usable)
+	called := make(chan struct{}, 100)
+	discovery := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { called <- struct{}{} }))
+	defer discovery.Close()
+	cmd := caperarchCommand(t, usableConfig)
 	path := strings.TrimPrefix(cmd.Env[len(cmd.Env)-1], "EDGE_CONFIG=")
 	log, err := cmd.StderrPipe()
 	if err != nil {
@@ -107,8 +107,8 @@
 	if err := cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
-	stuck := time.AfterFunc(time.Minute, func() { _ = cmd.Process.Kill() }) // so that a hang fails
-	defer stuck.Stop()
+	killTimer := time.AfterFunc(time.Minute, func() { _ = cmd.Process.Kill() }) // makes a hang fail the test
+	defer killTimer.Stop()
 	lines := bufio.NewScanner(log)
 	logged := func(text string) {
 		t.Helper()
@@ -117,12 +117,12 @@
 				return
 			}
 		}
-		t.Fatalf("it ended with no word of %q", text)
+		t.Fatalf("the log ended without %q", text)
 	}
 	logged("serving")
 	for _, c := range []struct{ config, logged string }{
-		{strings.Replace(usable, "30000", "0", 1), "caps.conn_idle_ms"},
-		{strings.Replace(usable, "127.0.0.1:1", place.Listener.Addr().String(), 1), "discovery moved"},
+		{strings.Replace(usableConfig, "30000", "0", 1), "caps.conn_idle_ms"},
+		{strings.Replace(usableConfig, "127.0.0.1:1", discovery.Listener.Addr().String(), 1), "discovery moved"},
 	} {
 		if err := os.WriteFile(path, []byte(c.config), 0o600); err != nil {
 			t.Fatal(err)
@@ -133,21 +133,21 @@
 		logged(c.logged)
 	}
 	select {
-	case <-asked:
+	case <-called:
 	case <-time.After(time.Minute):
-		t.Error("discovery was not called where it is now")
+		t.Error("discovery was not called at its new address")
 	}
 	if err := cmd.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
-	for lines.Scan() { // until it ends
+	for lines.Scan() { // until the sidecar exits
 	}
 	if err := cmd.Wait(); err != nil {
-		t.Errorf("ended with %v", err)
+		t.Errorf("the sidecar exited with %v", err)
 	}
 }
 
-// Every command says what it is asked, or in one line what is wrong, by its exit code too.
+// Every command must print its result or its error, and exit with the right code.
 func TestCommands(t *testing.T) {
 	dir := t.TempDir()
 	file := func(name, text string) string {
@@ -164,7 +164,7 @@
 		t.Fatal(err)
 	}
 	defer console.Close()
-	go func() { // answers the first words of a call
+	go func() { // a console that answers a few commands
 		for {
 			c, err := console.Accept()
 			if err != nil {
@@ -176,9 +176,9 @@
 			c.Close()
 		}
 	}()
-	door := console.Addr().String()
-	sound, hurt := t.TempDir(), t.TempDir()
-	for _, dir := range []string{sound, hurt} {
+	address := console.Addr().String()
+	sound, damaged := t.TempDir(), t.TempDir()
+	for _, dir := range []string{sound, damaged} {
 		s, err := store.Open(store.Options{Dir: dir})
 		if err == nil {
 			err = errors.Join(s.Put("calls", "s-1", []byte("{}")), s.Close())
@@ -187,7 +187,7 @@
 			t.Fatal(err)
 		}
 	}
-	files, err := filepath.Glob(filepath.Join(hurt, "state-*"))
+	files, err := filepath.Glob(filepath.Join(damaged, "state-*"))
 	if err != nil || len(files) != 1 || os.Truncate(files[0], 1560) != nil {
 		t.Fatalf("files %v, error %v", files, err)
 	}
@@ -197,31 +197,31 @@
 		code   int
 		want   string
 	}{
-		{usable, []string{"check"}, 0, "sockets = 1024"},
-		{strings.Replace(usable, "{", `{"colour":1,`, 1), []string{"check"}, 0, `"colour" means nothing`},
-		{strings.Replace(usable, "30000", "0", 1), []string{"check"}, 1, "caps.conn_idle_ms"},
-		{usable, []string{"check", "--fleet", good}, 0, "n1 = '127.0.0.1:1'"},
-		{usable, []string{"check", "--fleet", bad}, 1, "routes.n1"},
-		{strings.Replace(usable, "{", fmt.Sprintf(`{"fleet":%q,`, bad), 1), []string{"check"}, 1, "routes.n1"},
-		{strings.Replace(usable, "{", fmt.Sprintf(`{"fleet":%q,`, bad), 1), nil, 1, "routes.n1"},
-		{usable, []string{"check", "--config", dir}, 1, "is a directory"},
-		{usable, []string{"call", door, "ready"}, 0, "200 yes"},
-		{usable, []string{"call", door, "disable-server", "x"}, 1, "400 no"},
-		{usable, []string{"call", door, "mumble"}, 1, "no answer"},
-		{usable, []string{"call", "127.0.0.1:1", "ready"}, 1, "refused"},
-		{usable, []string{"version"}, 0, "caperarch"},
-		{usable, []string{"state", "show", sound}, 0, "s-1"},
-		{usable, []string{"state", "verify", sound}, 0, "sound"},
-		{usable, []string{"state", "export", sound}, 0, `"key": "s-1"`},
-		{usable, []string{"state", "verify", hurt}, 1, "offset 1536"},
-		{usable, []string{"state", "show", hurt}, 0, "damaged: state-"},
-		{usable, []string{"state", "verify", dir}, 2, "holds no state"},
-		{usable, []string{"state", "verify"}, 1, "accepts 1 arg"},
-		{usable, []string{"--help"}, 0, "check"},
-		{usable, []string{"serve"}, 1, "unknown command"},
-		{usable, []string{"check", "--flet", good}, 1, "unknown flag"},
+		{usableConfig, []string{"check"}, 0, "sockets = 1024"},
+		{strings.Replace(usableConfig, "{", `{"colour":1,`, 1), []string{"check"}, 0, `unknown key "colour" is ignored`},
+		{strings.Replace(usableConfig, "30000", "0", 1), []string{"check"}, 1, "caps.conn_idle_ms"},
+		{usableConfig, []string{"check", "--fleet", good}, 0, "n1 = '127.0.0.1:1'"},
+		{usableConfig, []string{"check", "--fleet", bad}, 1, "routes.n1"},
+		{strings.Replace(usableConfig, "{", fmt.Sprintf(`{"fleet":%q,`, bad), 1), []string{"check"}, 1, "routes.n1"},
+		{strings.Replace(usableConfig, "{", fmt.Sprintf(`{"fleet":%q,`, bad), 1), nil, 1, "routes.n1"},
+		{usableConfig, []string{"check", "--config", dir}, 1, "is a directory"},
+		{usableConfig, []string{"call", address, "ready"}, 0, "200 yes"},
+		{usableConfig, []string{"call", address, "disable-server", "x"}, 1, "400 no"},
+		{usableConfig, []string{"call", address, "mumble"}, 1, "no answer"},
+		{usableConfig, []string{"call", "127.0.0.1:1", "ready"}, 1, "refused"},
+		{usableConfig, []string{"version"}, 0, "caperarch"},
+		{usableConfig, []string{"state", "show", sound}, 0, "s-1"},
+		{usableConfig, []string{"state", "verify", sound}, 0, "sound"},
+		{usableConfig, []string{"state", "export", sound}, 0, `"key": "s-1"`},
+		{usableConfig, []string{"state", "verify", damaged}, 1, "offset 1536"},
+		{usableConfig, []string{"state", "show", damaged}, 0, "damaged: state-"},
+		{usableConfig, []string{"state", "verify", dir}, 2, "holds no state"},
+		{usableConfig, []string{"state", "verify"}, 1, "accepts 1 arg"},
+		{usableConfig, []string{"--help"}, 0, "check"},
+		{usableConfig, []string{"serve"}, 1, "unknown command"},
+		{usableConfig, []string{"check", "--flet", good}, 1, "unknown flag"},
 	} {
-		cmd := program(t, c.config, c.args...)
+		cmd := caperarchCommand(t, c.config, c.args...)
 		out, _ := cmd.CombinedOutput()
 		if cmd.ProcessState.ExitCode() != c.code || !strings.Contains(string(out), c.want) {
 			t.Errorf("%q: exit code %d, want %d and %q:\n%s", c.args, cmd.ProcessState.ExitCode(), c.code, c.want, out)
--- a/cmd/caperarch/stalledlog_test.go
+++ b/cmd/caperarch/stalledlog_test.go
@@ -15,22 +15,22 @@
 	"time"
 )
 
-// loggingSidecar is a sidecar with a log that the test reads, or does not.
+// loggingSidecar is a sidecar whose log goes to a pipe that the test controls.
 type loggingSidecar struct {
 	cmd    *exec.Cmd
 	log    *os.File
 	listen string
-	ended  chan error
+	exited chan error
 }
 
-// startLogging starts a sidecar at level debug, and reads its log until it serves.
+// startLogging starts a sidecar with log level debug, and reads its log until it serves.
 func startLogging(t *testing.T, config string) *loggingSidecar {
 	t.Helper()
 	read, write, err := os.Pipe()
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &loggingSidecar{cmd: program(t, config), log: read, ended: make(chan error, 1)}
+	s := &loggingSidecar{cmd: caperarchCommand(t, config), log: read, exited: make(chan error, 1)}
 	s.cmd.Env = append(s.cmd.Env, "EDGE_LOG_LEVEL=debug")
 	s.cmd.Stderr = write
 	s.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
@@ -38,9 +38,9 @@
 		t.Fatal(err)
 	}
 	write.Close()
-	go func() { s.ended <- s.cmd.Wait() }()
+	go func() { s.exited <- s.cmd.Wait() }()
 	t.Cleanup(func() {
-		_ = s.cmd.Process.Kill() // it fails only if it has ended
+		_ = s.cmd.Process.Kill() // fails only if the process has ended
 		read.Close()
 	})
 	serving := regexp.MustCompile(`msg=serving.* listen=(\S+)`)
@@ -50,12 +50,12 @@
 			return s
 		}
 	}
-	t.Fatal("it never served")
+	t.Fatal("the sidecar did not start serving")
 	return nil
 }
 
-// answers sends requests behind each other on a connection; each has to be answered.
-func (s *loggingSidecar) answers(t *testing.T, requests int) {
+// checkAnswers sends requests one after the other on one connection. Each must be answered.
+func (s *loggingSidecar) checkAnswers(t *testing.T, requests int) {
 	t.Helper()
 	conn, err := net.Dial("tcp", s.listen)
 	if err != nil {
@@ -64,44 +64,44 @@
 	defer conn.Close()
 	c := &client{t, conn, bufio.NewReader(conn)}
 	for i := range requests {
-		_ = conn.SetDeadline(time.Now().Add(5 * time.Second)) // fails only on a closed one
+		_ = conn.SetDeadline(time.Now().Add(5 * time.Second)) // fails only on a closed connection
 		id := fmt.Sprint("q", i)
 		c.send(request(id, time.Second))
-		if c.wants(id, http.StatusOK); t.Failed() {
+		if c.wantAnswer(id, http.StatusOK); t.Failed() {
 			t.FailNow()
 		}
 	}
 }
 
-// ends tells the sidecar to stop, and waits until it has.
-func (s *loggingSidecar) ends(t *testing.T) {
+// stop sends SIGTERM and waits until the sidecar has exited without an error.
+func (s *loggingSidecar) stop(t *testing.T) {
 	t.Helper()
 	if err := s.cmd.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
 	select {
-	case err := <-s.ended:
+	case err := <-s.exited:
 		if err != nil {
-			t.Errorf("it ended with %v", err)
+			t.Errorf("the sidecar exited with %v", err)
 		}
-	case <-time.After(patience):
-		t.Error("it did not end")
+	case <-time.After(eventTimeout):
+		t.Error("the sidecar did not exit")
 	}
 }
 
-// Nobody reads the log any more, so that its pipe is full: requests are answered all the same, and SIGTERM ends the sidecar.
-func TestStalledLogReaderHoldsUpNoRequest(t *testing.T) {
+// With a full log pipe that nobody reads, requests must still be answered and SIGTERM must still end the sidecar.
+func TestStalledLogReaderBlocksNoRequest(t *testing.T) {
 	server := newQueueServer(t, answerAtOnce)
 	s := startLogging(t, fmt.Sprintf(faultySettings, "127.0.0.1:1", server.listener.Addr(), 2000))
-	s.answers(t, 400) // some lines each: the pipe holds 64 KiB
-	s.ends(t)
+	s.checkAnswers(t, 400) // each logs several lines, enough to fill the pipe of 64 KiB
+	s.stop(t)
 }
 
-// The reader of the log goes away, as its program ends: the sidecar goes on, and ends as it is told to.
-func TestLogReaderThatGoesAwayEndsNoSidecar(t *testing.T) {
+// If the reader of the log exits and closes the pipe, the sidecar must keep serving and end on SIGTERM.
+func TestClosedLogPipeEndsNoSidecar(t *testing.T) {
 	server := newQueueServer(t, answerAtOnce)
 	s := startLogging(t, fmt.Sprintf(faultySettings, "127.0.0.1:1", server.listener.Addr(), 2000))
 	s.log.Close()
-	s.answers(t, 20)
-	s.ends(t)
+	s.checkAnswers(t, 20)
+	s.stop(t)
 }
--- a/cmd/caperarch/stopfaults_test.go
+++ b/cmd/caperarch/stopfaults_test.go
@@ -19,9 +19,9 @@
 	"arrowgw/internal/sysfault"
 )
 
-// stopFailures are calls at the end of listening that fail throughout while a test wants it, with the moment behind
-// "stopping" from which on they work again.
-var stopFailures = []struct {
+// stopFaults are system calls used to stop listening that fail, and the time after the log event "stopping" at which they work
+// again.
+var stopFaults = []struct {
 	name  string
 	call  int
 	errno syscall.Errno
@@ -31,14 +31,14 @@
 	{"accept without descriptors", unix.SYS_ACCEPT4, unix.EMFILE, 1300 * time.Millisecond},
 	{"shutdown", unix.SYS_SHUTDOWN, unix.ENOBUFS, 1300 * time.Millisecond},
 	{"epoll_ctl", unix.SYS_EPOLL_CTL, unix.ENOSPC, 700 * time.Millisecond},
-	{"fcntl, by which a process asks for others", unix.SYS_FCNTL, unix.EMFILE, 1300 * time.Millisecond},
+	{"fcntl that checks for other processes", unix.SYS_FCNTL, unix.EMFILE, 1300 * time.Millisecond},
 }
 
-// Connections that wait as a process ends, while a call of the end of listening fails for longer than a moment, are answered:
-// the end of listening was given up 0.4 s behind the first failure, and reset them.
-func TestStopAnswersWhatWaitsWhileCallsFail(t *testing.T) {
+// Connections that wait when a process stops must be answered even if a system call used to stop listening fails for a while.
+// Guards against giving up 0.4 s after the first failure, which reset those connections.
+func TestStopAnswersWaitingConnectionsWhileCallsFail(t *testing.T) {
 	for _, replaced := range []bool{false, true} {
-		for _, f := range stopFailures {
+		for _, f := range stopFaults {
 			t.Run(fmt.Sprintf("%s, replaced %v", f.name, replaced), func(t *testing.T) {
 				t.Parallel()
 				stopWhileCallFails(t, replaced, f.call, f.errno, f.heals)
@@ -47,21 +47,21 @@
 	}
 }
 
-// stopWhileCallFails stops a sidecar, beside a second process or alone, and sends a request on a new connection to it while a
+// stopWhileCallFails stops a sidecar, alone or with a successor process, and sends requests on new connections while a system
 // call fails.
 func stopWhileCallFails(t *testing.T, replaced bool, call int, errno syscall.Errno, heals time.Duration) {
 	server := newQueueServer(t, answerAtOnce)
-	free, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	address := free.Addr().String()
-	free.Close()
+	address := listener.Addr().String()
+	listener.Close()
 	config := strings.Replace(fmt.Sprintf(faultySettings, "127.0.0.1:1", server.listener.Addr(), 2000), "127.0.0.1:0", address, 1)
 	shared := t.TempDir()
 	s := startFaultyIn(t, shared, config, false, []int{call}, nil)
 	var failing atomic.Bool
-	s.will(func(sysfault.Call) sysfault.Effect {
+	s.setEffects(func(sysfault.Call) sysfault.Effect {
 		if failing.Load() {
 			return sysfault.Effect{Errno: errno}
 		}
@@ -76,40 +76,40 @@
 			waiting = append(waiting, c)
 		}
 	}
-	if call == unix.SYS_ACCEPT4 { // all wait at this process: there is no other so far
+	if call == unix.SYS_ACCEPT4 { // before the successor starts, so that all connections wait at this process
 		send()
 	}
 	if replaced {
 		startFaultyIn(t, shared, config, false, nil, nil)
-		s.saying(`msg=upgrade processes=(2)`)
+		s.waitForLog(`msg=upgrade processes=(2)`)
 	}
 	if call != unix.SYS_ACCEPT4 {
 		send()
 	}
 	s.signal(syscall.SIGTERM)
-	s.saying(fmt.Sprintf(`msg=stopping.* (replaced=%v)`, replaced))
+	s.waitForLog(fmt.Sprintf(`msg=stopping.* (replaced=%v)`, replaced))
 	heal := time.AfterFunc(heals, func() { failing.Store(false) })
 	defer heal.Stop()
 	for i, c := range waiting {
-		c.wants(fmt.Sprint("q", i), http.StatusOK, http.StatusServiceUnavailable)
+		c.wantAnswer(fmt.Sprint("q", i), http.StatusOK, http.StatusServiceUnavailable)
 	}
 }
 
-// Commands of fcntl: by F_OFD_SETLK a process enters among its sidecar's, by F_OFD_GETLK it asks for others.
+// Commands of fcntl: with F_OFD_SETLK a process registers as one of its sidecar's, with F_OFD_GETLK it checks for others.
 const getLock, setLock = 36, 37
 
-// A state folder that hangs as a process begins does not keep it from serving; it was waited for without an end. What is
-// owed by the calls by hand in it holds once it answers.
-func TestStartOutlivesHangingFolder(t *testing.T) {
+// A state folder that hangs during the start must not keep the process from serving. Guards against waiting for it without a
+// limit. Once the folder answers, the operator calls stored in it must be applied.
+func TestStartSurvivesHangingStateFolder(t *testing.T) {
 	server := newQueueServer(t, answerAtOnce)
 	config := fmt.Sprintf(faultySettings, "127.0.0.1:1", server.listener.Addr(), 2000)
 	state := t.TempDir()
 	first := startFaultyIn(t, state, config, false, nil, nil)
-	if answer, err := callAt(first.console, "disable-server s-0"); err != nil || !strings.HasPrefix(answer, "200") {
+	if answer, err := consoleCall(first.console, "disable-server s-0"); err != nil || !strings.HasPrefix(answer, "200") {
 		t.Fatalf("disable-server: %q, error %v", answer, err)
 	}
 	first.signal(syscall.SIGKILL)
-	<-first.ended
+	<-first.exited
 	answers := make(chan struct{})
 	began := time.Now()
 	s := startFaultyIn(t, state, config, false, []int{unix.SYS_FCNTL}, func(c sysfault.Call) sysfault.Effect {
@@ -119,27 +119,27 @@
 		return sysfault.Effect{}
 	})
 	if took := time.Since(began); took > 6*time.Second {
-		t.Errorf("it served after %v, want 6 s at most", took)
+		t.Errorf("the sidecar served after %v, want 6 s at most", took)
 	}
 	c := s.connect()
 	c.send(request("q1", time.Second))
-	c.wants("q1", http.StatusOK)
+	c.wantAnswer("q1", http.StatusOK)
 	close(answers)
-	s.saying(`msg="by hand" server=s-0 (out=true)`)
+	s.waitForLog(`msg="by hand" server=s-0 (out=true)`)
 	c = s.connect()
 	c.send(request("q2", time.Second))
-	c.wants("q2", http.StatusServiceUnavailable)
+	c.wantAnswer("q2", http.StatusServiceUnavailable)
 }
 
-// A state folder that hangs as a process is told to end does not keep it from ending in time: it asked there for a second
-// process first, and went on as if nothing had been said.
-func TestStopOutlivesHangingFolder(t *testing.T) {
+// A state folder that hangs during a stop must not keep the process from exiting in time. Guards against a stop that first
+// checks the folder for a successor process and, while that hangs, continues to run.
+func TestStopSurvivesHangingStateFolder(t *testing.T) {
 	const longest = 2000 * time.Millisecond
 	server := newQueueServer(t, answerAtOnce)
 	s := startFaulty(t, fmt.Sprintf(faultySettings, "127.0.0.1:1", server.listener.Addr(), longest.Milliseconds()), false, []int{unix.SYS_FCNTL}, nil)
 	hangs := make(chan struct{})
 	defer close(hangs)
-	s.will(func(c sysfault.Call) sysfault.Effect {
+	s.setEffects(func(c sysfault.Call) sysfault.Effect {
 		if c.Arguments[1] == getLock || c.Arguments[1] == setLock {
 			return sysfault.Effect{Until: hangs}
 		}
@@ -147,20 +147,21 @@
 	})
 	c := s.connect()
 	c.send("GET /look HT")
-	time.Sleep(400 * time.Millisecond) // the process has asked for others meanwhile
+	time.Sleep(400 * time.Millisecond) // the process has checked for others by then
 	s.signal(syscall.SIGTERM)
 	told := time.Now()
 	c.send(strings.TrimPrefix(request("q1", time.Second), "GET /look HT"))
-	c.wants("q1", http.StatusOK, http.StatusServiceUnavailable)
+	c.wantAnswer("q1", http.StatusOK, http.StatusServiceUnavailable)
 	select {
-	case <-s.ended:
+	case <-s.exited:
 	case <-time.After(time.Until(told.Add(longest + 700*time.Millisecond))):
-		t.Error("it goes on when it may be killed")
+		t.Error("the process still runs when the platform may kill it")
 	}
 }
 
-// A process that is told to end stays for an answer that its server goes on with: it left behind the last deadline, and cut it off.
-func TestStopWaitsForAnswersThatGoOn(t *testing.T) {
+// A stopping process must wait for an answer that its server is still sending. Guards against exiting after the last deadline,
+// which truncated the answer.
+func TestStopWaitsForAnswersInProgress(t *testing.T) {
 	const longest, piece, pieces = 500 * time.Millisecond, 20000, 20
 	server := newQueueServer(t, func(c net.Conn, id string) {
 		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", piece*pieces)
@@ -182,20 +183,20 @@
 		t.Errorf("%d bytes of the answer came, error %v, want all %d", len(body), err, piece*pieces)
 	}
 	select {
-	case <-s.ended:
+	case <-s.exited:
 	case <-time.After(time.Second):
-		t.Error("it goes on behind its last answer")
+		t.Error("the process still runs after its last answer")
 	}
 }
 
-// callAt makes one call at a console.
-func callAt(address, line string) (string, error) {
-	c, err := net.DialTimeout("tcp", address, patience)
+// consoleCall sends one line to a console and returns the first line of the answer.
+func consoleCall(address, line string) (string, error) {
+	c, err := net.DialTimeout("tcp", address, eventTimeout)
 	if err != nil {
 		return "", err
 	}
 	defer c.Close()
-	_ = c.SetDeadline(time.Now().Add(patience)) // fails only on a closed one
+	_ = c.SetDeadline(time.Now().Add(eventTimeout)) // fails only on a closed connection
 	if _, err := fmt.Fprintln(c, line); err != nil {
 		return "", err
 	}
--- a/cmd/fleetlab/main.go
+++ b/cmd/fleetlab/main.go
@@ -1,5 +1,5 @@
-// Fleetlab plays whole fleets of sidecar processes on this machine's loopback, breaks parts of them and tells what
-// that cost. docs/lab.md is its page.
+// Fleetlab runs whole fleets of sidecar processes on this machine's loopback interface, injects faults, and reports what
+// they cost. docs/lab.md documents it.
 package main
 
 import (
@@ -29,10 +29,10 @@
 const (
 	exitHeld     = 0
 	exitBroken   = 1 // an invariant did not hold
-	exitUnusable = 2 // the input can't be used, or the run could not be played
+	exitUnusable = 2 // the input is invalid, or the run failed
 )
 
-// errBroken says that a run was played and did not hold; all has been told by then.
+// errBroken reports that a run broke an invariant. The findings have been printed.
 var errBroken = errors.New("an invariant did not hold")
 
 func main() {
@@ -41,11 +41,11 @@
 		return
 	}
 	root := &cobra.Command{
-		Use: "fleetlab", Short: "Play fleets of sidecars on loopback, break parts of them, and judge", SilenceUsage: true, SilenceErrors: true,
+		Use: "fleetlab", Short: "Run fleets of sidecars on loopback, inject faults, and check invariants", SilenceUsage: true, SilenceErrors: true,
 		CompletionOptions: cobra.CompletionOptions{DisableDefaultCmd: true},
 	}
 	root.AddCommand(try(), list(), play(), compare(), experiment(), sweep(), soak())
-	// Ctrl-C ends a run, and all of its processes with it.
+	// Ctrl-C ends a run and all of its processes.
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
 	err := logging.Setup(os.Stderr, os.Getenv)
@@ -61,8 +61,8 @@
 	}
 }
 
-// find reads a scenario: by the name of one that comes with the lab, or by the path of a file.
-func find(name string) (*lab.Scenario, error) {
+// findScenario reads a scenario, given the name of a built-in one or the path of a file.
+func findScenario(name string) (*lab.Scenario, error) {
 	if strings.HasSuffix(name, ".toml") || strings.ContainsRune(name, filepath.Separator) {
 		raw, err := os.ReadFile(name)
 		if err != nil {
@@ -72,7 +72,7 @@
 	}
 	raw, err := scenarios.Files.ReadFile(name + ".toml")
 	if err != nil {
-		return nil, fmt.Errorf("there is no scenario %q; see fleetlab list, or give the path of a file", name)
+		return nil, fmt.Errorf("no scenario %q; run fleetlab list for the names, or give the path of a file", name)
 	}
 	return lab.ReadScenario(name+".toml", raw)
 }
@@ -83,13 +83,15 @@
 	program                   string
 }
 
+// flags adds the flags to a command.
 func (s *sizes) flags(c *cobra.Command) {
-	c.Flags().IntVar(&s.sidecars, "sidecars", 0, "sidecars, in place of the scenario's number")
-	c.Flags().IntVar(&s.servers, "servers", 0, "queue servers, in place of the scenario's number")
-	c.Flags().IntVar(&s.hollow, "hollow", 0, "hollow sidecars, in place of the scenario's number")
-	c.Flags().StringVar(&s.program, "program", "", "path of the sidecar to play; the tree's own is built if not given")
+	c.Flags().IntVar(&s.sidecars, "sidecars", 0, "number of sidecars, instead of the scenario's")
+	c.Flags().IntVar(&s.servers, "servers", 0, "number of queue servers, instead of the scenario's")
+	c.Flags().IntVar(&s.hollow, "hollow", 0, "number of hollow sidecars, instead of the scenario's")
+	c.Flags().StringVar(&s.program, "program", "", "path of the sidecar program; by default the one of this source tree is built")
 }
 
+// apply resizes a scenario. A size of 0 leaves the scenario's own.
 func (s *sizes) apply(scene *lab.Scenario) error {
 	return scene.Resize(s.sidecars, s.servers, s.hollow)
 }
@@ -97,26 +99,26 @@
 func try() *cobra.Command {
 	var s sizes
 	c := &cobra.Command{
-		Use: "try", Short: "Start sidecars, servers, discovery and clients together, kill some, and show what it costs", Args: cobra.NoArgs,
+		Use: "try", Short: "Start sidecars, servers, discovery and clients together, kill some, and show the effect", Args: cobra.NoArgs,
 	}
-	length := c.Flags().Duration("for", 30*time.Second, "how long")
+	length := c.Flags().Duration("for", 30*time.Second, "length of the run")
 	s.flags(c)
 	c.RunE = func(c *cobra.Command, _ []string) error {
-		scene, err := find("try")
+		scene, err := findScenario("try")
 		if err != nil {
 			return err
 		}
 		if err := errors.Join(scene.Stretch(*length), s.apply(scene)); err != nil {
 			return err
 		}
-		fmt.Printf("%d sidecars, %d queue servers and their clients, for %v; Ctrl-C ends all\n", scene.Fleet.Sidecars, scene.Fleet.Servers, *length)
-		return tell(c, scene, lab.Options{Seed: 1, Program: s.program, Live: lab.Live(os.Stdout)}, false)
+		fmt.Printf("%d sidecars, %d queue servers and their clients, for %v; press Ctrl-C to stop\n", scene.Fleet.Sidecars, scene.Fleet.Servers, *length)
+		return playAndPrint(c, scene, lab.Options{Seed: 1, Program: s.program, Live: lab.Live(os.Stdout)}, false)
 	}
 	return c
 }
 
-// tell plays a scenario and prints what came of it.
-func tell(c *cobra.Command, scene *lab.Scenario, o lab.Options, asJSON bool) error {
+// playAndPrint plays a scenario and prints the result. It returns errBroken if an invariant did not hold.
+func playAndPrint(c *cobra.Command, scene *lab.Scenario, o lab.Options, asJSON bool) error {
 	res, err := lab.Play(c.Context(), scene, o)
 	if err != nil {
 		return err
@@ -129,7 +131,7 @@
 		res.Print(os.Stdout)
 	}
 	if o.Out != "" {
-		fmt.Fprintf(os.Stderr, "result, report and logs are in %s\n", o.Out)
+		fmt.Fprintf(os.Stderr, "result, report and logs written to %s\n", o.Out)
 	}
 	if !res.Held() {
 		return errBroken
@@ -139,14 +141,14 @@
 
 func list() *cobra.Command {
 	return &cobra.Command{
-		Use: "list", Short: "List the scenarios that come with the lab", Args: cobra.NoArgs,
+		Use: "list", Short: "List the built-in scenarios", Args: cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
 			names, err := fs.Glob(scenarios.Files, "*.toml")
 			if err != nil {
 				return err
 			}
 			for _, name := range names {
-				s, err := find(strings.TrimSuffix(name, ".toml"))
+				s, err := findScenario(strings.TrimSuffix(name, ".toml"))
 				if err != nil {
 					return err
 				}
@@ -159,14 +161,14 @@
 
 func play() *cobra.Command {
 	var s sizes
-	c := &cobra.Command{Use: "play SCENARIO", Short: "Play a scenario, by name or by its file", Args: cobra.ExactArgs(1)}
-	seed := c.Flags().Uint64("seed", 1, "draws the requests and the targets of faults")
-	out := c.Flags().String("out", "", "folder for result.json, report.html and the logs of every process")
+	c := &cobra.Command{Use: "play SCENARIO", Short: "Play a scenario, given by name or by the path of its file", Args: cobra.ExactArgs(1)}
+	seed := c.Flags().Uint64("seed", 1, "seed for the requests and the targets of faults")
+	out := c.Flags().String("out", "", "directory for result.json, report.html and the logs of every process")
 	asJSON := c.Flags().Bool("json", false, "print the result as JSON")
-	effective := c.Flags().Bool("check", false, "read the scenario and print it with all defaults; play nothing")
+	effective := c.Flags().Bool("check", false, "print the scenario with all defaults and do not play it")
 	s.flags(c)
 	c.RunE = func(c *cobra.Command, args []string) error {
-		scene, err := find(args[0])
+		scene, err := findScenario(args[0])
 		if err != nil {
 			return err
 		}
@@ -180,19 +182,20 @@
 		if !*asJSON {
 			o.Live = lab.Live(os.Stdout)
 		}
-		return tell(c, scene, o, *asJSON)
+		return playAndPrint(c, scene, o, *asJSON)
 	}
 	return c
 }
 
-// shown are the figures that tables have unless others are asked for.
-var shown = []string{"worth", "refused", "failed", "p99_ms", "attempts", "work", "recovery_s", "cpu_ms", "rss_mib"}
+// defaultFigures are the figures in tables unless --figures names others.
+var defaultFigures = []string{"worth", "refused", "failed", "p99_ms", "attempts", "work", "recovery_s", "cpu_ms", "rss_mib"}
 
 func figureFlag(c *cobra.Command) *[]string {
-	return c.Flags().StringSlice("figures", shown, "the figures to show; all: every one; spread: how evenly servers are sent to")
+	return c.Flags().StringSlice("figures", defaultFigures, "figures to show; all: every figure; spread: how evenly requests are distributed over the servers")
 }
 
-func chosen(names []string, results ...*lab.Result) []string {
+// selectFigures expands the names all and spread to the figures that the results have.
+func selectFigures(names []string, results ...*lab.Result) []string {
 	if len(names) != 1 {
 		return names
 	}
@@ -208,7 +211,7 @@
 
 func compare() *cobra.Command {
 	c := &cobra.Command{
-		Use: "compare A B", Short: "Compare the results in two folders, pair by pair: same scenario, size and seed", Args: cobra.ExactArgs(2),
+		Use: "compare A B", Short: "Compare the results in two directories, by pairs of the same scenario, size and seed", Args: cobra.ExactArgs(2),
 	}
 	figures := figureFlag(c)
 	c.RunE = func(_ *cobra.Command, args []string) error {
@@ -220,8 +223,8 @@
 		if err != nil {
 			return err
 		}
-		if lab.Compare(os.Stdout, a, b, chosen(*figures, append(a, b...)...)) == 0 {
-			return errors.New("no run of the one has the same scenario, size and seed as one of the other")
+		if lab.Compare(os.Stdout, a, b, selectFigures(*figures, append(a, b...)...)) == 0 {
+			return errors.New("no run in one directory has the same scenario, size and seed as a run in the other")
 		}
 		return nil
 	}
@@ -231,9 +234,9 @@
 func experiment() *cobra.Command {
 	c := &cobra.Command{
 		Use: "experiment FILE", Args: cobra.ExactArgs(1),
-		Short: "Play a grid of programs, scenarios, sizes and seeds; what the folder holds already is kept",
+		Short: "Play a grid of programs, scenarios, sizes and seeds; results already in the directory are kept",
 	}
-	out := c.Flags().String("out", "", "folder for the results; FILE without its ending if not given")
+	out := c.Flags().String("out", "", "directory for the results; default is FILE without its extension")
 	figures := figureFlag(c)
 	c.RunE = func(c *cobra.Command, args []string) error {
 		e, err := lab.ReadExperiment(args[0])
@@ -244,8 +247,8 @@
 		if dir == "" {
 			dir = strings.TrimSuffix(args[0], filepath.Ext(args[0]))
 		}
-		results, err := e.Run(c.Context(), dir, os.Stderr, find)
-		lab.Summary(os.Stdout, results, chosen(*figures, results...))
+		results, err := e.Run(c.Context(), dir, os.Stderr, findScenario)
+		lab.Summary(os.Stdout, results, selectFigures(*figures, results...))
 		if e.Edge.To > 0 {
 			lab.Edges(os.Stdout, results)
 		}
@@ -264,7 +267,7 @@
 
 func sweep() *cobra.Command {
 	return &cobra.Command{
-		Use: "sweep", Short: "Remove what labs that were killed have left, by their own records", Args: cobra.NoArgs,
+		Use: "sweep", Short: "Remove what killed labs have left behind, according to their own records", Args: cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
 			swept, err := lab.Sweep()
 			for _, s := range swept {
@@ -278,13 +281,13 @@
 func soak() *cobra.Command {
 	c := &cobra.Command{
 		Use: "soak", Args: cobra.NoArgs,
-		Short: "Play faults that overlap in time, drawn from seeds, on 10 to 40 sidecars, and stop at the first that breaks an invariant",
+		Short: "Play random overlapping faults, drawn from seeds, on 10 to 40 sidecars; stop at the first seed that breaks an invariant",
 	}
-	seed := c.Flags().Uint64("seed", 0, "the first seed; 0: one is drawn")
-	runs := c.Flags().Int("runs", 1, "how many seeds, one after the other")
-	sidecars := c.Flags().Int("sidecars", 0, "sidecars; 0: 10 to 20, drawn")
-	out := c.Flags().String("out", "", "folder for the results and the logs, one folder a seed")
-	program := c.Flags().String("program", "", "path of the sidecar to play; the tree's own is built if not given")
+	seed := c.Flags().Uint64("seed", 0, "first seed; 0: drawn at random")
+	runs := c.Flags().Int("runs", 1, "number of seeds, played one after the other")
+	sidecars := c.Flags().Int("sidecars", 0, "number of sidecars; 0: 10 to 20, drawn at random")
+	out := c.Flags().String("out", "", "directory for results and logs, with one subdirectory per seed")
+	program := c.Flags().String("program", "", "path of the sidecar program; by default the one of this source tree is built")
 	c.RunE = func(c *cobra.Command, _ []string) error {
 		first := *seed
 		if first == 0 {
--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -1,6 +1,6 @@
-// Simhost plays the decision module on the simulator's wire: it hosts many
-// instances, each a policy.Balancer of its own, on standard input and output.
-// It decides nothing itself.
+// Simhost runs the policy module against the simulator. It speaks the
+// simulator's binary protocol on standard input and output, and hosts many
+// instances, each with its own policy.Balancer. It makes no decisions itself.
 package main
 
 import (
@@ -19,8 +19,8 @@
 )
 
 func main() {
-	// One batch is answered at a time, so more threads only add cost; the
-	// heap is small, so collecting it rarely is cheap and keeps batches even.
+	// Batches are answered one at a time, so more threads only add cost. The
+	// heap is small, so rare collections are cheap and keep the time per batch even.
 	runtime.GOMAXPROCS(1)
 	debug.SetGCPercent(800)
 	if err := serve(os.Stdin, os.Stdout); err != nil {
@@ -29,7 +29,7 @@
 	}
 }
 
-// serve answers batches until the input ends.
+// serve answers the batches read from in until the input ends.
 func serve(in io.Reader, out io.Writer) error {
 	h := newHost()
 	r := wire.NewReader(bufio.NewReaderSize(in, 1<<16))
@@ -42,7 +42,7 @@
 			return err
 		}
 		h.reply.Begin(b.Number)
-		if err := h.batch(b); err != nil {
+		if err := h.handleBatch(b); err != nil {
 			return fmt.Errorf("batch %d: %w", b.Number, err)
 		}
 		if _, err := out.Write(h.reply.Bytes()); err != nil {
@@ -51,60 +51,66 @@
 	}
 }
 
-// host holds the instances of this process and what they share: the numbered
-// lists of the wire and the reply under way.
+// host holds the instances of this process and what they share: the server
+// lists by page number, and the reply being built.
 type host struct {
-	reply     wire.Reply
-	pages     map[uint16][]balance.Server
-	instances map[uint32]*instance
+	reply       wire.Reply
+	serverLists map[uint16][]balance.Server
+	instances   map[uint32]*instance
 }
 
 func newHost() *host {
-	return &host{pages: make(map[uint16][]balance.Server), instances: make(map[uint32]*instance)}
+	return &host{serverLists: make(map[uint16][]balance.Server), instances: make(map[uint32]*instance)}
 }
 
-// instance is one sidecar; it carries out its Balancer's decisions.
+// instance is one simulated sidecar. It implements the policy's host interface
+// by writing actions to the reply.
 type instance struct {
-	host   *host
-	number uint32
-	loads  wire.Columns
-	b      *policy.Balancer
-	logAt  time.Duration // when the counters are written next
+	host        *host
+	number      uint32
+	loadColumns wire.Columns
+	balancer    *policy.Balancer
+	nextLogAt   time.Duration // when the counters are next written to the log
 }
 
-// logEvery is how often an instance's counters go to the log.
-const logEvery = 10 * time.Second
+// counterLogInterval is the interval at which an instance logs its counters.
+const counterLogInterval = 10 * time.Second
 
-// Send goes out at once: on this wire an attempt counts as sent with its CallOut, in the batch that is answered,
-// however long its connection takes. So unsent, which is above 0 or none, holds by itself. patience_ms would not say
-// it: that ends the wait for the answer too.
+// Send writes a CallOut. In this protocol an attempt counts as sent as soon as its CallOut is written, however long its
+// connection takes, so the limit on the time until the attempt is sent is always met and is ignored here. The CallOut's
+// patience_ms could not express that limit, as it also ends the wait for the answer.
 func (i *instance) Send(id balance.RequestID, to balance.ServerID, timeout, _ time.Duration) {
 	i.host.reply.CallOut(i.number, uint32(id), wire.Upstream(to), timeout)
 }
 
+// Refuse writes a PushBack. The protocol has no field for the reason.
 func (i *instance) Refuse(id balance.RequestID, pause time.Duration, _ balance.Reason) {
 	i.host.reply.PushBack(i.number, uint32(id), pause)
 }
 
+// Fail writes a Lose. The protocol has no field for the reason.
 func (i *instance) Fail(id balance.RequestID, _ balance.Reason) {
 	i.host.reply.Lose(i.number, uint32(id))
 }
 
+// Cancel writes a Recall.
 func (i *instance) Cancel(id balance.RequestID, attempt int) {
 	i.host.reply.Recall(i.number, uint32(id), uint8(attempt))
 }
 
-// Withdraw has nothing to do: no attempt is unwritten once its CallOut is.
+// Withdraw does nothing: an attempt counts as sent once its CallOut is written, so it can't be withdrawn.
 func (i *instance) Withdraw(balance.RequestID, int) {}
 
+// Wake, Probe, Close, WatchList and Log write the action that matches the call.
+
 func (i *instance) Wake(d time.Duration)      { i.host.reply.SetAlarm(i.number, d, 0) }
 func (i *instance) Probe(to balance.ServerID) { i.host.reply.Inspect(i.number, wire.Upstream(to)) }
 func (i *instance) Close(to balance.ServerID) { i.host.reply.Release(i.number, wire.Upstream(to)) }
 func (i *instance) WatchList()                { i.host.reply.Tail(i.number, true) }
 func (i *instance) Log(line string)           { i.host.reply.WriteLog(i.number, line) }
 
-// batch hands the events of one batch to their instances, in order.
-func (h *host) batch(b wire.Batch) error {
+// handleBatch passes the events of a batch to their instances, in order.
+func (h *host) handleBatch(b wire.Batch) error {
 	body := b.Body
 	for range b.Records {
 		rec, rest, err := wire.Next(body)
@@ -112,29 +118,30 @@
 			return err
 		}
 		body = rest
-		if err := h.record(b.Clock, rec); err != nil {
+		if err := h.handleRecord(b.Clock, rec); err != nil {
 			return err
 		}
 	}
 	if len(body) > 0 {
-		return fmt.Errorf("%d bytes behind the last record", len(body))
+		return fmt.Errorf("%d bytes left after the last record", len(body))
 	}
 	return nil
 }
 
-func (h *host) record(now time.Duration, rec wire.Record) error {
+// handleRecord handles one event at the time now. It ignores unknown events and events for instances that do not run.
+func (h *host) handleRecord(now time.Duration, rec wire.Record) error {
 	switch rec.Code {
 	case wire.EvManifest:
 		page, entries, err := rec.Manifest()
 		if err != nil {
 			return err
 		}
-		h.pages[page] = servers(entries)
+		h.serverLists[page] = serversFrom(entries)
 		return nil
 	case wire.EvOpenInstance, wire.EvCrashNow, wire.EvFleet, wire.EvAsk, wire.EvFinished, wire.EvWake,
 		wire.EvClientLeft, wire.EvHeaders, wire.EvCheckResult:
 	default:
-		return nil // a code of a later version, or one that the module has no use for
+		return nil // a code of a later protocol version, or one that the policy does not use
 	}
 	number, err := rec.Instance()
 	if err != nil {
@@ -142,20 +149,20 @@
 	}
 	switch rec.Code {
 	case wire.EvOpenInstance:
-		return h.open(now, number, rec)
+		return h.openInstance(now, number, rec)
 	case wire.EvCrashNow:
 		delete(h.instances, number)
 		return nil
 	}
 	i := h.instances[number]
-	if i == nil || i.b == nil {
-		return nil // not running: nothing may be done for it
+	if i == nil || i.balancer == nil {
+		return nil // not running
 	}
-	return i.event(now, rec)
+	return i.handleEvent(now, rec)
 }
 
-// open starts an instance anew.
-func (h *host) open(now time.Duration, number uint32, rec wire.Record) error {
+// openInstance starts an instance, in place of any earlier one of the same number.
+func (h *host) openInstance(now time.Duration, number uint32, rec wire.Record) error {
 	seed, info, err := rec.OpenInstance()
 	if err != nil {
 		return err
@@ -168,41 +175,42 @@
 	if err != nil {
 		return fmt.Errorf("instance %d: %w", number, err)
 	}
-	i := &instance{host: h, number: number, loads: s.Columns()}
+	i := &instance{host: h, number: number, loadColumns: s.Columns()}
 	h.instances[number] = i
-	return i.guard(func() error {
+	return i.recoverPanic(func() error {
 		b, err := policy.New(config, seed, i)
 		if err != nil {
 			return fmt.Errorf("instance %d: %w", number, err)
 		}
-		i.b = b
+		i.balancer = b
 		b.Start(now)
 		return nil
 	})
 }
 
-// guard reports a panic in the module with the wire's own fault action.
-func (i *instance) guard(f func() error) (err error) {
+// recoverPanic runs f. If f panics it reports that with a Die action, and the instance stops running.
+func (i *instance) recoverPanic(f func() error) (err error) {
 	defer func() {
 		if p := recover(); p != nil {
 			i.host.reply.Die(i.number, fmt.Sprintf("panic: %v", p))
-			i.b = nil
+			i.balancer = nil
 		}
 	}()
 	return f()
 }
 
-// event hands one event to the instance's Balancer.
-func (i *instance) event(now time.Duration, rec wire.Record) error {
-	if now >= i.logAt {
-		if i.logAt > 0 { // not at the first event: there is nothing to tell yet
-			i.Log(fmt.Sprintf("counters %+v", i.b.Counters()))
+// handleEvent passes one event to the instance's Balancer, and logs the counters when they are due.
+func (i *instance) handleEvent(now time.Duration, rec wire.Record) error {
+	if now >= i.nextLogAt {
+		if i.nextLogAt > 0 { // at the first event all counters are zero
+			i.Log(fmt.Sprintf("counters %+v", i.balancer.Counters()))
 		}
-		i.logAt = now + logEvery
+		i.nextLogAt = now + counterLogInterval
 	}
-	return i.guard(func() error { return i.dispatch(now, rec) })
+	return i.recoverPanic(func() error { return i.dispatch(now, rec) })
 }
 
+// dispatch decodes an event and calls the Balancer's method for it.
 func (i *instance) dispatch(now time.Duration, rec wire.Record) error {
 	switch rec.Code {
 	case wire.EvAsk:
@@ -216,47 +224,48 @@
 		if a.Bits&wire.BitHint != 0 {
 			r.Work = a.Hint
 		}
-		i.b.Request(now, r)
+		i.balancer.Request(now, r)
 	case wire.EvFinished:
 		f, err := rec.Finished()
 		if err != nil {
 			return err
 		}
-		i.b.Outcome(now, balance.Outcome{
-			ID: balance.RequestID(f.Job), Attempt: int(f.Hop), Ending: ending(f.Ending), Settled: f.Settled,
-			Load: i.loads.Load(f.Pressure),
+		i.balancer.Outcome(now, balance.Outcome{
+			ID: balance.RequestID(f.Job), Attempt: int(f.Hop), Ending: endingFor(f.Ending), Settled: f.Settled,
+			Load: i.loadColumns.Load(f.Pressure),
 		})
 	case wire.EvWake:
-		i.b.Wake(now)
+		i.balancer.Wake(now)
 	case wire.EvClientLeft:
 		job, err := rec.Job()
 		if err != nil {
 			return err
 		}
-		i.b.ClientGone(now, balance.RequestID(job))
+		i.balancer.ClientGone(now, balance.RequestID(job))
 	case wire.EvHeaders:
 		job, hop, err := rec.Headers()
 		if err != nil {
 			return err
 		}
-		i.b.StreamBegun(now, balance.RequestID(job), int(hop))
+		i.balancer.StreamBegun(now, balance.RequestID(job), int(hop))
 	case wire.EvCheckResult:
 		up, end, report, err := rec.CheckResult()
 		if err != nil {
 			return err
 		}
-		i.b.Probed(now, balance.ServerID(up), end == wire.EndServed, i.loads.Load(report))
+		i.balancer.Probed(now, balance.ServerID(up), end == wire.EndServed, i.loadColumns.Load(report))
 	case wire.EvFleet:
 		kind, _, page, err := rec.Fleet()
 		if err != nil {
 			return err
 		}
-		return i.fleet(now, kind, page)
+		return i.updateList(now, kind, page)
 	}
 	return nil
 }
 
-func (i *instance) fleet(now time.Duration, kind uint8, page uint16) error {
+// updateList passes a Fleet event to the Balancer: the server list of a page, or that discovery failed.
+func (i *instance) updateList(now time.Duration, kind uint8, page uint16) error {
 	var k balance.ListKind
 	switch kind {
 	case wire.FleetFull:
@@ -266,20 +275,21 @@
 	case wire.FleetCached:
 		k = balance.ListCached
 	case wire.FleetFailed:
-		i.b.List(now, balance.ListFailed, nil)
+		i.balancer.List(now, balance.ListFailed, nil)
 		return nil
 	default:
 		return nil // a kind of a later version
 	}
-	list, ok := i.host.pages[page]
+	list, ok := i.host.serverLists[page]
 	if !ok {
-		return fmt.Errorf("instance %d: list %d was never sent", i.number, page)
+		return fmt.Errorf("instance %d: unknown server list %d", i.number, page)
 	}
-	i.b.List(now, k, list)
+	i.balancer.List(now, k, list)
 	return nil
 }
 
-func ending(code uint16) balance.Ending {
+// endingFor converts a protocol outcome code.
+func endingFor(code uint16) balance.Ending {
 	switch code {
 	case wire.EndServed:
 		return balance.Served
@@ -296,10 +306,11 @@
 	case wire.EndNotSent:
 		return balance.NotSent
 	}
-	return balance.Errored // it may have run, as may whatever is not known
+	return balance.Errored // the request may have been executed; so may one with an unknown outcome
 }
 
-func servers(entries []wire.Entry) []balance.Server {
+// serversFrom converts the entries of a server list.
+func serversFrom(entries []wire.Entry) []balance.Server {
 	list := make([]balance.Server, len(entries))
 	for i, e := range entries {
 		list[i] = balance.Server{
@@ -311,7 +322,7 @@
 		case wire.StateGone:
 			list[i].State = balance.Gone
 		default:
-			list[i].State = balance.Draining // nothing new, whatever it is
+			list[i].State = balance.Draining // an unknown state gets no new requests
 		}
 	}
 	return list
--- a/cmd/simhost/main_test.go
+++ b/cmd/simhost/main_test.go
@@ -14,7 +14,7 @@
 	"arrowgw/internal/wire"
 )
 
-const settings = `balancers=2
+const testSettings = `balancers=2
 caps.may_cancel=true
 caps.most_tries=3
 classes.count=1
@@ -26,8 +26,8 @@
 period_ms=5
 `
 
-// record builds one event record from its fields.
-func record(code uint16, fields ...any) []byte {
+// encodeRecord encodes an event record with the given fields.
+func encodeRecord(code uint16, fields ...any) []byte {
 	var f bytes.Buffer
 	for _, v := range fields {
 		if s, ok := v.(string); ok {
@@ -42,28 +42,28 @@
 	return append(b, f.Bytes()...)
 }
 
-func open(inst uint32, seed uint64) []byte {
-	return record(wire.EvOpenInstance, inst, seed, uint32(len(settings)), settings)
+func openRecord(inst uint32, seed uint64) []byte {
+	return encodeRecord(wire.EvOpenInstance, inst, seed, uint32(len(testSettings)), testSettings)
 }
 
-func manifest(page uint16, addrs ...byte) []byte {
+func manifestRecord(page uint16, addrs ...byte) []byte {
 	fields := []any{page, uint32(len(addrs))}
 	for _, a := range addrs {
 		fields = append(fields, []byte{10, 0, 0, a, 80, 0}, uint8(0), uint8(0), uint16(0), uint8(wire.StateReady),
 			float32(1), float64(0))
 	}
-	return record(wire.EvManifest, fields...)
+	return encodeRecord(wire.EvManifest, fields...)
 }
 
-func fleet(inst uint32, kind uint8, page uint16) []byte {
-	return record(wire.EvFleet, inst, kind, uint32(1), page)
+func fleetRecord(inst uint32, kind uint8, page uint16) []byte {
+	return encodeRecord(wire.EvFleet, inst, kind, uint32(1), page)
 }
 
-func ask(inst, job uint32) []byte {
-	return record(wire.EvAsk, inst, job, uint16(0), uint64(0), uint32(0), float64(800), float64(0), uint8(0))
+func askRecord(inst, job uint32) []byte {
+	return encodeRecord(wire.EvAsk, inst, job, uint16(0), uint64(0), uint32(0), float64(800), float64(0), uint8(0))
 }
 
-func batch(number uint32, clock float64, records ...[]byte) []byte {
+func encodeBatch(number uint32, clock float64, records ...[]byte) []byte {
 	body := slices.Concat(records...)
 	b := binary.LittleEndian.AppendUint32(nil, number)
 	b = binary.LittleEndian.AppendUint32(b, uint32(len(records)))
@@ -72,15 +72,15 @@
 	return append(b, body...)
 }
 
-// action is one action of a reply: its code, its instance and what follows.
+// action is one action of a reply: its code, its instance and the remaining fields.
 type action struct {
 	code uint16
 	inst uint32
 	rest string
 }
 
-// actions serves a stream and splits the replies.
-func actions(t *testing.T, in []byte) []action {
+// serveActions serves an input stream and returns the actions of all replies.
+func serveActions(t *testing.T, in []byte) []action {
 	t.Helper()
 	var out bytes.Buffer
 	if err := serve(bytes.NewReader(in), &out); err != nil {
@@ -104,39 +104,41 @@
 	return all
 }
 
-func only(all []action, code uint16, inst uint32) []action {
+// actionsOf returns the actions of one code and instance.
+func actionsOf(all []action, code uint16, inst uint32) []action {
 	return slices.DeleteFunc(slices.Clone(all), func(a action) bool { return a.code != code || a.inst != inst })
 }
 
 func TestEmptyBatchesAndEndOfInput(t *testing.T) {
 	var out bytes.Buffer
-	if err := serve(bytes.NewReader(slices.Concat(batch(1, 0), batch(2, 5))), &out); err != nil || out.Len() != 24 {
+	if err := serve(bytes.NewReader(slices.Concat(encodeBatch(1, 0), encodeBatch(2, 5))), &out); err != nil || out.Len() != 24 {
 		t.Fatalf("%d bytes, error %v; want two empty replies", out.Len(), err)
 	}
 }
 
-// Settings, list and keys reach the module: a drained server's connections are closed, and a key goes in turn.
-func TestFurtherRulesReachTheModule(t *testing.T) {
-	info := settings + "classes.0.fifo_by_key=true\nrules.order_settle_ms=0\nrules.let_go_in_ms=300\n"
-	inst := record(wire.EvOpenInstance, uint32(1), uint64(5), uint32(len(info)), info)
-	drained := manifest(4, 77)
+// Settings, server lists and keys must reach the policy: the connections of a draining server are closed, and the requests of
+// one key are sent one at a time.
+func TestSettingsListsAndKeysReachThePolicy(t *testing.T) {
+	info := testSettings + "classes.0.fifo_by_key=true\nrules.order_settle_ms=0\nrules.let_go_in_ms=300\n"
+	inst := encodeRecord(wire.EvOpenInstance, uint32(1), uint64(5), uint32(len(info)), info)
+	drained := manifestRecord(4, 77)
 	drained[6+2+4+6+1+1+2] = wire.StateDraining
 	keyed := func(job uint32) []byte {
-		return record(wire.EvAsk, uint32(1), job, uint16(0), uint64(9), uint32(0), float64(800), float64(0), uint8(0))
+		return encodeRecord(wire.EvAsk, uint32(1), job, uint16(0), uint64(9), uint32(0), float64(800), float64(0), uint8(0))
 	}
-	all := actions(t, slices.Concat(
-		batch(1, 0, inst, manifest(3, 77, 78), fleet(1, wire.FleetCached, 3), keyed(100), keyed(101)),
-		batch(2, 5, drained, fleet(1, wire.FleetDelta, 4))))
-	if sends := only(all, wire.ActCallOut, 1); len(sends) != 1 {
+	all := serveActions(t, slices.Concat(
+		encodeBatch(1, 0, inst, manifestRecord(3, 77, 78), fleetRecord(1, wire.FleetCached, 3), keyed(100), keyed(101)),
+		encodeBatch(2, 5, drained, fleetRecord(1, wire.FleetDelta, 4))))
+	if sends := actionsOf(all, wire.ActCallOut, 1); len(sends) != 1 {
 		t.Errorf("%d sends for two requests of one key, want 1", len(sends))
 	}
-	if closed := only(all, wire.ActRelease, 1); len(closed) != 1 || closed[0].rest[3] != 77 {
+	if closed := actionsOf(all, wire.ActRelease, 1); len(closed) != 1 || closed[0].rest[3] != 77 {
 		t.Errorf("closed %v, want .77", closed)
 	}
 }
 
-// A value that cannot be used ends the adapter with one line that names its field.
-func TestUnusableSettingsAreNamed(t *testing.T) {
+// An invalid setting must end simhost with one line that names its field.
+func TestInvalidSettingIsNamed(t *testing.T) {
 	for setting, field := range map[string]string{
 		"rules.further_ratio=-1\nrules.budget_span_ms=1000\n": "Budget",
 		"rules.further_ratio=0.2\n":                           "Budget",
@@ -144,8 +146,8 @@
 		"rules.order_settle_ms=x\n":                           "rules.order_settle_ms",
 		"rules.cold_from=2\n":                                 "ColdFrom",
 	} {
-		info := settings + setting
-		err := serve(bytes.NewReader(batch(1, 0, record(wire.EvOpenInstance, uint32(1), uint64(5),
+		info := testSettings + setting
+		err := serve(bytes.NewReader(encodeBatch(1, 0, encodeRecord(wire.EvOpenInstance, uint32(1), uint64(5),
 			uint32(len(info)), info))), io.Discard)
 		if err == nil || !strings.Contains(err.Error(), field) || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%q: error %v, want one line that names %s", setting, err, field)
@@ -153,82 +155,82 @@
 	}
 }
 
-func TestPageIsResolvedInEventOrder(t *testing.T) {
-	all := actions(t, batch(1, 0,
-		open(1, 5), manifest(3, 77), fleet(1, wire.FleetCached, 3), ask(1, 100),
-		open(2, 6), manifest(3, 88), fleet(2, wire.FleetCached, 3), ask(2, 200)))
+func TestServerListIsResolvedInEventOrder(t *testing.T) {
+	all := serveActions(t, encodeBatch(1, 0,
+		openRecord(1, 5), manifestRecord(3, 77), fleetRecord(1, wire.FleetCached, 3), askRecord(1, 100),
+		openRecord(2, 6), manifestRecord(3, 88), fleetRecord(2, wire.FleetCached, 3), askRecord(2, 200)))
 	for inst, want := range map[uint32]byte{1: 77, 2: 88} {
-		sends := only(all, wire.ActCallOut, inst)
+		sends := actionsOf(all, wire.ActCallOut, inst)
 		if len(sends) != 1 || sends[0].rest[7] != want {
 			t.Errorf("instance %d: sends %v, want one to .%d", inst, sends, want)
 		}
-		if len(only(all, wire.ActTail, inst)) != 1 {
-			t.Errorf("instance %d did not ask for its list", inst)
+		if len(actionsOf(all, wire.ActTail, inst)) != 1 {
+			t.Errorf("instance %d did not ask for the server list", inst)
 		}
 	}
 }
 
 func TestRestartInOneBatch(t *testing.T) {
-	all := actions(t, slices.Concat(
-		batch(1, 0, open(1, 5), manifest(0, 7), fleet(1, wire.FleetCached, 0), ask(1, 100)),
-		batch(2, 5, record(wire.EvCrashNow, uint32(1)), ask(1, 101), open(1, 6), fleet(1, wire.FleetCached, 0), ask(1, 102)),
-		batch(3, 10, record(wire.EvFinished, uint32(1), uint32(100), uint8(0), []byte{10, 0, 0, 7, 80, 0}, uint16(wire.EndServed),
+	all := serveActions(t, slices.Concat(
+		encodeBatch(1, 0, openRecord(1, 5), manifestRecord(0, 7), fleetRecord(1, wire.FleetCached, 0), askRecord(1, 100)),
+		encodeBatch(2, 5, encodeRecord(wire.EvCrashNow, uint32(1)), askRecord(1, 101), openRecord(1, 6), fleetRecord(1, wire.FleetCached, 0), askRecord(1, 102)),
+		encodeBatch(3, 10, encodeRecord(wire.EvFinished, uint32(1), uint32(100), uint8(0), []byte{10, 0, 0, 7, 80, 0}, uint16(wire.EndServed),
 			float64(5), uint8(1), uint8(0))),
-		batch(4, 15, record(wire.EvCrashNow, uint32(1)), ask(1, 103))))
-	sends := only(all, wire.ActCallOut, 1)
+		encodeBatch(4, 15, encodeRecord(wire.EvCrashNow, uint32(1)), askRecord(1, 103))))
+	sends := actionsOf(all, wire.ActCallOut, 1)
 	if len(sends) != 2 {
-		t.Fatalf("%d sends, want one before and one after the restart, none while it was down", len(sends))
+		t.Fatalf("%d sends, want 2: one before and one after the restart, none while the instance was down", len(sends))
 	}
 }
 
-func TestInstancesTogetherAndApartActAlike(t *testing.T) {
+func TestInstancesAreIndependent(t *testing.T) {
 	build := func(insts ...uint32) []byte {
 		var in []byte
 		for n := range uint32(60) {
 			var recs [][]byte
 			for _, i := range insts {
 				if n == 0 {
-					recs = append(recs, open(i, uint64(i)), manifest(uint16(i), 1, 2, 3, 4), fleet(i, wire.FleetFull, uint16(i)))
+					recs = append(recs, openRecord(i, uint64(i)), manifestRecord(uint16(i), 1, 2, 3, 4), fleetRecord(i, wire.FleetFull, uint16(i)))
 				}
-				recs = append(recs, ask(i, 1000*i+n), record(wire.EvWake, i, uint64(0)))
+				recs = append(recs, askRecord(i, 1000*i+n), encodeRecord(wire.EvWake, i, uint64(0)))
 				if n > 4 {
-					recs = append(recs, record(wire.EvClientLeft, i, 1000*i+n-4))
+					recs = append(recs, encodeRecord(wire.EvClientLeft, i, 1000*i+n-4))
 				}
 			}
-			in = append(in, batch(n, float64(10*n), recs...)...)
+			in = append(in, encodeBatch(n, float64(10*n), recs...)...)
 		}
 		return in
 	}
-	together := actions(t, build(1, 2))
+	together := serveActions(t, build(1, 2))
 	for _, i := range []uint32{1, 2} {
-		apart := actions(t, build(i))
+		apart := serveActions(t, build(i))
 		mine := slices.DeleteFunc(slices.Clone(together), func(a action) bool { return a.inst != i })
 		if !slices.Equal(apart, mine) || len(mine) < 60 {
-			t.Fatalf("instance %d: %d actions together, %d apart, or they differ", i, len(mine), len(apart))
+			t.Fatalf("instance %d: %d actions when served together, %d alone, or they differ", i, len(mine), len(apart))
 		}
 	}
 }
 
-func TestUnknownRecordsArePassedOver(t *testing.T) {
-	all := actions(t, batch(1, 0, record(4711, uint32(9), "anything"), open(1, 5), record(wire.EvHeard, uint32(1), uint32(2), uint16(0)),
-		manifest(0, 7), fleet(1, 99, 0), fleet(1, wire.FleetCached, 0), ask(1, 100), ask(44, 100)))
-	if len(only(all, wire.ActCallOut, 1)) != 1 || slices.ContainsFunc(all, func(a action) bool { return a.inst == 44 }) {
+func TestUnknownRecordsAreIgnored(t *testing.T) {
+	all := serveActions(t, encodeBatch(1, 0, encodeRecord(4711, uint32(9), "anything"), openRecord(1, 5), encodeRecord(wire.EvHeard, uint32(1), uint32(2), uint16(0)),
+		manifestRecord(0, 7), fleetRecord(1, 99, 0), fleetRecord(1, wire.FleetCached, 0), askRecord(1, 100), askRecord(44, 100)))
+	if len(actionsOf(all, wire.ActCallOut, 1)) != 1 || slices.ContainsFunc(all, func(a action) bool { return a.inst == 44 }) {
 		t.Fatalf("actions %v", all)
 	}
 }
 
 func TestMalformedInputEndsWithAnError(t *testing.T) {
 	for name, in := range map[string][]byte{
-		"cut off":               batch(1, 0, open(1, 5))[:30],
-		"list never sent":       batch(1, 0, open(1, 5), fleet(1, wire.FleetFull, 9)),
-		"record shorter":        batch(1, 0, open(1, 5), record(wire.EvAsk, uint32(1), uint32(3))),
-		"unusable settings":     batch(1, 0, record(wire.EvOpenInstance, uint32(1), uint64(1), uint32(11), "balancers=0")),
-		"settings without sign": batch(1, 0, record(wire.EvOpenInstance, uint32(1), uint64(1), uint32(3), "abc")),
+		"cut off":               encodeBatch(1, 0, openRecord(1, 5))[:30],
+		"list never sent":       encodeBatch(1, 0, openRecord(1, 5), fleetRecord(1, wire.FleetFull, 9)),
+		"record shorter":        encodeBatch(1, 0, openRecord(1, 5), encodeRecord(wire.EvAsk, uint32(1), uint32(3))),
+		"unusable settings":     encodeBatch(1, 0, encodeRecord(wire.EvOpenInstance, uint32(1), uint64(1), uint32(11), "balancers=0")),
+		"settings without sign": encodeBatch(1, 0, encodeRecord(wire.EvOpenInstance, uint32(1), uint64(1), uint32(3), "abc")),
 		"bytes left over":       append(binary.LittleEndian.AppendUint64(binary.LittleEndian.AppendUint64(nil, 1), 3), 0, 0, 0, 0, 1, 2, 3),
 	} {
 		err := serve(bytes.NewReader(in), io.Discard)
 		if err == nil || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s: error %v, want one plain line", name, err)
+			t.Errorf("%s: error %v, want a one-line error", name, err)
 		}
 	}
 }
@@ -237,7 +239,7 @@
 	h := newHost()
 	h.reply.Begin(1)
 	i := &instance{host: h, number: 4}
-	if err := i.guard(func() error { panic("index out of range") }); err != nil {
+	if err := i.recoverPanic(func() error { panic("index out of range") }); err != nil {
 		t.Fatal(err)
 	}
 	rec, _, err := wire.Next(h.reply.Bytes()[12:])
@@ -252,14 +254,14 @@
 		wire.EndTimedOut: balance.TimedOut, wire.EndNoConnection: balance.NoConnection, wire.EndBroken: balance.Broken,
 		wire.EndCancelled: balance.Cancelled, wire.EndNotSent: balance.NotSent, 999: balance.Errored,
 	} {
-		if got := ending(code); got != want {
+		if got := endingFor(code); got != want {
 			t.Errorf("ending %d becomes %v, want %v", code, got, want)
 		}
 	}
 }
 
 func TestServers(t *testing.T) {
-	got := servers([]wire.Entry{
+	got := serversFrom([]wire.Entry{
 		{Upstream: 9, Area: 1, Cohort: 3, Status: wire.StateReady, Rating: 2.5, Boot: time.Second},
 		{Status: wire.StateGone}, {Status: wire.StateDraining}, {Status: 77},
 	})
