--- a/cmd/caperarch/rules_test.go
+++ b/cmd/caperarch/rules_test.go
@@ -79,6 +79,7 @@
 	return all
 }
 
+// newCluster prepares n nodes without starting them, and watches their consoles until the test ends.
 func newCluster(t *testing.T, n int) *cluster {
 	s := &cluster{t: t, dir: t.TempDir(), highestInForce: make(map[string]uint64), digests: make(map[uint64]string), forbidden: make(map[uint64]bool), stop: make(chan struct{})}
 	addresses := freeAddresses(t, 3*n)
@@ -141,6 +142,7 @@
 	}
 }
 
+// kill kills the process of a node, if one runs.
 func (s *cluster) kill(m *node) {
 	if m.cmd == nil {
 		return
@@ -161,6 +163,7 @@
 
 var rulesStatusLine = regexp.MustCompile(`^200 in-force=(\d+) floor=(\d+) digest=(\S*) token=\d+ serves=(\S+) differs=(\S+) holds=(\d+)`)
 
+// rulesStatus asks the node's console for its rule set status. ok is false without a complete answer.
 func (m *node) rulesStatus() (v rulesStatus, ok bool) {
 	var answer bytes.Buffer
 	if call(&answer, m.console, []string{"show-rules"}) != nil || !strings.HasSuffix(answer.String(), "EOF\n") {
--- a/cmd/caperarch/stopfaults_test.go
+++ b/cmd/caperarch/stopfaults_test.go
@@ -22,10 +22,10 @@
 // stopFaults are system calls used to stop listening that fail, and the time after the log event "stopping" at which they work
 // again.
 var stopFaults = []struct {
-	name  string
-	call  int
-	errno syscall.Errno
-	heals time.Duration
+	name     string
+	call     int
+	errno    syscall.Errno
+	recovery time.Duration
 }{
 	{"accept", unix.SYS_ACCEPT4, unix.ENETUNREACH, 1300 * time.Millisecond},
 	{"accept without descriptors", unix.SYS_ACCEPT4, unix.EMFILE, 1300 * time.Millisecond},
@@ -41,7 +41,7 @@
 		for _, f := range stopFaults {
 			t.Run(fmt.Sprintf("%s, replaced %v", f.name, replaced), func(t *testing.T) {
 				t.Parallel()
-				stopWhileCallFails(t, replaced, f.call, f.errno, f.heals)
+				stopWhileCallFails(t, replaced, f.call, f.errno, f.recovery)
 			})
 		}
 	}
@@ -49,7 +49,7 @@
 
 // stopWhileCallFails stops a sidecar, alone or with a successor process, and sends requests on new connections while a system
 // call fails.
-func stopWhileCallFails(t *testing.T, replaced bool, call int, errno syscall.Errno, heals time.Duration) {
+func stopWhileCallFails(t *testing.T, replaced bool, call int, errno syscall.Errno, recovery time.Duration) {
 	server := newQueueServer(t, answerAtOnce)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -88,7 +88,7 @@
 	}
 	s.signal(syscall.SIGTERM)
 	s.waitForLog(fmt.Sprintf(`msg=stopping.* (replaced=%v)`, replaced))
-	heal := time.AfterFunc(heals, func() { failing.Store(false) })
+	heal := time.AfterFunc(recovery, func() { failing.Store(false) })
 	defer heal.Stop()
 	for i, c := range waiting {
 		c.wantAnswer(fmt.Sprint("q", i), http.StatusOK, http.StatusServiceUnavailable)
@@ -149,12 +149,12 @@
 	c.send("GET /look HT")
 	time.Sleep(400 * time.Millisecond) // the process has checked for others by then
 	s.signal(syscall.SIGTERM)
-	told := time.Now()
+	stopped := time.Now()
 	c.send(strings.TrimPrefix(request("q1", time.Second), "GET /look HT"))
 	c.wantAnswer("q1", http.StatusOK, http.StatusServiceUnavailable)
 	select {
 	case <-s.exited:
-	case <-time.After(time.Until(told.Add(longest + 700*time.Millisecond))):
+	case <-time.After(time.Until(stopped.Add(longest + 700*time.Millisecond))):
 		t.Error("the process still runs when the platform may kill it")
 	}
 }
--- a/cmd/simhost/main_test.go
+++ b/cmd/simhost/main_test.go
@@ -42,10 +42,12 @@
 	return append(b, f.Bytes()...)
 }
 
+// openRecord encodes the start of an instance with testSettings.
 func openRecord(inst uint32, seed uint64) []byte {
 	return encodeRecord(wire.EvOpenInstance, inst, seed, uint32(len(testSettings)), testSettings)
 }
 
+// manifestRecord encodes a server list of ready servers, given the last byte of each IPv4 address.
 func manifestRecord(page uint16, addrs ...byte) []byte {
 	fields := []any{page, uint32(len(addrs))}
 	for _, a := range addrs {
@@ -55,14 +57,17 @@
 	return encodeRecord(wire.EvManifest, fields...)
 }
 
+// fleetRecord encodes the event that gives an instance the server list of a page.
 func fleetRecord(inst uint32, kind uint8, page uint16) []byte {
 	return encodeRecord(wire.EvFleet, inst, kind, uint32(1), page)
 }
 
+// askRecord encodes the arrival of a request.
 func askRecord(inst, job uint32) []byte {
 	return encodeRecord(wire.EvAsk, inst, job, uint16(0), uint64(0), uint32(0), float64(800), float64(0), uint8(0))
 }
 
+// encodeBatch encodes a batch of records at a time in milliseconds.
 func encodeBatch(number uint32, clock float64, records ...[]byte) []byte {
 	body := slices.Concat(records...)
 	b := binary.LittleEndian.AppendUint32(nil, number)
--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -70,7 +70,7 @@
 
 const (
 	maxMembers         = 4096
-	maxViews           = 8
+	maxViews           = 8  // views known at a time; the oldest are dropped
 	maxKnownPeers      = 64 // peers that KnownPeers returns, to be saved for a later start
 	maxMetaBytes       = memberlist.MetaMaxSize
 	reportReserveBytes = 64 // part of maxMetaBytes that a traffic report may use
--- a/internal/member/mesh_test.go
+++ b/internal/member/mesh_test.go
@@ -20,8 +20,8 @@
 	mu        sync.Mutex
 	rng       *rand.Rand
 	endpoints map[string]*endpoint
-	loss      float64 // fraction of packets lost
-	cut       func(from, to int) bool
+	loss      float64                 // fraction of packets lost
+	cut       func(from, to int) bool // reports whether packets and streams between two processes fail in that direction
 	packets   int
 	bytes     int
 }
@@ -41,6 +41,7 @@
 	return &mesh{rng: rand.New(rand.NewPCG(seed, 1)), endpoints: make(map[string]*endpoint), cut: func(int, int) bool { return false }}
 }
 
+// addressOf returns the address of process i.
 func addressOf(i int) string { return fmt.Sprintf("10.%d.%d.%d:7946", i/62500, i/250%250, 1+i%250) }
 
 // listen opens the address of process i, or fails with EADDRINUSE.
@@ -172,6 +173,7 @@
 	return f
 }
 
+// nodeName returns the member name of process i.
 func nodeName(i int) string { return fmt.Sprintf("n%d", i) }
 
 // config returns the configuration of a new process i. Its seeds are the first three processes.
@@ -196,6 +198,7 @@
 	return g
 }
 
+// startNode starts process i with its default configuration.
 func (f *fleet) startNode(i int) *Group {
 	f.live[i] = f.startWith(f.config(i))
 	return f.live[i]
@@ -215,6 +218,7 @@
 	delete(f.live, i)
 }
 
+// killAll ends all live processes unannounced.
 func (f *fleet) killAll() {
 	for i := range f.live {
 		f.kill(i)
@@ -263,6 +267,7 @@
 	return ""
 }
 
+// nodeIndex returns the number of the process with a member name.
 func nodeIndex(name string) (i int) {
 	_, _ = fmt.Sscanf(name, "n%d", &i) // all names in these tests have that form
 	return i
--- a/internal/meter/meter_test.go
+++ b/internal/meter/meter_test.go
@@ -26,9 +26,9 @@
 	if since := a.Traffic().Sub(before); since.Out[Packets] != (Count{100, 1}) || since.Out[Rules] != (Count{}) {
 		t.Errorf("since before: %v, want 1 packet of 100 bytes only", since)
 	}
-	var none *Meter
-	none.AddSent(Rules, 1, 1)
-	if none.WrapConn(here, Rules, true) != here || none.Traffic() != (Traffic{}) {
+	var nilMeter *Meter
+	nilMeter.AddSent(Rules, 1, 1)
+	if nilMeter.WrapConn(here, Rules, true) != here || nilMeter.Traffic() != (Traffic{}) {
 		t.Error("a nil meter counts")
 	}
 }
