--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -103,11 +103,11 @@
 
 // Wake, Probe, Close, WatchList and Log write the action that matches the call.
 
-func (i *instance) Wake(d time.Duration)      { i.host.reply.SetAlarm(i.number, d, 0) }
-func (i *instance) Probe(to balance.ServerID) { i.host.reply.Inspect(i.number, wire.Upstream(to)) }
-func (i *instance) Close(to balance.ServerID) { i.host.reply.Release(i.number, wire.Upstream(to)) }
-func (i *instance) WatchList()                { i.host.reply.Tail(i.number, true) }
-func (i *instance) Log(line string)           { i.host.reply.WriteLog(i.number, line) }
+func (i *instance) Wake(d time.Duration)          { i.host.reply.SetAlarm(i.number, d, 0) }
+func (i *instance) Probe(to balance.ServerID)     { i.host.reply.Inspect(i.number, wire.Upstream(to)) }
+func (i *instance) CloseIdle(to balance.ServerID) { i.host.reply.Release(i.number, wire.Upstream(to)) }
+func (i *instance) WatchList()                    { i.host.reply.Tail(i.number, true) }
+func (i *instance) Log(line string)               { i.host.reply.WriteLog(i.number, line) }
 
 // handleBatch passes the events of a batch to their instances, in order.
 func (h *host) handleBatch(b wire.Batch) error {
@@ -218,9 +218,9 @@
 		if err != nil {
 			return err
 		}
-		r := balance.Request{ID: balance.RequestID(a.Job), Class: int(a.Kind), Tenant: int(a.Tenant), Left: a.Left}
+		r := balance.Request{ID: balance.RequestID(a.Job), Class: int(a.Kind), Tenant: int(a.Tenant), TimeLeft: a.Left}
 		r.Key = a.Key
-		r.Repeat = a.Bits&wire.BitRepeat != 0
+		r.ClientRetry = a.Bits&wire.BitRepeat != 0
 		if a.Bits&wire.BitHint != 0 {
 			r.Work = a.Hint
 		}
@@ -247,7 +247,7 @@
 		if err != nil {
 			return err
 		}
-		i.balancer.StreamBegun(now, balance.RequestID(job), int(hop))
+		i.balancer.StreamStarted(now, balance.RequestID(job), int(hop))
 	case wire.EvCheckResult:
 		up, end, report, err := rec.CheckResult()
 		if err != nil {
@@ -275,7 +275,7 @@
 	case wire.FleetCached:
 		k = balance.ListCached
 	case wire.FleetFailed:
-		i.balancer.List(now, balance.ListFailed, nil)
+		i.balancer.UpdateServers(now, balance.ListFailed, nil)
 		return nil
 	default:
 		return nil // a kind of a later version
@@ -284,7 +284,7 @@
 	if !ok {
 		return fmt.Errorf("instance %d: unknown server list %d", i.number, page)
 	}
-	i.balancer.List(now, k, list)
+	i.balancer.UpdateServers(now, k, list)
 	return nil
 }
 
--- a/internal/conform/simhost.go
+++ b/internal/conform/simhost.go
@@ -107,7 +107,7 @@
 	switch e.kind {
 	case request:
 		q := e.request
-		return s.exchange(now, record(wire.EvAsk, uint32(1), id, uint16(0), q.Key, uint32(q.Tenant), wire.ToMillis(q.Left), float64(0), uint8(q.Class)))
+		return s.exchange(now, record(wire.EvAsk, uint32(1), id, uint16(0), q.Key, uint32(q.Tenant), wire.ToMillis(q.TimeLeft), float64(0), uint8(q.Class)))
 	case outcome:
 		o := e.outcome
 		code := map[balance.Ending]uint16{
@@ -155,7 +155,7 @@
 			return nil, err
 		}
 		f := rec.Fields[4:] // behind the instance
-		ms := func(at int) time.Duration { return wire.Millis(math.Float64frombits(le.Uint64(f[at:]))) }
+		ms := func(at int) time.Duration { return wire.FromMillis(math.Float64frombits(le.Uint64(f[at:]))) }
 		switch rec.Code {
 		case wire.ActCallOut:
 			acts = append(acts, action{kind: send, id: int(le.Uint32(f)), server: number(f[4:]), d: ms(10)})
--- a/internal/lab/hold.go
+++ b/internal/lab/hold.go
@@ -126,7 +126,7 @@
 func (h *holder) Move(to map[int]string, _ *struct{}) error {
 	for number, one := range h.running() {
 		if address := to[number]; address != "" {
-			one.Move(address)
+			one.SetDiscovery(address)
 		}
 	}
 	return nil
@@ -168,7 +168,7 @@
 	for _, one := range h.running() {
 		work.Go(func() {
 			see, status, v := q.Name != "" && one.Sees(q.Name), one.Rules(), member.View{}
-			whole, failed := one.Lists()
+			whole, failed := one.DiscoveryCounts()
 			if q.Members {
 				v = one.Members()
 			}
@@ -183,7 +183,7 @@
 			if q.Version > 0 && status.InForce >= q.Version {
 				all.InForce++
 			}
-			for _, r := range status.Refused {
+			for _, r := range status.Refusals {
 				all.Refused = fmt.Sprintf("%d by %s: %s", r.Version, r.Name, r.Why)
 			}
 			all.Whole, all.Failed, all.Most = all.Whole+whole, all.Failed+failed, max(all.Most, v.Present)
--- a/internal/sidecar/config_test.go
+++ b/internal/sidecar/config_test.go
@@ -9,13 +9,13 @@
 )
 
 func TestConfig(t *testing.T) {
-	c := testConfig(t, listed(41, "ready", "127.0.0.1:80"), nil)
-	if c.Seed != 0x8c1f30d27a5be964 || c.ConnIdle != 30*time.Second || c.Longest != 20*time.Second || c.Known.version != 41 ||
+	c := testConfig(t, listAnswer(41, "ready", "127.0.0.1:80"), nil)
+	if c.Seed != 0x8c1f30d27a5be964 || c.UpstreamIdleTimeout != 30*time.Second || c.Longest != 20*time.Second || c.KnownServers.version != 41 ||
 		c.Classes["entry"] != 1 || c.Tenants["south"] != 1 || c.Zones["b"] != 1 || c.MostOpen != 100 {
 		t.Errorf("config %+v", c)
 	}
 	p := c.Policy
-	if p.MaxAttempts != 3 || p.Classes[0].Effect != balance.Keyed || p.Classes[1].Effect != balance.Unsafe ||
+	if p.MaxAttempts != 3 || p.Classes[0].Idempotency != balance.Keyed || p.Classes[1].Idempotency != balance.Unsafe ||
 		p.Tenants[1].Quota != 50 || p.ColdTime != 5*time.Second || p.Reports&balance.HasInFlight == 0 {
 		t.Errorf("the module's config %+v", p)
 	}
--- a/internal/sidecar/peers.go
+++ b/internal/sidecar/peers.go
@@ -32,18 +32,18 @@
 // peers is this sidecar's part in its fleet: it ties membership to the module, the state and the console. Where the
 // fleet file has no member.listen there is none, and nothing is done.
 type peers struct {
-	group *member.Group
-	cfg   *Config
-	path  requests
-	state *handover
+	group     *member.Group
+	cfg       *Config
+	dataPlane dataPlane
+	state     *sharedState
 
-	barred   func() bool // by rules: it serves nothing, and is given no duties
+	rulesBar func() bool // by rules: it serves nothing, and is given no duties
 	stopping atomic.Bool
 }
 
 // newPeers reads what the configuration and the state say of the fleet.
-func newPeers(cfg *Config, path requests, state *handover, counts *meter.Meter) (*peers, error) {
-	p := &peers{cfg: cfg, path: path, state: state, barred: func() bool { return false }}
+func newPeers(cfg *Config, path dataPlane, state *sharedState, counts *meter.Meter) (*peers, error) {
+	p := &peers{cfg: cfg, dataPlane: path, state: state, rulesBar: func() bool { return false }}
 	if !cfg.hasPeers() {
 		return p, nil
 	}
@@ -54,9 +54,9 @@
 	}
 	c := member.Config{
 		Name: cfg.Name, Start: uint64(time.Now().UnixMilli()), Version: revision(), Digest: cfg.digest(),
-		Listen: listen, Cluster: m.Cluster, Seeds: m.Seeds, Routes: cfg.Fleet.Routes, ProbeInterval: m.Probe.D(),
-		ExpectedMembers: cfg.Policy.Balancers, ForgetAfter: m.Forget.D(), Index: cfg.Policy.Index, ShareTraffic: cfg.Fleet.Spread.Share,
-		Meter: counts, StreamKinds: map[byte]meter.Kind{duty.CallStream: meter.Duties, duty.RaftStream: meter.Duties, rules.Stream: meter.Rules},
+		Listen: listen, Cluster: m.Cluster, Seeds: m.Seeds, Routes: cfg.Fleet.Routes, ProbeInterval: m.Probe.Std(),
+		ExpectedMembers: cfg.Policy.Balancers, ForgetAfter: m.Forget.Std(), Index: cfg.Policy.Index, ShareTraffic: cfg.Fleet.Spread.Share,
+		Meter: counts, StreamKinds: map[byte]meter.Kind{duty.CallStream: meter.Duties, duty.RaftStream: meter.Duties, rules.MessageStream: meter.Rules},
 	}
 	for zone, i := range cfg.Zones {
 		if i == cfg.Policy.Zone {
@@ -67,8 +67,8 @@
 		c.Forms = rules.Highest
 	}
 	if state.store != nil {
-		c.Start = state.store.Number()
-		c.KnownPeers, _, _ = read[[]string](state.store, sectionPeers)
+		c.Start = state.store.ProcessNumber()
+		c.KnownPeers, _, _ = readSection[[]string](state.store, sectionPeers)
 	}
 	if p.group, err = member.New(c); err != nil && len(c.KnownPeers) > 0 {
 		slog.Warn("members not recalled", "reason", err)
@@ -111,15 +111,15 @@
 	if p.group == nil {
 		return
 	}
-	if !p.barred() {
+	if !p.rulesBar() {
 		p.group.SetPhase(member.Serving)
 	}
 	go p.group.Run(ctx)
-	go p.follow(ctx)
+	go p.syncFleet(ctx)
 }
 
 // follow tells the module who is there, and has the state keep by whom a later process can join.
-func (p *peers) follow(ctx context.Context) {
+func (p *peers) syncFleet(ctx context.Context) {
 	tick := time.NewTicker(peersEvery)
 	defer tick.Stop()
 	var keptAt time.Time
@@ -136,7 +136,7 @@
 		switch {
 		case p.stopping.Load():
 			phase = member.Draining
-		case p.barred():
+		case p.rulesBar():
 			phase = member.Starting
 		case v.Starved: // it is given no duties
 			phase = member.Starved
@@ -146,14 +146,14 @@
 			p.group.SetPhase(member.Draining)
 		}
 		if p.cfg.Fleet.Spread.Share {
-			l, err := p.path.learned(ctx)
+			l, err := p.dataPlane.learnedState(ctx)
 			if err != nil {
 				return // it ends
 			}
 			p.group.ReportTraffic(l.Rate)
 		}
-		if f, ok := p.fleet(v, told); ok {
-			if p.path.fleet(ctx, f) != nil {
+		if f, ok := p.fleetUpdate(v, told); ok {
+			if p.dataPlane.updateFleet(ctx, f) != nil {
 				return
 			}
 			told = f
@@ -163,7 +163,7 @@
 			continue
 		}
 		raw, err := json.Marshal(known)
-		if err = errors.Join(err, p.state.store.Keep(sectionPeers, only, raw)); err != nil {
+		if err = errors.Join(err, p.state.store.PutUnsynced(sectionPeers, singleKey, raw)); err != nil {
 			slog.Debug("members not kept", "reason", err) // whoever keeps the state tells of its trouble
 		}
 		kept, keptAt = known, time.Now()
@@ -172,7 +172,7 @@
 
 // fleet is what the module is to be told of a view, if anything, where it was last told that. A process that stood still lately has
 // an old view. One that is no member any more, as another has its name, is not reckoned with by the others, and goes by nobody's traffic.
-func (p *peers) fleet(v member.View, told balance.Fleet) (f balance.Fleet, ok bool) {
+func (p *peers) fleetUpdate(v member.View, told balance.Fleet) (f balance.Fleet, ok bool) {
 	switch {
 	case v.Standing != member.Member && len(told.Sharers) > 0:
 		told.Sharers, told.Agreed = nil, false
@@ -200,12 +200,12 @@
 
 // draining gives up this process's duties and tells the others that it stops; or, where another has taken over, lets that one
 // have the name.
-func (p *peers) draining(replaced bool, work *duties) {
+func (p *peers) startDraining(replaced bool, work *duties) {
 	if p.group != nil && !replaced {
 		p.stopping.Store(true)
 		p.group.SetPhase(member.Draining)
 	}
-	work.leave()
+	work.release()
 	if p.group != nil && replaced {
 		p.group.Close()
 	}
--- a/internal/sidecar/state.go
+++ b/internal/sidecar/state.go
@@ -17,28 +17,28 @@
 )
 
 const (
-	keepEvery   = time.Second            // how often what the module has learned is looked at
-	syncEvery   = 10 * time.Second       // and made durable: a loss of power costs so much of it, the end of a process nothing
-	listEvery   = 100 * time.Millisecond // the list is written no more often than this
-	listKept    = time.Hour              // a kept list is no use past this
-	listBytes   = 256 << 10              // of one that is larger only servers that are not ready are kept
-	rateChange  = 0.2                    // traffic that changed by less than this part is not worth a write
-	saveWait    = 800 * time.Millisecond
-	savesAtOnce = 8 // calls that wait for a disk; past that it is stuck
+	keepEvery       = time.Second            // how often what the module has learned is looked at
+	syncEvery       = 10 * time.Second       // and made durable: a loss of power costs so much of it, the end of a process nothing
+	listEvery       = 100 * time.Millisecond // the list is written no more often than this
+	listKept        = time.Hour              // a kept list is no use past this
+	listBytes       = 256 << 10              // of one that is larger only servers that are not ready are kept
+	rateChange      = 0.2                    // traffic that changed by less than this part is not worth a write
+	saveTimeout     = 800 * time.Millisecond
+	maxPendingSaves = 8 // calls that wait for a disk; past that it is stuck
 )
 
 // The sections of the state and, where a section has one value, its key.
 const (
-	sectionCalls   = "calls"   // by instanceId: handed
+	sectionCalls   = "calls"   // by instanceId: operatorCall
 	sectionList    = "list"    // keptList
 	sectionLearned = "learned" // keptLearned
-	only           = "all"
+	singleKey      = "all"
 )
 
-// errNotKept says that a call holds, but is not durable.
-type errNotKept struct{ why error }
+// errNotDurable says that a call holds, but is not durable.
+type errNotDurable struct{ why error }
 
-func (e errNotKept) Error() string { return fmt.Sprintf("it holds, but is not kept: %v", e.why) }
+func (e errNotDurable) Error() string { return fmt.Sprintf("it holds, but is not kept: %v", e.why) }
 
 // keptList is the list of servers as it was acted on last. Times are Unix milliseconds.
 type keptList struct {
@@ -66,8 +66,8 @@
 	StartedNs int64  `json:"startedNs,omitempty"` // to be the same as the list's
 }
 
-// keepNext is a list that is to be kept.
-type keepNext struct {
+// pendingList is a list that is to be kept.
+type pendingList struct {
 	raw     []byte
 	kept    keptList
 	durable bool
@@ -98,7 +98,7 @@
 func learned(l balance.Learned) keptLearned {
 	k := keptLearned{AtMs: millis(l.At), Rate: l.Rate}
 	for _, s := range l.Servers {
-		k.Servers = append(k.Servers, keptServer{uint64(s.ID), s.Fails, millis(s.Silent), millis(s.WarmAt), s.Strain})
+		k.Servers = append(k.Servers, keptServer{uint64(s.ID), s.Failures, millis(s.SilentSince), millis(s.WarmAt), s.LatencyRatio})
 	}
 	return k
 }
@@ -108,7 +108,7 @@
 	l := balance.Learned{At: fromMillis(k.AtMs), Rate: k.Rate}
 	for _, s := range k.Servers {
 		l.Servers = append(l.Servers, balance.LearnedServer{
-			ID: balance.ServerID(s.ID), Fails: s.Fails, Silent: fromMillis(s.SilentMs), WarmAt: fromMillis(s.WarmAtMs), Strain: s.Strain,
+			ID: balance.ServerID(s.ID), Failures: s.Fails, SilentSince: fromMillis(s.SilentMs), WarmAt: fromMillis(s.WarmAtMs), LatencyRatio: s.Strain,
 		})
 	}
 	return l
@@ -128,9 +128,9 @@
 	return true
 }
 
-// read takes a kept value, or says that there is none that can be used.
-func read[T any](s *store.Store, section string) (value T, at time.Time, ok bool) {
-	e, ok := s.Get(section, only)
+// readSection takes a kept value, or says that there is none that can be used.
+func readSection[T any](s *store.Store, section string) (value T, at time.Time, ok bool) {
+	e, ok := s.Get(section, singleKey)
 	if !ok {
 		return value, at, false
 	}
@@ -141,9 +141,9 @@
 	return value, e.At, true
 }
 
-// keepList has the list kept as it is now, soon: whoever follows discovery must not wait for a disk. What takes servers
+// queueList has the list kept as it is now, soon: whoever follows discovery must not wait for a disk. What takes servers
 // away is made durable at once.
-func (h *handover) keepList(v *versions, durable bool) {
+func (h *sharedState) queueList(v *serverList, durable bool) {
 	if h.store == nil || v.top == unknown {
 		return
 	}
@@ -184,10 +184,10 @@
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	durable = durable || h.nextList != nil && h.nextList.durable
-	h.nextList = &keepNext{raw, k, durable}
+	durable = durable || h.pendingList != nil && h.pendingList.durable
+	h.pendingList = &pendingList{raw, k, durable}
 	select {
-	case h.news <- struct{}{}:
+	case h.listChanged <- struct{}{}:
 	default:
 	}
 }
@@ -203,18 +203,18 @@
 }
 
 // flushList keeps the list that came last, where no other process of this sidecar has kept a newer one.
-func (h *handover) flushList() error {
+func (h *sharedState) flushList() error {
 	h.mu.Lock()
-	next := h.nextList
-	h.nextList = nil
+	next := h.pendingList
+	h.pendingList = nil
 	h.mu.Unlock()
 	if next == nil {
 		return nil
 	}
-	if _, err := h.store.Follow(); err != nil {
+	if _, err := h.store.Refresh(); err != nil {
 		return err
 	}
-	if old, _, ok := read[keptList](h.store, sectionList); ok {
+	if old, _, ok := readSection[keptList](h.store, sectionList); ok {
 		newer := old.Line > next.kept.Line
 		if old.Line == next.kept.Line && old.Source == next.kept.Source {
 			if old.Version == 0 {
@@ -227,26 +227,26 @@
 			return nil
 		}
 	}
-	err := h.store.Keep(sectionList, only, next.raw)
+	err := h.store.PutUnsynced(sectionList, singleKey, next.raw)
 	if err == nil && next.durable {
 		err = h.store.Sync()
 	}
 	if err != nil { // the folder may fail for a while: it is still to be kept, unless there is a newer one
 		h.mu.Lock()
 		defer h.mu.Unlock()
-		if h.nextList == nil {
-			h.nextList = next
+		if h.pendingList == nil {
+			h.pendingList = next
 		}
 	}
 	return err
 }
 
-// beside returns the list that this sidecar's processes have kept last, where it is another than the one before.
-func (h *handover) beside(before []byte, zones map[string]int) (k keptList, l listing, raw []byte, news bool) {
+// changedList returns the list that this sidecar's processes have kept last, where it is another than the one before.
+func (h *sharedState) changedList(before []byte, zones map[string]int) (k keptList, l listing, raw []byte, news bool) {
 	if h.store == nil {
 		return k, l, nil, false
 	}
-	e, ok := h.store.Get(sectionList, only)
+	e, ok := h.store.Get(sectionList, singleKey)
 	if !ok || bytes.Equal(e.Value, before) || json.Unmarshal(e.Value, &k) != nil {
 		return k, l, e.Value, false
 	}
@@ -254,20 +254,20 @@
 	return k, l, e.Value, err == nil
 }
 
-// versions returns what a process before this one knew of the list, or else what the configuration does.
-func (h *handover) versions(cfg *Config, now time.Duration) *versions {
+// loadServerList returns what a process before this one knew of the list, or else what the configuration does.
+func (h *sharedState) loadServerList(cfg *Config, now time.Duration) *serverList {
 	var kept keptList
 	var at time.Time
 	if h.store != nil {
-		kept, at, _ = read[keptList](h.store, sectionList)
+		kept, at, _ = readSection[keptList](h.store, sectionList)
 	}
 	return recall(cfg, kept, at, now)
 }
 
 // recall begins with the newer of the list that was kept at some moment and the configuration's. Where that is the
 // configuration's as the kept one is too old to be served from, what that says against servers still holds.
-func recall(cfg *Config, kept keptList, at time.Time, now time.Duration) *versions {
-	v, known := newVersions(cfg.Discovery), cfg.Known
+func recall(cfg *Config, kept keptList, at time.Time, now time.Duration) *serverList {
+	v, known := newVersions(cfg.Discovery), cfg.KnownServers
 	known.whole = true
 	l, err := listing{}, error(nil)
 	if len(kept.Answer) > 0 {
@@ -316,17 +316,17 @@
 	return v
 }
 
-// learned returns what a process before this one had learned; the module judges what of it still holds.
-func (h *handover) learned() (balance.Learned, bool) {
+// loadLearned returns what a process before this one had learned; the module judges what of it still holds.
+func (h *sharedState) loadLearned() (balance.Learned, bool) {
 	if h.store == nil {
 		return balance.Learned{}, false
 	}
-	kept, _, ok := read[keptLearned](h.store, sectionLearned)
+	kept, _, ok := readSection[keptLearned](h.store, sectionLearned)
 	return kept.toModule(), ok
 }
 
-// keep keeps what the module learns until ctx ends, and then makes it durable. It never holds the loop up.
-func (h *handover) keep(ctx context.Context, ask func(context.Context) (balance.Learned, error)) {
+// persist keeps what the module learns until ctx ends, and then makes it durable. It never holds the loop up.
+func (h *sharedState) persist(ctx context.Context, ask func(context.Context) (balance.Learned, error)) {
 	if h.store == nil {
 		return
 	}
@@ -345,7 +345,7 @@
 		}
 		failing = err != nil
 	}
-	news, rest := h.news, (<-chan time.Time)(nil)
+	news, rest := h.listChanged, (<-chan time.Time)(nil)
 	for {
 		select {
 		case <-news:
@@ -353,7 +353,7 @@
 			news, rest = nil, time.After(listEvery)
 			continue
 		case <-rest:
-			news, rest = h.news, nil
+			news, rest = h.listChanged, nil
 			continue
 		case <-tick.C:
 		case <-ctx.Done():
@@ -367,7 +367,7 @@
 		if now := learned(l); !now.same(last) {
 			raw, failed := json.Marshal(now)
 			if failed == nil {
-				failed = h.store.Keep(sectionLearned, only, raw)
+				failed = h.store.PutUnsynced(sectionLearned, singleKey, raw)
 			}
 			if failed == nil {
 				last = now
@@ -382,70 +382,70 @@
 	}
 }
 
-// damaged says in how many places the state was found damaged and no operator has confirmed it since.
-func (h *handover) damaged() int {
+// damageCount says in how many places the state was found damaged and no operator has confirmed it since.
+func (h *sharedState) damageCount() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	n := h.oldDamage
+	n := h.legacyDamage
 	if h.store != nil {
-		n += len(h.store.Damage().Files)
+		n += len(h.store.Damage().Findings)
 	}
 	return n
 }
 
-// confirm takes an operator's word that the servers that are out now are the right ones.
-func (h *handover) confirm() error {
+// confirmDamage takes an operator's word that the servers that are out now are the right ones.
+func (h *sharedState) confirmDamage() error {
 	if h.store == nil {
 		return errors.New("there is no state")
 	}
-	if err := h.store.Confirm(); err != nil { // it may wait for a disk: not under the lock of the figures
-		return errNotKept{err}
+	if err := h.store.ConfirmState(); err != nil { // it may wait for a disk: not under the lock of the figures
+		return errNotDurable{err}
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.oldDamage = 0
+	h.legacyDamage = 0
 	return nil
 }
 
-// bytes is the size of the state's file.
-func (h *handover) bytes() int {
+// stateSize is the size of the state's file.
+func (h *sharedState) stateSize() int {
 	if h.store == nil {
 		return 0
 	}
-	return h.store.Size()
+	return h.store.CommittedSize()
 }
 
-// saved saves a call by hand, and waits for that only as long as a caller at the console may be kept waiting.
-func (h *handover) saved(instance string, out bool, at time.Time) error {
+// saveCall saves a call by hand, and waits for that only as long as a caller at the console may be kept waiting.
+func (h *sharedState) saveCall(instance string, out bool, at time.Time) error {
 	select {
-	case h.saves <- struct{}{}:
+	case h.pendingSaves <- struct{}{}:
 	default:
-		return errNotKept{errors.New("the disk is stuck")}
+		return errNotDurable{errors.New("the disk is stuck")}
 	}
 	done := make(chan error, 1)
 	go func() {
-		defer func() { <-h.saves }()
-		done <- h.save(instance, out, at)
+		defer func() { <-h.pendingSaves }()
+		done <- h.persistCall(instance, out, at)
 	}()
 	select {
 	case err := <-done:
 		if err != nil {
-			return errNotKept{err}
+			return errNotDurable{err}
 		}
 		return nil
-	case <-time.After(saveWait):
-		return errNotKept{fmt.Errorf("the disk has not answered for %v", saveWait)}
+	case <-time.After(saveTimeout):
+		return errNotDurable{fmt.Errorf("the disk has not answered for %v", saveTimeout)}
 	}
 }
 
 // calls returns the calls in force.
-func (h *handover) inForce() map[string]handed {
+func (h *sharedState) callsInForce() map[string]operatorCall {
 	if h.store == nil {
-		return maps.Clone(h.handed)
+		return maps.Clone(h.unsavedCalls)
 	}
-	all := make(map[string]handed)
+	all := make(map[string]operatorCall)
 	for instance, e := range h.store.All(sectionCalls) {
-		var c handed
+		var c operatorCall
 		if err := json.Unmarshal(e.Value, &c); err != nil {
 			slog.Error("state not read", "error", fmt.Errorf("section %s, key %s: %w", sectionCalls, instance, err))
 			continue
--- a/internal/sidecar/versions_test.go
+++ b/internal/sidecar/versions_test.go
@@ -36,7 +36,7 @@
 func TestRestartBringsNoDrainedServerBack(t *testing.T) {
 	a, b := newStub(t, echo), newStub(t, echo)
 	entries := func(version int, first string) string {
-		return strings.Replace(listed(version, "ready", a.address, b.address), `"ready"`, `"`+first+`"`, 1)
+		return strings.Replace(listAnswer(version, "ready", a.address, b.address), `"ready"`, `"`+first+`"`, 1)
 	}
 	var mu sync.Mutex
 	answer := entries(50, "draining")
@@ -57,20 +57,20 @@
 	}))
 	t.Cleanup(d.Close)
 	configured := func(file, _ map[string]any) { file["discovery"] = d.Listener.Addr().String() }
-	run := func(dir string) *running {
+	run := func(dir string) *testSidecar {
 		cfg := testConfig(t, entries(45, "ready"), configured)
-		cfg.Shared = dir
-		return startWith(t, cfg)
+		cfg.SharedDir = dir
+		return startSidecarWith(t, cfg)
 	}
 	dir, killed := t.TempDir(), t.TempDir()
 	first := run(dir)
 	for got := ""; !strings.Contains(got, "app.members_unavailable=1\n"); { // acted on
-		got = first.call(t, "show-stat\n")
+		got = first.callConsole(t, "show-stat\n")
 	}
 	for {
-		h := newHandover(dir, "n0") // as another process: the first still runs
-		v := h.versions(testConfig(t, entries(45, "ready"), configured), newClock().now())
-		h.die()
+		h := newSharedState(dir, "n0") // as another process: the first still runs
+		v := h.loadServerList(testConfig(t, entries(45, "ready"), configured), newClock().now())
+		h.exit()
 		if v.top == 50 {
 			break
 		}
@@ -88,11 +88,11 @@
 	wait(t, "a call", asked)
 	wait(t, "the next call: the answer is acted on", asked)
 	for i := range 20 {
-		if res, _ := do(t, second.request(t, "GET", "/look", "")); res.StatusCode != 200 {
+		if res, _ := sendRequest(t, second.newRequest(t, "GET", "/look", "")); res.StatusCode != 200 {
 			t.Errorf("request %d: %d", i, res.StatusCode)
 		}
 	}
-	if n := len(a.seen); n > 0 {
+	if n := len(a.requests); n > 0 {
 		t.Errorf("%d of 20 requests went to the server that drains", n)
 	}
 }
@@ -251,18 +251,18 @@
 				renewed = now
 			case n == 1: // the process ends and starts; what it kept is what there is
 				restarts++
-				s := &handover{store: memoryStore(t), news: make(chan struct{}, 1)}
-				s.keepList(v, true)
+				s := &sharedState{store: memoryStore(t), listChanged: make(chan struct{}, 1)}
+				s.queueList(v, true)
 				if err := s.flushList(); err != nil {
 					t.Fatal(err)
 				}
-				kept, _, ok := read[keptList](s.store, sectionList)
+				kept, _, ok := readSection[keptList](s.store, sectionList)
 				if !ok {
 					t.Fatal("nothing was kept")
 				}
 				v, renewed = recall(cfg, kept, time.Unix(0, int64(now)), now), min(renewed, 1)*now // it counts from the start again
 				clear(acted)
-				for _, e := range v.list().servers {
+				for _, e := range v.effectiveListing().servers {
 					acted[e.ID] = e
 					if taken[e.ID] && e.State == balance.Ready {
 						t.Fatalf("seed %d: a restart brings back a server that an older word took away", seed)
@@ -327,19 +327,19 @@
 // Of two processes' lists the newer is kept, whichever writes last; a line that began later goes before its versions.
 func TestNewerOfTwoListsIsKept(t *testing.T) {
 	dir, now := t.TempDir(), newClock().now()
-	cfg := testConfig(t, listed(1, "ready", "127.0.0.1:1"), nil)
+	cfg := testConfig(t, listAnswer(1, "ready", "127.0.0.1:1"), nil)
 	word := func(version int64) listing {
-		l, err := parseListing([]byte(listed(int(version), "ready", "127.0.0.1:2")), nil)
+		l, err := parseListing([]byte(listAnswer(int(version), "ready", "127.0.0.1:2")), nil)
 		if err != nil {
 			t.Fatal(err)
 		}
 		return l
 	}
-	old, next := newHandover(dir, "n0"), newHandover(dir, "n0")
-	a, b := old.versions(cfg, now), next.versions(cfg, now)
+	old, next := newSharedState(dir, "n0"), newSharedState(dir, "n0")
+	a, b := old.loadServerList(cfg, now), next.loadServerList(cfg, now)
 	for i, step := range []struct {
-		by      *handover
-		v       *versions
+		by      *sharedState
+		v       *serverList
 		version int64
 		kept    int64
 	}{
@@ -350,15 +350,15 @@
 			step.v.begin(now)
 		}
 		step.v.take(word(step.version), now)
-		step.by.keepList(step.v, true)
+		step.by.queueList(step.v, true)
 		if err := step.by.flushList(); err != nil {
 			t.Fatal(err)
 		}
-		last := newHandover(dir, "n0")
-		if got := last.versions(cfg, now).top; got != step.kept {
+		last := newSharedState(dir, "n0")
+		if got := last.loadServerList(cfg, now).top; got != step.kept {
 			t.Errorf("step %d: version %d is kept, want %d", i, got, step.kept)
 		}
-		last.die()
+		last.exit()
 	}
 }
 
@@ -403,12 +403,12 @@
 			now := zero + w.at
 			switch {
 			case w.version == -1:
-				s := &handover{store: memoryStore(t), news: make(chan struct{}, 1)}
-				s.keepList(v, true)
+				s := &sharedState{store: memoryStore(t), listChanged: make(chan struct{}, 1)}
+				s.queueList(v, true)
 				if err := s.flushList(); err != nil {
 					t.Fatal(err)
 				}
-				kept, _, _ := read[keptList](s.store, sectionList)
+				kept, _, _ := readSection[keptList](s.store, sectionList)
 				v = recall(cfg, kept, time.Unix(0, int64(now)), now)
 			case w.version == -2:
 				cfg.Discovery = "127.0.0.1:2"
@@ -429,8 +429,8 @@
 				v.take(l, now)
 			}
 		}
-		if out := wording(v.list()) == "s-0@127.0.0.1:80 out"; out != c.out || v.line != c.line {
-			t.Errorf("%s: %s, line %d, want out %v, line %d", name, wording(v.list()), v.line, c.out, c.line)
+		if out := wording(v.effectiveListing()) == "s-0@127.0.0.1:80 out"; out != c.out || v.line != c.line {
+			t.Errorf("%s: %s, line %d, want out %v, line %d", name, wording(v.effectiveListing()), v.line, c.out, c.line)
 		}
 	}
 }
@@ -439,9 +439,9 @@
 // in between doesn't bring the server back, and that version's does as it says.
 func TestOtherProcessDrains(t *testing.T) {
 	dir, now := t.TempDir(), newClock().now()
-	cfg := testConfig(t, listed(50, "ready", "127.0.0.1:1", "127.0.0.1:2"), nil)
+	cfg := testConfig(t, listAnswer(50, "ready", "127.0.0.1:1", "127.0.0.1:2"), nil)
 	whole := func(version int, first string) listing {
-		text := strings.Replace(listed(version, "ready", "127.0.0.1:1", "127.0.0.1:2"), `"ready"`, `"`+first+`"`, 1)
+		text := strings.Replace(listAnswer(version, "ready", "127.0.0.1:1", "127.0.0.1:2"), `"ready"`, `"`+first+`"`, 1)
 		l, err := parseListing([]byte(text), nil)
 		if err != nil {
 			t.Fatal(err)
@@ -449,11 +449,11 @@
 		return l
 	}
 	changes := func(version int64) listing { return listing{version: version} }
-	other, h := newHandover(dir, "n0"), newHandover(dir, "n0")
-	theirs := other.versions(cfg, now)
+	other, h := newSharedState(dir, "n0"), newSharedState(dir, "n0")
+	theirs := other.loadServerList(cfg, now)
 	heard := make(chan listing, 10)
 	d := newDiscovery(cfg, func(l listing) { heard <- l }, func() {})
-	d.versions = h.versions(cfg, now)
+	d.list = h.loadServerList(cfg, now)
 	var last []byte
 	for _, step := range []struct {
 		theirs listing // what the other process is told, if anything
@@ -473,19 +473,19 @@
 	} {
 		if step.theirs.version > 0 {
 			theirs.take(step.theirs, now)
-			other.keepList(theirs, true)
+			other.queueList(theirs, true)
 			if err := other.flushList(); err != nil {
 				t.Fatal(err)
 			}
-			h.known() // as it looks for calls by hand
-			k, l, raw, news := h.beside(last, nil)
+			h.currentCalls() // as it looks for calls by hand
+			k, l, raw, news := h.changedList(last, nil)
 			if last = raw; news {
-				d.beside(k, l)
+				d.applyOtherProcessList(k, l)
 			}
 		} else if again := d.take(step.ours) > 0; again != step.whole {
 			t.Errorf("version %d: the whole list is asked for: %v", step.ours.version, again)
 		}
-		if got := wording(d.versions.list()); got != step.want {
+		if got := wording(d.list.effectiveListing()); got != step.want {
 			t.Errorf("after %d and %d: %s, want %s", step.theirs.version, step.ours.version, got, step.want)
 		}
 	}
@@ -501,24 +501,24 @@
 	d := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		select {
 		case <-one:
-			_, _ = io.WriteString(w, listed(60, "draining", s.address))
+			_, _ = io.WriteString(w, listAnswer(60, "draining", s.address))
 		case <-r.Context().Done():
 		}
 	}))
 	t.Cleanup(d.Close)
 	dir := t.TempDir()
-	run := func() *running {
-		cfg := testConfig(t, listed(50, "ready", s.address), func(file, _ map[string]any) { file["discovery"] = d.Listener.Addr().String() })
-		cfg.Shared = dir
-		return startWith(t, cfg)
+	run := func() *testSidecar {
+		cfg := testConfig(t, listAnswer(50, "ready", s.address), func(file, _ map[string]any) { file["discovery"] = d.Listener.Addr().String() })
+		cfg.SharedDir = dir
+		return startSidecarWith(t, cfg)
 	}
-	both := []*running{run(), run()}
-	end := time.Now().Add(generous)
+	both := []*testSidecar{run(), run()}
+	end := time.Now().Add(testTimeout)
 	see := func(figures string) {
 		t.Helper()
 		for _, side := range both {
 			for got := ""; !strings.Contains(got, figures); {
-				if got = side.call(t, "show-stat\n"); time.Now().After(end) {
+				if got = side.callConsole(t, "show-stat\n"); time.Now().After(end) {
 					t.Fatalf("waited in vain for %q: %s", figures, got)
 				}
 			}
@@ -536,27 +536,27 @@
 	for i := range 3000 {
 		addresses = append(addresses, fmt.Sprintf("127.0.0.1:%d", 1+i))
 	}
-	cfg := testConfig(t, listed(45, "ready", addresses...), nil)
-	l, err := parseListing([]byte(strings.Replace(listed(50, "ready", addresses...), `"ready"`, `"draining"`, 1)), nil)
+	cfg := testConfig(t, listAnswer(45, "ready", addresses...), nil)
+	l, err := parseListing([]byte(strings.Replace(listAnswer(50, "ready", addresses...), `"ready"`, `"draining"`, 1)), nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	h, now := &handover{store: memoryStore(t), news: make(chan struct{}, 1)}, newClock().now()
+	h, now := &sharedState{store: memoryStore(t), listChanged: make(chan struct{}, 1)}, newClock().now()
 	v := newVersions(cfg.Discovery)
 	v.take(l, now)
-	h.keepList(v, true)
+	h.queueList(v, true)
 	if err := h.flushList(); err != nil {
 		t.Fatal(err)
 	}
-	if e, _ := h.store.Get(sectionList, only); len(e.Value) > 1000 {
+	if e, _ := h.store.Get(sectionList, singleKey); len(e.Value) > 1000 {
 		t.Errorf("%d bytes are kept", len(e.Value))
 	}
-	next := h.versions(cfg, now)
-	if got := wording(next.list()); next.top != 50 || next.watched() || !strings.HasPrefix(got, "s-0@127.0.0.1:1 out, s-1@127.0.0.1:2, ") || len(next.entries) != 3000 {
+	next := h.loadServerList(cfg, now)
+	if got := wording(next.effectiveListing()); next.top != 50 || next.watched() || !strings.HasPrefix(got, "s-0@127.0.0.1:1 out, s-1@127.0.0.1:2, ") || len(next.entries) != 3000 {
 		t.Errorf("version %d with %d servers: %s", next.top, len(next.entries), got)
 	}
 	next.take(l, now)
-	if got := wording(next.list()); !next.watched() || !strings.HasPrefix(got, "s-0@127.0.0.1:1 out, s-1@127.0.0.1:2, ") {
+	if got := wording(next.effectiveListing()); !next.watched() || !strings.HasPrefix(got, "s-0@127.0.0.1:1 out, s-1@127.0.0.1:2, ") {
 		t.Errorf("after the whole list: %s", got)
 	}
 }
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -187,11 +187,11 @@
 
 func TestMillis(t *testing.T) {
 	for _, d := range []time.Duration{0, time.Microsecond, 123456 * time.Microsecond, -time.Second, time.Hour} {
-		if got := Millis(ToMillis(d)); got != d {
+		if got := FromMillis(ToMillis(d)); got != d {
 			t.Errorf("%v comes back as %v", d, got)
 		}
 	}
-	if Millis(math.NaN()) != 0 || Millis(math.Inf(1)) <= 0 || Millis(math.Inf(-1)) >= 0 {
+	if FromMillis(math.NaN()) != 0 || FromMillis(math.Inf(1)) <= 0 || FromMillis(math.Inf(-1)) >= 0 {
 		t.Error("what is no number, or infinite, is not cut to a safe duration")
 	}
 }
@@ -242,10 +242,10 @@
 		!c.AskList || c.ColdFrom != 0.32 || c.CrossZonePrice != 0.03 {
 		t.Errorf("config %+v", c)
 	}
-	if k := c.Classes[0]; k.Effect != balance.Keyed || k.Scope != balance.ScopeCell || k.Window != 600*time.Millisecond {
+	if k := c.Classes[0]; k.Idempotency != balance.Keyed || k.Scope != balance.ScopeCell || k.DedupWindow != 600*time.Millisecond {
 		t.Errorf("class 0 %+v", k)
 	}
-	if c.Classes[1].Effect != balance.Unsafe {
+	if c.Classes[1].Idempotency != balance.Unsafe {
 		t.Error("an unknown effect is not taken for the strictest")
 	}
 	if b := (balance.RetryBudget{Span: 10 * time.Second, Free: 1, Share: 0.2}); c.Budget != b ||
