--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -101,7 +101,7 @@
 // Withdraw does nothing: an attempt counts as sent once its CallOut is written, so it can't be withdrawn.
 func (i *instance) Withdraw(balance.RequestID, int) {}
 
-// Wake, Probe, Close, WatchList and Log write the action that matches the call.
+// Wake, Probe, CloseIdle, WatchList and Log write the action that matches the call.
 
 func (i *instance) Wake(d time.Duration)          { i.host.reply.SetAlarm(i.number, d, 0) }
 func (i *instance) Probe(to balance.ServerID)     { i.host.reply.Inspect(i.number, wire.Upstream(to)) }
