--- a/internal/balance/balance.go
+++ b/internal/balance/balance.go
@@ -1,98 +1,98 @@
-// Package balance is the vocabulary that the decision module and the programs that embed it share: the settings a
-// module starts with, the events that it is told, and the actions that it asks for. It decides nothing; package
-// policy does.
+// Package balance defines the vocabulary that the decision module (package policy) shares with the programs that
+// embed it: the settings that a Balancer starts with, the events it receives and the actions it requests. The package
+// makes no decisions itself.
 package balance
 
 import "time"
 
-// RequestID names a request; the host picks it and never uses one twice.
+// RequestID identifies a request. The host chooses it and never uses one twice.
 type RequestID uint64
 
-// ServerID names a server; it stays the same when the server restarts.
+// ServerID identifies a server. It stays the same when the server restarts.
 type ServerID uint64
 
-// Idempotency says what repeating a request of a class may do.
+// Idempotency states whether the requests of a class may be repeated.
 type Idempotency int
 
-// The effects of a class.
+// The kinds of idempotency.
 const (
 	Safe   Idempotency = iota // may be repeated and refused at will
-	Keyed                     // repeats are dropped within a group of servers, for a while
+	Keyed                     // servers of one Scope drop repeats for the time of Class.DedupWindow
 	Unsafe                    // must never run twice
 )
 
-// Scope is the group of servers that drops repeats of a keyed request.
+// Scope is the group of servers within which repeats of a keyed request are dropped.
 type Scope int
 
 // The scopes of a keyed class.
 const (
-	ScopeAll Scope = iota
-	ScopeZone
-	ScopeCell
+	ScopeAll  Scope = iota // all servers
+	ScopeZone              // the servers of one zone
+	ScopeCell              // the servers of one cell
 )
 
 // Class describes one kind of request.
 type Class struct {
-	Aim         time.Duration // answers within this earn full worth
+	Aim         time.Duration // latency target: answers within it earn the full worth
 	AimStretch  float64       // the aim grows by this multiple of the request's expected work
-	Deadline    time.Duration // the client's whole wait, over all its tries
+	Deadline    time.Duration // total time that the client waits, over all its tries
 	LateShare   float64       // share of the worth that an answer after the aim still earns
-	Worth       float64
+	Worth       float64       // value of a timely answer, relative to the other classes
 	Idempotency Idempotency
-	Scope       Scope         // keyed only
-	DedupWindow time.Duration // keyed only: how long repeats are dropped, from the first send on
-	InOrder     bool          // requests of such classes that share a Request.Key run one at a time, in order
+	Scope       Scope         // keyed classes only
+	DedupWindow time.Duration // keyed classes only: how long after the first send servers drop repeats
+	InOrder     bool          // requests of such classes with the same Request.Key run one at a time, in order of arrival
 }
 
-// Tenant is one customer with a share of the service.
+// Tenant is one customer of the service.
 type Tenant struct {
-	Share float64 // share of the service, set against the other tenants' shares
-	Quota float64 // requests a second within its share over all balancers; 0 where unknown
+	Share float64 // share of the service, relative to the other tenants' shares
+	Quota float64 // requests per second that its share allows over all balancers; 0: unknown
 }
 
-// RetryBudget limits attempts after each request's first: within any Span they number at most
-// Free plus Share for each request taken in that Span.
+// RetryBudget limits the retries, that is attempts after the first one of a request. Within any period of
+// length Span there are at most Free retries plus Share for each request received in that period.
 type RetryBudget struct {
 	Span  time.Duration // 0: no limit
 	Free  float64
 	Share float64
 }
 
-// Config holds the settings a Balancer starts with; it does not change them.
+// Config holds the settings that a Balancer starts with. The Balancer does not change them.
 type Config struct {
-	Balancers int // balancers that send to the same servers, this one included; until Balancer.SetFleet tells otherwise
+	Balancers int // balancers that send to the same servers, including this one; Balancer.SetFleet updates the number
 	Index     int // this balancer's number among them, from 0
-	Zone      int // the zone this balancer is in
+	Zone      int // the zone that this balancer runs in
 	Classes   []Class
-	Tenants   []Tenant // may be empty: then there is one compartment
+	Tenants   []Tenant // empty: a single compartment holds all requests
 
-	Slots int // slots of this balancer over all compartments; 0 derives them from the rest
+	Slots int // slots of this balancer over all compartments; 0: derived from the other settings
 
-	MaxAttempts        int           // attempts for one request at most
+	MaxAttempts        int           // maximum number of attempts for one request
 	MayCancel          bool          // Host.Cancel may be used
 	MayProbe           bool          // Host.Probe may be used
-	MaxRetryAfter      time.Duration // the longest pause that clients heed
-	ClientsMarkRetries bool          // clients mark their own further tries: Request.ClientRetry
+	MaxRetryAfter      time.Duration // longest retry delay that clients respect
+	ClientsMarkRetries bool          // clients mark their own retries, see Request.ClientRetry
 
 	Budget      RetryBudget   // the zero value: no limit
-	OrderSettle time.Duration // a key rests this long after an attempt that may still be running
-	CloseWithin time.Duration // idle connections to a draining server are closed this soon; 0: left alone
+	OrderSettle time.Duration // a key's next request waits this long after an attempt that may still be running
+	CloseWithin time.Duration // idle connections to a draining server are closed within this time; 0: left open
 
-	Tick time.Duration // events come at most this often
+	Tick time.Duration // the host delivers events at most this often
 
-	AskList   bool          // the server list must be asked for
-	AskWithin time.Duration // without asking this long, a change counts as told; 0: not known
+	AskList   bool          // the host sends the server list only after Host.WatchList
+	AskWithin time.Duration // without a call of Host.WatchList for this long, list changes count as received; 0: unknown
 
-	ColdFrom     float64       // a server starts with at least this share of its capacity
-	ColdTime     time.Duration // and has all of it after this
-	ColdMultiple float64       // sent more than this multiple of what it can do at that moment, it falls over
+	ColdFrom     float64       // share of its capacity that a server has at least when it starts
+	ColdTime     time.Duration // time from its start until a server has its full capacity
+	ColdMultiple float64       // multiple of its present capacity above which a starting server is overloaded
 
-	Reports LoadFields // what servers' load reports hold
+	Reports LoadFields // the fields that servers' load reports contain
 
-	CrossZonePrice float64 // price of an attempt that leaves the zone, against a worth of 1
+	CrossZonePrice float64 // price of an attempt that leaves the zone, relative to a worth of 1
 }
 
-// State is what the server list says of a server.
+// State is a server's state in the server list.
 type State int
 
 // The states of a server.
@@ -106,21 +106,21 @@
 type Server struct {
 	ID      ServerID
 	Zone    int
-	Cell    int // servers of one cell share the keys they have seen
+	Cell    int // servers of one cell share the idempotency keys they have seen
 	State   State
-	Weight  float64       // nominal size, set against the other servers' weights
-	Started time.Duration // time of its last start; 0 means long ago
+	Weight  float64       // nominal capacity, relative to the other servers' weights
+	Started time.Duration // time of the last start; 0: long ago
 }
 
-// ListKind says how the entries of a list event apply.
+// ListKind states how the entries of a server list event apply.
 type ListKind int
 
-// The kinds of list events.
+// The kinds of server list events.
 const (
-	ListFull   ListKind = iota // all servers; one that is absent has left
-	ListDelta                  // only changed entries
-	ListCached                 // all servers as last known, maybe old
-	ListFailed                 // the call failed or the subscription broke; no entries
+	ListFull   ListKind = iota // all servers; a server that is absent is gone
+	ListDelta                  // only the entries that changed
+	ListCached                 // all servers as last known; the list may be outdated
+	ListFailed                 // the call failed or the subscription broke; there are no entries
 )
 
 // Request is one client request.
@@ -128,19 +128,18 @@
 	ID          RequestID
 	Class       int
 	Tenant      int
-	Key         uint64        // what it is about; 0: nothing in particular
-	TimeLeft    time.Duration // until the client gives up
-	Work        time.Duration // expected work; 0 where unknown
-	ClientRetry bool          // known to be a client's own further try
-	BodyPending bool          // its body still comes: its time begins with BodyEnded
+	Key         uint64        // the object that the request concerns, for ordered classes; 0: none
+	TimeLeft    time.Duration // time until the client gives up
+	Work        time.Duration // expected work; 0: unknown
+	ClientRetry bool          // known to be the client's own retry of an earlier request
+	BodyPending bool          // the body is still being received; TimeLeft starts with Balancer.BodyEnded
 }
 
-// Ending says how an attempt ended.
+// Ending states how an attempt ended.
 type Ending int
 
-// The endings of an attempt. TurnedAway, NoConnection and NotSent prove that
-// it never ran; every other one but Served means that it may have run, and so
-// does a value not listed here.
+// The endings of an attempt. TurnedAway, NoConnection and NotSent prove that the request never ran on the server.
+// Any other ending except Served means that it may have run, and so does a value not listed here.
 const (
 	Served Ending = iota
 	Errored
@@ -152,17 +151,17 @@
 	NotSent
 )
 
-// Outcome is the end of one attempt.
+// Outcome is the result of one attempt.
 type Outcome struct {
 	ID        RequestID
-	Attempt   int // numbered from 0 in the order of Host.Send for this request
+	Attempt   int // numbered from 0, in the order of the calls of Host.Send for this request
 	Ending    Ending
-	Settled   bool // the request is over; nothing more is owed for it
-	BodySpent bool // the request can't be sent again: part of its body is gone
-	Load      Load // the server's report, where one came along
+	Settled   bool // the client has its answer or has left; the request needs no further attempt
+	BodySpent bool // part of the request body is no longer held, so the request can't be sent again
+	Load      Load // the load report that came with the response, if any
 }
 
-// LoadFields is a set of the fields of a Load.
+// LoadFields is a set of fields of Load.
 type LoadFields uint8
 
 // The fields of a Load.
@@ -175,94 +174,93 @@
 	HasErrors
 )
 
-// Load is what a server reports of itself. The zero value is no report at all.
+// Load is a server's report of its own load. The zero value means that there is no report.
 type Load struct {
-	Has      LoadFields    // the fields that hold; the others are unknown
-	InFlight float64       // requests it holds
-	Queued   float64       // of these, requests that wait
+	Has      LoadFields    // the fields that are set; the others are unknown
+	InFlight float64       // requests that the server holds
+	Queued   float64       // how many of these are waiting
 	Busy     float64       // share of its cores that is busy
-	Service  time.Duration // its usual time for a request of late, without waiting
-	Served   float64       // requests served a second
-	Errors   float64       // errors a second
+	Service  time.Duration // its recent typical time per request, without waiting
+	Served   float64       // requests served per second
+	Errors   float64       // errors per second
 }
 
-// Learned is what a Balancer has found out, for another that takes its place: a process that starts again.
+// Learned is what a Balancer has measured, kept for its successor when the process restarts.
 type Learned struct {
-	At      time.Duration // when it was so
-	Rate    float64       // requests a second, lately
+	At      time.Duration // time of the measurement
+	Rate    float64       // recent requests per second
 	Servers []LearnedServer
 }
 
-// LearnedServer is a server of which there is something to tell.
+// LearnedServer is the measured health of one server that has failed, is slow or is still cold.
 type LearnedServer struct {
 	ID           ServerID
-	Failures     int           // attempts that failed lately
-	SilentSince  time.Duration // it has not answered since; 0: it has
-	WarmAt       time.Duration // cold until then
-	LatencyRatio float64       // time that its answers take, against the usual; failures count too
+	Failures     int           // recent failed attempts
+	SilentSince  time.Duration // it has not answered since this time; 0: it has
+	WarmAt       time.Duration // time at which its cold start ends
+	LatencyRatio float64       // ratio of its latency to the typical one; failures raise it too
 }
 
-// Fleet is who else sends to the same servers, as far as that is known.
+// Fleet describes the balancers that send to the same servers, as far as membership knows them.
 type Fleet struct {
-	Present int  // balancers that are present, this one included
-	Silent  int  // lost without a word: they may have ended, or be cut off and still send
-	Agreed  bool // all that can be reached see the same
+	Present int  // balancers that are present, including this one
+	Silent  int  // members that went silent without leaving: they may have ended, or be partitioned and still sending
+	Agreed  bool // all reachable members have the same view
 
-	// Sharers are those that have told their traffic, this one included, in an order that is the same at all of them.
-	// Where it is not among them, it keeps to an arc of the servers that its own traffic gives. The slice is the
-	// Balancer's from then on.
+	// Sharers are the balancers that have announced their traffic, including this one, in the same order at all of
+	// them. A balancer that is not among them keeps to the server subset that its own traffic gives. The Balancer
+	// owns the slice after the call.
 	Sharers []Sharer
 }
 
-// Sharer is one of the balancers that send to the same servers, as it has told the others.
+// Sharer is the announced traffic of one of the balancers that send to the same servers.
 type Sharer struct {
 	Index int     // its Config.Index
-	Zone  int     // and Config.Zone
-	Rate  float64 // requests a second; one that is no number above 0 counts for nothing
+	Zone  int     // its Config.Zone
+	Rate  float64 // requests per second; a value that is not a number above 0 is ignored
 }
 
-// Host carries out what the Balancer decides. Its methods must not call back
-// into the Balancer.
+// Host carries out what the Balancer decides. Its methods must not call the Balancer.
 type Host interface {
-	// Send starts the next attempt of a request, given up after timeout. Its last byte may go out within
-	// unsent from now, and nothing of it later, however late its connection comes up: an attempt that can't keep to
-	// that ends as one that never ran. 0: the time-out alone bounds it.
-	Send(id RequestID, to ServerID, timeout, unsent time.Duration)
-	// Refuse ends a request; trying again is harmless, best after the pause. why is for the log.
-	Refuse(id RequestID, pause time.Duration, why Reason)
-	// Fail ends a request with no promise about its effect. why is for the log.
-	Fail(id RequestID, why Reason)
-	// Cancel calls off one attempt, as far as Config.MayCancel allows; its Outcome still comes.
+	// Send starts the next attempt of a request, which is given up after timeout. No byte of it may be written later
+	// than sendWithin from now, even if its connection takes longer; an attempt that can't comply ends as one that
+	// never ran. A sendWithin of 0 sets no limit other than timeout.
+	Send(id RequestID, to ServerID, timeout, sendWithin time.Duration)
+	// Refuse ends a request that its client may safely retry, preferably after retryAfter. The reason is for the log.
+	Refuse(id RequestID, retryAfter time.Duration, reason Reason)
+	// Fail ends a request that may have had an effect. The reason is for the log.
+	Fail(id RequestID, reason Reason)
+	// Cancel cancels one attempt, if Config.MayCancel is set. Its Outcome is still delivered.
 	Cancel(id RequestID, attempt int)
-	// Withdraw calls off an attempt of which nothing has been written yet: its Outcome is NotSent. One that is being
-	// written, or was, goes on. It takes back no work from a server, so Config.MayCancel does not bind it.
+	// Withdraw cancels an attempt of which nothing has been written yet; its Outcome is NotSent. An attempt that has
+	// been written, even in part, continues. No server loses work that it has begun, so Config.MayCancel does not apply.
 	Withdraw(id RequestID, attempt int)
-	// Wake asks for a call of Balancer.Wake after d.
+	// Wake requests a call of Balancer.Wake after d.
 	Wake(d time.Duration)
-	// Close closes the idle connections to a server.
+	// CloseIdle closes the idle connections to a server.
 	CloseIdle(to ServerID)
-	// Probe asks a server for a load report; Balancer.Probed brings it.
+	// Probe requests a load report from a server. Balancer.Probed receives the result.
 	Probe(to ServerID)
-	// WatchList subscribes to the server list; Balancer.UpdateServers brings changes.
+	// WatchList subscribes to the server list. Balancer.UpdateServers receives the changes.
 	WatchList()
-	// Log writes a line for the people on call.
+	// Log writes a line for the operators.
 	Log(line string)
 }
 
-// Counters tell what a Balancer did since it was made.
+// Counters count what a Balancer has done since it was created.
 type Counters struct {
-	Ordinary  uint64 // first sends by the ordinary path: a slot, and the server whose turn it was
-	Walled    uint64 // sends moved on because a server held its portion
-	Held      uint64 // times that a request with a slot free was held back, as all servers were crowded
-	NoSlot    uint64 // times that one found its tenant's slots full
-	NoServer  uint64 // times that one with a slot free found no server that may have it: portions, rests, cold ones
-	Throttled uint64 // requests refused at once, as too few were lately answered in time
-	Crossed   uint64 // sends of any kind to another zone, where that has a price
-	Retries   uint64 // further attempts after one that failed
-	Late      uint64 // clients' later tries refused as their aim was gone
+	Ordinary  uint64 // first attempts that went to the server whose round-robin turn it was
+	Walled    uint64 // attempts that passed over the server whose turn it was, as it had reached its concurrency limit
+	Held      uint64 // times that a request was held back by the limit over all attempts, as servers were congested
+	NoSlot    uint64 // times that all slots of a request's tenant were in use
+	NoServer  uint64 // times that a slot was free but no server was eligible (limits, ejections, cold servers)
+	Throttled uint64 // requests refused on arrival by the admission throttle
+	Crossed   uint64 // attempts of any kind sent to another zone, if that has a price
+	Retries   uint64 // attempts after the first one of a request
+	Late      uint64 // clients' retries refused because their aim could no longer be met
 	Queued    uint64 // requests that had to wait for a slot or a server
 	Refused   uint64
 	Failed    uint64
-	Slow      uint64 // attempts that went at their client's pace: a long body, or a long answer
-	SlowFull  uint64 // and those of them that held a slot, as no place beside was free
+	Slow      uint64 // client-paced attempts: a long request body or a long response
+	SlowFull  uint64 // client-paced attempts that held a slot, as all client-paced places were taken
 }
--- a/internal/balance/check.go
+++ b/internal/balance/check.go
@@ -19,9 +19,9 @@
 		return fmt.Errorf("config: MaxAttempts is %d, at least 1 is needed", cfg.MaxAttempts)
 	case cfg.Slots < 0:
 		return fmt.Errorf("config: Slots is %d, it must not be negative", cfg.Slots)
-	case negative(cfg.ColdFrom) || cfg.ColdFrom > 1:
+	case negativeOrNotFinite(cfg.ColdFrom) || cfg.ColdFrom > 1:
 		return fmt.Errorf("config: ColdFrom is %v, a share is needed", cfg.ColdFrom)
-	case negative(cfg.ColdMultiple) || negative(cfg.CrossZonePrice):
+	case negativeOrNotFinite(cfg.ColdMultiple) || negativeOrNotFinite(cfg.CrossZonePrice):
 		return fmt.Errorf("config: ColdMultiple %v or CrossZonePrice %v is negative or no number",
 			cfg.ColdMultiple, cfg.CrossZonePrice)
 	case min(cfg.OrderSettle, cfg.CloseWithin) < 0:
@@ -34,7 +34,7 @@
 			return fmt.Errorf("config: Classes[%d]: Aim %v, Deadline %v or DedupWindow %v is unusable",
 				i, c.Aim, c.Deadline, c.DedupWindow)
 		}
-		if negative(c.AimStretch) || negative(c.LateShare) || negative(c.Worth) {
+		if negativeOrNotFinite(c.AimStretch) || negativeOrNotFinite(c.LateShare) || negativeOrNotFinite(c.Worth) {
 			return fmt.Errorf("config: Classes[%d]: AimStretch, LateShare or Worth is negative or no number", i)
 		}
 	}
--- a/internal/balance/reasons.go
+++ b/internal/balance/reasons.go
@@ -5,20 +5,20 @@
 
 // The reasons of refusals and failures.
 const (
-	Unusable        Reason = iota // it names no class or tenant, or came with no time left
-	AdmissionLimit                // too few requests were answered in time lately
-	QueueFull                     // its tenant's slots and queue places are taken
-	OutOfTime                     // no answer could come in time any more
-	NoAttemptLeft                 // its attempts have failed, and no further one is allowed
-	BodySpent                     // its attempt failed, and part of its body can't be sent again
-	reasonsOfAnswer               // how many there are
+	Unusable       Reason = iota // it names no class or tenant, or came with no time left
+	AdmissionLimit               // too few requests were answered in time lately
+	QueueFull                    // its tenant's slots and queue places are taken
+	OutOfTime                    // no answer could come in time any more
+	NoAttemptLeft                // its attempts have failed, and no further one is allowed
+	BodySpent                    // its attempt failed, and part of its body can't be sent again
+	reasonCount                  // how many there are
 )
 
-var reasonNames = [reasonsOfAnswer]string{"unusable", "admission_limit", "queue_full", "out_of_time", "no_attempt_left", "body_spent"}
+var reasonNames = [reasonCount]string{"unusable", "admission_limit", "queue_full", "out_of_time", "no_attempt_left", "body_spent"}
 
 // String returns the reason's name in logs and counters.
 func (r Reason) String() string {
-	if r < 0 || r >= reasonsOfAnswer {
+	if r < 0 || r >= reasonCount {
 		return "unknown"
 	}
 	return reasonNames[r]
@@ -26,7 +26,7 @@
 
 // Reasons lists all reasons, in order.
 func Reasons() []Reason {
-	all := make([]Reason, reasonsOfAnswer)
+	all := make([]Reason, reasonCount)
 	for i := range all {
 		all[i] = Reason(i)
 	}
--- a/internal/balance/rules.go
+++ b/internal/balance/rules.go
@@ -17,8 +17,8 @@
 	Zones       map[int]float64      // the same for all servers of a zone; both multiples count
 }
 
-// MaxWeightMultiple bounds a multiple of a weight: it is 0, or from 1/MaxWeightMultiple to MaxWeightMultiple. Beyond these,
-// turns are so rare or so frequent that exclusion, or another server list, is what is meant.
+// MaxWeightMultiple bounds a multiple of a weight: it is 0, or from 1/MaxWeightMultiple to MaxWeightMultiple. Beyond
+// these, turns are so rare or so frequent that exclusion, or another server list, is what is meant.
 const MaxWeightMultiple = 1000
 
 // MaxBudgetSpan bounds a budget's span: a time is kept for each request of it.
@@ -88,12 +88,12 @@
 }
 
 // negative says that a number is below 0 or none at all.
-func negative(f float64) bool { return math.IsNaN(f) || math.IsInf(f, 0) || f < 0 }
+func negativeOrNotFinite(f float64) bool { return math.IsNaN(f) || math.IsInf(f, 0) || f < 0 }
 
 // check names what is unusable in a limit on further attempts.
 func (l RetryBudget) check() error {
 	switch {
-	case l.Span < 0 || negative(l.Free) || negative(l.Share):
+	case l.Span < 0 || negativeOrNotFinite(l.Free) || negativeOrNotFinite(l.Share):
 		return fmt.Errorf("field Budget: Span %v, Free %v or Share %v is negative or no number", l.Span, l.Free, l.Share)
 	case l.Span == 0 && l != (RetryBudget{}):
 		return fmt.Errorf("field Budget: Span is 0, though Free %v and Share %v are set", l.Free, l.Share)
@@ -105,7 +105,7 @@
 func checkTenants(tenants []Tenant) error {
 	sum := 0.0
 	for i, t := range tenants {
-		if negative(t.Share) || negative(t.Quota) {
+		if negativeOrNotFinite(t.Share) || negativeOrNotFinite(t.Quota) {
 			return fmt.Errorf("field Tenants[%d]: Share %v or Quota %v is negative or no number", i, t.Share, t.Quota)
 		}
 		sum += t.Share
--- a/policy/example_test.go
+++ b/policy/example_test.go
@@ -8,7 +8,7 @@
 	"arrowgw/policy"
 )
 
-// sidecar is the program that embeds the module: it carries out its decisions.
+// sidecar is the host: it carries out the Balancer's decisions.
 type sidecar struct{}
 
 func (sidecar) Send(id balance.RequestID, to balance.ServerID, timeout, unsent time.Duration) {
@@ -37,7 +37,7 @@
 		fmt.Println(err)
 		return
 	}
-	now := time.Duration(0) // since any moment the program picks
+	now := time.Duration(0) // time since any fixed moment
 	b.Start(now)
 	b.UpdateServers(now, balance.ListFull, []balance.Server{{ID: 7, State: balance.Ready, Weight: 1}})
 	for id := range balance.RequestID(3) { // one slot, one queue place: the third is refused
--- a/policy/hand_test.go
+++ b/policy/hand_test.go
@@ -8,19 +8,19 @@
 	"arrowgw/internal/balance"
 )
 
-// Guards against sends of any kind to a server that is taken out by hand, whatever the list says of it meanwhile.
-func TestTakenOutByHandStaysOut(t *testing.T) {
-	b, h := start(t, testConfig(), ready(1, 2))
+// Guards against any sends to a server that an operator has disabled, whatever its state in the list.
+func TestDisabledServerStaysOut(t *testing.T) {
+	b, h := startBalancer(t, testConfig(), readyList(1, 2))
 	b.Disable(0, 1)
-	b.Disable(0, 1) // twice is once
+	b.Disable(0, 1) // no further effect
 	now, id := time.Duration(0), balance.RequestID(0)
 	serve := func(what string, ending balance.Ending) {
 		t.Helper()
 		for range 20 {
 			now += 20 * ms
-			ask(b, now, id, safeClass)
-			end(b, now+5*ms, id, 0, ending) // an attempt that did not run is tried again elsewhere
-			end(b, now+6*ms, id, 1, balance.Served)
+			sendRequest(b, now, id, safeClass)
+			endAttempt(b, now+5*ms, id, 0, ending) // an attempt that did not run is retried on another server
+			endAttempt(b, now+6*ms, id, 1, balance.Served)
 			id++
 		}
 		if n := h.sentTo(1); n > 0 {
@@ -29,13 +29,13 @@
 	}
 	serve("taken out", balance.Served)
 	serve("with retries", balance.TurnedAway)
-	b.UpdateServers(now, balance.ListFull, ready(1, 2))
+	b.UpdateServers(now, balance.ListFull, readyList(1, 2))
 	serve("in a whole list", balance.Served)
 	b.UpdateServers(now, balance.ListDelta, []balance.Server{{ID: 1, State: balance.Draining, Weight: 1}})
 	b.UpdateServers(now, balance.ListDelta, []balance.Server{{ID: 1, State: balance.Ready, Weight: 1, Started: now}})
 	serve("restarted", balance.Served)
 	b.UpdateServers(now, balance.ListDelta, []balance.Server{{ID: 1, State: balance.Gone, Weight: 1}})
-	b.UpdateServers(now, balance.ListDelta, ready(1))
+	b.UpdateServers(now, balance.ListDelta, readyList(1))
 	serve("gone and back", balance.Served)
 	if listed, unavailable := b.ServerCounts(now); listed != 2 || unavailable != 1 {
 		t.Errorf("%d members, %d unavailable, want 2 and 1", listed, unavailable)
@@ -46,37 +46,37 @@
 	}
 }
 
-// What runs there finishes, what waits goes to others, and a request bound to it is not sent there again.
-func TestTakeOutLeavesWhatRuns(t *testing.T) {
-	b, h := start(t, testConfig(), ready(1))
-	ask(b, 0, 1, safeClass)
+// When a server is disabled, its attempts in flight finish and queued requests go to other servers.
+func TestDisableLeavesAttemptsInFlight(t *testing.T) {
+	b, h := startBalancer(t, testConfig(), readyList(1))
+	sendRequest(b, 0, 1, safeClass)
 	b.Disable(ms, 1)
 	if len(h.cancelled) != 0 {
 		t.Fatal("what ran there was called off")
 	}
-	ask(b, 2*ms, 2, safeClass) // waits: nobody may serve
-	end(b, 10*ms, 1, 0, balance.Errored)
+	sendRequest(b, 2*ms, 2, safeClass) // queued: no server is available
+	endAttempt(b, 10*ms, 1, 0, balance.Errored)
 	b.Wake(20 * ms)
 	if len(h.sends) != 1 {
 		t.Fatalf("sends %v, want only the first", h.sends)
 	}
-	b.UpdateServers(30*ms, balance.ListDelta, ready(2))
+	b.UpdateServers(30*ms, balance.ListDelta, readyList(2))
 	if h.sentTo(2) == 0 || h.sentTo(1) != 1 {
 		t.Fatalf("sends %v, want what waited at the other server", h.sends)
 	}
 }
 
-// Guards against a server that is never used again after the call back, or is met with its full share at once.
-func TestBroughtBackCold(t *testing.T) {
-	b, h := start(t, testConfig(), ready(1, 2, 3, 4))
+// Guards against a server that is never used again after it is enabled, or gets its full share at once.
+func TestEnabledServerIsCold(t *testing.T) {
+	b, h := startBalancer(t, testConfig(), readyList(1, 2, 3, 4))
 	b.Disable(0, 1)
 	var id balance.RequestID
 	serve := func(from, to time.Duration) int {
 		before := h.sentTo(1)
 		for now := from; now < to; now += 20 * ms {
 			id++
-			ask(b, now, id, safeClass)
-			end(b, now+5*ms, id, 0, balance.Served)
+			sendRequest(b, now, id, safeClass)
+			endAttempt(b, now+5*ms, id, 0, balance.Served)
 			b.Wake(now + 10*ms)
 		}
 		return h.sentTo(1) - before
@@ -91,34 +91,34 @@
 	}
 }
 
-// A server that is out and not listed can be called back; listed again, it is as cold as the call back made it.
-func TestBroughtBackUnlisted(t *testing.T) {
-	b, _ := start(t, testConfig(), ready(1, 2))
+// A disabled server that is not listed can be enabled. Once listed again it is cold from that call on.
+func TestEnableUnlistedServer(t *testing.T) {
+	b, _ := startBalancer(t, testConfig(), readyList(1, 2))
 	b.Disable(0, 1)
 	b.UpdateServers(0, balance.ListDelta, []balance.Server{{ID: 1, State: balance.Gone, Weight: 1}})
 	b.Enable(time.Second, 1, time.Second)
-	b.UpdateServers(2*time.Second, balance.ListDelta, ready(1))
-	if s := b.server(1); s == nil || !s.mayServe(2*time.Second) || s.warmAt != 9*time.Second {
+	b.UpdateServers(2*time.Second, balance.ListDelta, readyList(1))
+	if s := b.serverByID(1); s == nil || !s.available(2*time.Second) || s.warmAt != 9*time.Second {
 		t.Errorf("listed again: %+v, want it in service and cold until 9s", s)
 	}
-	b.Enable(20*time.Second, 2, 20*time.Second) // was never out
-	if s := b.server(2); s.warmAt != 0 {
+	b.Enable(20*time.Second, 2, 20*time.Second) // was never disabled
+	if s := b.serverByID(2); s.warmAt != 0 {
 		t.Error("a call back of a server that was not out made it cold")
 	}
 }
 
-// Guards against two processes of one sidecar that send a cold server twice what one may.
-func TestProcessesShareColdServers(t *testing.T) {
+// Guards against two processes of one sidecar that together send a cold server twice its budget.
+func TestProcessesShareColdBudget(t *testing.T) {
 	sends := func(n int) int {
-		b, h := start(t, testConfig(), ready(1))
+		b, h := startBalancer(t, testConfig(), readyList(1))
 		b.SetProcessCount(n)
 		ended := 0
 		b.UpdateServers(0, balance.ListDelta, []balance.Server{{ID: 1, State: balance.Ready, Weight: 1, Started: 1}})
 		for i := range 50 {
 			now := time.Duration(i) * 20 * ms
-			ask(b, now, balance.RequestID(i), safeClass)
+			sendRequest(b, now, balance.RequestID(i), safeClass)
 			for ; ended < len(h.sends); ended++ {
-				end(b, now+5*ms, h.sends[ended].id, 0, balance.Served)
+				endAttempt(b, now+5*ms, h.sends[ended].id, 0, balance.Served)
 			}
 			b.Wake(now + 10*ms)
 		}
@@ -130,36 +130,36 @@
 	}
 }
 
-// Guards against servers that are cold in the first list of all being left out until they are warm: there were no
-// weights yet to take their part of, so that their first send was put off by up to 100 s.
+// Guards against servers that are cold in the very first list and get nothing until they are warm: without earlier
+// weights to compute their part from, their first send was delayed by up to 100 s.
 func TestColdInTheFirstList(t *testing.T) {
-	list := ready(1, 2)
+	list := readyList(1, 2)
 	list[0].Started = 1
 	for seed := range uint64(20) {
 		b, h := startSeeded(t, testConfig(), seed, list)
 		for i := range 50 {
 			now := time.Duration(i) * 20 * ms
-			ask(b, now, balance.RequestID(i), safeClass)
-			end(b, now+5*ms, balance.RequestID(i), 0, balance.Served)
+			sendRequest(b, now, balance.RequestID(i), safeClass)
+			endAttempt(b, now+5*ms, balance.RequestID(i), 0, balance.Served)
 		}
 		if h.sentTo(1) == 0 {
-			t.Fatalf("seed %d: no send in the first second, due at %v", seed, b.server(1).coldAt)
+			t.Fatalf("seed %d: no send in the first second, due at %v", seed, b.serverByID(1).nextColdSend)
 		}
 	}
 }
 
-// What was learned before a restart holds after it as far as it is young enough, and nothing that a file may say does harm.
-func TestRecall(t *testing.T) {
+// What a predecessor learned is used if it is recent enough, and invalid values in its file are harmless.
+func TestRestoreLearned(t *testing.T) {
 	const now = time.Hour
 	cfg := testConfig()
 	cfg.ColdTime = 8 * time.Second
-	dead := balance.LearnedServer{ID: 2, Failures: 5, SilentSince: now - 10*time.Second, LatencyRatio: failStrain}
+	dead := balance.LearnedServer{ID: 2, Failures: 5, SilentSince: now - 10*time.Second, LatencyRatio: failureLatencyRatio}
 	cold := balance.LearnedServer{ID: 2, WarmAt: now + 4*time.Second, LatencyRatio: 1}
 	for _, c := range []struct {
 		name   string
 		at     time.Duration
 		learnt balance.LearnedServer
-		since  time.Duration // the list's start of the server
+		since  time.Duration // the server's start time in the list
 		rests  bool
 		warmAt time.Duration
 	}{
@@ -173,21 +173,21 @@
 		{"nonsense does no harm", now - time.Second, balance.LearnedServer{ID: 2, Failures: -9, SilentSince: -5, LatencyRatio: math.NaN()}, 0, false, 0},
 		{"nor do servers that nobody knows", now - time.Second, balance.LearnedServer{ID: 77, Failures: 5}, 0, false, 0},
 	} {
-		list := ready(1, 2)
+		list := readyList(1, 2)
 		list[1].Started = c.since
-		b, _ := start(t, cfg, nil)
+		b, _ := startBalancer(t, cfg, nil)
 		b.UpdateServers(now, balance.ListFull, list)
 		b.RestoreLearned(now, balance.Learned{At: c.at, Rate: 70, Servers: []balance.LearnedServer{c.learnt}})
-		s := b.server(2)
-		if rests := s.rested > now; rests != c.rests || s.warmAt != c.warmAt || s.fails < 0 || !(s.strain > 0) || s.silent < 0 {
-			t.Errorf("%s: rests %v, warm at %v, %d fails, strain %v", c.name, rests, s.warmAt, s.fails, s.strain)
+		s := b.serverByID(2)
+		if rests := s.ejectedUntil > now; rests != c.rests || s.warmAt != c.warmAt || s.failures < 0 || !(s.latencyRatio > 0) || s.silentSince < 0 {
+			t.Errorf("%s: rests %v, warm at %v, %d fails, strain %v", c.name, rests, s.warmAt, s.failures, s.latencyRatio)
 		}
-		if young := c.at >= now-rateOver && c.at <= now; young != (b.rate == 70) {
+		if young := c.at >= now-rateTimeConstant && c.at <= now; young != (b.rate == 70) {
 			t.Errorf("%s: rate %v", c.name, b.rate)
 		}
 	}
-	b, _ := start(t, cfg, ready(1, 2))
-	b.server(2).fails, b.server(2).strain = 3, 6
+	b, _ := startBalancer(t, cfg, readyList(1, 2))
+	b.serverByID(2).failures, b.serverByID(2).latencyRatio = 3, 6
 	l := b.Learned(time.Second)
 	if len(l.Servers) != 1 || l.Servers[0].ID != 2 || l.Servers[0].Failures != 3 || l.At != time.Second {
 		t.Errorf("learned %+v", l)
--- a/policy/helpers_test.go
+++ b/policy/helpers_test.go
@@ -10,17 +10,17 @@
 
 const ms = time.Millisecond
 
-// sent is one attempt that a test host was asked to start.
-type sent struct {
-	id      balance.RequestID
-	to      balance.ServerID
-	timeout time.Duration
-	unsent  time.Duration
+// sentAttempt is one call of Host.Send.
+type sentAttempt struct {
+	id         balance.RequestID
+	to         balance.ServerID
+	timeout    time.Duration
+	sendWithin time.Duration
 }
 
-// fakeHost records the actions of a Balancer.
+// fakeHost is a Host that records the actions of a Balancer.
 type fakeHost struct {
-	sends     []sent
+	sends     []sentAttempt
 	refused   map[balance.RequestID]time.Duration
 	failed    map[balance.RequestID]bool
 	cancelled []balance.RequestID
@@ -28,7 +28,7 @@
 	wakes     []time.Duration
 	probes    []balance.ServerID
 	closes    []balance.ServerID
-	asks      int
+	watches   int
 	log       []string
 	trace     []string
 }
@@ -37,12 +37,13 @@
 	return &fakeHost{refused: map[balance.RequestID]time.Duration{}, failed: map[balance.RequestID]bool{}}
 }
 
+// note appends a line to the trace of all actions.
 func (h *fakeHost) note(format string, args ...any) {
 	h.trace = append(h.trace, fmt.Sprintf(format, args...))
 }
 
 func (h *fakeHost) Send(id balance.RequestID, to balance.ServerID, timeout, unsent time.Duration) {
-	h.sends = append(h.sends, sent{id, to, timeout, unsent})
+	h.sends = append(h.sends, sentAttempt{id, to, timeout, unsent})
 	h.note("send %d %d %v %v", id, to, timeout, unsent)
 }
 
@@ -82,7 +83,7 @@
 }
 
 func (h *fakeHost) WatchList() {
-	h.asks++
+	h.watches++
 	h.note("watch")
 }
 
@@ -91,7 +92,7 @@
 	h.note("log %s", line)
 }
 
-// sentTo counts the attempts sent to a server.
+// sentTo returns the number of attempts sent to a server.
 func (h *fakeHost) sentTo(id balance.ServerID) int {
 	n := 0
 	for _, s := range h.sends {
@@ -102,7 +103,7 @@
 	return n
 }
 
-// The classes of testConfig.
+// The indexes of the classes of testConfig.
 const (
 	safeClass = iota
 	keyedAll
@@ -111,6 +112,7 @@
 	unsafeClass
 )
 
+// testConfig returns settings of two tenants with one class of each kind of idempotency and scope.
 func testConfig() balance.Config {
 	class := func(e balance.Idempotency, s balance.Scope) balance.Class {
 		return balance.Class{Aim: time.Second, Deadline: 3 * time.Second, Worth: 1, Idempotency: e, Scope: s, DedupWindow: 700 * ms}
@@ -134,7 +136,8 @@
 	}
 }
 
-func ready(ids ...balance.ServerID) []balance.Server {
+// readyList returns a list of ready servers of weight 1.
+func readyList(ids ...balance.ServerID) []balance.Server {
 	var list []balance.Server
 	for _, id := range ids {
 		list = append(list, balance.Server{ID: id, State: balance.Ready, Weight: 1})
@@ -142,13 +145,13 @@
 	return list
 }
 
-// start makes a Balancer that holds a list of servers.
-func start(t testing.TB, cfg balance.Config, list []balance.Server) (*Balancer, *fakeHost) {
+// startBalancer returns a started Balancer with a server list.
+func startBalancer(t testing.TB, cfg balance.Config, list []balance.Server) (*Balancer, *fakeHost) {
 	t.Helper()
 	return startSeeded(t, cfg, 1, list)
 }
 
-// startSeeded is start with a seed, for tests of many balancers.
+// startSeeded is startBalancer with a seed, for tests of many balancers.
 func startSeeded(t testing.TB, cfg balance.Config, seed uint64, list []balance.Server) (*Balancer, *fakeHost) {
 	t.Helper()
 	h := newFakeHost()
@@ -161,12 +164,12 @@
 	return b, h
 }
 
-// ask hands in a request of tenant 0.
-func ask(b *Balancer, now time.Duration, id balance.RequestID, class int) {
+// sendRequest plays the arrival of a request of tenant 0.
+func sendRequest(b *Balancer, now time.Duration, id balance.RequestID, class int) {
 	b.Request(now, balance.Request{ID: id, Class: class, TimeLeft: 2 * time.Second})
 }
 
-// end ends an attempt of a request.
-func end(b *Balancer, now time.Duration, id balance.RequestID, attempt int, e balance.Ending) {
+// endAttempt plays the end of an attempt.
+func endAttempt(b *Balancer, now time.Duration, id balance.RequestID, attempt int, e balance.Ending) {
 	b.Outcome(now, balance.Outcome{ID: id, Attempt: attempt, Ending: e, Settled: e == balance.Served})
 }
--- a/policy/limits_test.go
+++ b/policy/limits_test.go
@@ -8,9 +8,9 @@
 	"unicode/utf8"
 )
 
-// The module is read by whoever is on call: each of its files has one subject and is named by the deploy file, and each
-// function fits on a screen. The operators have lifted the limit of 1,200 lines over all files.
-func TestModuleStaysWithinItsLimits(t *testing.T) {
+// Keeps the package readable for operators: the deploy file names each source file, and files, lines and functions are
+// limited in length.
+func TestSourceSizeLimits(t *testing.T) {
 	const mostLines, mostColumns, mostFunctionLines = 1000, 110, 60
 	deploy, err := os.ReadFile("../deploy/balancer.toml")
 	if err != nil {
@@ -31,7 +31,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		lines, begun := 0, -1 // begun: where the function under way begins; -1: there is none
+		lines, begun := 0, -1 // begun: first line of the current function; -1: none
 		for n, line := range strings.Split(string(text), "\n") {
 			if strings.TrimSpace(line) != "" {
 				lines++
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -1,21 +1,21 @@
 // Package policy decides, for one client-side load balancer (a sidecar), when
-// and where each request is sent, sent again, refused or failed.
+// and where each request is sent, retried, refused or failed.
 //
 // A Balancer is single-threaded and deterministic: it has no goroutines, no clock and no I/O. The program
-// that embeds it calls one method per event and passes the time; the Balancer answers through the Host it was
-// given. Package balance has the words for both. Here is every decision: the start, events, compartments, the
-// gate that all sends pass, server choice and health, list, reports and endings in policy.go, what is held
-// and counted in state.go.
+// that embeds it (the host) calls one method per event and passes the time; the Balancer acts through the
+// Host interface. Package balance defines the types of both. The decisions are in policy.go (events,
+// admission, compartments, choice and health of servers, the server list, load reports), the state and its
+// bookkeeping in state.go, and the handling of stalled responses in stream.go.
 //
-// Times are durations since a fixed moment of the embedding program's choice; they must never go back, and
-// all calls for one Balancer come from one goroutine, in the order of what happened: New, Start,
-// UpdateServers with the servers known so far, then the others as they occur. Each Host.Send brings exactly
-// one Outcome, also after the request has been answered; each Host.Wake one call of Wake, late rather than
-// never. A request is answered once: by an Outcome with Settled set, or by Host.Refuse or Host.Fail.
+// Times are durations since a fixed moment chosen by the host. They must never decrease. All calls of one
+// Balancer come from one goroutine in the order of the events: New, Start, UpdateServers with the servers
+// known so far, then the other methods as events occur. Each Host.Send results in exactly one Outcome, also
+// after the request has been answered, and each Host.Wake in one call of Wake, which may be late. A request
+// is answered once: by an Outcome with Settled set, or by Host.Refuse or Host.Fail.
 //
-// Bad input does no harm: a request that names no class or tenant, or has no time left, is refused;
-// an outcome, probe or departure of something unknown is passed over, and so is a repeated one.
-// New returns an error that names the field for settings that cannot be used.
+// Invalid input is harmless. A request without a valid class or tenant, or with no time left, is refused.
+// Events about an unknown request, attempt or server are ignored, and so are repeated ones. New returns an
+// error that names the field if the settings are invalid.
 package policy
 
 import (
@@ -30,194 +30,228 @@
 	"arrowgw/internal/balance"
 )
 
+// Wake-ups.
 const (
-	busyTick = 10 * time.Millisecond  // how often open requests are looked at
-	idleTick = 100 * time.Millisecond // and the rest when none is open
-
-	slotAim     = 0.12 // slots hold a quota's traffic for this share of the aim (wall)
-	spread      = 2.0  // and this many standard deviations of such a count more
-	serverSlots = 3.0  // slots for each server first listed, where no quota is known
-	placesShare = 0.15 // queue places for each slot: short, just enough to keep slots fed
-	besideSlots = 4    // places for each slot, for attempts that go at their client's pace
-
-	rateOver    = 10 * time.Second      // our traffic is measured over about this long
-	turnEvery   = 1 * time.Second       // turns are taken among so few servers that each gets one this often
-	sharersMost = 10                    // and that so many balancers share a server, if there are more
-	fewest      = 4.0                   // but at least this many
-	fleetHalf   = 10 * time.Second      // a fleet that shrinks counts for half in no less than this
-	stays       = 0.5                   // arcs keep their places while all traffic puts them no more servers off
-	overlap     = 2.0                   // arcs by all traffic reach so often round the list together, at least
-	widest      = 4.0                   // but none beyond this multiple of what its own traffic feeds
-	fitRounds   = 5                     // of proportional fitting find how often servers have turns,
-	turnsMost   = 4.0                   // up to this multiple of the usual, and down to this part
-	fleetEvery  = time.Second           // Fleet comes this often; a longer gap between two counts for no more
-	toldFor     = 50 * time.Millisecond // a load report is good for this long
-	askWait     = 30 * time.Millisecond // a request waits this long for one
-	askMost     = 3                     // and asks so many servers at most
-	pairsMost   = 4                     // pairs of reports that far apart tell whether they are fresh enough
-	crowdedAt   = 0.3                   // a server that takes this share of the aim to answer is crowded
-	admitMost   = 1.5                   // lets in this multiple of what was lately answered in time
-	admitFree   = 1.5                   // and this many requests, or a light balancer refuses after one failure
-	admitOver   = 2 * time.Second       // lately: about as long as queues take to build up
-	wholeFew    = 1.0                   // the wall over all attempts begins at this multiple of a server's,
-	wholeMany   = 0.4                   // or sooner where more than sharersMost balancers crowd servers
-	wholeFree   = 2.0                   // and allows this many more than our traffic holds at the aim
-	farTurns    = 0.25                  // other zones' servers have this share of turns, if crossing is priced
-	mildAlone   = 0.5                   // answers in less than this multiple of the usual time bring no turns,
-	mildShared  = 1.5                   // and in this cost none, where arcs and turns go by all traffic
-	failStrain  = 8.0                   // a failure counts as an answer that took so many times the usual
-	coldPart    = 0.5                   // this much of a cold server's budget is used, the rest left to chance
-	leftVotes   = 32                    // so many tries more than others' at most hold a class's usual time left
-
-	restAfter  = 2                      // so many failures are no chance: the server rests
-	failsMost  = 8                      // and more count no more: three answers clear it
-	restEach   = 100 * time.Millisecond // at first it is tested this often, by all who share it together
-	listLag    = 30 * time.Second       // the list tells of a start no later than this
-	believed   = 30 * time.Second       // a verdict from before a restart counts for so long
-	firstAsk   = 2 * time.Second        // many balancers that start at once first ask for the list over this
-	firstPause = 250 * time.Millisecond // before the list is asked for again after a failed call, doubled twice
-	lastPause  = 4 * time.Second        // any other pause is doubled up to this
+	busyWakeInterval = 10 * time.Millisecond  // time between Wakes while requests are open
+	idleWakeInterval = 100 * time.Millisecond // time between Wakes while none are
 )
 
-// unsettled are the endings after which an attempt may still run.
-var unsettled = []balance.Ending{balance.TimedOut, balance.Broken, balance.Cancelled}
+// Sizes of compartments, see sizeCompartments.
+const (
+	slotAimShare       = 0.12 // slots hold the traffic of the quotas for this share of the aim
+	slotDeviations     = 2.0  // standard deviations of that concurrency added to the slots
+	slotsPerServer     = 3.0  // slots of all balancers per server of the first list, without quotas
+	queuePlacesPerSlot = 0.15 // queues are just long enough to keep freed slots in use
+	clientPacedPerSlot = 4    // client-paced attempts that hold no slot, per slot
+)
+
+// Server subsets and round-robin turns, see updateSubset and computeSubset.
+const (
+	rateTimeConstant    = 10 * time.Second // of the moving average of this balancer's traffic
+	turnInterval        = 1 * time.Second  // a subset is sized to give each of its servers a turn this often
+	maxSharersPerServer = 10               // balancers that share a server, in a fleet that has more of them
+	minSubsetSize       = 4.0              // servers
+
+	// When members are lost, the counted size of the fleet halves in no less than fleetHalfLife.
+	fleetHalfLife     = 10 * time.Second
+	maxFleetUpdateGap = time.Second // a longer time between two calls of SetFleet counts as this much
+
+	// The fleet's traffic moves a subset only by what exceeds this number of servers, which saves connections.
+	subsetShiftTolerance = 0.5
+	minSubsetCoverage    = 2.0  // the subsets of all sharers together cover the server list this many times
+	maxSubsetWidening    = 4.0  // and for that exceed the size their own traffic supports by at most this factor
+	fittingRounds        = 5    // rounds of the proportional fitting of turns
+	maxTurnMultiple      = 4.0  // fitting changes a server's turns by at most this factor, up or down
+	crossZoneTurnShare   = 0.25 // turns of another zone's server, relative to this zone, if crossing is priced
+
+	// Lower latency ratios count as the floor: a fast server gets no more turns than the floor gives. Where
+	// turns are fitted to the fleet's traffic the floor is higher, or random latency would outweigh the fitting.
+	latencyRatioFloorAlone  = 0.5
+	latencyRatioFloorShared = 1.5
+	failureLatencyRatio     = 8.0 // a failure counts as a response of this multiple of the typical latency
+	coldBudgetShare         = 0.5 // used share of a cold server's budget; the rest absorbs random arrivals
+)
+
+// Load reports, see sampleReports and queryLoad.
+const (
+	loadReportLifetime = 50 * time.Millisecond // a load report is valid for this long
+	loadReportWait     = 30 * time.Millisecond // longest time that a request waits for a load report
+	maxLoadQueries     = 3                     // servers that a request may ask for a load report
+	maxReportPairs     = 4                     // pairs of successive reports compared to see if they are fresh
+)
+
+// Concurrency limits and admission, see serverLimit, totalLimit and admit.
+const (
+	congestedAimShare = 0.3             // a server whose responses take a larger share of the aim is congested
+	admitMultiple     = 1.5             // requests admitted per recent timely response
+	admitAllowance    = 1.5             // and beyond: a balancer with little traffic must survive one failure
+	admitTimeConstant = 2 * time.Second // of the counts for admission: about as long as queues take to build up
 
-// New makes a Balancer, or returns an error that names the unusable field.
+	// The limit over all attempts shrinks when congestion exceeds a server's threshold by these factors. In a
+	// fleet of more than maxSharersPerServer it shrinks sooner: single attempts of many balancers add up.
+	totalLimitOnset           = 1.0
+	totalLimitOnsetLargeFleet = 0.4
+	totalLimitAllowance       = 2.0 // attempts beyond the concurrency that the balancer's traffic has at the aim
+
+	maxTimeLeftVotes = 32 // bounds the majority for a class's usual time left, so that a new one can replace it
+)
+
+// Ejection of failing servers, and the server list.
+const (
+	ejectAfterFailures    = 2                      // a single failure may be chance
+	maxFailures           = 8                      // recent failures counted at most: three responses clear them
+	backoffPerSharer      = 100 * time.Millisecond // first ejection time, per balancer that shares the server
+	maxBackoff            = 4 * time.Second        // pauses double up to this
+	learnedHealthLifetime = 30 * time.Second       // health learned before a restart is valid for this long
+
+	maxListLag       = 30 * time.Second       // the list announces a server's start within this time
+	firstWatchSpread = 2 * time.Second        // a large fleet's first list calls are spread over this time
+	firstListRetry   = 250 * time.Millisecond // pause after a failed list call, doubled up to twice
+)
+
+// mayStillRunEndings are the endings after which a server may still be running the attempt.
+var mayStillRunEndings = []balance.Ending{balance.TimedOut, balance.Broken, balance.Cancelled}
+
+// New returns a Balancer for the settings, or an error that names the invalid field.
 func New(cfg balance.Config, seed uint64, host balance.Host) (*Balancer, error) {
 	if err := cfg.Check(); err != nil {
 		return nil, err
 	}
-	b := &Balancer{settings: cfg, cfg: cfg, host: host, lines: make(map[uint64]*line), share: 1}
-	b.requests, b.away = make(map[balance.RequestID]*request), make(map[balance.ServerID]bool)
-	b.fleet, b.back = float64(cfg.Balancers), make(map[balance.ServerID]time.Duration)
-	b.parts, b.rng = make([]compartment, len(cfg.Compartments())), rand.New(rand.NewPCG(seed, 0))
-	b.pace, b.every = cfg.Classes[0].Aim/8, turnEvery.Seconds()
+	b := &Balancer{settings: cfg, cfg: cfg, host: host, keyQueues: make(map[uint64]*keyQueue), processes: 1}
+	b.requests, b.disabled = make(map[balance.RequestID]*request), make(map[balance.ServerID]bool)
+	b.fleetSize, b.enabledWarmAt = float64(cfg.Balancers), make(map[balance.ServerID]time.Duration)
+	b.compartments, b.rng = make([]compartment, len(cfg.Compartments())), rand.New(rand.NewPCG(seed, 0))
+	b.typicalLatency, b.secondsPerTurn = cfg.Classes[0].Aim/8, turnInterval.Seconds()
 	for _, c := range cfg.Classes {
-		c.Aim = min(c.Aim, c.Deadline) // nobody waits for longer
-		b.classes = append(b.classes, class{Class: c, pace: c.Aim / 8})
-		b.aim += c.Aim.Seconds() / float64(len(cfg.Classes))
-		b.worth += c.Worth / float64(len(cfg.Classes))
-		b.pace = min(b.pace, c.Aim/8)
-	}
-	b.wall()
-	b.rate = b.quota / b.fleet
+		c.Aim = min(c.Aim, c.Deadline) // no client waits past the deadline
+		b.classes = append(b.classes, class{Class: c, typicalLatency: c.Aim / 8})
+		b.meanAim += c.Aim.Seconds() / float64(len(cfg.Classes))
+		b.meanWorth += c.Worth / float64(len(cfg.Classes))
+		b.typicalLatency = min(b.typicalLatency, c.Aim/8)
+	}
+	b.sizeCompartments()
+	b.rate = b.totalQuota / b.fleetSize
 	return b, nil
 }
 
-// wall sizes the compartments. By Little's law a rate holds rate x time slots: the quotas times a small
-// share of the aim, to leave most of it for what goes wrong. Each balancer gets what the largest of n
-// random parts of the traffic comes to, ln n + 0.58 even ones, and two standard deviations of such a
-// count, so as not to refuse on chance.
-func (b *Balancer) wall() {
-	tenants, n, shares := b.cfg.Compartments(), b.fleet, 0.0
-	b.quota, b.slots = 0, 0
+// sizeCompartments sets the slots and queue places of each tenant. By Little's law the concurrency is rate x
+// time; it is sized for the quotas and a small share of the aim, which leaves the rest of the aim for
+// trouble. If the traffic is split at random among n balancers, the largest part is about (ln n + 0.58)/n of
+// it. Each balancer gets slots for that part and two standard deviations more, so that chance alone refuses
+// nothing.
+func (b *Balancer) sizeCompartments() {
+	tenants, balancers, shares := b.cfg.Compartments(), b.fleetSize, 0.0
+	b.totalQuota, b.slots = 0, 0
 	for _, t := range tenants {
-		b.quota += t.Quota
+		b.totalQuota += t.Quota
 		shares += t.Share
 	}
-	b.mean = cmp.Or(b.quota*b.aim*slotAim, serverSlots*b.first)
-	total, room := b.mean*min(1, (math.Log(n)+0.58)/n), spread
+	b.quotaConcurrency = cmp.Or(b.totalQuota*b.meanAim*slotAimShare, slotsPerServer*b.firstListSize)
+	total, deviations := b.quotaConcurrency*min(1, (math.Log(balancers)+0.58)/balancers), slotDeviations
 	if b.cfg.Slots > 0 {
-		total, room = float64(b.cfg.Slots), 0
+		total, deviations = float64(b.cfg.Slots), 0
 	}
 	for i, t := range tenants {
-		c, mean := &b.parts[i], total*t.Share/shares
-		c.slots = max(1, int(math.Ceil(mean+room*math.Sqrt(mean))))
-		c.places = int(math.Ceil(float64(c.slots) * placesShare))
+		c, mean := &b.compartments[i], total*t.Share/shares
+		c.slots = max(1, int(math.Ceil(mean+deviations*math.Sqrt(mean))))
+		c.queuePlaces = int(math.Ceil(float64(c.slots) * queuePlacesPerSlot))
 		b.slots += c.slots
 	}
 }
 
-// Start begins the Balancer's life; it must be the first event.
+// Start starts the Balancer. It must be the first event.
 func (b *Balancer) Start(now time.Duration) {
-	b.rateAt = now // the mean of all balancers holds from now on; the clock's zero may be long ago
-	if b.cfg.AskList && b.cfg.Balancers > sharersMost {
-		b.askAt = now + 1 + time.Duration(b.rng.Float64()*float64(firstAsk))
+	b.rateAt = now // not 0: the rate set by New must not decay since the clock's zero
+	if b.cfg.AskList && b.cfg.Balancers > maxSharersPerServer {
+		b.watchAt = now + 1 + time.Duration(b.rng.Float64()*float64(firstWatchSpread))
 	} else if b.cfg.AskList {
-		b.ask(now)
+		b.watchList(now)
 	}
-	b.sampleAt = now + time.Duration(b.rng.Int64N(int64(4*toldFor))) // not all balancers at once
-	b.wake(now, idleTick)
+	b.sampleAt = now + time.Duration(b.rng.Int64N(int64(4*loadReportLifetime))) // not in step with others
+	b.requestWake(now, idleWakeInterval)
 }
 
-// Request takes a request on. It is answered once, by an Outcome that settles it or through the
-// Host, before its time left is up. An id still held is passed over; one unusable is refused.
+// Request accepts a request. It is answered exactly once before its TimeLeft is over: by an Outcome with
+// Settled set or through Host.Refuse or Host.Fail. An id that is still in use is ignored, and an invalid
+// request is refused.
 func (b *Balancer) Request(now time.Duration, q balance.Request) {
 	if _, held := b.requests[q.ID]; held {
 		return
 	}
-	b.taken.since(now - b.cfg.Budget.Span)
-	b.more.since(now - b.cfg.Budget.Span)
-	b.taken = append(b.taken, now)
+	b.requestTimes.countSince(now - b.cfg.Budget.Span)
+	b.retryTimes.countSince(now - b.cfg.Budget.Span)
+	b.requestTimes = append(b.requestTimes, now)
 	if len(b.cfg.Tenants) == 0 {
-		q.Tenant = 0 // the one for all
+		q.Tenant = 0 // the single compartment
 	}
-	if min(q.Class, q.Tenant) < 0 || q.Class >= len(b.classes) || q.Tenant >= len(b.parts) || q.TimeLeft <= 0 {
-		b.count.Refused++
+	if min(q.Class, q.Tenant) < 0 || q.Class >= len(b.classes) || q.Tenant >= len(b.compartments) ||
+		q.TimeLeft <= 0 {
+		b.counters.Refused++
 		b.host.Refuse(q.ID, 0, balance.Unusable)
 		return
 	}
-	r := &request{id: q.ID, class: &b.classes[q.Class], home: &b.parts[q.Tenant], coming: q.BodyPending}
+	r := &request{id: q.ID, class: &b.classes[q.Class], compartment: &b.compartments[q.Tenant],
+		bodyPending: q.BodyPending}
 	r.deadline = now + min(q.TimeLeft, time.Hour)
-	r.useful, r.wanted = r.deadline, min(r.deadline, now+r.class.Aim)
+	r.usefulUntil, r.aimAt = r.deadline, min(r.deadline, now+r.class.Aim)
 	if stretch := r.class.AimStretch; r.class.LateShare == 0 && (stretch == 0 || q.Work > 0) {
-		begun := now // the first try
-		if first := r.class.usual(q.TimeLeft, !q.ClientRetry); !first &&
+		firstSent := now // when the client sent its first try
+		if usual := r.class.hasUsualTimeLeft(q.TimeLeft, !q.ClientRetry); !usual &&
 			(q.ClientRetry || !b.cfg.ClientsMarkRetries) {
-			begun = min(now, r.deadline-r.class.Deadline) // a later one has what is left of all its client's time
+			firstSent = min(now, r.deadline-r.class.Deadline) // a retry has the rest of the class's deadline
 		}
-		r.useful = min(r.deadline, begun+r.class.Aim+time.Duration(stretch*float64(q.Work)))
+		r.usefulUntil = min(r.deadline, firstSent+r.class.Aim+time.Duration(stretch*float64(q.Work)))
 	}
 	if r.class.InOrder && q.Key != 0 {
-		b.join(now, r, q.Key)
+		b.joinKeyQueue(now, r, q.Key)
 	}
 	b.requests[r.id] = r
-	b.open = append(b.open, r)
-	b.wake(now, busyTick)
-	b.rate = b.rate*math.Exp(-float64(now-b.rateAt)/float64(rateOver)) + 1/rateOver.Seconds()
+	b.openRequests = append(b.openRequests, r)
+	b.requestWake(now, busyWakeInterval)
+	b.rate = b.rate*math.Exp(-float64(now-b.rateAt)/float64(rateTimeConstant)) + 1/rateTimeConstant.Seconds()
 	b.rateAt = now
-	if want := b.want(b.rate); want > 1.25*b.wanted || want < 0.75*b.wanted {
-		b.cut()
+	if size := b.subsetSize(b.rate); size > 1.25*b.subsetTarget || size < 0.75*b.subsetTarget {
+		b.updateSubset()
 	}
 	if !b.admit(now, r) {
-		b.asked.turnedBack()
-		b.count.Throttled++
-		b.finish(r, balance.AdmissionLimit)
+		b.admission.countThrottled()
+		b.counters.Throttled++
+		b.refuseOrFail(r, balance.AdmissionLimit)
 		return
 	}
-	b.place(now, r)
+	b.dispatchOrQueue(now, r)
 }
 
-// admit says whether a request may try for a slot. Walls bound each balancer alone; where a thousand
-// of few requests each find the fleet short of what they ask, the slots of all are more than it can
-// serve in time, and its work goes into answers that come late (i47e131, i50e019). Each then lets in
-// little more than what it was lately answered in time, of worthier classes more.
+// admit reports whether a request may try for a slot. Compartments limit each balancer on its own: the slots
+// of a thousand balancers with little traffic add up to more than overloaded servers can answer in time, and
+// their work goes into late responses. Each balancer therefore admits little more than what was recently
+// answered in time, and more of the classes with a higher worth.
 func (b *Balancer) admit(now time.Duration, r *request) bool {
-	b.asked.fade(now)
-	share := (admitFree + admitMost*b.asked.good) / (admitFree + b.asked.all)
-	return share >= 1 || b.rng.Float64() < math.Pow(share, b.worth/max(r.class.Worth, b.worth/8))
+	b.admission.decay(now)
+	share := (admitAllowance + admitMultiple*b.admission.timely) / (admitAllowance + b.admission.offered)
+	return share >= 1 || b.rng.Float64() < math.Pow(share, b.meanWorth/max(r.class.Worth, b.meanWorth/8))
 }
 
-// place sends a request, or lets it wait, or refuses it.
-func (b *Balancer) place(now time.Duration, r *request) {
+// dispatchOrQueue sends a request, has it wait for a load report or a slot, or refuses it.
+func (b *Balancer) dispatchOrQueue(now time.Duration, r *request) {
 	switch {
-	case b.inquire(now, r):
-	case now > r.lateIn(): // late, or as good as: it takes nothing from others
-		r.useful = r.deadline // and where nothing was heard lately one shows whether there still is a crowd
-		if ease(b.crowd) < 1 && now-b.crowdAt < admitOver || !b.dispatch(now, r) {
-			b.count.Late++
-			b.finish(r, balance.OutOfTime)
+	case b.queryLoad(now, r):
+	case now > r.latestSend(): // too late for the aim: it must not take a slot from timely requests
+		r.usefulUntil = r.deadline // without recent responses it is sent, to find out whether congestion persists
+		if congestionFactor(b.congestion) < 1 && now-b.congestionAt < admitTimeConstant || !b.dispatch(now, r) {
+			b.counters.Late++
+			b.refuseOrFail(r, balance.OutOfTime)
 		}
 	case b.dispatch(now, r):
-	case len(r.home.queue) >= r.home.places: // full: refuse promptly
-		b.finish(r, balance.QueueFull)
+	case len(r.compartment.queue) >= r.compartment.queuePlaces: // the queue is full: refuse at once
+		b.refuseOrFail(r, balance.QueueFull)
 	default:
-		b.count.Queued++
-		r.home.queue = append(r.home.queue, r)
+		b.counters.Queued++
+		r.compartment.queue = append(r.compartment.queue, r)
 	}
 }
 
-// Outcome takes the end of an attempt. What is unknown or came before is passed over.
+// Outcome handles the end of an attempt. An unknown attempt, or one that has ended before, is ignored.
 func (b *Balancer) Outcome(now time.Duration, o balance.Outcome) {
 	r := b.requests[o.ID]
 	if r == nil || o.Attempt < 0 || o.Attempt >= len(r.attempts) || r.attempts[o.Attempt].state != inFlight {
@@ -228,722 +262,776 @@
 	if o.Ending == balance.TurnedAway || o.Ending == balance.NoConnection || o.Ending == balance.NotSent {
 		a.state = neverRan
 	}
-	r.spent = r.spent || o.BodySpent
-	b.paced(r, a, false)
-	b.hold(r, a.to, -1)
-	if r.line != nil && slices.Contains(unsettled, o.Ending) {
-		r.line.restEnd = max(r.line.restEnd, now+b.cfg.OrderSettle)
+	r.bodySpent = r.bodySpent || o.BodySpent
+	b.setClientPaced(r, a, false)
+	b.countInFlight(r, a.server, -1)
+	if r.keyQueue != nil && slices.Contains(mayStillRunEndings, o.Ending) {
+		r.keyQueue.settledAt = max(r.keyQueue.settledAt, now+b.cfg.OrderSettle)
 	}
-	if !a.to.stands() {
-		b.close(now, a.to)
+	if !a.server.inService() {
+		b.closeIdle(now, a.server)
 	}
 	switch {
-	case !r.begun:
-		b.judge(now, r, a, o.Ending)
-	case o.Ending != balance.Served && o.Ending != balance.Cancelled: // how long the stream took tells nothing
-		b.judge(now, r, a, balance.Broken)
+	case !r.streaming:
+		b.recordResult(now, r, a, o.Ending)
+	case o.Ending != balance.Served && o.Ending != balance.Cancelled: // a stream's duration is not a latency
+		b.recordResult(now, r, a, balance.Broken)
 	}
 	switch {
-	case r.over && r.out == 0:
-		b.forget(r)
-	case !r.over && (o.Settled || o.Ending == balance.Served || r.begun):
-		b.settle(r)
-	case !r.over && r.out == 0:
-		b.further(now, r)
-	}
-	b.feed(now)
+	case r.ended && r.attemptsInFlight == 0:
+		b.dropRequest(r)
+	case !r.ended && (o.Settled || o.Ending == balance.Served || r.streaming):
+		b.endRequest(r)
+	case !r.ended && r.attemptsInFlight == 0:
+		b.retryOrEnd(now, r)
+	}
+	b.dispatchQueued(now)
 }
 
-// BodyEnded takes that the last byte of a request has gone out: its time begins. A server begins with the
-// last byte too, so that what came before tells nothing of it.
+// BodyEnded handles the end of a request body: the client's remaining time, left, starts now. The server
+// starts work with the last byte too, so that the time before it does not count as latency.
 func (b *Balancer) BodyEnded(now time.Duration, id balance.RequestID, left time.Duration) {
 	r := b.requests[id]
-	if r == nil || r.over || !r.coming {
+	if r == nil || r.ended || !r.bodyPending {
 		return
 	}
-	r.coming, r.deadline = false, now+min(left, time.Hour)
-	r.useful, r.wanted = r.deadline, min(r.deadline, now+r.class.Aim)
-	if r.out > 0 {
+	r.bodyPending, r.deadline = false, now+min(left, time.Hour)
+	r.usefulUntil, r.aimAt = r.deadline, min(r.deadline, now+r.class.Aim)
+	if r.attemptsInFlight > 0 {
 		a := &r.attempts[len(r.attempts)-1]
-		a.sent = now
-		b.paced(r, a, false)
+		a.sentAt = now
+		b.setClientPaced(r, a, false)
 	}
 }
 
-// StreamStarted takes that the answer of an attempt has begun to stream: the client owns it now. It counts as
-// answered; a place of its tenant's it keeps until its Outcome.
-func (b *Balancer) StreamStarted(now time.Duration, id balance.RequestID, n int) {
+// StreamStarted handles the start of the response of attempt n, which from now on is streamed to the client.
+// The attempt counts as answered in time or late at this moment. It occupies a place of its tenant until its
+// Outcome.
+func (b *Balancer) StreamStarted(now time.Duration, id balance.RequestID, attempt int) {
 	r := b.requests[id]
-	if r == nil || r.begun || n < 0 || n >= len(r.attempts) || r.attempts[n].state != inFlight {
+	if r == nil || r.streaming || attempt < 0 || attempt >= len(r.attempts) || r.attempts[attempt].state != inFlight {
 		return
 	}
-	b.judge(now, r, &r.attempts[n], balance.Served)
-	r.begun = true
-	b.paced(r, &r.attempts[n], true)
-	b.feed(now)
+	b.recordResult(now, r, &r.attempts[attempt], balance.Served)
+	r.streaming = true
+	b.setClientPaced(r, &r.attempts[attempt], true)
+	b.dispatchQueued(now)
 }
 
-// paced takes that an attempt goes at its client's pace from now on (on), while its body comes or its answer
-// streams, or no longer does. Then it is no work of its server's, and has a place beside its compartment's
-// slots if there is one: as many slow clients as there are slots would wall off their tenant for seconds.
-func (b *Balancer) paced(r *request, a *attempt, on bool) {
-	if a.paced == on {
+// setClientPaced marks an attempt as client-paced or clears the mark. An attempt is client-paced while its
+// request body is received or its response is streamed. It then does not count as work of its server and
+// moves from a slot to a client-paced place of its compartment, if one is free: otherwise as many slow
+// clients as there are slots would block their tenant for seconds.
+func (b *Balancer) setClientPaced(r *request, a *attempt, on bool) {
+	if a.clientPaced == on {
 		return
 	}
-	n := 1
-	if a.paced = on; on {
-		n = -1
-		if a.beside = r.home.beside < r.home.slots*besideSlots; !a.beside {
-			b.count.SlowFull++
+	change := 1
+	if a.clientPaced = on; on {
+		change = -1
+		a.holdsPacedPlace = r.compartment.pacedInUse < r.compartment.slots*clientPacedPerSlot
+		if !a.holdsPacedPlace {
+			b.counters.SlowFull++
 		}
-		b.count.Slow++
+		b.counters.Slow++
 	}
-	a.to.out += n
-	b.out += n
-	if a.beside {
-		r.home.used += n
-		r.home.beside -= n
+	a.server.inFlight += change
+	b.inFlight += change
+	if a.holdsPacedPlace {
+		r.compartment.slotsInUse += change
+		r.compartment.pacedInUse -= change
 	}
-	a.beside = a.beside && on
+	a.holdsPacedPlace = a.holdsPacedPlace && on
 }
 
-// Wake takes that a time asked for with Host.Wake has come.
+// Wake handles a timer that was requested with Host.Wake. It sends or ends the requests that are due and does
+// the periodic work.
 func (b *Balancer) Wake(now time.Duration) {
 	if now < b.wakeAt {
-		return // an older timer
+		return // an earlier request, superseded
 	}
-	if b.cfg.AskList && b.askAt > 0 && now >= b.askAt {
-		b.ask(now)
+	if b.cfg.AskList && b.watchAt > 0 && now >= b.watchAt {
+		b.watchList(now)
 	}
-	if b.closeAt > 0 && now >= b.closeAt {
-		b.closeAt = 0
+	if b.closeIdleAt > 0 && now >= b.closeIdleAt {
+		b.closeIdleAt = 0
 		for _, s := range b.servers {
-			if !s.stands() {
+			if !s.inService() {
 				b.host.CloseIdle(s.ID)
 			}
 		}
 	}
-	b.feed(now)
-	for _, r := range b.open {
-		if r.asks != nil && !r.over && now >= r.asksUntil {
-			r.asks.toldAt, r.asks.others = now, math.Inf(1) // it cannot even tell
-			r.asks = nil
-			b.place(now, r)
+	b.dispatchQueued(now)
+	for _, r := range b.openRequests {
+		if r.awaitedReport != nil && !r.ended && now >= r.reportWaitEnd {
+			// without a report in time the server counts as full
+			r.awaitedReport.reportedAt, r.awaitedReport.othersInFlight = now, math.Inf(1)
+			r.awaitedReport = nil
+			b.dispatchOrQueue(now, r)
 		}
-		ends := now+2*max(busyTick, b.cfg.Tick) > r.deadline || now >= r.lateIn()
-		waited := r.out == 0 && (ends || !r.mayRepeat(now, nil) || len(r.attempts) >= b.cfg.MaxAttempts)
-		if !r.begun && !(r.coming && r.out > 0) && (waited || now >= r.deadline) { // or it takes the client's time
-			b.finish(r, balance.OutOfTime)
+		ends := now+2*max(busyWakeInterval, b.cfg.Tick) > r.deadline || now >= r.latestSend()
+		waited := r.attemptsInFlight == 0 &&
+			(ends || !r.mayRepeat(now, nil) || len(r.attempts) >= b.cfg.MaxAttempts)
+		// the deadline does not bind client-paced attempts
+		if !r.streaming && !(r.bodyPending && r.attemptsInFlight > 0) && (waited || now >= r.deadline) {
+			b.refuseOrFail(r, balance.OutOfTime)
 		}
 	}
-	b.open = slices.DeleteFunc(b.open, func(r *request) bool { return r.over })
+	b.openRequests = slices.DeleteFunc(b.openRequests, func(r *request) bool { return r.ended })
 	b.wakeAt = 0
-	b.sample(now)
-	if len(b.open) > 0 {
-		b.wake(now, busyTick)
+	b.sampleReports(now)
+	if len(b.openRequests) > 0 {
+		b.requestWake(now, busyWakeInterval)
 	}
-	b.wake(now, idleTick)
-	if b.closeAt > 0 {
-		b.wake(now, b.closeAt-now)
+	b.requestWake(now, idleWakeInterval)
+	if b.closeIdleAt > 0 {
+		b.requestWake(now, b.closeIdleAt-now)
 	}
 }
 
-// lateIn is when a wait stops being worth it: servers would work for answers that come late.
-func (r *request) lateIn() time.Duration { return r.useful - min(2*r.class.pace, r.class.Aim/2) }
+// latestSend returns the time after which the request is not worth sending, as its response would probably
+// come after the aim: twice the typical latency before that.
+func (r *request) latestSend() time.Duration {
+	return r.usefulUntil - min(2*r.class.typicalLatency, r.class.Aim/2)
+}
 
-// dispatch sends a request if a slot of its compartment and a server are free.
+// dispatch sends a request if its compartment has a free slot, the limit over all attempts allows it and a
+// server is eligible. It reports whether the request was sent.
 func (b *Balancer) dispatch(now time.Duration, r *request) bool {
-	if r.home.used >= r.home.slots {
-		b.count.NoSlot++
+	if r.compartment.slotsInUse >= r.compartment.slots {
+		b.counters.NoSlot++
 		return false
 	}
-	// The wall over all attempts: one each from many balancers is a crowd too, and servers' own walls leave
-	// them that one. There it comes first: by the time that all answers are slow, servers have choked.
-	at := wholeFew
-	if b.fleet > sharersMost {
-		at = wholeMany
+	// The limit over all attempts also bounds the single attempts of many balancers, which the limits per server
+	// always allow. In a large fleet it acts early: when all responses are slow, servers are already overloaded.
+	onset := totalLimitOnset
+	if b.fleetSize > maxSharersPerServer {
+		onset = totalLimitOnsetLargeFleet
 	}
-	if float64(b.out) >= max(1, b.whole(ease(b.crowd/at))) {
-		b.count.Held++
+	if float64(b.inFlight) >= max(1, b.totalLimit(congestionFactor(b.congestion/onset))) {
+		b.counters.Held++
 		return false
 	}
-	if s := b.pick(now, r); s != nil {
+	if s := b.pickServer(now, r); s != nil {
 		b.send(now, r, s)
 		return true
 	}
-	b.count.NoServer++
+	b.counters.NoServer++
 	return false
 }
 
-// whole is the concurrency limit over all attempts: the slots, or while answers tell of crowding the share
-// this leaves of what our own traffic holds at the aim, by Little's law: slots are sized for the busiest, and
-// eighty times these are more than servers bear. Less by what fails: it is not to fall on the others.
-func (b *Balancer) whole(eased float64) float64 {
+// totalLimit returns the concurrency limit over all attempts of this balancer. It is the number of slots.
+// Under congestion it is the given factor of the concurrency that the balancer's own traffic has at the aim,
+// by Little's law: slots are sized for the busiest balancer, and eighty balancers' slots are more than
+// servers can take. The limit falls with the share of failing servers, so that their load does not move to
+// the others.
+func (b *Balancer) totalLimit(factor float64) float64 {
 	limit := float64(b.slots)
-	if eased < 1 {
-		limit = eased * min(limit, wholeFree+b.rate*b.aim)
+	if factor < 1 {
+		limit = factor * min(limit, totalLimitAllowance+b.rate*b.meanAim)
 	}
-	well := slices.DeleteFunc(slices.Clone(b.arc), func(s *server) bool { return s.fails >= restAfter })
-	return limit * float64(len(well)) / max(1, float64(len(b.arc)))
+	failing := func(s *server) bool { return s.failures >= ejectAfterFailures }
+	healthy := slices.DeleteFunc(slices.Clone(b.subset), failing)
+	return limit * float64(len(healthy)) / max(1, float64(len(b.subset)))
 }
 
-// further gives a request whose attempts have all failed another one, or ends it.
-func (b *Balancer) further(now time.Duration, r *request) {
+// retryOrEnd retries a request whose attempts have all failed, queues it for a retry, or ends it.
+func (b *Balancer) retryOrEnd(now time.Duration, r *request) {
 	switch {
-	case r.spent || len(r.attempts) >= b.cfg.MaxAttempts || now >= r.lateIn(),
-		!r.mayRepeat(now, nil) || b.spent(now):
-		b.finish(r, b.noneFurther(now, r))
+	case r.bodySpent || len(r.attempts) >= b.cfg.MaxAttempts || now >= r.latestSend(),
+		!r.mayRepeat(now, nil) || b.retryBudgetSpent(now):
+		b.refuseOrFail(r, b.noRetryReason(now, r))
 	case !b.dispatch(now, r):
-		if b.feed(now); len(r.home.queue) >= r.home.places { // its slot may serve one that waits
-			b.finish(r, balance.QueueFull)
+		b.dispatchQueued(now) // the freed slot may serve a queued request
+		if len(r.compartment.queue) >= r.compartment.queuePlaces {
+			b.refuseOrFail(r, balance.QueueFull)
 			return
 		}
-		r.home.queue = slices.Insert(r.home.queue, 0, r) // it has waited already: to the front
+		r.compartment.queue = slices.Insert(r.compartment.queue, 0, r) // to the front: it has waited already
 	}
 }
 
-// noneFurther is why a request whose attempts have all failed gets no other.
-func (b *Balancer) noneFurther(now time.Duration, r *request) balance.Reason {
+// noRetryReason returns why a request whose attempts have all failed is not retried.
+func (b *Balancer) noRetryReason(now time.Duration, r *request) balance.Reason {
 	switch {
-	case r.spent:
+	case r.bodySpent:
 		return balance.BodySpent
-	case now >= r.lateIn():
+	case now >= r.latestSend():
 		return balance.OutOfTime
 	}
 	return balance.NoAttemptLeft
 }
 
-// feed gives free slots to what waits, one compartment after the other.
-func (b *Balancer) feed(now time.Duration) {
-	b.feedFrom = (b.feedFrom + 1) % len(b.parts)
-	for i := range b.parts {
-		c := &b.parts[(b.feedFrom+i)%len(b.parts)]
-		for n := 0; n < len(c.queue) && c.used < c.slots; {
+// dispatchQueued gives free slots to queued requests. Each call starts with another compartment.
+func (b *Balancer) dispatchQueued(now time.Duration) {
+	b.dispatchFrom = (b.dispatchFrom + 1) % len(b.compartments)
+	for i := range b.compartments {
+		c := &b.compartments[(b.dispatchFrom+i)%len(b.compartments)]
+		for n := 0; n < len(c.queue) && c.slotsInUse < c.slots; {
 			switch r := c.queue[n]; {
-			case now >= r.lateIn():
-				b.finish(r, balance.OutOfTime) // which takes it out of the queue
+			case now >= r.latestSend():
+				b.refuseOrFail(r, balance.OutOfTime) // removes it from the queue
 			case b.dispatch(now, r):
 				c.queue = slices.Delete(c.queue, n, n+1)
-			case len(r.attempts) == 0 && r.inTurn(now):
-				n = len(c.queue) // it could go anywhere, so nothing behind it can go
+			case len(r.attempts) == 0 && r.isNextOfKey(now):
+				n = len(c.queue) // eligible for any server: those behind it can't be sent either
 			default:
-				n++ // bound to where it has been, or behind its key: others may go
+				n++ // bound to certain servers or waiting for its key: others may go
 			}
 		}
 	}
 }
 
-// mayRepeat says whether the class allows an attempt now, on s or (nil) on some server.
+// mayRepeat reports whether the idempotency of the class allows an attempt now, on s or, if s is nil, on any
+// server.
 func (r *request) mayRepeat(now time.Duration, s *server) bool {
-	first, scope := r.ran(), r.class.Scope
+	first, scope := r.firstMayHaveRun(), r.class.Scope
 	if first == nil || r.class.Idempotency == balance.Safe {
 		return true
 	}
-	dropped := s == nil || scope == balance.ScopeAll ||
-		s.Zone == first.to.Zone && (scope == balance.ScopeZone || s.Cell == first.to.Cell)
-	return dropped && r.class.Idempotency == balance.Keyed && now < first.sent+r.class.DedupWindow
+	inScope := s == nil || scope == balance.ScopeAll ||
+		s.Zone == first.server.Zone && (scope == balance.ScopeZone || s.Cell == first.server.Cell)
+	return inScope && r.class.Idempotency == balance.Keyed && now < first.sentAt+r.class.DedupWindow
 }
 
-// mayGo is the gate: whether the rules let a request go to a server now.
-func (b *Balancer) mayGo(now time.Duration, r *request, s *server) bool {
-	return !r.over && !r.begun && now < r.deadline && // rule 1
-		len(r.attempts) < b.cfg.MaxAttempts && s.mayServe(now) && // rule 3: at once, long before the grace is over
-		(now >= s.warmAt || now >= s.coldAt) && // rule 4
-		r.out == 0 && r.mayRepeat(now, s) && // rule 2: one at a time (no second copies), if it may be repeated
-		r.inTurn(now) && // rule 5
-		(len(r.attempts) == 0 || !b.spent(now)) // rule 6
+// maySend reports whether the rules allow sending a request to a server now. Every attempt passes this check.
+// Rule 3 applies as soon as a server starts draining, long before its grace period is over.
+func (b *Balancer) maySend(now time.Duration, r *request, s *server) bool {
+	return !r.ended && !r.streaming && now < r.deadline && // rule 1: not answered, and in time
+		len(r.attempts) < b.cfg.MaxAttempts && s.available(now) && // rule 3: nothing to a draining server
+		(now >= s.warmAt || now >= s.nextColdSend) && // rule 4: little to a cold server
+		r.attemptsInFlight == 0 && r.mayRepeat(now, s) && // rule 2: no concurrent or unsafe repeats
+		r.isNextOfKey(now) && // rule 5: order per key
+		(len(r.attempts) == 0 || !b.retryBudgetSpent(now)) // rule 6: retry budget
 }
 
-// stands says whether a server takes part: the list has it ready, and it is not out by hand or by the set.
-func (s *server) stands() bool { return s.State == balance.Ready && !s.away }
+// inService reports whether a server is ready by the list and neither disabled by an operator nor excluded by
+// the rule set.
+func (s *server) inService() bool { return s.State == balance.Ready && !s.excluded }
 
-// mayServe says whether a server may be sent anything now: it takes part and does not rest from failures.
-func (s *server) mayServe(now time.Duration) bool { return s.stands() && now >= s.rested }
+// available reports whether a server is in service and not ejected for failures.
+func (s *server) available(now time.Duration) bool { return s.inService() && now >= s.ejectedUntil }
 
-// inTurn says whether a request is the first of its key, and no earlier attempt may still run.
-func (r *request) inTurn(now time.Duration) bool {
-	return r.line == nil || r.line.waiting[0] == r && (len(r.attempts) > 0 || now >= r.line.restEnd)
+// isNextOfKey reports whether a request is at the head of its per-key queue, if it has one, and no attempt of
+// an earlier request may still be running.
+func (r *request) isNextOfKey(now time.Duration) bool {
+	q := r.keyQueue
+	return q == nil || q.waiting[0] == r && (len(r.attempts) > 0 || now >= q.settledAt)
 }
 
-// spent says whether the budget has no further attempt left. A request taken just a span ago no
-// longer counts, an attempt made just then still does.
-func (b *Balancer) spent(now time.Duration) bool {
+// retryBudgetSpent reports whether the retry budget allows no retry now. At the edge of the period, a request
+// received exactly one Span ago no longer counts and a retry sent then still does.
+func (b *Balancer) retryBudgetSpent(now time.Duration) bool {
 	if b.cfg.Budget.Span == 0 {
 		return false
 	}
 	from := now - b.cfg.Budget.Span
-	allowed := b.cfg.Budget.Free + b.cfg.Budget.Share*float64(b.taken.since(from+1))
-	return float64(b.more.since(from)+1) > allowed
+	allowed := b.cfg.Budget.Free + b.cfg.Budget.Share*float64(b.requestTimes.countSince(from+1))
+	return float64(b.retryTimes.countSince(from)+1) > allowed
 }
 
-// close closes idle connections to a server that drains (rule 7): now and, as one may be opening, once more.
-func (b *Balancer) close(now time.Duration, s *server) {
+// closeIdle closes the idle connections to a draining server (rule 7): now, and once more later for a
+// connection that is just being opened.
+func (b *Balancer) closeIdle(now time.Duration, s *server) {
 	if b.cfg.CloseWithin > 0 {
 		b.host.CloseIdle(s.ID)
-		b.closeAt = cmp.Or(b.closeAt, now+b.cfg.CloseWithin/2)
-		b.wake(now, b.closeAt-now)
+		b.closeIdleAt = cmp.Or(b.closeIdleAt, now+b.cfg.CloseWithin/2)
+		b.requestWake(now, b.closeIdleAt-now)
 	}
 }
 
-// send is the one place that sends, to a server that pick found: mayGo lets the request go there. A keyed
-// repeat has to be written by its window's end, however late its connection comes up. No margin is taken off
-// for the wire: the first attempt went out later than sent, from which this counts.
+// send starts an attempt at a server that pickServer returned, for which maySend holds. It is the only caller
+// of Host.Send. A keyed repeat must be written before the deduplication window ends, even if its connection
+// is slow to open. The window needs no margin for the network: it counts from the decision to send the first
+// attempt, which reached its server later.
 func (b *Balancer) send(now time.Duration, r *request, s *server) {
-	unsent := time.Duration(0)
-	if first := r.ran(); first != nil && r.class.Idempotency == balance.Keyed {
-		unsent = first.sent + r.class.DedupWindow - now
+	sendWithin := time.Duration(0)
+	if first := r.firstMayHaveRun(); first != nil && r.class.Idempotency == balance.Keyed {
+		sendWithin = first.sentAt + r.class.DedupWindow - now
 	}
-	s.coldAt = now + b.coldGap(now, s)
-	r.attempts = append(r.attempts, attempt{to: s, sent: now})
-	b.hold(r, s, 1)
+	s.nextColdSend = now + b.coldSendInterval(now, s)
+	r.attempts = append(r.attempts, attempt{server: s, sentAt: now})
+	b.countInFlight(r, s, 1)
 	if len(r.attempts) > 1 {
-		b.count.Retries++
-		b.more = append(b.more, now)
+		b.counters.Retries++
+		b.retryTimes = append(b.retryTimes, now)
 	}
-	if b.far(s) {
-		b.count.Crossed++
+	if b.crossesZone(s) {
+		b.counters.Crossed++
 	}
-	b.paced(r, &r.attempts[len(r.attempts)-1], r.coming)
-	b.host.Send(r.id, s.ID, r.useful-now, unsent)
+	b.setClientPaced(r, &r.attempts[len(r.attempts)-1], r.bodyPending)
+	b.host.Send(r.id, s.ID, r.usefulUntil-now, sendWithin)
 }
 
-// coldGap spaces sends to a cold server: each balancer keeps an even part of what it may be sent. Quotas
-// tell what servers can do; without them it is guessed from what they bear, all balancers' traffic.
-func (b *Balancer) coldGap(now time.Duration, s *server) time.Duration {
-	rate := cmp.Or(b.quota/b.fleet, b.rate)
-	rate = b.part(rate, s) * b.weight / max(b.reach, s.Weight) * b.warmth(now, s)
-	gap := time.Duration(float64(time.Second) / max(rate*coldPart*max(b.cfg.ColdMultiple, 1), 0.01))
-	return time.Duration(b.share) * gap
+// coldSendInterval returns the time between two sends to a cold server. Each balancer uses an even part of
+// what the server may be sent. The capacity is derived from the quotas, or without quotas from this
+// balancer's traffic.
+func (b *Balancer) coldSendInterval(now time.Duration, s *server) time.Duration {
+	rate := cmp.Or(b.totalQuota/b.fleetSize, b.rate)
+	rate = b.weightShare(rate, s) * b.readyWeight / max(b.subsetWeight, s.Weight) * b.capacityShare(now, s)
+	interval := time.Duration(float64(time.Second) / max(rate*coldBudgetShare*max(b.cfg.ColdMultiple, 1), 0.01))
+	return time.Duration(b.processes) * interval
 }
 
-// SetProcessCount says how many processes act as this balancer, as an upgrade runs two for a while. Each then
-// keeps to its part of what cold servers may be sent, and leaves the probes that nothing waits for.
-func (b *Balancer) SetProcessCount(n int) { b.share = max(1, n) }
+// SetProcessCount sets the number of processes that act as this balancer: an upgrade runs two for a while.
+// Each of them keeps to its part of the cold servers' budgets and omits probes that no request waits for.
+func (b *Balancer) SetProcessCount(n int) { b.processes = max(1, n) }
 
-// SetFleet takes who else sends to the same servers. Cold servers' parts, walls, reach and rests go by how
-// many there are, and more is the safe side of each: too many of them keep us to less than our part, too
-// few push servers over. So more count at once; fewer only while all agree, without the silent, and slowly.
+// SetFleet updates the balancers that send to the same servers. Their number affects cold servers' budgets,
+// compartments, the subset and ejection times. Too high a number keeps this balancer below its part; too low
+// a number overloads servers. A higher number therefore takes effect at once; a lower one slowly, only while
+// all members agree and not for members that are silent.
 func (b *Balancer) SetFleet(now time.Duration, f balance.Fleet) {
-	least := b.fleet
+	minSize := b.fleetSize
 	if f.Agreed {
-		least *= math.Exp2(-float64(min(now-b.fleetAt, fleetEvery)) / float64(fleetHalf))
+		minSize *= math.Exp2(-float64(min(now-b.fleetUpdatedAt, maxFleetUpdateGap)) / float64(fleetHalfLife))
 	}
-	n := max(1, float64(f.Present+f.Silent), least)
-	b.fleetAt = now
-	if n != b.fleet || !slices.Equal(f.Sharers, b.told) {
-		b.fleet, b.told = n, f.Sharers
-		b.wall()
-		b.cut()
+	size := max(1, float64(f.Present+f.Silent), minSize)
+	b.fleetUpdatedAt = now
+	if size != b.fleetSize || !slices.Equal(f.Sharers, b.sharers) {
+		b.fleetSize, b.sharers = size, f.Sharers
+		b.sizeCompartments()
+		b.updateSubset()
 	}
 }
 
-// SetRules puts a rule set in force, in place of the one before; the empty one restores the settings. What
-// was sent ends under what it was sent by. One that Check refuses changes nothing.
+// SetRules puts a rule set in force, which replaces the previous one. The empty set restores the settings.
+// Attempts in flight continue. A set that Rules.Check rejects changes nothing.
 func (b *Balancer) SetRules(now time.Duration, r balance.Rules) {
 	if err := r.Check(b.settings); err != nil {
 		b.host.Log(err.Error())
 		return
 	}
 	b.rules, b.cfg = r, r.ApplyTo(b.settings)
-	b.wall()
-	b.weigh(now)
+	b.sizeCompartments()
+	b.recalculateWeights(now)
 }
 
-// warmth is the share of its capacity that a server has at least.
-func (b *Balancer) warmth(now time.Duration, s *server) float64 {
+// capacityShare returns the share of its full capacity that a server has at least, which rises while it is
+// cold.
+func (b *Balancer) capacityShare(now time.Duration, s *server) float64 {
 	left := float64(max(0, s.warmAt-now)) / float64(max(1, b.cfg.ColdTime))
 	return max(0.05, 1-left*(1-b.cfg.ColdFrom))
 }
 
-// pick is smooth weighted round robin over the ready servers: each is due again one over its
-// weight after its last turn, and the one due first has its turn. It loses it while it holds its
-// portion of our attempts, or if the request has been there already.
-func (b *Balancer) pick(now time.Duration, r *request) *server {
-	best, walled := b.turnOf(now, r, b.arc)
-	if best == nil && r.ran() != nil { // bound to where it has been
-		best, walled = b.turnOf(now, r, b.servers)
+// pickServer chooses a server by smooth weighted round robin over the subset. In virtual time, a server's
+// next turn is 1/weight after its last one, and the server with the earliest turn is chosen. Servers that are
+// at their concurrency limit or that the request has tried are passed over. It returns nil if there is none.
+func (b *Balancer) pickServer(now time.Duration, r *request) *server {
+	best, passedOver := b.nextInTurn(now, r, b.subset)
+	if best == nil && r.firstMayHaveRun() != nil { // a repeat is bound to its Scope, which the subset may lack
+		best, passedOver = b.nextInTurn(now, r, b.servers)
 	}
 	if best == nil {
 		return nil
 	}
-	b.turn = max(b.turn, best.due)
-	best.due = b.turn + b.gap(now, best)
-	if walled {
-		b.count.Walled++
+	b.virtualTime = max(b.virtualTime, best.nextTurn)
+	best.nextTurn = b.virtualTime + b.turnGap(now, best)
+	if passedOver {
+		b.counters.Walled++
 	} else if len(r.attempts) == 0 {
-		b.count.Ordinary++
+		b.counters.Ordinary++
 	}
 	return best
 }
 
-// portion is how many of our attempts a server may hold: its part of our slots, less the more of
-// the aim its answers take (mean square: a long tail counts). It does not grow when others leave
-// or fail: the last would be overrun.
-func (b *Balancer) portion(s *server) float64 {
-	return max(1, b.part(float64(b.slots), s)*b.weight/b.reach*s.turns*ease(s.used))
+// serverLimit returns how many attempts of this balancer a server may hold: its part of the slots, reduced
+// under congestion. It does not grow when other servers leave or fail, as that would overload the last ones.
+func (b *Balancer) serverLimit(s *server) float64 {
+	limit := b.weightShare(float64(b.slots), s) * b.readyWeight / b.subsetWeight * s.turnMultiple
+	return max(1, limit*congestionFactor(s.congestion))
 }
 
-// ease is the share of its portion that crowding leaves.
-func ease(used float64) float64 { return min(1, crowdedAt*crowdedAt/max(used, 1e-4)) }
+// congestionFactor returns the factor by which congestion reduces a concurrency limit. Congestion is the mean
+// square of the share of the aim that responses take: by the square, a long tail of latency counts.
+func congestionFactor(congestion float64) float64 {
+	return min(1, congestedAimShare*congestedAimShare/max(congestion, 1e-4))
+}
 
-// cut picks the servers to take turns among. A thousand balancers of few requests each would hold
-// connections to all servers and never learn how any of them fares, so each keeps to an arc of the
-// list that its own traffic can feed. Arcs begin evenly spread, by the balancers' numbers.
-func (b *Balancer) cut() {
-	b.wanted = b.want(b.rate)
-	all := b.ready()
-	b.reach, b.arc = 0, b.lay(all)
+// updateSubset chooses the servers that this balancer sends to. A thousand balancers with little traffic
+// would hold connections to all servers and never learn the health of any, so each keeps to a contiguous
+// subset of the list that its own traffic supports. The subsets' starts are evenly spread by the balancers'
+// indexes.
+func (b *Balancer) updateSubset() {
+	b.subsetTarget = b.subsetSize(b.rate)
+	all := b.readyServers()
+	b.subsetWeight, b.subset = 0, b.computeSubset(all)
 	for _, s := range all {
-		s.ours = s.ours && slices.Contains(b.arc, s)
+		s.inSubset = s.inSubset && slices.Contains(b.subset, s)
 	}
-	for _, s := range b.arc {
-		if !s.ours { // at a random point of its round: balancers must not begin in step
-			s.ours, s.due = true, b.turn+b.rng.Float64()*b.gap(b.rateAt, s)
-			if b.back[s.ID] > 0 { // or it would wait long for a cold one's turn
-				s.due = b.turn
+	for _, s := range b.subset {
+		if !s.inSubset { // a random first turn: balancers must not be in step
+			s.inSubset, s.nextTurn = true, b.virtualTime+b.rng.Float64()*b.turnGap(b.rateAt, s)
+			if b.enabledWarmAt[s.ID] > 0 { // not the long wait for a cold server's turn
+				s.nextTurn = b.virtualTime
 			}
 		}
-		b.reach += s.Weight
+		b.subsetWeight += s.Weight
 	}
 }
 
-// lay is our arc of the ready servers. Where we have told our traffic it lays the arcs of all who have: end
-// to end by it, but near their places; rounds of proportional fitting find how often each server has turns
-// for all to have an even load (docs/spread.md). It goes by what is told alone: all come to the same.
-func (b *Balancer) lay(all []*server) []*server {
-	b.mild = mildAlone
+// computeSubset returns this balancer's subset of the ready servers. If this balancer is among the sharers,
+// it lays out the subsets of all sharers: end to end by their traffic, but near the starts that their indexes
+// give. Rounds of proportional fitting then find the turns that give all servers an even load
+// (docs/spread.md). The layout depends on announced traffic only, so that all balancers compute the same one.
+func (b *Balancer) computeSubset(all []*server) []*server {
+	b.latencyRatioFloor = latencyRatioFloorAlone
 	for _, s := range b.servers {
-		s.turns = 1
+		s.turnMultiple = 1
 	}
 	n, ring := float64(len(all)), slices.Concat(all, all)
-	arc := func(begin, width float64) []*server {
-		at := (int(math.Floor(begin))%max(1, len(all)) + len(all)) % max(1, len(all))
+	section := func(start, width float64) []*server {
+		at := (int(math.Floor(start))%max(1, len(all)) + len(all)) % max(1, len(all))
 		return ring[at : at+int(math.Ceil(min(n, width)))]
 	}
-	unfit := func(a balance.Sharer) bool { return !(a.Rate > 0 && b.want(a.Rate) < n) }
-	told := slices.DeleteFunc(slices.Clone(b.told), unfit)
-	places := func(a, c balance.Sharer) int { return cmp.Compare(placeOf(a.Index), placeOf(c.Index)) }
-	slices.SortStableFunc(told, places)
-	own := slices.IndexFunc(told, func(a balance.Sharer) bool { return a.Index == b.cfg.Index })
-	if own < 0 {
-		return arc(n*placeOf(b.cfg.Index), b.wanted)
-	}
-	b.mild = mildShared // or what chance makes of answers' times has more weight than all of this
-	total, sum, off, away, arcs := 0.0, 0.0, 0.0, make([]float64, len(told)), make([][]*server, len(told))
-	for _, a := range told {
+	invalid := func(a balance.Sharer) bool { return !(a.Rate > 0 && b.subsetSize(a.Rate) < n) }
+	sharers := slices.DeleteFunc(slices.Clone(b.sharers), invalid)
+	byStart := func(a, c balance.Sharer) int { return cmp.Compare(subsetStart(a.Index), subsetStart(c.Index)) }
+	slices.SortStableFunc(sharers, byStart)
+	self := slices.IndexFunc(sharers, func(a balance.Sharer) bool { return a.Index == b.cfg.Index })
+	if self < 0 {
+		return section(n*subsetStart(b.cfg.Index), b.subsetTarget)
+	}
+	b.latencyRatioFloor = latencyRatioFloorShared // random latency must not outweigh the fitting
+	total, sum, meanShift, shifts, subsets := 0.0, 0.0, 0.0, make([]float64, len(sharers)), make([][]*server, len(sharers))
+	for _, a := range sharers {
 		total += a.Rate
 	}
-	for i, a := range told {
-		away[i] = n * (sum/total - placeOf(a.Index))
-		off += away[i] / float64(len(told))
+	for i, a := range sharers {
+		shifts[i] = n * (sum/total - subsetStart(a.Index))
+		meanShift += shifts[i] / float64(len(sharers))
 		sum += a.Rate
 	}
-	for i, a := range told {
-		away[i] -= off + max(-stays, min(away[i]-off, stays))
-		width := max(b.want(a.Rate), min(overlap*n*a.Rate/total, widest*b.want(a.Rate)))
-		arcs[i] = arc(n*placeOf(a.Index)+away[i], width)
+	for i, a := range sharers {
+		shifts[i] -= meanShift + max(-subsetShiftTolerance, min(shifts[i]-meanShift, subsetShiftTolerance))
+		size := b.subsetSize(a.Rate)
+		width := max(size, min(minSubsetCoverage*n*a.Rate/total, maxSubsetWidening*size))
+		subsets[i] = section(n*subsetStart(a.Index)+shifts[i], width)
 	}
-	for range fitRounds {
-		for i, a := range told {
+	for range fittingRounds {
+		for i, a := range sharers {
 			sum = 0
-			for _, s := range arcs[i] {
-				sum += b.size(a.Zone, s)
+			for _, s := range subsets[i] {
+				sum += b.turnWeight(a.Zone, s)
 			}
-			for _, s := range arcs[i] {
-				s.bears += a.Rate / total * b.size(a.Zone, s) / sum
+			for _, s := range subsets[i] {
+				s.fittedShare += a.Rate / total * b.turnWeight(a.Zone, s) / sum
 			}
 		}
 		for _, s := range all {
-			s.turns, s.bears = max(1/turnsMost, min(s.turns*s.Weight/b.weight/s.bears, turnsMost)), 0
+			fitted := s.turnMultiple * s.Weight / b.readyWeight / s.fittedShare
+			s.turnMultiple, s.fittedShare = max(1/maxTurnMultiple, min(fitted, maxTurnMultiple)), 0
 		}
 	}
-	return arcs[own]
+	return subsets[self]
 }
 
-// placeOf is where an arc begins by its balancer's number, as a part of the list: evenly spread.
-func placeOf(index int) float64 {
-	_, place := math.Modf(float64(index) * math.Phi)
-	return place
+// subsetStart returns where the subset of the balancer with this index starts, as a fraction of the list.
+// Multiples of the golden ratio spread the starts evenly.
+func subsetStart(index int) float64 {
+	_, start := math.Modf(float64(index) * math.Phi)
+	return start
 }
 
-// want is how many servers to take turns among. Where balancers are many it is fewer than our traffic
-// could feed: by the quotas no more than sharersMost share a server.
-func (b *Balancer) want(rate float64) float64 {
-	every := b.every
-	if b.fleet > sharersMost && b.quota > 0 {
-		every = min(every, sharersMost*b.weight/b.quota)
-	}
-	return max(fewest, rate*every)
+// subsetSize returns how many servers a balancer with this request rate sends to. In a large fleet it is
+// smaller than the rate supports, so that at traffic of the quotas maxSharersPerServer balancers share a
+// server.
+func (b *Balancer) subsetSize(rate float64) float64 {
+	secondsPerTurn := b.secondsPerTurn
+	if b.fleetSize > maxSharersPerServer && b.totalQuota > 0 {
+		secondsPerTurn = min(secondsPerTurn, maxSharersPerServer*b.readyWeight/b.totalQuota)
+	}
+	return max(minSubsetSize, rate*secondsPerTurn)
 }
 
-// gap is the time between a server's turns, in turns' own time. It is bounded, so that turns show recovery.
-// Other zones' have turns too, if fewer: a zone may have more traffic than its own servers can bear.
-func (b *Balancer) gap(now time.Duration, s *server) float64 {
-	return math.Pow(max(b.mild, min(s.strain, failStrain/2)), 1.5) / (b.size(b.cfg.Zone, s) * b.warmth(now, s))
+// turnGap returns the virtual time between two turns of a server. It is longer for slow, failing and cold
+// servers, but bounded: the remaining turns show when a server has recovered.
+func (b *Balancer) turnGap(now time.Duration, s *server) float64 {
+	ratio := max(b.latencyRatioFloor, min(s.latencyRatio, failureLatencyRatio/2))
+	return math.Pow(ratio, 1.5) / (b.turnWeight(b.cfg.Zone, s) * b.capacityShare(now, s))
 }
 
-// size is what a server's turns go by, for a balancer in a zone.
-func (b *Balancer) size(zone int, s *server) float64 {
+// turnWeight returns the weight of a server's turns for a balancer in the given zone. Servers of other zones
+// have fewer turns, but some: a zone may have more traffic than its own servers can take.
+func (b *Balancer) turnWeight(zone int, s *server) float64 {
 	if b.cfg.CrossZonePrice > 0 && s.Zone != zone {
-		return s.Weight * s.turns * farTurns
+		return s.Weight * s.turnMultiple * crossZoneTurnShare
 	}
-	return s.Weight * s.turns
+	return s.Weight * s.turnMultiple
 }
 
-// turnOf finds whose turn it is, and whether a server that holds its portion lost it.
-func (b *Balancer) turnOf(now time.Duration, r *request, among []*server) (best *server, walled bool) {
-	lost := math.Inf(1)
+// nextInTurn returns the eligible server with the earliest turn, or nil. It also reports whether a server
+// with an earlier turn was passed over because it was at its concurrency limit.
+func (b *Balancer) nextInTurn(now time.Duration, r *request, among []*server) (best *server, passedOver bool) {
+	earliestPassed := math.Inf(1)
 	for _, s := range among {
 		switch {
-		case r.tried(s) || !b.mayGo(now, r, s):
-		case float64(s.out) >= b.portion(s) || b.fuller(now, r, s):
-			lost = min(lost, s.due)
-		case best == nil || s.due < best.due:
+		case r.tried(s) || !b.maySend(now, r, s):
+		case float64(s.inFlight) >= b.serverLimit(s) || b.reportsFull(now, r, s):
+			earliestPassed = min(earliestPassed, s.nextTurn)
+		case best == nil || s.nextTurn < best.nextTurn:
 			best = s
 		}
 	}
-	return best, best != nil && lost < best.due
+	return best, best != nil && earliestPassed < best.nextTurn
 }
 
-// backoff is the pause after n more failures than the first, spread so that balancers do not act as one.
+// backoff returns the pause after n failures beyond the first: exponential, and with jitter so that balancers
+// do not act at the same time.
 func (b *Balancer) backoff(first time.Duration, n int) time.Duration {
-	return time.Duration(float64(min(first<<min(n, 16), lastPause)) * (0.5 + b.rng.Float64()))
+	return time.Duration(float64(min(first<<min(n, 16), maxBackoff)) * (0.5 + b.rng.Float64()))
 }
 
-// judge learns how a server fares: strain stretches the gap between its turns. It guards against any cause,
-// slowness, errors, silence, refusals, a limit shared with others. The turns left show when it is well again.
-func (b *Balancer) judge(now time.Duration, r *request, a *attempt, end balance.Ending) {
-	if !r.over && !r.begun && end != balance.NotSent { // for what is let in: as it ends, or begins to answer
-		b.asked.sent++
-		b.asked.all++
-		if end == balance.Served && now <= r.wanted {
-			b.asked.good += min(1, 2*float64(r.wanted-now)/float64(r.class.Aim))
+// recordResult updates admission, congestion and the health of the server with the result of an attempt. The
+// latency ratio, which stretches the gap between a server's turns, reacts to any cause: latency, errors,
+// time-outs, refusals, or a limit shared with other clients.
+func (b *Balancer) recordResult(now time.Duration, r *request, a *attempt, end balance.Ending) {
+	if !r.ended && !r.streaming && end != balance.NotSent { // once: at the end, or when the response starts
+		b.admission.ended++
+		b.admission.offered++
+		if end == balance.Served && now <= r.aimAt {
+			b.admission.timely += min(1, 2*float64(r.aimAt-now)/float64(r.class.Aim))
 		}
 	}
-	s, took := a.to, now-a.sent
-	lost := end == balance.TimedOut && s.strain < failStrain/2 // a strained one alone is no crowd
-	if end == balance.Served || lost {
-		x := float64(took) / float64(r.class.Aim)
-		s.used += (x*x - s.used) / 8
-		b.crowd += (x*x - b.crowd) * min(0.5, max(1.0/16, (now-b.crowdAt).Seconds()/10)) // if rare, each tells more
-		b.crowdAt = now
+	s, took := a.server, now-a.sentAt
+	unexpected := end == balance.TimedOut && s.latencyRatio < failureLatencyRatio/2 // one bad server is no congestion
+	if end == balance.Served || unexpected {
+		aimShare := float64(took) / float64(r.class.Aim)
+		s.congestion += (aimShare*aimShare - s.congestion) / 8
+		weight := min(0.5, max(1.0/16, (now-b.congestionAt).Seconds()/10)) // rare responses weigh more
+		b.congestion += (aimShare*aimShare - b.congestion) * weight
+		b.congestionAt = now
 	}
-	x := failStrain
+	ratio := failureLatencyRatio
 	switch end {
 	case balance.Cancelled, balance.NotSent:
 		return
 	case balance.Served:
-		x = min(x, float64(took)/float64(r.class.pace))
-		r.class.pace += (took - r.class.pace) / 16
-		b.pace += (took - b.pace) / 32
-		if s.silent > 0 && s.strain > failStrain/2 && now-s.silent > time.Second { // restarted, maybe
+		ratio = min(ratio, float64(took)/float64(r.class.typicalLatency))
+		r.class.typicalLatency += (took - r.class.typicalLatency) / 16
+		b.typicalLatency += (took - b.typicalLatency) / 32
+		// a server that answers after a silence may have restarted: it counts as cold
+		if s.silentSince > 0 && s.latencyRatio > failureLatencyRatio/2 && now-s.silentSince > time.Second {
 			s.warmAt = max(s.warmAt, now+b.cfg.ColdTime)
-			b.host.Log(fmt.Sprintf("server %x answers again after %v", s.ID, now-s.silent))
+			b.host.Log(fmt.Sprintf("server %x answers again after %v", s.ID, now-s.silentSince))
 		}
-		s.silent = 0
+		s.silentSince = 0
 	case balance.TimedOut, balance.NoConnection:
-		s.silent = cmp.Or(s.silent, now)
+		s.silentSince = cmp.Or(s.silentSince, now)
 	}
-	if before := s.strain; before < failStrain/2 && before+(x-before)/4 >= failStrain/2 {
-		b.host.Log(fmt.Sprintf("server %x strained, %d attempts out", s.ID, s.out))
+	if before := s.latencyRatio; before < failureLatencyRatio/2 && before+(ratio-before)/4 >= failureLatencyRatio/2 {
+		b.host.Log(fmt.Sprintf("server %x is slow or failing, %d attempts in flight", s.ID, s.inFlight))
 	}
-	s.strain += (x - s.strain) / 4
-	if end == balance.Served { // halved, not cleared: one that errs may answer one request in four
-		s.fails, s.rested = s.fails/2, 0
-	} else if s.fails = min(s.fails+1, failsMost); s.fails >= restAfter {
-		b.rest(now, s)
+	s.latencyRatio += (ratio - s.latencyRatio) / 4
+	if end == balance.Served { // halved, not cleared: a failing server may answer one request in four
+		s.failures, s.ejectedUntil = s.failures/2, 0
+	} else if s.failures = min(s.failures+1, maxFailures); s.failures >= ejectAfterFailures {
+		b.eject(now, s)
 	}
 }
 
-// rest keeps sends from a server that fails time and again, longer each time. Each balancer learns for
-// itself that a server is lost and pays for it with requests, and again with each test; where many share
-// a server, their tests alone keep a crowded one from its rest. So the more they are, the longer each waits.
-func (b *Balancer) rest(now time.Duration, s *server) {
-	sharers := b.fleet * b.reach / max(b.weight, 1e-9)
-	s.rested = now + b.backoff(time.Duration(sharers*float64(restEach)), s.fails-restAfter)
+// eject stops sends to a server that fails repeatedly, longer each time. Each balancer has to find out by
+// itself that a server is lost and pays with failed requests, again at each test. Where many balancers share
+// a server, their tests alone can keep it overloaded. The time is therefore proportional to the number of
+// sharers.
+func (b *Balancer) eject(now time.Duration, s *server) {
+	sharers := b.fleetSize * b.subsetWeight / max(b.readyWeight, 1e-9)
+	first := time.Duration(sharers * float64(backoffPerSharer))
+	s.ejectedUntil = now + b.backoff(first, s.failures-ejectAfterFailures)
 }
 
-// UpdateServers takes news of the server list.
+// UpdateServers handles a server list event.
 func (b *Balancer) UpdateServers(now time.Duration, kind balance.ListKind, entries []balance.Server) {
 	switch {
 	case kind == balance.ListFailed:
-		b.askAt = now + b.backoff(firstPause, b.askFails) // news count 6 s behind a return, refused calls or not
-		b.askFails = min(b.askFails+1, 2)
+		// soon: changes count as received 6 s after discovery is back, even if calls fail
+		b.watchAt = now + b.backoff(firstListRetry, b.watchFailures)
+		b.watchFailures = min(b.watchFailures+1, 2)
 		return
 	case b.cfg.AskList && kind != balance.ListCached:
-		b.askAt, b.askFails = 0, 0
+		b.watchAt, b.watchFailures = 0, 0
 	case b.cfg.AskList && len(entries) == 0:
-		b.ask(now) // nothing is known: no time to spare
+		b.watchList(now) // no server is known: ask at once
 	}
 	for _, s := range b.servers {
 		if kind != balance.ListDelta {
-			s.State = balance.Gone // until the list names it
+			s.State = balance.Gone // unless the list contains it
 		}
 	}
 	for _, e := range entries {
-		b.enter(now, e, b.startOf(now, kind, e))
+		b.applyEntry(now, e, b.effectiveStart(now, kind, e))
 	}
-	b.heardAt = now
+	b.listHeardAt = now
 	b.servers = slices.DeleteFunc(b.servers, func(s *server) bool { return s.State == balance.Gone })
-	if b.first == 0 { // with no quotas, the first list is all there is to go by
-		b.first = float64(len(b.servers))
-		if b.wall(); b.quota == 0 { // a turn each second for all, but of as many balancers as may share a server
-			b.rate = b.first * min(1, sharersMost/b.fleet) / b.every
+	if b.firstListSize == 0 { // without quotas, compartments are sized by the first list
+		b.firstListSize = float64(len(b.servers))
+		b.sizeCompartments()
+		if b.totalQuota == 0 { // as if maxSharersPerServer balancers gave each server one turn per second
+			b.rate = b.firstListSize * min(1, maxSharersPerServer/b.fleetSize) / b.secondsPerTurn
 		}
 	}
-	b.weigh(now)
-	b.feed(now)
+	b.recalculateWeights(now)
+	b.dispatchQueued(now)
 }
 
-// startOf is when a server started at the earliest, for its slow start. Our clock may have been stepped
-// before this process began, by as much as an hour. So a start that is still to come is taken for one of now.
-// So is one that is news, but was long before the list was heard without it.
-func (b *Balancer) startOf(now time.Duration, kind balance.ListKind, e balance.Server) time.Duration {
-	i, known := b.find(e.ID)
+// effectiveStart returns the start time of a server that its cold start goes by. This process's clock may
+// have been wrong by up to an hour when it was first read. A start in the future therefore counts as now, and
+// so does a newly announced start that lies well before a list that did not have it.
+func (b *Balancer) effectiveStart(now time.Duration, kind balance.ListKind, e balance.Server) time.Duration {
+	i, known := b.findServer(e.ID)
 	old := known && e.Started <= b.servers[i].Started
-	news := !old && e.Started > 0 && kind == balance.ListDelta && b.heardAt > 0
-	if e.Started > now || news && e.Started < b.heardAt-listLag {
+	restart := !old && e.Started > 0 && kind == balance.ListDelta && b.listHeardAt > 0
+	if e.Started > now || restart && e.Started < b.listHeardAt-maxListLag {
 		return now
 	}
 	return e.Started
 }
 
-// enter takes over one line of the list.
-func (b *Balancer) enter(now time.Duration, e balance.Server, start time.Duration) {
+// applyEntry adds or updates the server of one list entry.
+func (b *Balancer) applyEntry(now time.Duration, e balance.Server, start time.Duration) {
 	if !(e.Weight > 1e-9 && e.Weight < 1e9) {
-		e.Weight = 1 // no weights, even turns
+		e.Weight = 1 // without a valid weight, even turns
 	}
-	i, known := b.find(e.ID)
+	i, known := b.findServer(e.ID)
 	if !known {
-		b.servers = slices.Insert(b.servers, i, &server{strain: 1})
+		b.servers = slices.Insert(b.servers, i, &server{latencyRatio: 1})
 	}
 	s := b.servers[i]
-	if e.Started > 0 && e.Started > s.Started { // cold, and nothing known of it holds any more
-		*s = server{Server: e, out: s.out, warmAt: max(s.warmAt, start+b.cfg.ColdTime), strain: 1}
+	if e.Started > 0 && e.Started > s.Started { // restarted: cold, and its health is unknown
+		*s = server{Server: e, inFlight: s.inFlight, warmAt: max(s.warmAt, start+b.cfg.ColdTime), latencyRatio: 1}
 	}
-	s.Server, s.told, s.away, s.warmAt = e, e.Weight, b.away[e.ID], max(s.warmAt, b.back[e.ID])
-	if !s.stands() {
-		b.close(now, s)
+	s.Server, s.listedWeight, s.excluded = e, e.Weight, b.disabled[e.ID]
+	s.warmAt = max(s.warmAt, b.enabledWarmAt[e.ID])
+	if !s.inService() {
+		b.closeIdle(now, s)
 	}
 }
 
-// Disable keeps everything new from a server until Enable, whatever the list says of it meanwhile and
-// whether it is listed or not. What runs there finishes. Taken out twice, it is out once.
+// Disable takes a server out of service on an operator's call until Enable, whatever its state in the list
+// and even if it is not listed. Attempts in flight finish. A second Disable has no effect.
 func (b *Balancer) Disable(now time.Duration, id balance.ServerID) {
-	b.away[id] = true
-	if s := b.server(id); s != nil && !s.away {
-		b.weigh(now)
+	b.disabled[id] = true
+	if s := b.serverByID(id); s != nil && !s.excluded {
+		b.recalculateWeights(now)
 	}
 }
 
-// Enable ends Disable, as of the moment at. Operators restart servers meanwhile, and the list tells that
-// late: so the server comes back as a cold one, with its turn next.
+// Enable reverses Disable as of the time at. Operators restart servers in between, which the list announces
+// late, so the server is treated as cold. Its turn is next.
 func (b *Balancer) Enable(now time.Duration, id balance.ServerID, at time.Duration) {
-	if !b.away[id] {
+	if !b.disabled[id] {
 		return
 	}
-	delete(b.away, id)
-	maps.DeleteFunc(b.back, func(_ balance.ServerID, warmAt time.Duration) bool { return now >= warmAt })
-	b.back[id] = at + b.cfg.ColdTime
-	if s := b.server(id); s != nil {
-		*s = server{Server: s.Server, told: s.told, out: s.out, warmAt: max(s.warmAt, b.back[id]), strain: 1}
-		b.weigh(now)
-		b.feed(now)
+	delete(b.disabled, id)
+	warm := func(_ balance.ServerID, warmAt time.Duration) bool { return now >= warmAt }
+	maps.DeleteFunc(b.enabledWarmAt, warm)
+	b.enabledWarmAt[id] = at + b.cfg.ColdTime
+	if s := b.serverByID(id); s != nil {
+		*s = server{Server: s.Server, listedWeight: s.listedWeight, inFlight: s.inFlight,
+			warmAt: max(s.warmAt, b.enabledWarmAt[id]), latencyRatio: 1}
+		b.recalculateWeights(now)
+		b.dispatchQueued(now)
 	}
 }
 
-// ask subscribes to the list. Without any word it asks again before its silence counts as being told.
-func (b *Balancer) ask(now time.Duration) {
-	b.askAt = now + cmp.Or(b.cfg.AskWithin*3/4, lastPause)
+// watchList subscribes to the server list. If no answer comes it subscribes again before AskWithin is over.
+func (b *Balancer) watchList(now time.Duration) {
+	b.watchAt = now + cmp.Or(b.cfg.AskWithin*3/4, maxBackoff)
 	b.host.WatchList()
 }
 
-// sample probes one server a few times in a row: reports that do not change as fast as they are used
-// must not steer single sends. All balancers would crowd to where it was empty (i50e019).
-func (b *Balancer) sample(now time.Duration) {
-	due := b.share == 1 && b.pairs < pairsMost && now >= b.sampleAt && len(b.arc) > 0
+// sampleReports probes one server a few times to find out whether load reports are fresh. Reports that change
+// more slowly than they are used must not steer single attempts: all balancers would send to the servers that
+// were idle, a thundering herd.
+func (b *Balancer) sampleReports(now time.Duration) {
+	due := b.processes == 1 && b.reportPairs < maxReportPairs && now >= b.sampleAt && len(b.subset) > 0
 	if !due || !b.cfg.MayProbe || b.cfg.Reports&balance.HasInFlight == 0 {
 		return
 	}
-	if b.sampled == nil || !b.sampled.stands() {
-		b.sampled = b.arc[b.rng.IntN(len(b.arc))]
+	if b.sampledServer == nil || !b.sampledServer.inService() {
+		b.sampledServer = b.subset[b.rng.IntN(len(b.subset))]
 	}
-	b.sampleAt = now + toldFor
-	b.host.Probe(b.sampled.ID)
-	b.wake(now, toldFor)
+	b.sampleAt = now + loadReportLifetime
+	b.host.Probe(b.sampledServer.ID)
+	b.requestWake(now, loadReportLifetime)
 }
 
-// inquire asks the server whose turn it is what it holds, where its last word is old: among many
-// balancers, what one has out there itself tells next to nothing.
-func (b *Balancer) inquire(now time.Duration, r *request) bool {
-	if !b.cfg.MayProbe || b.cfg.Reports&balance.HasInFlight == 0 || b.fresh < pairsMost-1 || r.asked >= askMost {
+// queryLoad asks the server whose turn it is for a load report if its last one is too old, and reports
+// whether the request now waits for it. In a large fleet, a balancer's own attempts say little about a
+// server's load.
+func (b *Balancer) queryLoad(now time.Duration, r *request) bool {
+	if !b.cfg.MayProbe || b.cfg.Reports&balance.HasInFlight == 0 || b.freshPairs < maxReportPairs-1 ||
+		r.loadQueries >= maxLoadQueries {
 		return false
 	}
-	s, _ := b.turnOf(now, r, b.arc)
-	if s == nil || (s.toldAt > 0 && now-s.toldAt < toldFor) {
+	s, _ := b.nextInTurn(now, r, b.subset)
+	if s == nil || (s.reportedAt > 0 && now-s.reportedAt < loadReportLifetime) {
 		return false
 	}
-	r.asks, r.asksUntil = s, now+askWait
-	r.asked++
+	r.awaitedReport, r.reportWaitEnd = s, now+loadReportWait
+	r.loadQueries++
 	b.host.Probe(s.ID)
 	return true
 }
 
-// Probed takes the result of a probe.
+// Probed handles the result of Host.Probe: a load report, or a failure if ok is false.
 func (b *Balancer) Probed(now time.Duration, id balance.ServerID, ok bool, l balance.Load) {
-	s := b.server(id)
-	told := s != nil && ok && l.Has&balance.HasInFlight != 0
-	if s != nil && s == b.sampled && b.pairs < pairsMost && (!told || s.toldAt > 0 && now-s.toldAt >= toldFor) {
-		b.pairs++ // one that does not tell is no fresh one
-		if told && l != s.load {
-			if b.fresh++; b.fresh == pairsMost-1 { // asking finds room best among many
-				b.every *= 3
+	s := b.serverByID(id)
+	reported := s != nil && ok && l.Has&balance.HasInFlight != 0
+	if s != nil && s == b.sampledServer && b.reportPairs < maxReportPairs &&
+		(!reported || s.reportedAt > 0 && now-s.reportedAt >= loadReportLifetime) {
+		b.reportPairs++ // a failed probe counts as a pair that is not fresh
+		if reported && l != s.load {
+			if b.freshPairs++; b.freshPairs == maxReportPairs-1 { // queries find idle servers best in a large subset
+				b.secondsPerTurn *= 3
 			}
 		}
 	}
-	if told {
-		s.toldAt, s.load, s.others = now, l, max(0, l.InFlight-float64(s.out))
+	if reported {
+		s.reportedAt, s.load, s.othersInFlight = now, l, max(0, l.InFlight-float64(s.inFlight))
 	}
-	for _, r := range b.open {
-		if s != nil && r.asks == s && !r.over {
-			r.asks = nil
-			b.place(now, r)
+	for _, r := range b.openRequests {
+		if s != nil && r.awaitedReport == s && !r.ended {
+			r.awaitedReport = nil
+			b.dispatchOrQueue(now, r)
 		}
 	}
 }
 
-// fuller says that a server reports to hold its part of all balancers' requests, or that
-// it has not reported and the request met only such ones.
-func (b *Balancer) fuller(now time.Duration, r *request, s *server) bool {
-	if s.toldAt == 0 || now-s.toldAt >= 5*toldFor {
-		return r.asked >= askMost
+// reportsFull reports whether a server's load report shows its part of all balancers' requests. A server
+// without a valid report counts as full for a request that has used up its load queries.
+func (b *Balancer) reportsFull(now time.Duration, r *request, s *server) bool {
+	if s.reportedAt == 0 || now-s.reportedAt >= 5*loadReportLifetime {
+		return r.loadQueries >= maxLoadQueries
 	}
-	return s.others+float64(s.out) >= 1+b.part(b.mean, s)
+	return s.othersInFlight+float64(s.inFlight) >= 1+b.weightShare(b.quotaConcurrency, s)
 }
 
-// finish is the one place that answers: refused where that is true, failed where it is not.
-func (b *Balancer) finish(r *request, why balance.Reason) {
+// refuseOrFail answers a request and ends it: refused if it provably had no effect or may safely be repeated,
+// failed otherwise. It is the only caller of Host.Refuse and Host.Fail for accepted requests.
+func (b *Balancer) refuseOrFail(r *request, reason balance.Reason) {
 	switch {
-	case r.over:
+	case r.ended:
 		return
-	case r.ran() == nil, r.class.Idempotency == balance.Safe,
+	case r.firstMayHaveRun() == nil, r.class.Idempotency == balance.Safe,
 		r.class.Idempotency == balance.Keyed && r.class.Scope == balance.ScopeAll:
-		b.count.Refused++
-		pause := time.Duration((1 + b.rng.Float64()) * float64(b.pace)) // spread: not all at once
-		b.host.Refuse(r.id, min(b.cfg.MaxRetryAfter, pause), why)
+		b.counters.Refused++
+		retryAfter := time.Duration((1 + b.rng.Float64()) * float64(b.typicalLatency)) // with jitter
+		b.host.Refuse(r.id, min(b.cfg.MaxRetryAfter, retryAfter), reason)
 	default:
-		b.count.Failed++
-		b.host.Fail(r.id, why)
+		b.counters.Failed++
+		b.host.Fail(r.id, reason)
 	}
-	b.settle(r)
+	b.endRequest(r)
 }
 
-// settle closes a request that needs no more attempts: out of the queue, the one that is out called off.
-func (b *Balancer) settle(r *request) {
-	r.over = true
-	r.home.queue = slices.DeleteFunc(r.home.queue, func(o *request) bool { return o == r })
-	if r.out == 0 {
-		b.forget(r)
+// endRequest ends a request that needs no further attempt: it leaves its queue, and an attempt in flight is
+// withdrawn or, if allowed, cancelled.
+func (b *Balancer) endRequest(r *request) {
+	r.ended = true
+	r.compartment.queue = slices.DeleteFunc(r.compartment.queue, func(o *request) bool { return o == r })
+	if r.attemptsInFlight == 0 {
+		b.dropRequest(r)
 		return
 	}
 	b.host.Withdraw(r.id, len(r.attempts)-1)
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -11,12 +11,12 @@
 )
 
 func TestSlotsAndQueue(t *testing.T) {
-	b, h := start(t, testConfig(), ready(1, 2, 3, 4, 5, 6, 7, 8)) // tenant 0: 6 slots and 1 place
+	b, h := startBalancer(t, testConfig(), readyList(1, 2, 3, 4, 5, 6, 7, 8)) // tenant 0: 6 slots and 1 place
 	if b.SlotsFree(0) != 6 || b.SlotsFree(1) != 2 || b.QueueFree(0) != 1 || b.QueueFree(1) != 1 {
 		t.Fatalf("walls: slots %d %d, places %d %d", b.SlotsFree(0), b.SlotsFree(1), b.QueueFree(0), b.QueueFree(1))
 	}
 	for id := range balance.RequestID(10) {
-		ask(b, 0, id, safeClass)
+		sendRequest(b, 0, id, safeClass)
 	}
 	if len(h.sends) != 6 || b.QueueFree(0) != 0 {
 		t.Fatalf("sent %d, queue places free %d; want 6 and 0", len(h.sends), b.QueueFree(0))
@@ -31,34 +31,34 @@
 	if len(h.sends) != 7 {
 		t.Fatalf("the other compartment did not send past the full one")
 	}
-	end(b, 50*ms, 0, 0, balance.Served)
+	endAttempt(b, 50*ms, 0, 0, balance.Served)
 	if len(h.sends) != 8 || h.sends[7].id != 6 {
 		t.Fatalf("a freed slot did not go to the first in the queue: %v", h.sends)
 	}
 }
 
-// Guards against: a client's later tries are served when nothing can be earned by them any more.
-func TestLateTriesGiveWay(t *testing.T) {
-	b, h := start(t, testConfig(), ready(1, 2))
+// Guards against slots that are spent on clients' retries whose response can't be timely any more.
+func TestLateRetriesAreRefusedUnderCongestion(t *testing.T) {
+	b, h := startBalancer(t, testConfig(), readyList(1, 2))
 	left := func(id balance.RequestID, d time.Duration) {
 		b.Request(0, balance.Request{ID: id, Class: safeClass, TimeLeft: d})
 	}
-	left(1, 2800*ms) // first tries come with this much of the class's 3 s
-	left(2, 2500*ms) // begun half a second ago
-	left(3, 1500*ms) // begun 1.5 s ago, late already, but answers are quick
+	left(1, 2800*ms) // first tries arrive with this much of the class's 3 s
+	left(2, 2500*ms) // first sent half a second ago
+	left(3, 1500*ms) // first sent 1.5 s ago: late already, but servers answer quickly
 	if len(h.sends) != 3 || h.sends[1].timeout != 500*ms || h.sends[2].timeout != 1500*ms {
 		t.Fatalf("sends %v: want the second cut to what is left of its aim, and the third served", h.sends)
 	}
-	b.crowd = 0.2 // answers are slow
+	b.congestion = 0.2 // servers answer slowly
 	left(4, 1500*ms)
 	if _, refused := h.refused[4]; !refused {
-		t.Fatal("a late try took a slot while answers were slow")
+		t.Fatal("a late retry took a slot while servers answered slowly")
 	}
 }
 
-// Guards against clients that wait less than others for good are taken for late.
-func TestPatienceMayChange(t *testing.T) {
-	b, h := start(t, testConfig(), ready(1, 2))
+// Guards against clients that are taken for late for good after they have shortened their time-out.
+func TestUsualTimeLeftMayChange(t *testing.T) {
+	b, h := startBalancer(t, testConfig(), readyList(1, 2))
 	for id := range balance.RequestID(400) {
 		now := time.Duration(id) * 20 * ms
 		left := 2800 * ms
@@ -66,29 +66,29 @@
 			left = 2200 * ms
 		}
 		b.Request(now, balance.Request{ID: id, Class: safeClass, TimeLeft: left})
-		end(b, now+5*ms, id, 0, balance.Served)
+		endAttempt(b, now+5*ms, id, 0, balance.Served)
 	}
 	if last := h.sends[len(h.sends)-1]; last.timeout != time.Second {
 		t.Fatalf("time-out %v: the aim of a first try is still cut", last.timeout)
 	}
 }
 
-// Guards against first tries that are taken for late ones and refused at once: clients that do not mark their tries may
-// give each but the last a part of their time.
-func TestFirstTriesMayHaveAPartOfTheTime(t *testing.T) {
-	b, h := start(t, testConfig(), ready(1, 2))
+// Guards against first tries that are taken for retries and refused at once: clients that do not mark their retries may
+// give each try but the last only a part of their time.
+func TestFirstTriesMayHavePartOfTheDeadline(t *testing.T) {
+	b, h := startBalancer(t, testConfig(), readyList(1, 2))
 	try := func(id balance.RequestID, left time.Duration) bool {
 		now := time.Duration(id) * 20 * ms
-		b.crowd, b.crowdAt = 0.2, now // answers are slow: what is late is refused
+		b.congestion, b.congestionAt = 0.2, now // servers answer slowly: late requests are refused
 		b.Request(now, balance.Request{ID: id, Class: safeClass, TimeLeft: left})
-		end(b, now+5*ms, id, 0, balance.Served)
+		endAttempt(b, now+5*ms, id, 0, balance.Served)
 		_, refused := h.refused[id]
 		return !refused
 	}
 	for id := range balance.RequestID(400) {
 		left := 1200 * ms
 		if id%5 == 4 {
-			left = 2990*ms - time.Duration(id%7)*100*ms // a last try has all that is left
+			left = 2990*ms - time.Duration(id%7)*100*ms // a last try has all the remaining time
 		}
 		if !try(id, left) {
 			t.Fatalf("try %d with %v left was refused", id, left)
@@ -102,10 +102,10 @@
 	}
 }
 
-func TestUnmarkedTriesAreFirstTriesWhereClientsMark(t *testing.T) {
+func TestUnmarkedRequestsAreFirstTriesIfClientsMarkRetries(t *testing.T) {
 	cfg := testConfig()
 	cfg.ClientsMarkRetries = true
-	b, h := start(t, cfg, ready(1, 2))
+	b, h := startBalancer(t, cfg, readyList(1, 2))
 	b.Request(0, balance.Request{ID: 1, Class: safeClass, TimeLeft: 2800 * ms})
 	b.Request(0, balance.Request{ID: 2, Class: safeClass, TimeLeft: 2500 * ms})
 	b.Request(0, balance.Request{ID: 3, Class: safeClass, TimeLeft: 2500 * ms, ClientRetry: true})
@@ -114,9 +114,9 @@
 	}
 }
 
-func TestQueuedRequestIsRefusedBeforeItsAimIsLost(t *testing.T) {
-	b, h := start(t, testConfig(), nil) // no server at all: held, then refused in time
-	ask(b, 0, 1, unsafeClass)
+func TestQueuedRequestIsRefusedBeforeItsAim(t *testing.T) {
+	b, h := startBalancer(t, testConfig(), nil) // without servers: queued, then refused in time
+	sendRequest(b, 0, 1, unsafeClass)
 	if len(h.refused) != 0 {
 		t.Fatal("refused at once, though the queue has room")
 	}
@@ -128,29 +128,29 @@
 	}
 }
 
-// Guards against sent after its wait with about the usual time left,
-// every other request times out at servers that have lost capacity.
-func TestWaitEndsWhileAnAnswerCanStillCome(t *testing.T) {
-	b, h := start(t, testConfig(), nil)
-	ask(b, 0, 1, safeClass) // an aim of 1 s, answers usually take 125 ms
+// Guards against requests sent after a wait with only about the typical latency left: at servers that have lost
+// capacity every other one of them times out.
+func TestQueuedRequestIsNotSentTooLate(t *testing.T) {
+	b, h := startBalancer(t, testConfig(), nil)
+	sendRequest(b, 0, 1, safeClass) // an aim of 1 s and a typical latency of 125 ms
 	b.Wake(740 * ms)
 	if len(h.refused) != 0 {
 		t.Fatal("refused with over twice the usual time left")
 	}
-	b.UpdateServers(760*ms, balance.ListFull, ready(1))
+	b.UpdateServers(760*ms, balance.ListFull, readyList(1))
 	if _, refused := h.refused[1]; !refused {
 		t.Fatalf("sent %v with less than twice the usual time left after a wait", h.sends)
 	}
 }
 
-func TestServersTakeTurnsByWeight(t *testing.T) {
-	list := ready(1, 2, 3)
+func TestTurnsFollowWeights(t *testing.T) {
+	list := readyList(1, 2, 3)
 	list[2].Weight = 2
-	b, h := start(t, testConfig(), list)
+	b, h := startBalancer(t, testConfig(), list)
 	for id := range balance.RequestID(40) {
 		now := time.Duration(id) * 20 * ms
-		ask(b, now, id, safeClass)
-		end(b, now+10*ms, id, 0, balance.Served)
+		sendRequest(b, now, id, safeClass)
+		endAttempt(b, now+10*ms, id, 0, balance.Served)
 	}
 	if n := h.sentTo(3); n < 19 || n > 21 || h.sentTo(1)-h.sentTo(2) > 1 || h.sentTo(2)-h.sentTo(1) > 1 {
 		t.Fatalf("turns %d %d %d, want 10 10 20, or one more or less", h.sentTo(1), h.sentTo(2), h.sentTo(3))
@@ -162,23 +162,23 @@
 
 func TestZeroWeightsMeanEvenTurns(t *testing.T) {
 	list := []balance.Server{{ID: 1, State: balance.Ready}, {ID: 2, State: balance.Ready, Weight: math.NaN()}}
-	b, h := start(t, testConfig(), list)
+	b, h := startBalancer(t, testConfig(), list)
 	for id := range balance.RequestID(10) {
 		now := time.Duration(id) * 20 * ms
-		ask(b, now, id, safeClass)
-		end(b, now+10*ms, id, 0, balance.Served)
+		sendRequest(b, now, id, safeClass)
+		endAttempt(b, now+10*ms, id, 0, balance.Served)
 	}
 	if n := h.sentTo(1); n < 4 || n > 6 {
 		t.Fatalf("turns %d %d, want 5 5", h.sentTo(1), h.sentTo(2))
 	}
 }
 
-func TestAttemptIsCutWhereItsAnswerIsWorthless(t *testing.T) {
+func TestAttemptTimesOutWhenAResponseIsWorthless(t *testing.T) {
 	cfg := testConfig()
 	cfg.Classes[1].LateShare = 0.5
-	b, h := start(t, cfg, ready(1, 2))
-	ask(b, 0, 1, safeClass)
-	ask(b, 0, 2, keyedAll)
+	b, h := startBalancer(t, cfg, readyList(1, 2))
+	sendRequest(b, 0, 1, safeClass)
+	sendRequest(b, 0, 2, keyedAll)
 	b.Request(0, balance.Request{ID: 3, Class: keyedCell, TimeLeft: 300 * ms})
 	if got := h.sends[0].timeout; got != time.Second {
 		t.Errorf("time-out %v, want the aim", got)
@@ -191,13 +191,13 @@
 	}
 }
 
-func TestFurtherAttempts(t *testing.T) {
+func TestRetriesByClassAndEnding(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		class int
 		ends  balance.Ending
 		again bool
-		fails bool // where it is not sent again
+		fails bool // failed rather than refused, if it is not sent again
 	}{
 		{"safe after an error", safeClass, balance.Errored, true, false},
 		{"keyed after a reset", keyedAll, balance.Broken, true, false},
@@ -210,9 +210,9 @@
 		{"unsafe after an unknown end", unsafeClass, balance.Ending(99), false, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			b, h := start(t, testConfig(), ready(1, 2, 3))
-			ask(b, 0, 1, c.class)
-			end(b, 30*ms, 1, 0, c.ends)
+			b, h := startBalancer(t, testConfig(), readyList(1, 2, 3))
+			sendRequest(b, 0, 1, c.class)
+			endAttempt(b, 30*ms, 1, 0, c.ends)
 			if again := len(h.sends) == 2; again != c.again {
 				t.Fatalf("sent again: %v, want %v", again, c.again)
 			}
@@ -226,39 +226,39 @@
 	}
 }
 
-func TestAttemptsLimitThenRefusal(t *testing.T) {
-	b, h := start(t, testConfig(), ready(1, 2, 3, 4, 5))
-	ask(b, 0, 1, unsafeClass)
+func TestRefusalAfterMaxAttempts(t *testing.T) {
+	b, h := startBalancer(t, testConfig(), readyList(1, 2, 3, 4, 5))
+	sendRequest(b, 0, 1, unsafeClass)
 	for i := range 3 {
-		end(b, time.Duration(i+1)*ms, 1, i, balance.NoConnection)
+		endAttempt(b, time.Duration(i+1)*ms, 1, i, balance.NoConnection)
 	}
 	if _, ok := h.refused[1]; len(h.sends) != 3 || !ok {
 		t.Fatalf("sends %d, refused %v; want 3 and a refusal: it provably never ran", len(h.sends), ok)
 	}
 }
 
-func TestKeyedStaysInItsGroup(t *testing.T) {
+func TestKeyedRetryStaysInScope(t *testing.T) {
 	list := []balance.Server{
 		{ID: 1, State: balance.Ready, Weight: 1, Zone: 0, Cell: 10}, {ID: 2, State: balance.Ready, Weight: 1, Zone: 0, Cell: 11},
 		{ID: 3, State: balance.Ready, Weight: 1, Zone: 1, Cell: 12}, {ID: 4, State: balance.Ready, Weight: 1, Zone: 1, Cell: 12},
 	}
 	byID := func(id balance.ServerID) balance.Server { return list[id-1] }
-	for id := range balance.RequestID(8) { // the turns make the first attempt meet every server
+	for id := range balance.RequestID(8) { // earlier turns make the first attempt go to each server
 		for _, class := range []int{keyedZone, keyedCell} {
-			b, h := start(t, testConfig(), list)
+			b, h := startBalancer(t, testConfig(), list)
 			for warm := range id {
-				ask(b, 0, 100+warm, safeClass)
-				end(b, ms, 100+warm, 0, balance.Served)
+				sendRequest(b, 0, 100+warm, safeClass)
+				endAttempt(b, ms, 100+warm, 0, balance.Served)
 			}
 			h.sends = nil
-			ask(b, 2*ms, 1, class)
+			sendRequest(b, 2*ms, 1, class)
 			first := byID(h.sends[0].to)
-			end(b, 30*ms, 1, 0, balance.Broken)
+			endAttempt(b, 30*ms, 1, 0, balance.Broken)
 			if len(h.sends) < 2 {
 				if class == keyedZone || first.Zone == 1 {
 					t.Fatalf("class %d from server %d was not sent again", class, first.ID)
 				}
-				continue // alone in its cell
+				continue // the only server of its cell
 			}
 			second := byID(h.sends[1].to)
 			if second.Zone != first.Zone || (class == keyedCell && second.Cell != first.Cell) {
@@ -268,41 +268,41 @@
 	}
 }
 
-func TestKeyedGroupCountsFromTheAttemptThatMayHaveRun(t *testing.T) {
+func TestKeyedScopeIsThatOfTheAttemptThatMayHaveRun(t *testing.T) {
 	list := []balance.Server{{ID: 1, State: balance.Ready, Weight: 1, Zone: 0}, {ID: 2, State: balance.Ready, Weight: 1, Zone: 1},
 		{ID: 3, State: balance.Ready, Weight: 1, Zone: 1}}
-	b, h := start(t, testConfig(), list)
+	b, h := startBalancer(t, testConfig(), list)
 	for h.sentTo(1) == 0 || len(h.sends) == 0 || h.sends[len(h.sends)-1].to != 1 {
 		id := balance.RequestID(100 + len(h.sends))
-		ask(b, 0, id, safeClass)
-		end(b, ms, id, 0, balance.Served)
+		sendRequest(b, 0, id, safeClass)
+		endAttempt(b, ms, id, 0, balance.Served)
 	}
 	b.UpdateServers(ms, balance.ListDelta, []balance.Server{{ID: 3, State: balance.Gone}})
 	h.sends = nil
-	ask(b, 2*ms, 1, keyedZone) // it is the turn of server 2, in zone 1
+	sendRequest(b, 2*ms, 1, keyedZone) // it is the turn of server 2, in zone 1
 	if h.sends[0].to != 2 {
 		t.Fatalf("set-up: first attempt went to %d", h.sends[0].to)
 	}
-	end(b, 3*ms, 1, 0, balance.TurnedAway) // it never ran there, so zone 1 does not bind
+	endAttempt(b, 3*ms, 1, 0, balance.TurnedAway) // it never ran there, so it is not bound to zone 1
 	if len(h.sends) != 2 || h.sends[1].to != 1 {
 		t.Fatalf("sends %v, want a second attempt at server 1", h.sends)
 	}
-	end(b, 4*ms, 1, 1, balance.Broken) // may have run in zone 0: server 2 is barred now
+	endAttempt(b, 4*ms, 1, 1, balance.Broken) // may have run in zone 0: server 2 is out of scope now
 	if len(h.sends) != 2 {
 		t.Fatalf("sent outside the group: %v", h.sends)
 	}
 }
 
 func TestKeyedWindowAndRefusal(t *testing.T) {
-	b, h := start(t, testConfig(), ready(1, 2, 3))
-	ask(b, 0, 1, keyedAll)
-	end(b, 700*ms, 1, 0, balance.Errored) // the window of 700 ms since its send is over
+	b, h := startBalancer(t, testConfig(), readyList(1, 2, 3))
+	sendRequest(b, 0, 1, keyedAll)
+	endAttempt(b, 700*ms, 1, 0, balance.Errored) // the deduplication window of 700 ms since its send is over
 	if _, refused := h.refused[1]; len(h.sends) != 1 || !refused {
 		t.Fatalf("sends %d, refused %v; want 1 and a refusal, as all servers drop repeats", len(h.sends), refused)
 	}
-	b.asked = recent{}
-	ask(b, 800*ms, 2, keyedZone)
-	end(b, 1500*ms, 2, 0, balance.Errored)
+	b.admission = admissionStats{}
+	sendRequest(b, 800*ms, 2, keyedZone)
+	endAttempt(b, 1500*ms, 2, 0, balance.Errored)
 	if !h.failed[2] {
 		t.Fatal("a keyed request that may have run, with a group of one zone, must be failed and not refused")
 	}
@@ -310,40 +310,40 @@
 
 func TestDrainingServerGetsNothingMore(t *testing.T) {
 	for _, state := range []balance.State{balance.Draining, balance.Gone} {
-		b, h := start(t, testConfig(), ready(1, 2))
+		b, h := startBalancer(t, testConfig(), readyList(1, 2))
 		b.UpdateServers(10*ms, balance.ListDelta, []balance.Server{{ID: 1, State: state, Weight: 1}})
 		for id := range balance.RequestID(10) {
-			ask(b, 10*ms, id, safeClass)
-			end(b, 20*ms, id, 0, balance.Served)
+			sendRequest(b, 10*ms, id, safeClass)
+			endAttempt(b, 20*ms, id, 0, balance.Served)
 		}
 		if h.sentTo(1) != 0 || h.sentTo(2) != 10 {
 			t.Fatalf("state %v: sent %d to it", state, h.sentTo(1))
 		}
 	}
-	b, h := start(t, testConfig(), ready(1, 2))
-	b.UpdateServers(10*ms, balance.ListFull, ready(2)) // absent from a full list
+	b, h := startBalancer(t, testConfig(), readyList(1, 2))
+	b.UpdateServers(10*ms, balance.ListFull, readyList(2)) // absent from a full list
 	for id := range balance.RequestID(4) {
-		ask(b, 10*ms, id, safeClass)
+		sendRequest(b, 10*ms, id, safeClass)
 	}
 	if h.sentTo(1) != 0 {
 		t.Fatal("sent to a server that left the full list")
 	}
 }
 
-func TestColdServerIsSpared(t *testing.T) {
+func TestColdServerGetsItsBudget(t *testing.T) {
 	for _, balancers := range []int{1, 4} {
 		cfg := testConfig()
 		cfg.Balancers = balancers
-		list := ready(1, 2)
-		b, h := start(t, cfg, list)
+		list := readyList(1, 2)
+		b, h := startBalancer(t, cfg, list)
 		list[0].Started = 10 * time.Second // restarted under the same id
 		b.UpdateServers(10*time.Second, balance.ListDelta, list[:1])
 		id := balance.RequestID(0)
-		sends := map[bool]int{} // by whether in the first window
+		sends := map[bool]int{} // true: sends in the first second
 		for now := 10 * time.Second; now < 20*time.Second; now += 2 * ms {
 			before := h.sentTo(1)
-			ask(b, now, id, safeClass)
-			end(b, now+ms, id, 0, balance.Served)
+			sendRequest(b, now, id, safeClass)
+			endAttempt(b, now+ms, id, 0, balance.Served)
 			id++
 			if h.sentTo(1) > before && now < 11*time.Second {
 				sends[true]++
@@ -360,20 +360,20 @@
 	}
 }
 
-// Guards against: a hung server keeps its turn and pins slots until time-out.
-func TestSilentServerLosesItsTurn(t *testing.T) {
-	b, h := start(t, testConfig(), ready(1, 2, 3))
+// Guards against an unresponsive server that keeps its turns and occupies slots until the attempts time out.
+func TestSilentServerLosesTurns(t *testing.T) {
+	b, h := startBalancer(t, testConfig(), readyList(1, 2, 3))
 	now := time.Duration(0)
 	for id := range balance.RequestID(300) {
-		ask(b, now, id, safeClass)
+		sendRequest(b, now, id, safeClass)
 		if last := h.sends[len(h.sends)-1]; last.id == id && last.to != 1 {
-			end(b, now+5*ms, id, 0, balance.Served)
+			endAttempt(b, now+5*ms, id, 0, balance.Served)
 		}
 		now += 10 * ms
 		b.Wake(now)
 		for i := range h.sends { // server 1 answers nothing: time-outs after the aim
-			if s := h.sends[i]; s.to == 1 && b.requests[s.id] != nil && b.requests[s.id].attempts[0].sent+s.timeout <= now {
-				end(b, now, s.id, 0, balance.TimedOut)
+			if s := h.sends[i]; s.to == 1 && b.requests[s.id] != nil && b.requests[s.id].attempts[0].sentAt+s.timeout <= now {
+				endAttempt(b, now, s.id, 0, balance.TimedOut)
 			}
 		}
 	}
@@ -385,21 +385,21 @@
 	}
 }
 
-// Guards against: servers that answer late, slow themselves
-// or crowded by others, keep an even part of the attempts.
-func TestSlowServerHoldsLess(t *testing.T) {
-	b, _ := start(t, testConfig(), ready(1, 2))
+// Guards against servers that keep an even part of the attempts though they answer late, because they are slow
+// or because others overload them.
+func TestCongestionLowersServerLimit(t *testing.T) {
+	b, _ := startBalancer(t, testConfig(), readyList(1, 2))
 	for range 50 {
-		b.server(1).used += (0.8*0.8 - b.server(1).used) / 8
+		b.serverByID(1).congestion += (0.8*0.8 - b.serverByID(1).congestion) / 8
 	}
-	if slow, well := b.portion(b.server(1)), b.portion(b.server(2)); slow != 1 || well != 4 {
+	if slow, well := b.serverLimit(b.serverByID(1)), b.serverLimit(b.serverByID(2)); slow != 1 || well != 4 {
 		t.Fatalf("portions %v and %v, want 1 and 4", slow, well)
 	}
 }
 
-// Guards against: one attempt each from many balancers chokes small servers before their answers
-// take half of the aim, and few balancers pay for that and hold back while servers bear more.
-func TestWholeBalancerHoldsBackWhenAllAreCrowded(t *testing.T) {
+// Guards against single attempts of many balancers that overload small servers before responses take half of the
+// aim, and against few balancers that hold back although servers can take more.
+func TestTotalLimitUnderCongestion(t *testing.T) {
 	for _, c := range []struct {
 		balancers int
 		crowd     float64 // mean square of the share of the aim that answers take
@@ -411,10 +411,10 @@
 		cfg := testConfig()
 		cfg.Balancers = c.balancers
 		cfg.Tenants = []balance.Tenant{{Share: 1, Quota: 50 * float64(c.balancers)}}
-		b, h := start(t, cfg, ready(1, 2, 3, 4, 5, 6))
-		b.crowd = c.crowd
+		b, h := startBalancer(t, cfg, readyList(1, 2, 3, 4, 5, 6))
+		b.congestion = c.crowd
 		for id := range balance.RequestID(6) {
-			ask(b, 0, id, safeClass)
+			sendRequest(b, 0, id, safeClass)
 		}
 		if len(h.sends) != c.want || b.Counters().Held != uint64(6-c.want) {
 			t.Errorf("%d balancers, crowded by %v: %d attempts out of 8 slots, %d held, want %d and %d",
@@ -423,72 +423,72 @@
 	}
 }
 
-// Guards against limits sized for the busiest of eighty balancers: where answers tell of crowding a light one holds
-// what its own traffic holds at the aim, one that has more traffic holds more; elsewhere the slots stay as set.
-func TestWholeLimitFollowsOwnTraffic(t *testing.T) {
+// Guards against limits sized for the busiest of eighty balancers. Under congestion a balancer's limit follows the
+// concurrency of its own traffic at the aim; without congestion the limit is the number of slots.
+func TestTotalLimitFollowsOwnTraffic(t *testing.T) {
 	cfg := testConfig()
-	cfg.Balancers = 80 // 1.25 requests a second each, an aim of 1 s
+	cfg.Balancers = 80 // 1.25 requests per second each, an aim of 1 s
 	for crowd, want := range map[float64]int{0: 6, 0.037: 4} {
-		b, h := start(t, cfg, ready(1, 2, 3, 4, 5, 6))
-		b.crowd = crowd
+		b, h := startBalancer(t, cfg, readyList(1, 2, 3, 4, 5, 6))
+		b.congestion = crowd
 		for id := range balance.RequestID(6) {
-			ask(b, 0, id, safeClass)
+			sendRequest(b, 0, id, safeClass)
 		}
 		if len(h.sends) != want || b.Counters().Held != uint64(6-want) {
 			t.Fatalf("%d attempts out of 8 slots, %d held, want %d for 1.25 requests a second, crowded by %v", len(h.sends), b.Counters().Held, want, crowd)
 		}
 	}
-	b, _ := start(t, cfg, ready(1, 2, 3, 4, 5, 6))
-	for i := range 300 { // ten a second
+	b, _ := startBalancer(t, cfg, readyList(1, 2, 3, 4, 5, 6))
+	for i := range 300 { // ten per second
 		id, now := balance.RequestID(i), time.Duration(i)*100*ms
-		ask(b, now, id, safeClass)
-		end(b, now+10*ms, id, 0, balance.Served)
+		sendRequest(b, now, id, safeClass)
+		endAttempt(b, now+10*ms, id, 0, balance.Served)
 	}
-	if got := b.whole(0.999); got < 7.9 {
+	if got := b.totalLimit(0.999); got < 7.9 {
 		t.Fatalf("a limit of %v over all attempts, want about the 8 slots for 10 requests a second", got)
 	}
 }
 
-// Guards against eighty balancers that each go on paying for a server that is lost: two failures running
-// and it rests, longer each time and where more share it, until it answers.
-func TestFailingServerRests(t *testing.T) {
+// Guards against eighty balancers that each keep sending requests to a lost server: after two failures in succession
+// it is ejected, for a time that grows with each failure and with the number of sharers, until it answers.
+func TestFailingServerIsEjected(t *testing.T) {
 	for _, balancers := range []int{2, 80} {
 		cfg := testConfig()
 		cfg.Balancers = balancers
-		b, h := start(t, cfg, ready(1))
+		b, h := startBalancer(t, cfg, readyList(1))
 		now, id, last := time.Duration(0), balance.RequestID(0), time.Duration(0)
 		try := func(e balance.Ending) (rest time.Duration) {
 			t.Helper()
-			id, b.asked = id+1, recent{}
-			ask(b, now, id, unsafeClass)
+			id, b.admission = id+1, admissionStats{}
+			sendRequest(b, now, id, unsafeClass)
 			if h.sends[len(h.sends)-1].id != id {
 				t.Fatalf("%d balancers: nothing is sent at %v", balancers, now)
 			}
-			end(b, now, id, 0, e)
-			return b.server(1).rested - now
+			endAttempt(b, now, id, 0, e)
+			return b.serverByID(1).ejectedUntil - now
 		}
 		try(balance.Errored)
 		for i := range 10 {
 			rest := try(balance.Errored)
-			if d := min(lastPause, time.Duration(balancers)*restEach<<i); rest < d/2 || rest > d*3/2 {
+			if d := min(maxBackoff, time.Duration(balancers)*backoffPerSharer<<i); rest < d/2 || rest > d*3/2 {
 				t.Fatalf("%d balancers: a rest of %v after %d failures, want about %v", balancers, rest, i+2, d)
 			}
-			id, b.asked = id+1, recent{}
-			ask(b, now+rest/2, id, unsafeClass)
+			id, b.admission = id+1, admissionStats{}
+			sendRequest(b, now+rest/2, id, unsafeClass)
 			if h.sends[len(h.sends)-1].id == id {
 				t.Fatalf("%d balancers: sent to a server that rests", balancers)
 			}
 			b.ClientGone(now+rest/2, id)
 			now, last = now+rest, rest
 		}
-		if last < lastPause/2 {
-			t.Fatalf("%d balancers: a rest of %v at last, want about %v", balancers, last, lastPause)
+		if last < maxBackoff/2 {
+			t.Fatalf("%d balancers: a rest of %v at last, want about %v", balancers, last, maxBackoff)
 		}
 		try(balance.Served)
-		if rest := try(balance.Errored); rest < restEach {
+		if rest := try(balance.Errored); rest < backoffPerSharer {
 			t.Fatalf("%d balancers: a rest of %v, one answer clears a server that fails mostly", balancers, rest)
 		}
-		now = b.server(1).rested
+		now = b.serverByID(1).ejectedUntil
 		for range 3 {
 			try(balance.Served)
 		}
@@ -498,30 +498,30 @@
 	}
 }
 
-// Guards against the last good servers taking what the failing ones lose.
-func TestWholeWallShrinksWithFailingServers(t *testing.T) {
-	b, _ := start(t, testConfig(), ready(1, 2, 3, 4))
-	if got := b.whole(1); got != 8 {
+// Guards against the load of failing servers moving to the last healthy ones.
+func TestTotalLimitShrinksWithFailingServers(t *testing.T) {
+	b, _ := startBalancer(t, testConfig(), readyList(1, 2, 3, 4))
+	if got := b.totalLimit(1); got != 8 {
 		t.Fatalf("a wall of %v over all attempts, want all 8 slots", got)
 	}
 	for i, end := range []balance.Ending{balance.Errored, balance.NoConnection, balance.TimedOut, balance.Errored} {
 		r := &request{class: &b.classes[0]}
-		b.judge(0, r, &attempt{to: b.server(balance.ServerID(1 + i%2))}, end)
+		b.recordResult(0, r, &attempt{server: b.serverByID(balance.ServerID(1 + i%2))}, end)
 	}
-	if got := b.whole(1); got != 4 {
+	if got := b.totalLimit(1); got != 4 {
 		t.Fatalf("a wall of %v over all attempts, want 4 while two of four servers fail", got)
 	}
 }
 
-// Guards against all walls together let servers pass into their slower state.
-func TestReportedLoadWallsTheFleet(t *testing.T) {
+// Guards against the concurrency limits of all balancers together overloading servers that report their load.
+func TestReportedLoadLimitsTheFleet(t *testing.T) {
 	cfg := testConfig()
 	cfg.MayProbe, cfg.Reports = true, balance.HasInFlight
-	b, h := start(t, cfg, ready(1, 2))
+	b, h := startBalancer(t, cfg, readyList(1, 2))
 	b.Probed(ms, 1, true, balance.Load{Has: balance.HasInFlight, InFlight: 50})
 	b.Probed(ms, 2, true, balance.Load{Has: balance.HasInFlight, InFlight: 0})
 	for id := range balance.RequestID(4) {
-		ask(b, 2*ms, id, safeClass)
+		sendRequest(b, 2*ms, id, safeClass)
 	}
 	if h.sentTo(1) != 0 || h.sentTo(2) != 4 || len(h.probes) != 0 {
 		t.Fatalf("sent %d to the full server, %d probes while reports are fresh", h.sentTo(1), len(h.probes))
@@ -530,21 +530,21 @@
 	b.Probed(2*ms, 1, false, balance.Load{Has: balance.HasInFlight, InFlight: -1}) // a failed probe
 	b.Probed(2*time.Second, 1, true, balance.Load{Has: balance.HasInFlight, InFlight: 0})
 	for id := balance.RequestID(10); id < 12; id++ {
-		ask(b, 2*time.Second, id, safeClass)
+		sendRequest(b, 2*time.Second, id, safeClass)
 	}
 	if h.sentTo(1) == 0 {
 		t.Fatal("an old report still bars the server")
 	}
 }
 
-// Guards against the grown toowoomba-hives: with a thousand sidecars of two requests a second, what one has
-// out at a server tells nothing of its load, and reports asked for in rotation are old when its turn comes.
-func TestAsksBeforeItSendsWhereReportsAreOld(t *testing.T) {
+// Guards against overload in a large fleet: with a thousand sidecars of two requests per second, a balancer's own
+// attempts say nothing about a server's load, and reports polled in rotation are outdated when its turn comes.
+func TestQueriesLoadBeforeSending(t *testing.T) {
 	cfg := testConfig()
 	cfg.MayProbe, cfg.Reports = true, balance.HasInFlight
-	b, h := start(t, cfg, ready(1, 2, 3, 4))
-	b.pairs, b.fresh = pairsMost, pairsMost // reports were found fresh
-	ask(b, 0, 1, safeClass)
+	b, h := startBalancer(t, cfg, readyList(1, 2, 3, 4))
+	b.reportPairs, b.freshPairs = maxReportPairs, maxReportPairs // as after samples that were fresh
+	sendRequest(b, 0, 1, safeClass)
 	if len(h.probes) != 1 || len(h.sends) != 0 {
 		t.Fatalf("%d probes, %d sends; want the server whose turn it is asked first", len(h.probes), len(h.sends))
 	}
@@ -557,13 +557,13 @@
 	if len(h.sends) != 1 || h.sends[0].to != h.probes[1] {
 		t.Fatalf("sends %v: want one to the server that has room", h.sends)
 	}
-	ask(b, time.Second, 2, safeClass)
+	sendRequest(b, time.Second, 2, safeClass)
 	for now := time.Second; now < 1200*ms; now += 10 * ms {
 		b.Wake(now) // no report comes
 	}
-	if n := len(h.probes) - 2; n != askMost || len(h.sends) != 1 {
+	if n := len(h.probes) - 2; n != maxLoadQueries || len(h.sends) != 1 {
 		t.Fatalf("%d asked, %d sends; want %d and nothing sent to servers that do not answer or were not asked",
-			n, len(h.sends), askMost)
+			n, len(h.sends), maxLoadQueries)
 	}
 	for now := 1200 * ms; now < 3*time.Second; now += 10 * ms {
 		b.Wake(now)
@@ -573,39 +573,39 @@
 	}
 }
 
-// Guards against a fleet shrinks, and what is left is handed the portions of what went.
-func TestPortionsDoNotGrowWhenServersLeave(t *testing.T) {
+// Guards against the remaining servers inheriting the limits of servers that have left.
+func TestServerLimitsDoNotGrowWhenServersLeave(t *testing.T) {
 	cfg := testConfig()
 	cfg.MayProbe, cfg.Reports = true, balance.HasInFlight
-	b, h := start(t, cfg, ready(1, 2, 3, 4))
-	b.UpdateServers(ms, balance.ListFull, ready(1))
+	b, h := startBalancer(t, cfg, readyList(1, 2, 3, 4))
+	b.UpdateServers(ms, balance.ListFull, readyList(1))
 	b.Probed(ms, 1, true, balance.Load{Has: balance.HasInFlight, InFlight: 0})
 	for id := range balance.RequestID(6) {
-		ask(b, ms, id, safeClass)
+		sendRequest(b, ms, id, safeClass)
 	}
 	if h.sentTo(1) != 2 {
 		t.Fatalf("%d of 8 slots at the last of four servers, want its portion of 2", h.sentTo(1))
 	}
-	// All balancers hold 100/s x 1 s x 0.12 = 12 at the quotas, a fourth of it at one server.
+	// At traffic of the quotas all balancers have 100/s x 1 s x 0.12 = 12 attempts in flight, a fourth per server.
 	b.Probed(2*ms, 1, true, balance.Load{Has: balance.HasInFlight, InFlight: 5})
-	if !b.fuller(2*ms, &request{}, b.server(1)) {
+	if !b.reportsFull(2*ms, &request{}, b.serverByID(1)) {
 		t.Fatal("the last of four servers may hold more than a fourth and one of the whole fleet's attempts")
 	}
 }
 
-func TestAsksForTheListAndAgain(t *testing.T) {
+func TestFailedListCallsAreRepeated(t *testing.T) {
 	cfg := testConfig()
 	cfg.AskList = true
-	b, h := start(t, cfg, ready(1))
-	if h.asks != 1 {
-		t.Fatalf("asked %d times at the start", h.asks)
+	b, h := startBalancer(t, cfg, readyList(1))
+	if h.watches != 1 {
+		t.Fatalf("asked %d times at the start", h.watches)
 	}
 	gaps, last, asked := []time.Duration{}, time.Duration(0), 1
 	b.UpdateServers(0, balance.ListFailed, nil)
 	for now := 10 * ms; now < 40*time.Second; now += 10 * ms {
 		b.Wake(now)
-		if h.asks > asked {
-			asked = h.asks
+		if h.watches > asked {
+			asked = h.watches
 			gaps = append(gaps, now-last)
 			last = now
 			b.UpdateServers(now, balance.ListFailed, nil)
@@ -614,19 +614,19 @@
 	if len(gaps) < 4 || slices.Max(gaps) >= cfg.AskWithin || gaps[0] >= gaps[len(gaps)-1] {
 		t.Fatalf("gaps between calls %v: want them to grow, and none to reach %v", gaps, cfg.AskWithin)
 	}
-	if b.server(1) == nil {
+	if b.serverByID(1) == nil {
 		t.Fatal("a failed call dropped the old list")
 	}
-	b.UpdateServers(40*time.Second, balance.ListFull, ready(1))
+	b.UpdateServers(40*time.Second, balance.ListFull, readyList(1))
 	for now := 40 * time.Second; now < 60*time.Second; now += 10 * ms {
 		b.Wake(now)
 	}
-	if h.asks != asked {
+	if h.watches != asked {
 		t.Fatal("asks again though it is subscribed")
 	}
 }
 
-func TestUnansweredCallIsRepeated(t *testing.T) {
+func TestUnansweredListCallIsRepeated(t *testing.T) {
 	cfg := testConfig()
 	cfg.AskList = true
 	h := newFakeHost()
@@ -635,13 +635,13 @@
 	for now := time.Duration(0); now < cfg.AskWithin; now += 50 * ms {
 		b.Wake(now)
 	}
-	if h.asks < 2 {
+	if h.watches < 2 {
 		t.Fatal("silence of the list service would have counted as being told")
 	}
 }
 
-// Guards against asking at every Wake, or never again, where it is not known how soon silence counts.
-func TestUnansweredCallIsRepeatedNowAndThenWithoutALimit(t *testing.T) {
+// Guards against a list call at every Wake, or none after the first, if AskWithin is not known.
+func TestUnansweredListCallIsRepeatedWithoutAskWithin(t *testing.T) {
 	cfg := testConfig()
 	cfg.AskList, cfg.AskWithin = true, 0
 	h := newFakeHost()
@@ -650,13 +650,13 @@
 	for now := time.Duration(0); now < 10*time.Second; now += 50 * ms {
 		b.Wake(now)
 	}
-	if h.asks != 3 {
-		t.Fatalf("asked %d times in 10 s, want at the start and every 4 s", h.asks)
+	if h.watches != 3 {
+		t.Fatalf("asked %d times in 10 s, want at the start and every 4 s", h.watches)
 	}
 }
 
-func TestOddEventsArePassedOver(t *testing.T) {
-	b, h := start(t, testConfig(), ready(1, 2))
+func TestInvalidEventsAreIgnored(t *testing.T) {
+	b, h := startBalancer(t, testConfig(), readyList(1, 2))
 	b.Request(0, balance.Request{ID: 1, Class: 99, TimeLeft: time.Second})
 	b.Request(0, balance.Request{ID: 2, Class: -1, TimeLeft: time.Second})
 	b.Request(0, balance.Request{ID: 3, Tenant: 7, TimeLeft: time.Second})
@@ -665,40 +665,40 @@
 	if len(h.refused) != 5 || len(h.sends) != 0 {
 		t.Fatalf("refused %d, sent %d; want 5 and 0", len(h.refused), len(h.sends))
 	}
-	ask(b, 0, 6, safeClass)
-	ask(b, 0, 6, safeClass) // held already
-	end(b, 0, 6, 3, balance.Served)
-	end(b, 0, 6, -1, balance.Served)
-	end(b, 0, 77, 0, balance.Served)
+	sendRequest(b, 0, 6, safeClass)
+	sendRequest(b, 0, 6, safeClass) // the id is in use
+	endAttempt(b, 0, 6, 3, balance.Served)
+	endAttempt(b, 0, 6, -1, balance.Served)
+	endAttempt(b, 0, 77, 0, balance.Served)
 	b.ClientGone(0, 77)
 	b.StreamStarted(0, 77, 0)
 	b.BodyEnded(0, 77, time.Second)
 	if len(h.sends) != 1 || b.SlotsFree(0) != 5 {
 		t.Fatalf("sends %d, slots free %d; want 1 and 5", len(h.sends), b.SlotsFree(0))
 	}
-	end(b, ms, 6, 0, balance.Served)
-	end(b, ms, 6, 0, balance.Served) // twice
+	endAttempt(b, ms, 6, 0, balance.Served)
+	endAttempt(b, ms, 6, 0, balance.Served) // twice
 	if b.SlotsFree(0) != 6 {
 		t.Fatalf("slots free %d after a repeated outcome, want 6", b.SlotsFree(0))
 	}
 }
 
-func TestClientGoneFreesAndForgets(t *testing.T) {
-	b, h := start(t, testConfig(), ready(1))
-	ask(b, 0, 1, safeClass)
+func TestClientGoneFreesSlotAndRequest(t *testing.T) {
+	b, h := startBalancer(t, testConfig(), readyList(1))
+	sendRequest(b, 0, 1, safeClass)
 	b.ClientGone(ms, 1)
 	if len(h.cancelled) != 1 || b.SlotsFree(0) != 5 {
 		t.Fatal("the attempt was not called off, or its slot freed before it ended")
 	}
-	end(b, 2*ms, 1, 0, balance.Cancelled)
+	endAttempt(b, 2*ms, 1, 0, balance.Cancelled)
 	if len(h.refused)+len(h.failed) != 0 || len(b.requests) != 0 || b.SlotsFree(0) != 6 {
 		t.Fatalf("answers %d, held %d", len(h.refused)+len(h.failed), len(b.requests))
 	}
 }
 
-func TestStreamIsLeftAlone(t *testing.T) {
-	b, h := start(t, testConfig(), ready(1, 2))
-	ask(b, 0, 1, safeClass)
+func TestStartedStreamIsNotInterrupted(t *testing.T) {
+	b, h := startBalancer(t, testConfig(), readyList(1, 2))
+	sendRequest(b, 0, 1, safeClass)
 	b.StreamStarted(0, 1, 0)
 	for now := time.Duration(0); now < 10*time.Second; now += 10 * ms {
 		b.Wake(now)
@@ -712,8 +712,8 @@
 	}
 }
 
-// Guards against many balancers that start at once and call discovery in one moment, so that most calls fail.
-func TestFirstCallsAreSpread(t *testing.T) {
+// Guards against many balancers that start at once and call discovery at the same moment, so that most calls fail.
+func TestFirstListCallsAreSpread(t *testing.T) {
 	var early, late int
 	for seed := range uint64(40) {
 		cfg := testConfig()
@@ -724,14 +724,14 @@
 			t.Fatal(err)
 		}
 		b.Start(0)
-		b.UpdateServers(0, balance.ListCached, ready(1))
+		b.UpdateServers(0, balance.ListCached, readyList(1))
 		for now := 100 * ms; now <= 2*time.Second+100*ms; now += 100 * ms {
 			b.Wake(now)
 			if now == time.Second {
-				early += h.asks
+				early += h.watches
 			}
 		}
-		late += h.asks
+		late += h.watches
 	}
 	if early < 10 || early > 30 || late < 40 {
 		t.Errorf("%d of 40 asked in the first second, %d in two; want about half, and all", early, late)
@@ -745,41 +745,41 @@
 	}
 	b.Start(0)
 	b.UpdateServers(0, balance.ListCached, nil)
-	if h.asks != 1 {
-		t.Errorf("asked %d times with nothing known, want once and at once", h.asks)
+	if h.watches != 1 {
+		t.Errorf("asked %d times with nothing known, want once and at once", h.watches)
 	}
 }
 
 func TestMemoryStaysBounded(t *testing.T) {
-	b, h := start(t, testConfig(), ready(1, 2))
+	b, h := startBalancer(t, testConfig(), readyList(1, 2))
 	ended := 0
 	for id := range balance.RequestID(20000) {
 		now := time.Duration(id) * 5 * ms
-		ask(b, now, id, safeClass)
+		sendRequest(b, now, id, safeClass)
 		switch id % 3 {
 		case 0:
-			end(b, now+ms, id, 0, balance.Served)
+			endAttempt(b, now+ms, id, 0, balance.Served)
 		case 1:
 			b.ClientGone(now+ms, id)
-			end(b, now+2*ms, id, 0, balance.Cancelled)
+			endAttempt(b, now+2*ms, id, 0, balance.Cancelled)
 		case 2:
-			end(b, now+ms, id, 0, balance.Broken)
-			end(b, now+2*ms, id, 1, balance.Served)
+			endAttempt(b, now+ms, id, 0, balance.Broken)
+			endAttempt(b, now+2*ms, id, 1, balance.Served)
 		}
 		if id%100 == 0 {
 			b.UpdateServers(now, balance.ListDelta, []balance.Server{{ID: balance.ServerID(1000 + id), State: balance.Ready, Weight: 1}})
 			b.UpdateServers(now, balance.ListDelta, []balance.Server{{ID: balance.ServerID(1000 + id), State: balance.Gone}})
 		}
 		b.Wake(now + 3*ms)
-		for ; ended < len(h.sends); ended++ { // those that had to wait too
-			end(b, now+4*ms, h.sends[ended].id, 0, balance.Served)
-			end(b, now+4*ms, h.sends[ended].id, 1, balance.Served)
+		for ; ended < len(h.sends); ended++ { // queued ones too
+			endAttempt(b, now+4*ms, h.sends[ended].id, 0, balance.Served)
+			endAttempt(b, now+4*ms, h.sends[ended].id, 1, balance.Served)
 		}
 	}
 	b.Wake(time.Hour)
-	if len(b.requests) > 3 || len(b.open) > 3 || len(b.servers) != 2 || cap(b.open) > 100 {
+	if len(b.requests) > 3 || len(b.openRequests) > 3 || len(b.servers) != 2 || cap(b.openRequests) > 100 {
 		t.Fatalf("held: %d requests, %d open (room for %d), %d servers",
-			len(b.requests), len(b.open), cap(b.open), len(b.servers))
+			len(b.requests), len(b.openRequests), cap(b.openRequests), len(b.servers))
 	}
 }
 
@@ -788,8 +788,8 @@
 	cfg.Slots = 0
 	for _, balancers := range []int{1, 4, 64} {
 		cfg.Balancers = balancers
-		b, _ := start(t, cfg, ready(1))
-		whole := 100*1*slotAim + 2*spread*math.Sqrt(100*slotAim) + 2
+		b, _ := startBalancer(t, cfg, readyList(1))
+		whole := 100*1*slotAimShare + 2*slotDeviations*math.Sqrt(100*slotAimShare) + 2
 		if b.slots < 2 || float64(b.slots) > whole {
 			t.Errorf("%d balancers: %d slots, want 2 to %.0f", balancers, b.slots, whole)
 		}
@@ -797,15 +797,15 @@
 			t.Errorf("%d balancers: compartments %d and %d", balancers, b.SlotsFree(0), b.SlotsFree(1))
 		}
 	}
-	cfg.Tenants, cfg.Balancers = nil, 4 // no tenants and no quota: one compartment, sized by the first list
-	b, h := start(t, cfg, ready(1, 2))
+	cfg.Tenants, cfg.Balancers = nil, 4 // without tenants: one compartment, sized by the first list
+	b, h := startBalancer(t, cfg, readyList(1, 2))
 	b.Request(0, balance.Request{ID: 1, Tenant: 5, TimeLeft: time.Second})
-	if len(b.parts) != 1 || b.slots != 7 || len(h.sends) != 1 {
-		t.Fatalf("without tenants: %d compartments, %d slots, %d sends", len(b.parts), b.slots, len(h.sends))
+	if len(b.compartments) != 1 || b.slots != 7 || len(h.sends) != 1 {
+		t.Fatalf("without tenants: %d compartments, %d slots, %d sends", len(b.compartments), b.slots, len(h.sends))
 	}
 }
 
-func TestNewNamesTheUnusableField(t *testing.T) {
+func TestNewNamesTheInvalidField(t *testing.T) {
 	for field, spoil := range map[string]func(*balance.Config){
 		"Balancers":     func(c *balance.Config) { c.Balancers = 0 },
 		"Classes":       func(c *balance.Config) { c.Classes = nil },
@@ -831,8 +831,8 @@
 	}
 }
 
-// Guards against a thousand sidecars that all begin with the heaviest servers (grown toowoomba-hives, untouched:
-// the same servers unwell everywhere in 1.3 s): their first turns must spread by weight, each server's too.
+// Guards against a thousand sidecars that all send their first requests to the heaviest servers, which overloaded
+// them within 1.3 s: first turns must be spread over all servers in proportion to their weights.
 func TestFirstTurnsSpreadOverAFleet(t *testing.T) {
 	const balancers, servers = 1200, 60
 	sent := map[balance.ServerID]int{}
@@ -840,12 +840,12 @@
 	cfg.Balancers, cfg.Slots = balancers, 0
 	for n := range balancers {
 		cfg.Index = n
-		list := ready()
+		list := readyList()
 		for id := range balance.ServerID(servers) {
 			list = append(list, balance.Server{ID: id * 7, State: balance.Ready, Weight: 1 + 2*float64(id%2)})
 		}
 		b, h := startSeeded(t, cfg, uint64(n), list)
-		ask(b, 0, 1, safeClass)
+		sendRequest(b, 0, 1, safeClass)
 		sent[h.sends[0].to]++
 	}
 	light, heavy, most := 0, 0, 0
@@ -858,14 +858,14 @@
 			heavy += n
 		}
 	}
-	if light < balancers/6 || light > balancers/3 || most > 60 { // even parts: 300 to the light ones, 30 to a heavy one
+	if light < balancers/6 || light > balancers/3 || most > 60 { // in proportion: 300 to the light ones, 30 to each heavy one
 		t.Fatalf("first sends: %d to light servers, %d to heavy ones, at most %d to one", light, heavy, most)
 	}
 }
 
-// Guards against the grown deployments: a light sidecar that takes turns among all servers holds connections
-// to all of them and never learns of a hung one; together they still load all servers alike.
-func TestArcsFollowTrafficAndCoverTheList(t *testing.T) {
+// Guards against sidecars with little traffic that send to all servers: they hold connections to all of them and never
+// learn that one is unresponsive. Together the subsets must still load all servers evenly.
+func TestSubsetsFollowTrafficAndCoverTheList(t *testing.T) {
 	const balancers, servers = 50, 100
 	cover := map[balance.ServerID]int{}
 	cfg := testConfig()
@@ -877,11 +877,11 @@
 		for id := range balance.ServerID(servers) {
 			list = append(list, balance.Server{ID: id, State: balance.Ready, Weight: 1})
 		}
-		b, _ := start(t, cfg, list)
-		if got := len(b.arc); got != 9 { // 9 requests a second, a turn every second
+		b, _ := startBalancer(t, cfg, list)
+		if got := len(b.subset); got != 9 { // 9 requests per second, one turn per second
 			t.Fatalf("an arc of %d servers, want 9", got)
 		}
-		for _, s := range b.arc {
+		for _, s := range b.subset {
 			cover[s.ID]++
 		}
 	}
@@ -894,38 +894,38 @@
 		t.Errorf("%d servers covered", len(cover))
 	}
 	cfg.Balancers = 3
-	b, _ := start(t, cfg, ready(1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16, 17, 18, 19, 20))
+	b, _ := startBalancer(t, cfg, readyList(1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16, 17, 18, 19, 20))
 	for i := range 1200 { // ten times as much
-		ask(b, time.Duration(i)*10*ms, balance.RequestID(i), safeClass)
-		end(b, time.Duration(i)*10*ms+5*ms, balance.RequestID(i), 0, balance.Served)
+		sendRequest(b, time.Duration(i)*10*ms, balance.RequestID(i), safeClass)
+		endAttempt(b, time.Duration(i)*10*ms+5*ms, balance.RequestID(i), 0, balance.Served)
 	}
-	if got := len(b.arc); got != 20 {
+	if got := len(b.subset); got != 20 {
 		t.Fatalf("a busy balancer keeps to %d of 20 servers", got)
 	}
 }
 
-// Guards against a start at a clock that counts from long ago, as real ones do: the first request must not
-// make a balancer take itself for one with no traffic, of short arcs and low walls.
-func TestRateHoldsFromTheStart(t *testing.T) {
+// Guards against a rate that decays to 0 at the first request, and with it a small subset and low limits, when the
+// clock's zero is long ago, as with real clocks.
+func TestRateDoesNotDecayBeforeStart(t *testing.T) {
 	for _, began := range []time.Duration{0, 56 * 365 * 24 * time.Hour} {
 		b, err := New(testConfig(), 1, newFakeHost())
 		if err != nil {
 			t.Fatal(err)
 		}
 		b.Start(began)
-		b.UpdateServers(began, balance.ListFull, ready(1, 2))
-		ask(b, began+20*ms, 1, safeClass)
-		if b.rate < 49 || b.rate > 51 { // half of the quotas
+		b.UpdateServers(began, balance.ListFull, readyList(1, 2))
+		sendRequest(b, began+20*ms, 1, safeClass)
+		if b.rate < 49 || b.rate > 51 { // half of the quotas' sum
 			t.Errorf("started at %v: %.1f requests a second after the first, want about 50", began, b.rate)
 		}
 	}
 }
 
-// Guards against a fleet in which each meets a server once a second and shares it with 25 others: by the
-// quotas few share a server, and those who have more traffic take more of them. A few balancers may
-// each take turns among all servers.
-func TestFewShareAServerOfALargeFleet(t *testing.T) {
-	list := ready()
+// Guards against a fleet in which each balancer sends to a server once per second and shares it with 25 others. In a
+// large fleet few balancers share a server, and a balancer with more traffic has a larger subset. In a small
+// fleet each may send to all servers.
+func TestFewBalancersShareAServerInALargeFleet(t *testing.T) {
+	list := readyList()
 	for id := range balance.ServerID(60) {
 		list = append(list, balance.Server{ID: id, State: balance.Ready, Weight: 1})
 	}
@@ -933,24 +933,24 @@
 		cfg := testConfig()
 		cfg.Balancers = balancers
 		cfg.Tenants = []balance.Tenant{{Share: 1, Quota: 2000}}
-		b, _ := start(t, cfg, list)
-		if got := len(b.arc); got != want && got != want+1 { // 25 or 400 requests a second each
+		b, _ := startBalancer(t, cfg, list)
+		if got := len(b.subset); got != want && got != want+1 { // 25 or 400 requests per second each
 			t.Errorf("%d balancers: an arc of %d of 60 servers, want %d", balancers, got, want)
 		}
-		if sharers := float64(balancers*len(b.arc)) / 60; sharers > sharersMost+1 {
+		if sharers := float64(balancers*len(b.subset)) / 60; sharers > maxSharersPerServer+1 {
 			t.Errorf("%d balancers: %.1f share a server", balancers, sharers)
 		}
 		b.rate *= 3
-		b.cut()
-		if got := len(b.arc); got < min(3*want, 60) {
+		b.updateSubset()
+		if got := len(b.subset); got < min(3*want, 60) {
 			t.Errorf("%d balancers: an arc of %d for three times the traffic", balancers, got)
 		}
 	}
 }
 
-// Guards against rule 4 at the grown delta-rounds (big-1, big-2 untouched): hundreds of sidecars, each with a
-// first send free, push a restarted server over within a second of its listing.
-func TestManyBalancersSpareAColdServer(t *testing.T) {
+// Guards against a restarted server that is overloaded (rule 4) within a second of its listing, as hundreds of
+// sidecars each send it one request at once.
+func TestManyBalancersKeepAColdServersBudget(t *testing.T) {
 	const balancers, servers = 400, 40
 	cfg := testConfig()
 	cfg.Balancers, cfg.Slots = balancers, 0
@@ -958,14 +958,14 @@
 	var times []time.Duration
 	for n := range balancers {
 		cfg.Index = n
-		list := ready()
+		list := readyList()
 		for id := range balance.ServerID(servers) {
 			list = append(list, balance.Server{ID: id, State: balance.Ready, Weight: 1})
 		}
 		b, h := startSeeded(t, cfg, uint64(n), list)
 		for id := range balance.ServerID(servers) {
 			if id != 5 {
-				b.server(id).due = math.Inf(1) // the others are down: all would go to the cold one
+				b.serverByID(id).nextTurn = math.Inf(1) // the others are never in turn: all requests are for the cold one
 			}
 		}
 		b.UpdateServers(10*time.Second, balance.ListDelta, []balance.Server{{ID: 5, State: balance.Ready, Weight: 1, Started: 10 * time.Second}})
@@ -973,19 +973,19 @@
 			now := 10*time.Second + time.Duration(i)*10*ms
 			before := h.sentTo(5)
 			if i%10 == n%10 {
-				ask(b, now, balance.RequestID(i), unsafeClass)
+				sendRequest(b, now, balance.RequestID(i), unsafeClass)
 				if last := h.sends[len(h.sends)-1]; last.to != 5 {
-					end(b, now, last.id, 0, balance.Served)
+					endAttempt(b, now, last.id, 0, balance.Served)
 				}
 			}
 			b.Wake(now)
 			if h.sentTo(5) > before {
 				times = append(times, now)
-				end(b, now, balance.RequestID(i), 0, balance.Served)
+				endAttempt(b, now, balance.RequestID(i), 0, balance.Served)
 			}
 		}
 	}
-	// It can do 40 a second when warm, 0.3 of that at first; three times that for a second is the limit.
+	// Its capacity is 40 per second when warm and 0.3 of that at first; the limit is three times that in a second.
 	for from := 10 * time.Second; from < 13*time.Second; from += 100 * ms {
 		got := 0
 		for _, at := range times {
@@ -1003,17 +1003,18 @@
 	}
 }
 
-// inOrder is a config with one class whose keys go in turn.
-func inOrder(settle time.Duration) balance.Config {
+// inOrderConfig returns a config with one class whose requests are ordered per key.
+func inOrderConfig(settle time.Duration) balance.Config {
 	cfg := testConfig()
 	cfg.Classes = cfg.Classes[:1]
 	cfg.Classes[0].InOrder, cfg.OrderSettle, cfg.Slots = true, settle, 20
 	return cfg
 }
 
-// Rule 5: one at a time for a key, in order of arrival; other keys and keyless requests go on.
-func TestRequestsOfOneKeyGoInTurn(t *testing.T) {
-	b, h := start(t, inOrder(100*ms), ready(1, 2, 3))
+// Rule 5: requests of one key are sent one at a time, in order of arrival; other keys and keyless requests are not
+// delayed.
+func TestRequestsOfOneKeyAreOrdered(t *testing.T) {
+	b, h := startBalancer(t, inOrderConfig(100*ms), readyList(1, 2, 3))
 	for id := range balance.RequestID(3) {
 		b.Request(0, balance.Request{ID: id, Key: 9, TimeLeft: 2 * time.Second})
 	}
@@ -1022,8 +1023,8 @@
 	if got := sentIDs(h); !slices.Equal(got, []balance.RequestID{0, 3, 4}) {
 		t.Fatalf("sent %v, want the first of each key", got)
 	}
-	end(b, 10*ms, 0, 0, balance.TurnedAway) // its own further try is not delayed, and nothing passes it
-	end(b, 20*ms, 0, 1, balance.Served)
+	endAttempt(b, 10*ms, 0, 0, balance.TurnedAway) // its own retry is not delayed, and no other request overtakes it
+	endAttempt(b, 20*ms, 0, 1, balance.Served)
 	if got := sentIDs(h); !slices.Equal(got, []balance.RequestID{0, 3, 4, 0, 1}) {
 		t.Fatalf("sent %v, want 0 again and then 1", got)
 	}
@@ -1032,7 +1033,7 @@
 	if got := sentIDs(h); len(got) != 5 {
 		t.Fatalf("sent %v though the attempt of 1 is still out", got)
 	}
-	end(b, 50*ms, 1, 0, balance.Cancelled)
+	endAttempt(b, 50*ms, 1, 0, balance.Cancelled)
 	b.Wake(140 * ms)
 	if got := sentIDs(h); len(got) != 5 {
 		t.Fatalf("sent %v though the cancelled attempt may still run", got)
@@ -1043,11 +1044,11 @@
 	}
 }
 
-// Guards against: what waits for its key holds up the queue behind it.
+// Guards against a request that waits for its key and blocks the queue behind it.
 func TestOneKeyDoesNotBlockOthers(t *testing.T) {
-	cfg := inOrder(0)
+	cfg := inOrderConfig(0)
 	cfg.Tenants, cfg.Slots = nil, 10 // two queue places
-	b, h := start(t, cfg, ready(1, 2))
+	b, h := startBalancer(t, cfg, readyList(1, 2))
 	for id := range balance.RequestID(2) {
 		b.Request(0, balance.Request{ID: id, Key: 9, TimeLeft: 2 * time.Second})
 	}
@@ -1055,7 +1056,7 @@
 		b.Request(0, balance.Request{ID: id, TimeLeft: 2 * time.Second})
 	}
 	n := len(h.sends)
-	end(b, ms, h.sends[n-1].id, 0, balance.Served)
+	endAttempt(b, ms, h.sends[n-1].id, 0, balance.Served)
 	if len(h.sends) != n+1 || h.sends[n].id == 1 {
 		t.Fatalf("sends %+v, want the one behind the key", h.sends[n:])
 	}
@@ -1068,18 +1069,18 @@
 	return ids
 }
 
-// Rule 6: further attempts stay within the budget of their own window.
+// Rule 6: retries stay within the budget of the period before them.
 func TestRetryBudget(t *testing.T) {
 	cfg := testConfig()
 	cfg.Budget = balance.RetryBudget{Span: time.Second, Free: 1, Share: 0.5}
-	b, h := start(t, cfg, ready(1, 2, 3))
+	b, h := startBalancer(t, cfg, readyList(1, 2, 3))
 	try := func(now time.Duration, id balance.RequestID, class int) int {
 		n := len(h.sends)
-		b.asked = recent{}
-		ask(b, now, id, class)
-		end(b, now, id, 0, balance.TurnedAway)
+		b.admission = admissionStats{}
+		sendRequest(b, now, id, class)
+		endAttempt(b, now, id, 0, balance.TurnedAway)
 		if len(h.sends) > n+1 {
-			end(b, now, id, 1, balance.Served)
+			endAttempt(b, now, id, 1, balance.Served)
 		}
 		return len(h.sends) - n
 	}
@@ -1089,7 +1090,7 @@
 	if _, ok := h.refused[3]; !ok {
 		t.Fatal("a request that never ran and met the end of the budget is not refused")
 	}
-	// A second later the requests no longer count, but the attempts made just then still do.
+	// Exactly one span later the requests no longer count, but the retries sent at that time still do.
 	if n := try(time.Second, 4, safeClass); n != 1 {
 		t.Fatalf("%d sends at the window's edge, want 1", n)
 	}
@@ -1098,7 +1099,7 @@
 	}
 }
 
-// A budget of nothing is a budget; none at all is no limit.
+// A budget that allows no retries differs from the zero value, which sets no limit.
 func TestRetryBudgetZeroAndAbsent(t *testing.T) {
 	for _, c := range []struct {
 		budget balance.RetryBudget
@@ -1106,26 +1107,26 @@
 	}{{balance.RetryBudget{Span: time.Second}, 1}, {balance.RetryBudget{}, 2}} {
 		cfg := testConfig()
 		cfg.Budget = c.budget
-		b, h := start(t, cfg, ready(1, 2, 3))
-		ask(b, 0, 1, safeClass)
-		end(b, 0, 1, 0, balance.TurnedAway)
+		b, h := startBalancer(t, cfg, readyList(1, 2, 3))
+		sendRequest(b, 0, 1, safeClass)
+		endAttempt(b, 0, 1, 0, balance.TurnedAway)
 		if len(h.sends) != c.want {
 			t.Errorf("budget %+v: %d sends, want %d", c.budget, len(h.sends), c.want)
 		}
 	}
 }
 
-// Rule 7: idle connections are closed at the notice, after each later outcome, and once more.
+// Rule 7: idle connections are closed when the server starts draining, after each later outcome, and once more.
 func TestConnectionsToDrainingServersAreClosed(t *testing.T) {
 	cfg := testConfig()
 	cfg.CloseWithin = 300 * ms
-	b, h := start(t, cfg, ready(1))
-	ask(b, 0, 1, safeClass)
+	b, h := startBalancer(t, cfg, readyList(1))
+	sendRequest(b, 0, 1, safeClass)
 	b.UpdateServers(10*ms, balance.ListDelta, []balance.Server{{ID: 1, State: balance.Draining}})
 	if len(h.closes) != 1 {
 		t.Fatalf("%d closes at the notice", len(h.closes))
 	}
-	end(b, 400*ms, 1, 0, balance.Served)
+	endAttempt(b, 400*ms, 1, 0, balance.Served)
 	if len(h.closes) != 2 {
 		t.Fatalf("%d closes after the outcome", len(h.closes))
 	}
@@ -1133,28 +1134,28 @@
 	if len(h.closes) != 3 {
 		t.Fatalf("%d closes within the time", len(h.closes))
 	}
-	b, h = start(t, testConfig(), ready(1))
+	b, h = startBalancer(t, testConfig(), readyList(1))
 	b.UpdateServers(10*ms, balance.ListDelta, []balance.Server{{ID: 1, State: balance.Draining}})
 	if len(h.closes) != 0 {
 		t.Fatal("closed though no time is set")
 	}
 }
 
-// Guards against: a server that fails what it gets, for whatever reason, keeps its turns, or never gets them back.
-func TestStrainedServerLosesTurnsAndComesBack(t *testing.T) {
+// Guards against a server that fails its attempts, for whatever reason, and keeps its turns, or never gets them back.
+func TestFailingServerLosesTurnsAndRecovers(t *testing.T) {
 	for _, ending := range []balance.Ending{balance.Errored, balance.TurnedAway, balance.NoConnection, balance.Broken, balance.TimedOut} {
-		b, h := start(t, testConfig(), ready(1, 2, 3, 4))
+		b, h := startBalancer(t, testConfig(), readyList(1, 2, 3, 4))
 		now, id := time.Duration(0), balance.RequestID(0)
 		run := func(n int, bad balance.Ending) int {
 			before := h.sentTo(1)
 			for range n {
 				now += 50 * ms
 				id++
-				b.asked = recent{} // admission is not at stake here
-				ask(b, now, id, unsafeClass)
+				b.admission = admissionStats{} // admission is not tested here
+				sendRequest(b, now, id, unsafeClass)
 				for k := len(h.sends); k > 0 && h.sends[k-1].id == id; k = len(h.sends) {
 					n := len(b.requests[id].attempts)
-					end(b, now+5*ms, id, n-1, map[bool]balance.Ending{true: bad, false: balance.Served}[h.sends[k-1].to == 1])
+					endAttempt(b, now+5*ms, id, n-1, map[bool]balance.Ending{true: bad, false: balance.Served}[h.sends[k-1].to == 1])
 					if len(h.sends) == k {
 						break
 					}
@@ -1172,16 +1173,16 @@
 	}
 }
 
-// Guards against incident i47e131: a thousand balancers with a slot each go on sending what comes back late.
-func TestAdmissionFollowsAnswersInTime(t *testing.T) {
+// Guards against a thousand balancers with a slot each that keep sending requests which are all answered late.
+func TestAdmissionFollowsTimelyResponses(t *testing.T) {
 	sent := func(end1 balance.Ending, took time.Duration) int {
-		b, h := start(t, testConfig(), ready(1, 2, 3, 4))
+		b, h := startBalancer(t, testConfig(), readyList(1, 2, 3, 4))
 		for id := range balance.RequestID(200) {
 			now := time.Duration(id) * 500 * ms
 			n := len(h.sends)
-			ask(b, now, id, unsafeClass)
+			sendRequest(b, now, id, unsafeClass)
 			if len(h.sends) > n {
-				end(b, now+took, id, 0, end1)
+				endAttempt(b, now+took, id, 0, end1)
 			}
 		}
 		return len(h.sends)
@@ -1189,7 +1190,7 @@
 	if n := sent(balance.Served, 100*ms); n != 200 {
 		t.Errorf("%d of 200 sent while all are answered in time", n)
 	}
-	if n := sent(balance.Served, 1500*ms); n > 150 { // incident id1dbbf: late answers are no sign of room
+	if n := sent(balance.Served, 1500*ms); n > 150 { // late responses must not count as spare capacity
 		t.Errorf("%d of 200 sent while all are answered late", n)
 	}
 	if n := sent(balance.TimedOut, time.Second); n > 120 || n < 20 {
@@ -1197,36 +1198,36 @@
 	}
 }
 
-// One tenth of failures, as from one bad server of ten, must not refuse anything.
-func TestAdmissionIsPatientWithFewFailures(t *testing.T) {
-	b, h := start(t, testConfig(), ready(1, 2, 3, 4))
+// A failure rate of one tenth, as with one bad server of ten, must not cause refusals.
+func TestAdmissionToleratesFewFailures(t *testing.T) {
+	b, h := startBalancer(t, testConfig(), readyList(1, 2, 3, 4))
 	for id := range balance.RequestID(300) {
 		now := time.Duration(id) * 100 * ms
-		ask(b, now, id, unsafeClass)
-		end(b, now+50*ms, id, 0, map[bool]balance.Ending{true: balance.Errored, false: balance.Served}[id%10 == 9])
+		sendRequest(b, now, id, unsafeClass)
+		endAttempt(b, now+50*ms, id, 0, map[bool]balance.Ending{true: balance.Errored, false: balance.Served}[id%10 == 9])
 	}
 	if len(h.sends) != 300 {
 		t.Fatalf("%d of 300 sent", len(h.sends))
 	}
 }
 
-// Guards against event2710: after some seconds with no answer, while clients come back for what was
-// refused, a throttle that counts each return in full stays all but shut for half a minute.
-func TestAdmissionReopensWhenAnswersComeInTime(t *testing.T) {
-	b, h := start(t, testConfig(), ready(1, 2, 3, 4))
+// Guards against a throttle that stays almost closed for half a minute after some seconds without responses, because
+// it counts each retry of a refused client in full.
+func TestAdmissionReopensAfterRecovery(t *testing.T) {
+	b, h := startBalancer(t, testConfig(), readyList(1, 2, 3, 4))
 	const every = 5 * ms // 200 a second
 	let, ended := make([]int, 16), 0
 	for id := range balance.RequestID(16 * 200) {
 		now := time.Duration(id) * every
 		b.Wake(now)
-		ask(b, now, id, unsafeClass)
+		sendRequest(b, now, id, unsafeClass)
 		outcome := balance.Errored
-		if now >= 5*time.Second { // the trouble is over
+		if now >= 5*time.Second { // servers have recovered
 			outcome = balance.Served
 		}
 		for ; ended < len(h.sends); ended++ {
 			let[now/time.Second]++
-			end(b, now+every/2, h.sends[ended].id, 0, outcome)
+			endAttempt(b, now+every/2, h.sends[ended].id, 0, outcome)
 		}
 	}
 	if let[4] > 40 {
@@ -1237,16 +1238,16 @@
 	}
 }
 
-// Worth decides what is shed first: the same shortage costs the worthier class less.
-func TestAdmissionShedsTheLessWorthyFirst(t *testing.T) {
+// Load shedding goes by worth: the same shortage refuses fewer requests of the class with the higher worth.
+func TestAdmissionShedsByWorth(t *testing.T) {
 	cfg := testConfig()
 	cfg.Classes = cfg.Classes[:2]
 	cfg.Classes[0].Worth, cfg.Classes[1].Worth = 1, 4
-	b, _ := start(t, cfg, ready(1, 2))
-	b.asked = recent{all: 40, good: 10}
+	b, _ := startBalancer(t, cfg, readyList(1, 2))
+	b.admission = admissionStats{offered: 40, timely: 10}
 	var let [2]int
 	for i := range 2000 {
-		b.asked = recent{all: 40, good: 10}
+		b.admission = admissionStats{offered: 40, timely: 10}
 		if b.admit(0, &request{class: &b.classes[i%2]}) {
 			let[i%2]++
 		}
@@ -1256,28 +1257,30 @@
 	}
 }
 
-// Guards against a zone with more traffic than its own servers can bear; crossing has a price, so near ones lead.
-func TestFarServersHaveFewerTurns(t *testing.T) {
+// Guards against overload in a zone with more traffic than its own servers can take: other zones' servers have turns
+// too, but fewer, as crossing has a price.
+func TestOtherZonesHaveFewerTurns(t *testing.T) {
 	cfg := testConfig()
 	cfg.CrossZonePrice, cfg.Zone = 0.02, 1
-	list := ready(1, 2, 3, 4)
+	list := readyList(1, 2, 3, 4)
 	list[2].Zone, list[3].Zone = 1, 1
-	b, h := start(t, cfg, list)
+	b, h := startBalancer(t, cfg, list)
 	for id := range balance.RequestID(300) {
-		ask(b, time.Duration(id)*20*ms, id, safeClass)
-		end(b, time.Duration(id)*20*ms+5*ms, id, 0, balance.Served)
+		sendRequest(b, time.Duration(id)*20*ms, id, safeClass)
+		endAttempt(b, time.Duration(id)*20*ms+5*ms, id, 0, balance.Served)
 	}
 	if far := h.sentTo(1) + h.sentTo(2); far < 50 || far > 70 || b.Counters().Crossed != uint64(far) {
 		t.Fatalf("%d of 300 sends crossed, %d counted; want a fifth", far, b.Counters().Crossed)
 	}
 }
 
-// Guards against incident i50e019: all balancers ask the same stale reports and crowd to where it was empty.
-func TestStaleReportsDoNotSteer(t *testing.T) {
+// Guards against a thundering herd: all balancers read the same stale load reports and send to the servers that were
+// idle.
+func TestStaleLoadReportsAreNotUsed(t *testing.T) {
 	for _, stale := range []bool{false, true} {
 		cfg := testConfig()
 		cfg.MayProbe, cfg.Reports = true, balance.HasInFlight|balance.HasBusy
-		b, h := start(t, cfg, ready(1, 2, 3))
+		b, h := startBalancer(t, cfg, readyList(1, 2, 3))
 		seen := 0
 		for now := time.Duration(0); now < 3*time.Second; now += 10 * ms {
 			b.Wake(now)
@@ -1290,34 +1293,34 @@
 			}
 		}
 		n := len(h.probes)
-		ask(b, 4*time.Second, 1, safeClass)
+		sendRequest(b, 4*time.Second, 1, safeClass)
 		if asked := len(h.probes) > n; asked == stale {
 			t.Errorf("stale %v: asked before sending %v", stale, asked)
 		}
 	}
 }
 
-// A server back from silence is taken for cold before the list tells.
-func TestServerBackFromSilenceIsSpared(t *testing.T) {
-	b, h := start(t, testConfig(), ready(1))
-	ask(b, 0, 1, unsafeClass)
-	end(b, time.Second, 1, 0, balance.TimedOut)
-	b.asked = recent{}
-	ask(b, 1100*ms, 2, unsafeClass)
-	end(b, 2100*ms, 2, 0, balance.TimedOut)
-	b.asked = recent{}
-	ask(b, 3*time.Second, 3, unsafeClass)
-	end(b, 3100*ms, 3, 0, balance.Served)
-	if b.server(1).warmAt != 3100*ms+8*time.Second || len(h.log) == 0 {
-		t.Fatalf("cold until %v, log %q", b.server(1).warmAt, h.log)
+// A server that answers again after silence counts as cold before the list announces its restart.
+func TestServerThatAnswersAfterSilenceIsCold(t *testing.T) {
+	b, h := startBalancer(t, testConfig(), readyList(1))
+	sendRequest(b, 0, 1, unsafeClass)
+	endAttempt(b, time.Second, 1, 0, balance.TimedOut)
+	b.admission = admissionStats{}
+	sendRequest(b, 1100*ms, 2, unsafeClass)
+	endAttempt(b, 2100*ms, 2, 0, balance.TimedOut)
+	b.admission = admissionStats{}
+	sendRequest(b, 3*time.Second, 3, unsafeClass)
+	endAttempt(b, 3100*ms, 3, 0, balance.Served)
+	if b.serverByID(1).warmAt != 3100*ms+8*time.Second || len(h.log) == 0 {
+		t.Fatalf("cold until %v, log %q", b.serverByID(1).warmAt, h.log)
 	}
 }
 
-// Guards against incident i85adde: probes that fail tell nothing, and sampling went on for ever.
-func TestSamplingEndsWhereProbesFail(t *testing.T) {
+// Guards against sampling that never ends because failed probes are not counted.
+func TestSamplingEndsIfProbesFail(t *testing.T) {
 	cfg := testConfig()
 	cfg.MayProbe, cfg.Reports = true, balance.HasInFlight
-	b, h := start(t, cfg, ready(1, 2, 3))
+	b, h := startBalancer(t, cfg, readyList(1, 2, 3))
 	seen := 0
 	for now := time.Duration(0); now < 10*time.Second; now += 10 * ms {
 		b.Wake(now)
@@ -1325,40 +1328,40 @@
 			b.Probed(now, h.probes[seen], false, balance.Load{})
 		}
 	}
-	if len(h.probes) > 2*pairsMost {
+	if len(h.probes) > 2*maxReportPairs {
 		t.Fatalf("%d probes, none of which was answered", len(h.probes))
 	}
 }
 
-// Rule 1 at the gate: nothing is sent for a request that is over, streams, is late or has had its attempts.
-func TestGateKeepsTheFirstRule(t *testing.T) {
-	b, _ := start(t, testConfig(), ready(1))
+// Rule 1: nothing is sent for a request that is answered, streaming, late or out of attempts.
+func TestMaySendKeepsRule1(t *testing.T) {
+	b, _ := startBalancer(t, testConfig(), readyList(1))
 	for name, r := range map[string]*request{
-		"over":    {over: true, deadline: time.Second},
-		"begun":   {begun: true, deadline: time.Second},
+		"over":    {ended: true, deadline: time.Second},
+		"begun":   {streaming: true, deadline: time.Second},
 		"late":    {deadline: 100 * ms},
-		"out":     {deadline: time.Second, out: 1},
+		"out":     {deadline: time.Second, attemptsInFlight: 1},
 		"all out": {deadline: time.Second, attempts: make([]attempt, b.cfg.MaxAttempts)},
 	} {
 		r.class = &b.classes[safeClass]
-		if b.mayGo(100*ms, r, b.servers[0]) {
+		if b.maySend(100*ms, r, b.servers[0]) {
 			t.Errorf("a request that is %s may go", name)
 		}
 	}
-	if !b.mayGo(100*ms, &request{class: &b.classes[safeClass], deadline: time.Second}, b.servers[0]) {
+	if !b.maySend(100*ms, &request{class: &b.classes[safeClass], deadline: time.Second}, b.servers[0]) {
 		t.Error("an ordinary request may not go")
 	}
 }
 
-// Guards against a fresh day of toowoomba-hives-later (burst of one tenant): with short arcs, asking finds every
-// server of the arc full, and all send to it all the same.
-func TestArcsGrowWhereReportsAreFresh(t *testing.T) {
+// Guards against a burst of one tenant's traffic that overloads small subsets: load queries find every server of the
+// subset full, and the requests go there all the same.
+func TestSubsetGrowsIfReportsAreFresh(t *testing.T) {
 	cfg := testConfig()
 	cfg.MayProbe, cfg.Reports = true, balance.HasInFlight|balance.HasBusy
-	b, h := start(t, cfg, ready(1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16, 17, 18, 19, 20))
+	b, h := startBalancer(t, cfg, readyList(1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16, 17, 18, 19, 20))
 	b.rate, b.rateAt = 4, 0
-	b.cut()
-	short := len(b.arc)
+	b.updateSubset()
+	short := len(b.subset)
 	for seen, now := 0, time.Duration(0); now < time.Second; now += 10 * ms {
 		b.Wake(now)
 		for ; seen < len(h.probes); seen++ {
@@ -1366,33 +1369,33 @@
 		}
 	}
 	b.rate, b.rateAt = 4, time.Second
-	ask(b, time.Second, 1, safeClass)
-	if len(b.arc) < 2*short {
-		t.Fatalf("an arc of %d, %d before reports were found fresh", len(b.arc), short)
+	sendRequest(b, time.Second, 1, safeClass)
+	if len(b.subset) < 2*short {
+		t.Fatalf("an arc of %d, %d before reports were found fresh", len(b.subset), short)
 	}
 }
 
-// Guards against a zone cut off (a fresh day of delta-rounds): time-outs of servers known to be strained hold back
-// requests for all others.
-func TestTimeoutsOfStrainedServersAreNoCrowd(t *testing.T) {
+// Guards against a partitioned zone whose time-outs hold back the requests for all other servers: time-outs of servers
+// that are known to be bad do not count as congestion.
+func TestTimeoutsOfBadServersAreNotCongestion(t *testing.T) {
 	for _, strained := range []bool{false, true} {
-		b, _ := start(t, testConfig(), ready(1))
+		b, _ := startBalancer(t, testConfig(), readyList(1))
 		if strained {
-			b.server(1).strain = failStrain
+			b.serverByID(1).latencyRatio = failureLatencyRatio
 		}
-		ask(b, 0, 1, unsafeClass)
-		end(b, time.Second, 1, 0, balance.TimedOut)
-		if crowd := b.crowd > 0; crowd == strained {
+		sendRequest(b, 0, 1, unsafeClass)
+		endAttempt(b, time.Second, 1, 0, balance.TimedOut)
+		if crowd := b.congestion > 0; crowd == strained {
 			t.Errorf("strained %v: a time-out counts as crowding %v", strained, crowd)
 		}
 	}
 }
 
-// What still waits for its connection is withdrawn once it may not be written any more, allowed to cancel or not, and
-// whoever still wants an answer then gets another server.
-func TestWithdrawn(t *testing.T) {
+// An attempt that still waits for its connection is withdrawn when it must not be sent any more, whether or not
+// cancelling is allowed. A request that still needs an answer then goes to another server.
+func TestWithdraw(t *testing.T) {
 	list := func(kind balance.ListKind, s balance.State, ids ...balance.ServerID) func(*Balancer) {
-		entries := ready(ids...)
+		entries := readyList(ids...)
 		for i := range entries {
 			entries[i].State = s
 		}
@@ -1418,14 +1421,14 @@
 	} {
 		cfg := testConfig()
 		cfg.MayCancel = false
-		b, h := start(t, cfg, ready(1))
-		ask(b, 0, 1, unsafeClass)
-		b.UpdateServers(0, balance.ListDelta, ready(2))
+		b, h := startBalancer(t, cfg, readyList(1))
+		sendRequest(b, 0, 1, unsafeClass)
+		b.UpdateServers(0, balance.ListDelta, readyList(2))
 		if c.happens(b); (len(h.withdrawn) > 0) != c.withdrawn || len(h.cancelled) > 0 {
 			t.Errorf("%s: withdrawn %v, cancelled %v, want withdrawn: %v", name, h.withdrawn, h.cancelled, c.withdrawn)
 		}
 		if c.withdrawn {
-			end(b, 2*ms, 1, 0, balance.NotSent)
+			endAttempt(b, 2*ms, 1, 0, balance.NotSent)
 		}
 		if h.sentTo(2) == 1 != c.more || b.SlotsFree(0) != 6-len(h.sends)+1 && c.withdrawn {
 			t.Errorf("%s: sent %v, %d slots free; want another server: %v", name, h.sends, b.SlotsFree(0), c.more)
@@ -1433,14 +1436,14 @@
 	}
 }
 
-// Guards against a class whose aim is beyond its deadline: a wait was late as soon as it began, so that nothing of it
-// waited for a slot or went again.
-func TestAimBeyondTheDeadline(t *testing.T) {
+// Guards against a class whose aim is longer than its deadline: every wait counted as late at once, so that its
+// requests were neither queued nor retried.
+func TestAimLongerThanDeadline(t *testing.T) {
 	cfg := testConfig()
 	cfg.Classes[safeClass].Aim = 8 * cfg.Classes[safeClass].Deadline
-	b, h := start(t, cfg, ready(1, 2))
-	ask(b, 0, 1, safeClass)
-	end(b, 10*ms, 1, 0, balance.Errored)
+	b, h := startBalancer(t, cfg, readyList(1, 2))
+	sendRequest(b, 0, 1, safeClass)
+	endAttempt(b, 10*ms, 1, 0, balance.Errored)
 	if len(h.sends) != 2 {
 		t.Fatalf("%d attempts, %d refused, want the second one at once", len(h.sends), len(h.refused))
 	}
