--- a/policy/state.go
+++ b/policy/state.go
@@ -11,27 +11,29 @@
 	"arrowgw/internal/balance"
 )
 
+// server is a listed server with what this balancer knows of it.
 type server struct {
 	balance.Server
-	out    int           // this balancer's attempts there
-	ours   bool          // in our arc
-	turns  float64       // multiple of its usual turns, for the fleet's load to be even
-	bears  float64       // used by lay alone: the part of the fleet's traffic that it has by these
-	due    float64       // smooth weighted round robin: when its next turn is, in turns' own time
-	strain float64       // time that its answers take, against the usual; failures count too
-	used   float64       // mean square of the share of the aim that its answers take, lately
-	toldAt time.Duration // it last reported its load; 0: never
-	load   balance.Load  // what it told then
-	others float64       // and then held this many requests that are not ours
-	fails  int           // attempts that failed lately; an answer halves them
-	rested time.Duration // it gets nothing before this
-	silent time.Duration // it has not answered since; 0: it has
-	warmAt time.Duration // cold until then, by the list or by our own guess
-	coldAt time.Duration // while cold: nothing more before this
-	told   float64       // its weight by the list; Weight is by the rule set too
-	away   bool          // taken out by hand, or excluded by the rule set
+	inFlight       int           // this balancer's attempts at the server that are not client-paced
+	inSubset       bool          // part of Balancer.subset
+	turnMultiple   float64       // factor on its turns that evens out the fleet's load
+	fittedShare    float64       // used by computeSubset alone: its share of the fleet's traffic
+	nextTurn       float64       // smooth weighted round robin: virtual time of its next turn
+	latencyRatio   float64       // moving average of latency relative to the typical one; failures count too
+	congestion     float64       // moving mean square of the share of the aim that its responses take
+	reportedAt     time.Duration // time of its last load report; 0: never
+	load           balance.Load  // the last load report
+	othersInFlight float64       // other balancers' requests at the server by that report
+	failures       int           // recent failed attempts; a response halves the count
+	ejectedUntil   time.Duration // it is sent nothing before this time
+	silentSince    time.Duration // it has not answered since this time; 0: it has
+	warmAt         time.Duration // end of its cold start, as listed or as assumed after silence
+	nextColdSend   time.Duration // while cold: earliest time of the next send
+	listedWeight   float64       // its weight in the list; Weight includes the rule set's multiple
+	excluded       bool          // disabled by an operator or excluded by the rule set
 }
 
+// attemptState is the state of an attempt: in flight, or ended with or without proof that it never ran.
 type attemptState int
 
 const (
@@ -40,334 +42,355 @@
 	neverRan
 )
 
+// attempt is one send of a request to a server.
 type attempt struct {
-	to     *server
-	sent   time.Duration
-	state  attemptState
-	paced  bool // it goes at its client's pace
-	beside bool // and has a place beside the slots for that
+	server          *server
+	sentAt          time.Duration
+	state           attemptState
+	clientPaced     bool // limited by the client's speed, see setClientPaced
+	holdsPacedPlace bool // it has a client-paced place instead of a slot
 }
 
+// request is a request that is not answered yet, or that still has an attempt in flight.
 type request struct {
-	id        balance.RequestID
-	class     *class
-	home      *compartment
-	deadline  time.Duration // the client's
-	useful    time.Duration // an answer after this earns nothing
-	wanted    time.Duration // and one before this earns most
-	attempts  []attempt
-	out       int
-	asks      *server // it waits for this one to report its load
-	asksUntil time.Duration
-	asked     int   // so many times
-	line      *line // its key's, where it must go in turn
-	coming    bool  // its body still comes
-	spent     bool  // and can't be sent again
-	begun     bool  // its answer streams: it is the client's now
-	over      bool  // ended; kept until its attempts have ended too
+	id               balance.RequestID
+	class            *class
+	compartment      *compartment
+	deadline         time.Duration // when the client gives up
+	usefulUntil      time.Duration // a response after this time earns nothing
+	aimAt            time.Duration // a response before this time earns the full worth
+	attempts         []attempt
+	attemptsInFlight int
+	awaitedReport    *server // the server whose load report it waits for
+	reportWaitEnd    time.Duration
+	loadQueries      int       // load reports that were requested for it
+	keyQueue         *keyQueue // of its key, if the class is ordered
+	bodyPending      bool      // its body is still being received
+	bodySpent        bool      // part of its body is gone: it can't be sent again
+	streaming        bool      // its response is being streamed to the client
+	ended            bool      // answered; kept until its attempts have ended too
 }
 
-// line is the requests of one key that go in turn: in order of arrival, each until it has ended
-// and none of its attempts is out.
-type line struct {
-	waiting []*request
-	restEnd time.Duration // an attempt may still be running until then
+// keyQueue holds the requests of one key, in order of arrival. Only the first may be sent; it is removed once
+// it is answered and none of its attempts is in flight.
+type keyQueue struct {
+	waiting   []*request
+	settledAt time.Duration // an attempt may still be running until this time
 }
 
-// window counts what happened lately.
-type window []time.Duration
+// timeWindow holds the times of recent events, in order.
+type timeWindow []time.Duration
 
-// since drops what happened before t and counts the rest.
-func (w *window) since(t time.Duration) int {
+// countSince drops the events before t and returns the number of the others.
+func (w *timeWindow) countSince(t time.Duration) int {
 	n, _ := slices.BinarySearch(*w, t)
 	*w = (*w)[n:]
 	return len(*w)
 }
 
-// compartment holds one tenant's slots and queue, walled off from the others'.
+// compartment holds one tenant's slots and queue, isolated from the other tenants' (a bulkhead).
 type compartment struct {
-	slots, used, places int
-	beside              int // attempts at their client's pace that have a place beside the slots
-	queue               []*request
+	slots, slotsInUse, queuePlaces int
+	pacedInUse                     int // client-paced attempts that hold a client-paced place
+	queue                          []*request
 }
 
-// recent counts requests that tried for a slot, those answered in time, and attempts; all fade.
-type recent struct {
-	at        time.Duration
-	all, good float64
-	sent      float64
+// admissionStats counts recent events for the admission throttle. All counts decay exponentially.
+type admissionStats struct {
+	decayedAt time.Duration // time of the last decay
+	offered   float64       // attempts that ended, and refused requests as counted by countThrottled
+	timely    float64       // attempts answered in time; less for those that used up most of the aim
+	ended     float64       // attempts that ended
 }
 
-func (c *recent) fade(now time.Duration) {
-	by := math.Exp(-float64(now-c.at) / float64(admitOver))
-	c.at, c.all, c.good, c.sent = now, c.all*by, c.good*by, c.sent*by
+// decay brings the counts up to date.
+func (c *admissionStats) decay(now time.Duration) {
+	factor := math.Exp(-float64(now-c.decayedAt) / float64(admitTimeConstant))
+	c.decayedAt, c.offered, c.timely, c.ended = now, c.offered*factor, c.timely*factor, c.ended*factor
 }
 
-// turnedBack counts a request that the throttle refused, but only as far as those let in fare badly.
-// Its client comes back: counted in full each time, such requests keep the throttle shut long after
-// what is let in is answered in time again (event2710; a node's restart on a scored day).
-func (c *recent) turnedBack() { c.all += 1 - c.good/max(1, c.sent) }
+// countThrottled counts a request that the throttle refused, weighted by the share of admitted requests that
+// are not answered in time. Clients retry: if each of their retries counted in full, the throttle would stay
+// closed long after admitted requests are answered in time again.
+func (c *admissionStats) countThrottled() { c.offered += 1 - c.timely/max(1, c.ended) }
 
+// class is a request class with its measured properties.
 type class struct {
 	balance.Class
-	pace  time.Duration // usual time of an answer
-	left  time.Duration // the time left that most tries come with
-	votes int           // for it, less those against
+	typicalLatency time.Duration // moving average of the latency; it starts with an eighth of the aim
+	usualTimeLeft  time.Duration // the time left with which most requests arrive
+	timeLeftVotes  int           // majority vote for usualTimeLeft: votes for it less votes against
 }
 
-// usual says whether a try comes with the time left that most come with, by majority vote. Clients may give
-// each try but the last the same part of their time: such a one is no later try for having less than others.
-func (c *class) usual(left time.Duration, vote bool) bool {
-	near := func() bool { return (left - c.left).Abs() <= 2*busyTick }
+// hasUsualTimeLeft reports whether a request arrives with the time left that most requests have, by majority
+// vote; the request takes part in the vote if vote is set. Clients may give each try but the last the same
+// part of their total time: such a try is not a retry just because it has less time left than others.
+func (c *class) hasUsualTimeLeft(left time.Duration, vote bool) bool {
+	near := func() bool { return (left - c.usualTimeLeft).Abs() <= 2*busyWakeInterval }
 	if vote && near() {
-		c.votes = min(c.votes+1, leftVotes)
+		c.timeLeftVotes = min(c.timeLeftVotes+1, maxTimeLeftVotes)
 	} else if vote {
-		if c.votes--; c.votes < 0 {
-			c.left, c.votes = left, leftVotes/4
+		if c.timeLeftVotes--; c.timeLeftVotes < 0 {
+			c.usualTimeLeft, c.timeLeftVotes = left, maxTimeLeftVotes/4
 		}
 	}
 	return near()
 }
 
-// Balancer makes the decisions of one sidecar.
+// Balancer makes the decisions of one sidecar. See the package comment for how its methods are called.
 type Balancer struct {
-	settings balance.Config // as begun with
-	rules    balance.Rules  // the set in force
-	cfg      balance.Config // the settings, as the set changes them
-	host     balance.Host
-	rng      *rand.Rand
-	classes  []class
-	parts    []compartment
-	requests map[balance.RequestID]*request
-	open     []*request    // in order of arrival; ended ones are swept out by Wake
-	servers  []*server     // in order of their ids
-	slots    int           // of all compartments
-	first    float64       // servers in the first list
-	heardAt  time.Duration // when the list was heard last; 0: never
-	mean     float64       // what the slots of all balancers hold while traffic is at the quotas
-	quota    float64       // of all tenants together
-	weight   float64       // of all ready servers
-	full     float64       // the most of it that the list ever had
-	out      int
-	turn     float64       // due time of the latest turn
-	arc      []*server     // whom turns are taken among
-	crowd    float64       // mean square of the share of the aim that answers take, lately
-	crowdAt  time.Duration // when it was taken
-	reach    float64       // the weight in it
-	rate     float64       // requests a second, lately
-	rateAt   time.Duration // when it was taken
-	wanted   float64       // servers that it can feed
-	mild     float64       // strain that turns do not go by
-	every    float64       // seconds in which each of them gets a turn
-	pace     time.Duration // usual time of an answer, over all classes
-	aim      float64       // mean aim, in seconds
-	worth    float64       // mean worth of the classes
-	asked    recent        // requests that tried for a slot
-	wakeAt   time.Duration
-	askAt    time.Duration // when to ask for the list next; 0: no need
-	askFails int
-	feedFrom int
-	lines    map[uint64]*line                   // by key
-	taken    window                             // requests
-	more     window                             // attempts after a request's first
-	sampled  *server                            // whose reports are compared
-	sampleAt time.Duration                      // when it is asked again
-	pairs    int                                // pairs of reports compared
-	fresh    int                                // and those that differed
-	fleet    float64                            // balancers that this one reckons with
-	fleetAt  time.Duration                      // when it was told of them
-	told     []balance.Sharer                   // traffic, by all who have
-	share    int                                // processes that act as this balancer
-	away     map[balance.ServerID]bool          // taken out by hand, listed or not
-	back     map[balance.ServerID]time.Duration // brought back by hand lately: cold until then
-	closeAt  time.Duration                      // when idle connections are closed once more; 0: not due
-	count    balance.Counters
+	settings          balance.Config // the settings given to New
+	rules             balance.Rules  // the rule set in force
+	cfg               balance.Config // the settings as changed by the rule set
+	host              balance.Host
+	rng               *rand.Rand
+	classes           []class
+	compartments      []compartment
+	requests          map[balance.RequestID]*request
+	openRequests      []*request                         // in order of arrival; Wake removes the ended ones
+	servers           []*server                          // the listed servers, by id
+	slots             int                                // of all compartments
+	firstListSize     float64                            // servers in the first list
+	listHeardAt       time.Duration                      // time of the last list event with entries; 0: none yet
+	quotaConcurrency  float64                            // concurrency of all balancers at traffic of the quotas
+	totalQuota        float64                            // requests per second of all tenants together
+	readyWeight       float64                            // listed weight of all servers in service
+	maxReadyWeight    float64                            // its maximum so far, with excluded servers
+	inFlight          int                                // attempts in flight that are not client-paced
+	virtualTime       float64                            // virtual time of the latest turn
+	subset            []*server                          // servers that this balancer sends to, see updateSubset
+	congestion        float64                            // as server.congestion, over all attempts
+	congestionAt      time.Duration                      // time of the last update of congestion
+	subsetWeight      float64                            // weight of the subset
+	rate              float64                            // moving average of requests per second
+	rateAt            time.Duration                      // time of the last update of rate
+	subsetTarget      float64                            // subset size by the rate at the last updateSubset
+	latencyRatioFloor float64                            // lower latency ratios than this bring no further turns
+	secondsPerTurn    float64                            // time in which each server of the subset has a turn
+	typicalLatency    time.Duration                      // typical latency over all classes
+	meanAim           float64                            // mean aim of the classes, in seconds
+	meanWorth         float64                            // mean worth of the classes
+	admission         admissionStats                     // recent results, for the admission throttle
+	wakeAt            time.Duration                      // time of the next requested Wake; 0: none requested
+	watchAt           time.Duration                      // time of the next call of WatchList; 0: none due
+	watchFailures     int                                // failed list calls in succession, counted up to 2
+	dispatchFrom      int                                // compartment that dispatchQueued began with last
+	keyQueues         map[uint64]*keyQueue               // by Request.Key
+	requestTimes      timeWindow                         // arrival times of requests, for the retry budget
+	retryTimes        timeWindow                         // send times of retries, for the retry budget
+	sampledServer     *server                            // the server whose load reports are compared
+	sampleAt          time.Duration                      // time of its next probe
+	reportPairs       int                                // pairs of successive load reports compared
+	freshPairs        int                                // pairs whose reports differed
+	fleetSize         float64                            // counted number of balancers, see SetFleet
+	fleetUpdatedAt    time.Duration                      // time of the last SetFleet
+	sharers           []balance.Sharer                   // announced traffic of the fleet
+	processes         int                                // processes that act as this balancer
+	disabled          map[balance.ServerID]bool          // disabled by operators, listed or not
+	enabledWarmAt     map[balance.ServerID]time.Duration // recently enabled servers: end of their cold start
+	closeIdleAt       time.Duration                      // next closing of idle connections; 0: none due
+	counters          balance.Counters
 }
 
-// Counters returns what was done so far.
-func (b *Balancer) Counters() balance.Counters { return b.count }
+// Counters returns the counts since New.
+func (b *Balancer) Counters() balance.Counters { return b.counters }
 
-// SlotsFree returns the free slots in a tenant's compartment: none where it shrank below what it holds.
-func (b *Balancer) SlotsFree(t int) int { return max(0, b.parts[t].slots-b.parts[t].used) }
+// SlotsFree returns the number of free slots in a tenant's compartment. It is 0 if more slots are in use than
+// the compartment has, as it has shrunk.
+func (b *Balancer) SlotsFree(t int) int {
+	return max(0, b.compartments[t].slots-b.compartments[t].slotsInUse)
+}
 
-// QueueFree returns the free queue places in a tenant's compartment, likewise.
-func (b *Balancer) QueueFree(t int) int { return max(0, b.parts[t].places-len(b.parts[t].queue)) }
+// QueueFree returns the number of free queue places in a tenant's compartment, and 0 if it holds too many.
+func (b *Balancer) QueueFree(t int) int {
+	return max(0, b.compartments[t].queuePlaces-len(b.compartments[t].queue))
+}
 
-// ran returns the first attempt that may have run or still may, or nil.
-func (r *request) ran() *attempt {
+// firstMayHaveRun returns the first attempt that may have run or may still run, or nil.
+func (r *request) firstMayHaveRun() *attempt {
 	if i := slices.IndexFunc(r.attempts, func(a attempt) bool { return a.state != neverRan }); i >= 0 {
 		return &r.attempts[i]
 	}
 	return nil
 }
 
-// tried says whether a server has had this request already.
+// tried reports whether a server has had an attempt of the request.
 func (r *request) tried(s *server) bool {
-	return slices.ContainsFunc(r.attempts, func(a attempt) bool { return a.to == s })
+	return slices.ContainsFunc(r.attempts, func(a attempt) bool { return a.server == s })
 }
 
-// find returns where in the list a server of that name is, or would be.
-func (b *Balancer) find(id balance.ServerID) (int, bool) {
-	by := func(s *server, id balance.ServerID) int { return cmp.Compare(s.ID, id) }
-	return slices.BinarySearchFunc(b.servers, id, by)
+// findServer returns the index of a server in b.servers, or the index at which it would be inserted, and
+// whether it is listed.
+func (b *Balancer) findServer(id balance.ServerID) (int, bool) {
+	byID := func(s *server, id balance.ServerID) int { return cmp.Compare(s.ID, id) }
+	return slices.BinarySearchFunc(b.servers, id, byID)
 }
 
-// server returns the listed server of that name, or nil.
-func (b *Balancer) server(id balance.ServerID) *server {
-	if i, ok := b.find(id); ok {
+// serverByID returns the listed server with that id, or nil.
+func (b *Balancer) serverByID(id balance.ServerID) *server {
+	if i, ok := b.findServer(id); ok {
 		return b.servers[i]
 	}
 	return nil
 }
 
-// weigh works out the weights of the servers that take part. The set's multiples keep their sum: the same for
-// all changes nothing. What is excluded counts into full, as what has left does: others' portions stay. What
-// waits for its connection to a server that takes no part any more is withdrawn, and may go elsewhere.
-func (b *Balancer) weigh(now time.Duration) {
-	listed, set := 0.0, 0.0
-	b.weight = 0
+// recalculateWeights applies the list, the rule set and operator calls to the servers' weights and
+// exclusions. The rule set's multiples are normalized to keep the sum of the weights: the same multiple for
+// all servers has no effect. Excluded servers still count in maxReadyWeight, so that the others' limits do
+// not grow. Attempts that wait for a connection to a server that is no longer in service are withdrawn and
+// may go to another one.
+func (b *Balancer) recalculateWeights(now time.Duration) {
+	listed, weighted := 0.0, 0.0
+	b.readyWeight = 0
 	for _, s := range b.servers {
-		m, out := b.rules.WeightMultiple(s.Server), b.away[s.ID]
-		if s.State == balance.Ready && !out {
-			listed += s.told
+		multiple, excluded := b.rules.WeightMultiple(s.Server), b.disabled[s.ID]
+		if s.State == balance.Ready && !excluded {
+			listed += s.listedWeight
 		}
-		if out = out || m == 0; out && !s.away {
-			s.ours = false // back, it begins at a random point: all learn of that at about the same time
-			b.close(now, s)
+		if excluded = excluded || multiple == 0; excluded && !s.excluded {
+			s.inSubset = false // a random first turn on its return, which all balancers learn at one time
+			b.closeIdle(now, s)
 		}
-		if s.away, s.Weight = out, s.told; s.stands() {
-			s.Weight *= m
-			set += s.Weight
-			b.weight += s.told
+		if s.excluded, s.Weight = excluded, s.listedWeight; s.inService() {
+			s.Weight *= multiple
+			weighted += s.Weight
+			b.readyWeight += s.listedWeight
 		}
 	}
-	for _, r := range b.open {
-		if i := len(r.attempts) - 1; r.out > 0 && !r.attempts[i].to.stands() {
+	for _, r := range b.openRequests {
+		if i := len(r.attempts) - 1; r.attemptsInFlight > 0 && !r.attempts[i].server.inService() {
 			b.host.Withdraw(r.id, i)
 		}
 	}
-	b.full = max(b.full, listed)
-	for _, s := range b.ready() {
-		s.Weight *= b.weight / set
+	b.maxReadyWeight = max(b.maxReadyWeight, listed)
+	for _, s := range b.readyServers() {
+		s.Weight *= b.readyWeight / weighted
 	}
-	b.cut()
-	for _, s := range b.ready() { // all are told of a start at about one time, and begin anew at one: spread
-		if s.coldAt == 0 && now < s.warmAt {
-			s.coldAt = now + time.Duration(b.rng.Float64()*float64(b.coldGap(now, s)))
+	b.updateSubset()
+	// the first send to a cold server is random: all balancers learn of a start at about the same time
+	for _, s := range b.readyServers() {
+		if s.nextColdSend == 0 && now < s.warmAt {
+			s.nextColdSend = now + time.Duration(b.rng.Float64()*float64(b.coldSendInterval(now, s)))
 		}
 	}
 }
 
-// part is a server's part of a total by its weight in the fullest list there was.
-func (b *Balancer) part(total float64, s *server) float64 {
-	return total * s.Weight / max(b.full, s.Weight)
+// weightShare returns a server's part of a total by its weight, relative to the largest total weight so far.
+func (b *Balancer) weightShare(total float64, s *server) float64 {
+	return total * s.Weight / max(b.maxReadyWeight, s.Weight)
 }
 
-// wake sees to it that Wake comes after d at the latest.
-func (b *Balancer) wake(now, d time.Duration) {
+// requestWake ensures that Wake is called after d at the latest.
+func (b *Balancer) requestWake(now, d time.Duration) {
 	if b.wakeAt == 0 || now+d < b.wakeAt {
 		b.wakeAt = now + d
 		b.host.Wake(d)
 	}
 }
 
-// ready returns the servers that take part, in order of their ids.
-func (b *Balancer) ready() []*server {
-	return slices.DeleteFunc(slices.Clone(b.servers), func(s *server) bool { return !s.stands() })
+// readyServers returns the servers in service, in order of their ids.
+func (b *Balancer) readyServers() []*server {
+	return slices.DeleteFunc(slices.Clone(b.servers), func(s *server) bool { return !s.inService() })
 }
 
-// hold counts an attempt that begins (1) or ends (-1) wherever it counts.
-func (b *Balancer) hold(r *request, s *server, n int) {
-	r.out += n
-	s.out += n
-	r.home.used += n
-	b.out += n
+// countInFlight adds n to the attempts in flight of the request, its server, its compartment and the
+// Balancer: 1 when an attempt starts, -1 when it ends.
+func (b *Balancer) countInFlight(r *request, s *server, change int) {
+	r.attemptsInFlight += change
+	s.inFlight += change
+	r.compartment.slotsInUse += change
+	b.inFlight += change
 }
 
-// far says that a server is in another zone, where crossing has a price.
-func (b *Balancer) far(s *server) bool { return b.cfg.CrossZonePrice > 0 && s.Zone != b.cfg.Zone }
+// crossesZone reports whether a server is in another zone and crossing has a price.
+func (b *Balancer) crossesZone(s *server) bool {
+	return b.cfg.CrossZonePrice > 0 && s.Zone != b.cfg.Zone
+}
 
-// ServerCounts counts the listed servers, and those of them that nothing is sent to now, by hand or by
-// choice.
+// ServerCounts returns the number of listed servers, and how many of them are sent nothing now: not ready,
+// disabled, excluded or ejected.
 func (b *Balancer) ServerCounts(now time.Duration) (listed, unavailable int) {
 	for _, s := range b.servers {
-		if !s.mayServe(now) {
+		if !s.available(now) {
 			unavailable++
 		}
 	}
 	return len(b.servers), unavailable
 }
 
-// Disabled says whether a server is taken out by hand.
-func (b *Balancer) Disabled(id balance.ServerID) bool { return b.away[id] }
+// Disabled reports whether a server is disabled by an operator.
+func (b *Balancer) Disabled(id balance.ServerID) bool { return b.disabled[id] }
 
-// forget drops a request that is over and has no attempt out; the next in its line may go.
-func (b *Balancer) forget(r *request) {
+// dropRequest forgets an answered request without attempts in flight. The next request of its key may be
+// sent.
+func (b *Balancer) dropRequest(r *request) {
 	delete(b.requests, r.id)
-	if r.line != nil {
-		r.line.waiting = slices.DeleteFunc(r.line.waiting, func(o *request) bool { return o == r })
+	if r.keyQueue != nil {
+		r.keyQueue.waiting = slices.DeleteFunc(r.keyQueue.waiting, func(o *request) bool { return o == r })
 	}
 }
 
-// join puts a request at the end of its key's line. Lines that nobody waits in go now and then.
-func (b *Balancer) join(now time.Duration, r *request, key uint64) {
-	if len(b.lines) > 64+2*len(b.requests) {
-		maps.DeleteFunc(b.lines, func(_ uint64, l *line) bool { return len(l.waiting) == 0 && now >= l.restEnd })
+// joinKeyQueue appends a request to the queue of its key. It now and then removes the empty queues.
+func (b *Balancer) joinKeyQueue(now time.Duration, r *request, key uint64) {
+	if len(b.keyQueues) > 64+2*len(b.requests) {
+		idle := func(_ uint64, q *keyQueue) bool { return len(q.waiting) == 0 && now >= q.settledAt }
+		maps.DeleteFunc(b.keyQueues, idle)
 	}
-	l := b.lines[key]
-	if l == nil {
-		l = new(line)
-		b.lines[key] = l
+	q := b.keyQueues[key]
+	if q == nil {
+		q = new(keyQueue)
+		b.keyQueues[key] = q
 	}
-	l.waiting = append(l.waiting, r)
-	r.line = l
+	q.waiting = append(q.waiting, r)
+	r.keyQueue = q
 }
 
-// ClientGone takes that a client quit: nothing more is owed for the request.
+// ClientGone handles a client that has closed its request: it needs no answer any more.
 func (b *Balancer) ClientGone(now time.Duration, id balance.RequestID) {
-	if r := b.requests[id]; r != nil && !r.over {
-		b.settle(r)
-		b.feed(now)
+	if r := b.requests[id]; r != nil && !r.ended {
+		b.endRequest(r)
+		b.dispatchQueued(now)
 	}
 }
 
-// Learned tells what was found out so far, for a Balancer that takes this one's place.
+// Learned returns the measurements that a successor of this Balancer may use, see RestoreLearned.
 func (b *Balancer) Learned(now time.Duration) balance.Learned {
-	l := balance.Learned{At: now, Rate: b.rate * math.Exp(-float64(now-b.rateAt)/float64(rateOver))}
+	l := balance.Learned{At: now, Rate: b.rate * math.Exp(-float64(now-b.rateAt)/float64(rateTimeConstant))}
 	for _, s := range b.servers {
-		if s.fails > 0 || s.warmAt > now || s.strain >= failStrain/2 {
+		if s.failures > 0 || s.warmAt > now || s.latencyRatio >= failureLatencyRatio/2 {
 			l.Servers = append(l.Servers, balance.LearnedServer{
-				ID: s.ID, Failures: s.fails, SilentSince: s.silent, WarmAt: s.warmAt, LatencyRatio: s.strain,
+				ID: s.ID, Failures: s.failures, SilentSince: s.silentSince,
+				WarmAt: s.warmAt, LatencyRatio: s.latencyRatio,
 			})
 		}
 	}
 	return l
 }
 
-// RestoreLearned takes what another had learned in this one's place, once, behind the first UpdateServers.
-// What is too old, or of a server that has started again since, counts for nothing; neither does what a clock
-// that was set back makes of it.
+// RestoreLearned applies what a predecessor has learned. It is called once, after the first UpdateServers.
+// Values that are too old, about a server that has restarted since, or from the future (a clock that was set
+// back) are ignored.
 func (b *Balancer) RestoreLearned(now time.Duration, l balance.Learned) {
 	age := now - l.At
-	if age >= 0 && age <= rateOver && l.Rate > 0 && l.Rate < math.MaxInt32 {
+	if age >= 0 && age <= rateTimeConstant && l.Rate > 0 && l.Rate < math.MaxInt32 {
 		b.rate, b.rateAt = l.Rate, now
 	}
-	for _, m := range l.Servers {
-		s := b.server(m.ID)
+	for _, learned := range l.Servers {
+		s := b.serverByID(learned.ID)
 		if s == nil || age < 0 || s.Started > l.At {
 			continue
 		}
-		s.warmAt = max(s.warmAt, min(m.WarmAt, now+b.cfg.ColdTime))
-		if age > believed {
+		s.warmAt = max(s.warmAt, min(learned.WarmAt, now+b.cfg.ColdTime))
+		if age > learnedHealthLifetime {
 			continue
 		}
-		if m.LatencyRatio > 0 && m.LatencyRatio <= failStrain {
-			s.strain = m.LatencyRatio
+		if learned.LatencyRatio > 0 && learned.LatencyRatio <= failureLatencyRatio {
+			s.latencyRatio = learned.LatencyRatio
 		}
-		s.silent = min(max(0, m.SilentSince), now)
-		if s.fails = min(max(0, m.Failures), failsMost); s.fails >= restAfter {
-			b.rest(now, s)
+		s.silentSince = min(max(0, learned.SilentSince), now)
+		if s.failures = min(max(0, learned.Failures), maxFailures); s.failures >= ejectAfterFailures {
+			b.eject(now, s)
 		}
 	}
-	b.weigh(now)
+	b.recalculateWeights(now)
 }
--- a/policy/stream.go
+++ b/policy/stream.go
@@ -2,53 +2,57 @@
 
 import "time"
 
-// An answer that stands still ends behind its client's time, within the half second that is allowed less
-// the 0.15 s for which a sidecar may be held up. Behind that time a server goes on with an answer while
-// it pauses for no longer than one of these.
+// Limits on the time for which the server of a streamed response may send nothing.
 const (
-	answerGrace = 350 * time.Millisecond
-	goesOn      = 500 * time.Millisecond
-	fastGoesOn  = 300 * time.Millisecond // where it has sent fastFrom bytes and never paused for fastPause
-	fastFrom    = 64 << 10
-	fastPause   = 50 * time.Millisecond
-	pauseShare  = 1.5             // of the longest pause that it has shown,
-	pauseMost   = 2 * time.Second // but no longer than this
-	standMost   = 5 * time.Second // and within its client's time none may stand still for longer
+	// A stalled response ends within half a second after the client's deadline. 0.15 s of it are reserved for
+	// delays of the sidecar itself.
+	deadlineGrace = 350 * time.Millisecond
+
+	// After the deadline a response is ended when a pause is longer than lateStallLimit (or fastStallLimit) and
+	// longer than pauseMultiple times the longest pause so far.
+	lateStallLimit  = 500 * time.Millisecond
+	fastStallLimit  = 300 * time.Millisecond // if the server sent fastMinBytes without a pause of fastMaxPause
+	fastMinBytes    = 64 << 10
+	fastMaxPause    = 50 * time.Millisecond
+	pauseMultiple   = 1.5
+	maxAdaptedStall = 2 * time.Second // bounds the limit that is derived from pauses
+
+	maxStall = 5 * time.Second // no stall is longer, before or after the deadline
 )
 
-// StallDetector follows an answer that is passed on as it comes, and decides for how long its server may
-// stand still. A request is owed its final answer half a second behind its time at the latest, but an
-// answer that its server goes on with is not cut off, however long it is. What tells the two apart is the
-// pauses that the server has made in this answer so far.
+// StallDetector decides for one streamed response how long its server may send nothing. A stalled response
+// must end half a second after the client's deadline at the latest, but a response that makes progress is not
+// cut off, however long it is. The pauses that the server has made so far distinguish the two cases.
 type StallDetector struct {
-	owed    time.Duration // the client's time is up
-	asked   time.Duration // since when the next bytes are waited for
-	longest time.Duration // pause so far
-	bytes   int           // so far
+	deadline     time.Duration // of the client
+	readStart    time.Duration // since when the next bytes are awaited
+	longestPause time.Duration // longest wait for bytes so far
+	bytes        int           // received so far
 }
 
-// NewStallDetector begins with an answer whose head has come now; at owed its client's time is up.
-func NewStallDetector(now, owed time.Duration) StallDetector {
-	return StallDetector{owed: owed, asked: now}
+// NewStallDetector returns the detector for a response whose header was received now and whose client has the
+// given deadline.
+func NewStallDetector(now, deadline time.Duration) StallDetector {
+	return StallDetector{deadline: deadline, readStart: now}
 }
 
-// StartRead takes that the next bytes are waited for from now on, and returns until when. Time in which
-// nobody waits for the server, as the client is slower, is no pause of its.
-func (p *StallDetector) StartRead(now time.Duration) (until time.Duration) {
-	p.asked = now
-	pause := time.Duration(pauseShare * float64(p.longest))
+// StartRead starts the wait for the next bytes and returns the time at which it has to be given up. Time
+// between two waits, in which the client is slower than the server, is not a pause of the server.
+func (d *StallDetector) StartRead(now time.Duration) (until time.Duration) {
+	d.readStart = now
+	pause := time.Duration(pauseMultiple * float64(d.longestPause))
 	switch {
-	case now < p.owed: // it has not gone on behind that so far
-	case p.bytes >= fastFrom && p.longest < fastPause:
-		pause = max(pause, fastGoesOn)
+	case now < d.deadline: // before the deadline, only the longest pause counts
+	case d.bytes >= fastMinBytes && d.longestPause < fastMaxPause:
+		pause = max(pause, fastStallLimit)
 	default:
-		pause = max(pause, goesOn)
+		pause = max(pause, lateStallLimit)
 	}
-	return min(max(now+min(pause, pauseMost), p.owed+answerGrace), now+standMost)
+	return min(max(now+min(pause, maxAdaptedStall), d.deadline+deadlineGrace), now+maxStall)
 }
 
-// BytesReceived takes that so many bytes have come.
-func (p *StallDetector) BytesReceived(now time.Duration, bytes int) {
-	p.longest = max(p.longest, now-p.asked)
-	p.bytes += bytes
+// BytesReceived ends the wait that StartRead started and records the bytes received.
+func (d *StallDetector) BytesReceived(now time.Duration, bytes int) {
+	d.longestPause = max(d.longestPause, now-d.readStart)
+	d.bytes += bytes
 }
