--- a/internal/balance/check.go
+++ b/internal/balance/check.go
@@ -5,24 +5,24 @@
 	"fmt"
 )
 
-// Check returns an error that names the first unusable field.
+// Check returns an error that names the first invalid field, or nil.
 func (c *Config) Check() error {
 	cfg := *c
 	switch {
 	case cfg.Balancers < 1:
-		return fmt.Errorf("config: Balancers is %d, at least 1 is needed", cfg.Balancers)
+		return fmt.Errorf("config: Balancers is %d, must be at least 1", cfg.Balancers)
 	case cfg.Index < 0:
-		return fmt.Errorf("config: Index is %d, it must not be negative", cfg.Index)
+		return fmt.Errorf("config: Index is %d, must not be negative", cfg.Index)
 	case len(cfg.Classes) == 0:
 		return fmt.Errorf("config: Classes is empty")
 	case cfg.MaxAttempts < 1:
-		return fmt.Errorf("config: MaxAttempts is %d, at least 1 is needed", cfg.MaxAttempts)
+		return fmt.Errorf("config: MaxAttempts is %d, must be at least 1", cfg.MaxAttempts)
 	case cfg.Slots < 0:
-		return fmt.Errorf("config: Slots is %d, it must not be negative", cfg.Slots)
+		return fmt.Errorf("config: Slots is %d, must not be negative", cfg.Slots)
 	case negativeOrNotFinite(cfg.ColdFrom) || cfg.ColdFrom > 1:
-		return fmt.Errorf("config: ColdFrom is %v, a share is needed", cfg.ColdFrom)
+		return fmt.Errorf("config: ColdFrom is %v, must be from 0 to 1", cfg.ColdFrom)
 	case negativeOrNotFinite(cfg.ColdMultiple) || negativeOrNotFinite(cfg.CrossZonePrice):
-		return fmt.Errorf("config: ColdMultiple %v or CrossZonePrice %v is negative or no number",
+		return fmt.Errorf("config: ColdMultiple %v or CrossZonePrice %v is negative or not finite",
 			cfg.ColdMultiple, cfg.CrossZonePrice)
 	case min(cfg.OrderSettle, cfg.CloseWithin) < 0:
 		return fmt.Errorf("config: OrderSettle %v or CloseWithin %v is negative", cfg.OrderSettle, cfg.CloseWithin)
@@ -31,11 +31,11 @@
 	}
 	for i, c := range cfg.Classes {
 		if c.Aim <= 0 || c.Deadline <= 0 || c.DedupWindow < 0 {
-			return fmt.Errorf("config: Classes[%d]: Aim %v, Deadline %v or DedupWindow %v is unusable",
+			return fmt.Errorf("config: Classes[%d]: Aim %v or Deadline %v is not above 0 or DedupWindow %v is negative",
 				i, c.Aim, c.Deadline, c.DedupWindow)
 		}
 		if negativeOrNotFinite(c.AimStretch) || negativeOrNotFinite(c.LateShare) || negativeOrNotFinite(c.Worth) {
-			return fmt.Errorf("config: Classes[%d]: AimStretch, LateShare or Worth is negative or no number", i)
+			return fmt.Errorf("config: Classes[%d]: AimStretch, LateShare or Worth is negative or not finite", i)
 		}
 	}
 	if err := cmp.Or(cfg.Budget.check(), checkTenants(cfg.Tenants)); err != nil {
@@ -44,7 +44,7 @@
 	return nil
 }
 
-// Compartments returns the tenants, or one for all where none are set.
+// Compartments returns the tenants, or a single one for all requests if there are none.
 func (c *Config) Compartments() []Tenant {
 	if len(c.Tenants) == 0 {
 		return []Tenant{{Share: 1}}
--- a/internal/balance/reasons.go
+++ b/internal/balance/reasons.go
@@ -1,17 +1,17 @@
 package balance
 
-// Reason says why a Balancer refused or failed a request, for logs and counters.
+// Reason is why a Balancer refused or failed a request, for logs and counters.
 type Reason int
 
 // The reasons of refusals and failures.
 const (
-	Unusable       Reason = iota // it names no class or tenant, or came with no time left
-	AdmissionLimit               // too few requests were answered in time lately
-	QueueFull                    // its tenant's slots and queue places are taken
-	OutOfTime                    // no answer could come in time any more
-	NoAttemptLeft                // its attempts have failed, and no further one is allowed
-	BodySpent                    // its attempt failed, and part of its body can't be sent again
-	reasonCount                  // how many there are
+	Unusable       Reason = iota // it has no valid class or tenant, or no time left on arrival
+	AdmissionLimit               // too few recent requests were answered in time
+	QueueFull                    // all slots and queue places of its tenant are in use
+	OutOfTime                    // no response can be in time any more
+	NoAttemptLeft                // its attempts failed, and no retry is allowed
+	BodySpent                    // its attempt failed, and its body can't be sent again
+	reasonCount                  // the number of reasons
 )
 
 var reasonNames = [reasonCount]string{"unusable", "admission_limit", "queue_full", "out_of_time", "no_attempt_left", "body_spent"}
@@ -24,7 +24,7 @@
 	return reasonNames[r]
 }
 
-// Reasons lists all reasons, in order.
+// Reasons returns all reasons, in order.
 func Reasons() []Reason {
 	all := make([]Reason, reasonCount)
 	for i := range all {
--- a/internal/balance/rules.go
+++ b/internal/balance/rules.go
@@ -7,31 +7,32 @@
 	"time"
 )
 
-// Rules is a rule set: what operators change in a running fleet. A zero field leaves what the balancer began with,
-// so that the empty set restores the settings. A Balancer keeps the set it is given, which must not change afterwards.
+// Rules is a rule set: settings that operators change in a running fleet. A zero field keeps the value from Config, so
+// that the empty set restores the settings. A Balancer keeps the set that it receives, which must not be modified
+// afterwards.
 type Rules struct {
-	Tenants     []Tenant             // by the settings' order, all of them or none: shares and quotas
-	MaxAttempts int                  // attempts for one request at most; never over the settings'
-	Budget      *RetryBudget         // limit on attempts after the first; one of Span 0 is no limit
-	Servers     map[ServerID]float64 // multiple of a server's weight; 0: it is excluded; listed or not
-	Zones       map[int]float64      // the same for all servers of a zone; both multiples count
+	Tenants     []Tenant             // shares and quotas of all tenants, in the order of Config.Tenants, or empty
+	MaxAttempts int                  // maximum number of attempts for one request, not above the settings'
+	Budget      *RetryBudget         // limit on retries; nil: the settings' limit; a Span of 0: no limit
+	Servers     map[ServerID]float64 // multiple of a server's weight, listed or not; 0 excludes it
+	Zones       map[int]float64      // multiple for all servers of a zone; both multiples apply
 }
 
-// MaxWeightMultiple bounds a multiple of a weight: it is 0, or from 1/MaxWeightMultiple to MaxWeightMultiple. Beyond
-// these, turns are so rare or so frequent that exclusion, or another server list, is what is meant.
+// MaxWeightMultiple bounds a weight multiple, which is 0 or from 1/MaxWeightMultiple to MaxWeightMultiple. A more
+// extreme value would in effect exclude the server, or replace the server list.
 const MaxWeightMultiple = 1000
 
-// MaxBudgetSpan bounds a budget's span: a time is kept for each request of it.
+// MaxBudgetSpan bounds the span of a retry budget: the arrival time of each request within it is kept in memory.
 const MaxBudgetSpan = 10 * time.Minute
 
-// Check returns an error that names the first field that a Balancer with these settings, which were checked
-// themselves, cannot take. It changes nothing.
+// Check returns an error that names the first field that is invalid for a Balancer with the given, valid settings, or
+// nil.
 func (r Rules) Check(c Config) error {
 	switch {
 	case len(r.Tenants) > 0 && len(r.Tenants) != len(c.Tenants):
-		return fmt.Errorf("rules: Tenants holds %d, the settings hold %d: all of them or none", len(r.Tenants), len(c.Tenants))
+		return fmt.Errorf("rules: Tenants holds %d, the settings hold %d: all of them or none is needed", len(r.Tenants), len(c.Tenants))
 	case r.MaxAttempts < 0 || r.MaxAttempts > c.MaxAttempts:
-		return fmt.Errorf("rules: MaxAttempts is %d, it must not be negative or over the settings' %d", r.MaxAttempts, c.MaxAttempts)
+		return fmt.Errorf("rules: MaxAttempts is %d, must not be negative or over the settings' %d", r.MaxAttempts, c.MaxAttempts)
 	}
 	if err := checkTenants(r.Tenants); err != nil {
 		return fmt.Errorf("rules: %w", err)
@@ -44,16 +45,16 @@
 			return fmt.Errorf("rules: Budget: Span %v is over %v", r.Budget.Span, MaxBudgetSpan)
 		}
 	}
-	if id, m, ok := unusable(r.Servers); ok {
-		return fmt.Errorf("rules: Servers[%x] is %v, 0 or from 1/%d to %d is needed", uint64(id), m, MaxWeightMultiple, MaxWeightMultiple)
+	if id, m, ok := firstInvalid(r.Servers); ok {
+		return fmt.Errorf("rules: Servers[%x] is %v, must be 0 or from 1/%d to %d", uint64(id), m, MaxWeightMultiple, MaxWeightMultiple)
 	}
-	if z, m, ok := unusable(r.Zones); ok {
-		return fmt.Errorf("rules: Zones[%d] is %v, 0 or from 1/%d to %d is needed", z, m, MaxWeightMultiple, MaxWeightMultiple)
+	if z, m, ok := firstInvalid(r.Zones); ok {
+		return fmt.Errorf("rules: Zones[%d] is %v, must be 0 or from 1/%d to %d", z, m, MaxWeightMultiple, MaxWeightMultiple)
 	}
 	return nil
 }
 
-// ApplyTo returns the settings as the set changes them.
+// ApplyTo returns the settings with the changes of the rule set. Weight multiples are not part of the settings.
 func (r Rules) ApplyTo(c Config) Config {
 	c.MaxAttempts = cmp.Or(r.MaxAttempts, c.MaxAttempts)
 	if r.Budget != nil {
@@ -65,7 +66,7 @@
 	return c
 }
 
-// WeightMultiple returns the set's multiple of a server's weight: 1 where it does not name the server or its zone.
+// WeightMultiple returns the multiple of a server's weight, which is 1 if the set has neither the server nor its zone.
 func (r Rules) WeightMultiple(s Server) float64 {
 	m := 1.0
 	if by, ok := r.Servers[s.ID]; ok {
@@ -77,8 +78,8 @@
 	return m
 }
 
-// unusable finds the multiple that cannot be used, the one with the lowest key where there are several.
-func unusable[K ServerID | int](multiples map[K]float64) (key K, multiple float64, found bool) {
+// firstInvalid returns the invalid multiple with the lowest key, if there is one.
+func firstInvalid[K ServerID | int](multiples map[K]float64) (key K, multiple float64, found bool) {
 	for k, m := range multiples {
 		if m != 0 && !(m >= 1.0/MaxWeightMultiple && m <= MaxWeightMultiple) && (!found || k < key) {
 			key, multiple, found = k, m, true
@@ -87,31 +88,31 @@
 	return key, multiple, found
 }
 
-// negative says that a number is below 0 or none at all.
+// negativeOrNotFinite reports whether a number is below 0, infinite or NaN.
 func negativeOrNotFinite(f float64) bool { return math.IsNaN(f) || math.IsInf(f, 0) || f < 0 }
 
-// check names what is unusable in a limit on further attempts.
+// check returns an error that names the invalid fields of a retry budget, or nil.
 func (l RetryBudget) check() error {
 	switch {
 	case l.Span < 0 || negativeOrNotFinite(l.Free) || negativeOrNotFinite(l.Share):
-		return fmt.Errorf("field Budget: Span %v, Free %v or Share %v is negative or no number", l.Span, l.Free, l.Share)
+		return fmt.Errorf("field Budget: Span %v, Free %v or Share %v is negative or not finite", l.Span, l.Free, l.Share)
 	case l.Span == 0 && l != (RetryBudget{}):
-		return fmt.Errorf("field Budget: Span is 0, though Free %v and Share %v are set", l.Free, l.Share)
+		return fmt.Errorf("field Budget: Span is 0, but Free %v and Share %v are set", l.Free, l.Share)
 	}
 	return nil
 }
 
-// checkTenants names what is unusable in a list of tenants; none at all is well.
+// checkTenants returns an error that names the invalid field of a list of tenants, or nil. An empty list is valid.
 func checkTenants(tenants []Tenant) error {
 	sum := 0.0
 	for i, t := range tenants {
 		if negativeOrNotFinite(t.Share) || negativeOrNotFinite(t.Quota) {
-			return fmt.Errorf("field Tenants[%d]: Share %v or Quota %v is negative or no number", i, t.Share, t.Quota)
+			return fmt.Errorf("field Tenants[%d]: Share %v or Quota %v is negative or not finite", i, t.Share, t.Quota)
 		}
 		sum += t.Share
 	}
 	if len(tenants) > 0 && (sum <= 0 || math.IsInf(sum, 0)) {
-		return fmt.Errorf("field Tenants: the Share of all adds up to %v", sum)
+		return fmt.Errorf("field Tenants: the sum of Share adds up to %v, must be above 0 and finite", sum)
 	}
 	return nil
 }
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -304,12 +304,13 @@
 	}
 }
 
-// StreamStarted handles the start of the response of attempt n, which from now on is streamed to the client.
+// StreamStarted handles the start of the response of an attempt, which from now on is streamed to the client.
 // The attempt counts as answered in time or late at this moment. It occupies a place of its tenant until its
 // Outcome.
 func (b *Balancer) StreamStarted(now time.Duration, id balance.RequestID, attempt int) {
 	r := b.requests[id]
-	if r == nil || r.streaming || attempt < 0 || attempt >= len(r.attempts) || r.attempts[attempt].state != inFlight {
+	if r == nil || r.streaming || attempt < 0 || attempt >= len(r.attempts) ||
+		r.attempts[attempt].state != inFlight {
 		return
 	}
 	b.recordResult(now, r, &r.attempts[attempt], balance.Served)
@@ -618,16 +619,16 @@
 // next turn is 1/weight after its last one, and the server with the earliest turn is chosen. Servers that are
 // at their concurrency limit or that the request has tried are passed over. It returns nil if there is none.
 func (b *Balancer) pickServer(now time.Duration, r *request) *server {
-	best, passedOver := b.nextInTurn(now, r, b.subset)
+	best, skipped := b.nextInTurn(now, r, b.subset)
 	if best == nil && r.firstMayHaveRun() != nil { // a repeat is bound to its Scope, which the subset may lack
-		best, passedOver = b.nextInTurn(now, r, b.servers)
+		best, skipped = b.nextInTurn(now, r, b.servers)
 	}
 	if best == nil {
 		return nil
 	}
 	b.virtualTime = max(b.virtualTime, best.nextTurn)
 	best.nextTurn = b.virtualTime + b.turnGap(now, best)
-	if passedOver {
+	if skipped {
 		b.counters.Walled++
 	} else if len(r.attempts) == 0 {
 		b.counters.Ordinary++
@@ -693,7 +694,8 @@
 		return section(n*subsetStart(b.cfg.Index), b.subsetTarget)
 	}
 	b.latencyRatioFloor = latencyRatioFloorShared // random latency must not outweigh the fitting
-	total, sum, meanShift, shifts, subsets := 0.0, 0.0, 0.0, make([]float64, len(sharers)), make([][]*server, len(sharers))
+	total, sum, meanShift := 0.0, 0.0, 0.0
+	shifts, subsets := make([]float64, len(sharers)), make([][]*server, len(sharers))
 	for _, a := range sharers {
 		total += a.Rate
 	}
@@ -762,18 +764,18 @@
 
 // nextInTurn returns the eligible server with the earliest turn, or nil. It also reports whether a server
 // with an earlier turn was passed over because it was at its concurrency limit.
-func (b *Balancer) nextInTurn(now time.Duration, r *request, among []*server) (best *server, passedOver bool) {
-	earliestPassed := math.Inf(1)
+func (b *Balancer) nextInTurn(now time.Duration, r *request, among []*server) (best *server, skipped bool) {
+	earliestSkipped := math.Inf(1)
 	for _, s := range among {
 		switch {
 		case r.tried(s) || !b.maySend(now, r, s):
 		case float64(s.inFlight) >= b.serverLimit(s) || b.reportsFull(now, r, s):
-			earliestPassed = min(earliestPassed, s.nextTurn)
+			earliestSkipped = min(earliestSkipped, s.nextTurn)
 		case best == nil || s.nextTurn < best.nextTurn:
 			best = s
 		}
 	}
-	return best, best != nil && earliestPassed < best.nextTurn
+	return best, best != nil && earliestSkipped < best.nextTurn
 }
 
 // backoff returns the pause after n failures beyond the first: exponential, and with jitter so that balancers
@@ -794,7 +796,8 @@
 		}
 	}
 	s, took := a.server, now-a.sentAt
-	unexpected := end == balance.TimedOut && s.latencyRatio < failureLatencyRatio/2 // one bad server is no congestion
+	// a time-out of a server known to be bad is no congestion
+	unexpected := end == balance.TimedOut && s.latencyRatio < failureLatencyRatio/2
 	if end == balance.Served || unexpected {
 		aimShare := float64(took) / float64(r.class.Aim)
 		s.congestion += (aimShare*aimShare - s.congestion) / 8
@@ -819,7 +822,8 @@
 	case balance.TimedOut, balance.NoConnection:
 		s.silentSince = cmp.Or(s.silentSince, now)
 	}
-	if before := s.latencyRatio; before < failureLatencyRatio/2 && before+(ratio-before)/4 >= failureLatencyRatio/2 {
+	if before := s.latencyRatio; before < failureLatencyRatio/2 &&
+		before+(ratio-before)/4 >= failureLatencyRatio/2 {
 		b.host.Log(fmt.Sprintf("server %x is slow or failing, %d attempts in flight", s.ID, s.inFlight))
 	}
 	s.latencyRatio += (ratio - s.latencyRatio) / 4
