--- a/policy/away_test.go
+++ b/policy/away_test.go
@@ -10,32 +10,32 @@
 // After any disturbance, once servers answer again, at most one sidecar in ten refuses all its requests for 4 s in a
 // row.
 func TestFewSidecarsRefuseEverythingForLong(t *testing.T) {
-	const seeds, long, since = 100, 4 * time.Second, 10 * time.Second
+	const seeds, limit, disturbedAt = 100, 4 * time.Second, 10 * time.Second
 	for name, c := range map[string]struct {
-		met  func(b *Balancer)
-		left time.Duration
+		disturb  func(b *Balancer)
+		timeLeft time.Duration
 	}{
-		"all fell late":        {func(b *Balancer) { b.admission = admissionStats{decayedAt: since, offered: 40, ended: 4} }, 2800 * ms}, // 20 per second, over admitTimeConstant
-		"all rest":             {func(b *Balancer) { ejectAll(b, since) }, 2800 * ms},
-		"answers were slow":    {func(b *Balancer) { b.congestion, b.congestionAt = 1, since }, 2800 * ms},
-		"and tries come late":  {func(b *Balancer) { b.congestion, b.congestionAt = 1, since }, 1500 * ms},
-		"all start cold":       {func(b *Balancer) { startAllCold(b, since) }, 2800 * ms},
-		"late, slow, and rest": {func(b *Balancer) { b.congestion, b.congestionAt = 1, since; ejectAll(b, since) }, 1500 * ms},
+		"all responses late":          {func(b *Balancer) { b.admission = admissionStats{decayedAt: disturbedAt, offered: 40, ended: 4} }, 2800 * ms}, // 20 per second, over admitTimeConstant
+		"all ejected":                 {func(b *Balancer) { ejectAll(b, disturbedAt) }, 2800 * ms},
+		"responses were slow":         {func(b *Balancer) { b.congestion, b.congestionAt = 1, disturbedAt }, 2800 * ms},
+		"slow, and late retries":      {func(b *Balancer) { b.congestion, b.congestionAt = 1, disturbedAt }, 1500 * ms},
+		"all start cold":              {func(b *Balancer) { startAllCold(b, disturbedAt) }, 2800 * ms},
+		"slow, late retries, ejected": {func(b *Balancer) { b.congestion, b.congestionAt = 1, disturbedAt; ejectAll(b, disturbedAt) }, 1500 * ms},
 	} {
-		away, lasted := 0, time.Duration(0)
+		refusing, longestOfAll := 0, time.Duration(0)
 		for seed := range uint64(seeds) {
 			cfg := testConfig()
 			cfg.Balancers, cfg.Slots = 20, 0
 			cfg.Tenants = []balance.Tenant{{Share: 1, Quota: 400}}
 			b, h := startSeeded(t, cfg, seed, readyList(1, 2, 3, 4, 5, 6))
-			id, seen, last, most := balance.RequestID(0), 0, time.Duration(since), time.Duration(0)
-			for now := time.Duration(0); now < since+12*time.Second; now += 10 * ms {
+			id, seen, lastServed, longest := balance.RequestID(0), 0, time.Duration(disturbedAt), time.Duration(0)
+			for now := time.Duration(0); now < disturbedAt+12*time.Second; now += 10 * ms {
 				left := 2800 * ms
-				if now >= since {
-					left = c.left
+				if now >= disturbedAt {
+					left = c.timeLeft
 				}
-				if now == since {
-					c.met(b)
+				if now == disturbedAt {
+					c.disturb(b)
 				}
 				if now%(50*ms) == 0 {
 					id++
@@ -43,20 +43,20 @@
 				}
 				for ; seen < len(h.sends); seen++ {
 					endAttempt(b, now, h.sends[seen].id, 0, balance.Served)
-					if now >= since {
-						most, last = max(most, now-last), now
+					if now >= disturbedAt {
+						longest, lastServed = max(longest, now-lastServed), now
 					}
 				}
 				b.Wake(now)
 			}
-			if most = max(most, since+12*time.Second-last); most >= long {
-				away++
+			if longest = max(longest, disturbedAt+12*time.Second-lastServed); longest >= limit {
+				refusing++
 			}
-			lasted = max(lasted, most)
+			longestOfAll = max(longestOfAll, longest)
 		}
-		t.Logf("%s: %d of %d for %v, the longest %v", name, away, seeds, long, lasted)
-		if away > seeds/10 {
-			t.Errorf("%s: %d of %d turned all away for %v, the longest %v", name, away, seeds, long, lasted)
+		t.Logf("%s: %d of %d sidecars refused everything for %v, the longest for %v", name, refusing, seeds, limit, longestOfAll)
+		if refusing > seeds/10 {
+			t.Errorf("%s: %d of %d sidecars refused everything for %v, the longest for %v", name, refusing, seeds, limit, longestOfAll)
 		}
 	}
 }
--- a/policy/cold_test.go
+++ b/policy/cold_test.go
@@ -49,140 +49,140 @@
 
 // record records a send to a server that may be cold. The bound for a period is N + 2 x sqrt(N) + 2 requests of mean
 // work, where N is what the settings allow: coldMultiple times the present capacity, which rises linearly.
-func (c *coldRun) record(at time.Duration, to balance.ServerID, told bool) {
-	w := c.fleet
-	if int(to) > w.coldServers || at < coldStart || at >= coldStart+w.coldTime {
+func (c *coldRun) record(at time.Duration, to balance.ServerID, informed bool) {
+	f := c.fleet
+	if int(to) > f.coldServers || at < coldStart || at >= coldStart+f.coldTime {
 		return
 	}
 	c.sends++
 	work := 0.2 + 0.2*c.rng.Float64() + c.rng.ExpFloat64()*0.8 // with the handshake
-	c.work[to] = append(c.work[to], coldWork{at, work, told})
-	sum, knew := 0.0, 0.0
-	for _, g := range c.work[to] {
-		if g.at > at-w.overloadSpan {
-			sum += g.work
-			if g.informed {
-				knew += g.work
+	c.work[to] = append(c.work[to], coldWork{at, work, informed})
+	total, fromInformed := 0.0, 0.0
+	for _, w := range c.work[to] {
+		if w.at > at-f.overloadSpan {
+			total += w.work
+			if w.informed {
+				fromInformed += w.work
 			}
 		}
 	}
-	if knew <= 2*sum/3 { // too much of the load is from balancers that have not received the list
+	if fromInformed <= 2*total/3 { // too much of the load is from balancers that have not received the list
 		return
 	}
-	warmth := w.coldFrom + (1-w.coldFrom)*float64(at-coldStart)/float64(w.coldTime)
-	n := w.coldMultiple * warmth * w.capacity * w.overloadSpan.Seconds()
-	c.maxBoundShare = max(c.maxBoundShare, sum/(n+2*math.Sqrt(n)+2))
+	warmth := f.coldFrom + (1-f.coldFrom)*float64(at-coldStart)/float64(f.coldTime)
+	n := f.coldMultiple * warmth * f.capacity * f.overloadSpan.Seconds()
+	c.maxBoundShare = max(c.maxBoundShare, total/(n+2*math.Sqrt(n)+2))
 }
 
 // config returns the settings of balancer i.
-func (w *coldFleet) config(i int) balance.Config {
+func (f *coldFleet) config(i int) balance.Config {
 	cfg := testConfig()
 	cfg.Classes = cfg.Classes[:1]
 	cfg.Classes[0].Aim, cfg.Classes[0].Deadline = 200*ms, 800*ms
-	cfg.Balancers, cfg.Index, cfg.Slots, cfg.Tenants = w.balancers, i, 0, nil
-	cfg.ColdFrom, cfg.ColdTime, cfg.ColdMultiple = w.coldFrom, w.coldTime, w.coldMultiple
-	if !w.noQuota {
-		cfg.Tenants = []balance.Tenant{{Share: 1, Quota: w.capacity * float64(w.servers)}}
+	cfg.Balancers, cfg.Index, cfg.Slots, cfg.Tenants = f.balancers, i, 0, nil
+	cfg.ColdFrom, cfg.ColdTime, cfg.ColdMultiple = f.coldFrom, f.coldTime, f.coldMultiple
+	if !f.noQuota {
+		cfg.Tenants = []balance.Tenant{{Share: 1, Quota: f.capacity * float64(f.servers)}}
 	}
 	return cfg
 }
 
 // play runs the fleet: all servers are warm until coldStart, then some start, until these are warm.
-func (w *coldFleet) play(t *testing.T, seed uint64) *coldRun {
+func (f *coldFleet) play(t *testing.T, seed uint64) *coldRun {
 	const tick = 10 * ms
 	rng := rand.New(rand.NewPCG(seed, 30))
-	c := &coldRun{fleet: w, rng: rng, work: map[balance.ServerID][]coldWork{}}
-	list := make([]balance.Server, w.servers)
+	c := &coldRun{fleet: f, rng: rng, work: map[balance.ServerID][]coldWork{}}
+	list := make([]balance.Server, f.servers)
 	for i := range list {
 		list[i] = balance.Server{ID: balance.ServerID(i + 1), State: balance.Ready, Weight: 1}
 	}
 	type process struct {
-		b    *Balancer
-		h    *fakeHost
-		rate float64
-		seen int             // sends that have been recorded
-		told time.Duration   // when it receives the list; 0: it has
-		ends []sentAttempt   // attempts in flight
-		due  []time.Duration // when they end
+		b        *Balancer
+		h        *fakeHost
+		rate     float64
+		recorded int             // sends that have been recorded
+		listAt   time.Duration   // when it receives the list; 0: it has
+		inFlight []sentAttempt   // attempts in flight
+		endsAt   []time.Duration // when they end
 	}
 	var all []*process
 	sum := 0.0
-	for i := range w.balancers {
-		p := &process{rate: 1 + w.skew*(rng.ExpFloat64()-1), told: coldStart + time.Duration(rng.Float64()*float64(w.listDelay))}
-		p.b, p.h = startSeeded(t, w.config(i), seed*1000+uint64(i), list)
+	for i := range f.balancers {
+		p := &process{rate: 1 + f.skew*(rng.ExpFloat64()-1), listAt: coldStart + time.Duration(rng.Float64()*float64(f.listDelay))}
+		p.b, p.h = startSeeded(t, f.config(i), seed*1000+uint64(i), list)
 		sum += p.rate
 		all = append(all, p)
 	}
 	for _, p := range all {
-		p.rate *= w.load * w.capacity * float64(w.servers) / sum
+		p.rate *= f.load * f.capacity * float64(f.servers) / sum
 	}
 	id := balance.RequestID(0)
-	begin := func(p *process, now time.Duration) {
-		if w.byOperator {
-			for i := range w.coldServers {
+	announceStart := func(p *process, now time.Duration) {
+		if f.byOperator {
+			for i := range f.coldServers {
 				p.b.Disable(now, list[i].ID)
 				p.b.Enable(now, list[i].ID, coldStart)
 			}
 			return
 		}
-		p.b.UpdateServers(now, balance.ListDelta, list[:w.coldServers])
+		p.b.UpdateServers(now, balance.ListDelta, list[:f.coldServers])
 	}
-	for now := time.Duration(0); now < coldStart+w.coldTime; now += tick {
-		if now == coldStart && !w.byOperator {
-			for i := range w.coldServers {
+	for now := time.Duration(0); now < coldStart+f.coldTime; now += tick {
+		if now == coldStart && !f.byOperator {
+			for i := range f.coldServers {
 				list[i].Started = coldStart
 			}
 		}
-		if w.restart > 0 && now == coldStart+w.restart {
+		if f.restart > 0 && now == coldStart+f.restart {
 			old := all
-			if !w.overlappingProcesses {
+			if !f.overlappingProcesses {
 				all = nil
 			}
-			for i := range w.balancers {
-				n := &process{rate: old[i].rate, told: now}
-				n.h = newFakeHost()
-				b, err := New(w.config(i), seed*1000+500+uint64(i), n.h)
+			for i := range f.balancers {
+				successor := &process{rate: old[i].rate, listAt: now}
+				successor.h = newFakeHost()
+				b, err := New(f.config(i), seed*1000+500+uint64(i), successor.h)
 				if err != nil {
 					t.Fatal(err)
 				}
-				n.b = b
+				successor.b = b
 				b.Start(now)
-				if w.byOperator {
-					begin(n, now)
+				if f.byOperator {
+					announceStart(successor, now)
 				}
 				b.UpdateServers(now, balance.ListCached, list)
 				b.RestoreLearned(now, old[i].b.Learned(now))
-				if w.overlappingProcesses {
+				if f.overlappingProcesses {
 					b.SetProcessCount(2)
 					old[i].b.SetProcessCount(2)
 				}
-				all = append(all, n)
+				all = append(all, successor)
 			}
 		}
-		if w.overlappingProcesses && now == coldStart+w.restart+2*time.Second {
-			all = all[w.balancers:]
+		if f.overlappingProcesses && now == coldStart+f.restart+2*time.Second {
+			all = all[f.balancers:]
 			for _, p := range all {
 				p.b.SetProcessCount(1)
 			}
 		}
 		for _, p := range all {
-			if now >= p.told && p.told > 0 {
-				if p.told >= coldStart && (w.restart == 0 || p.told < coldStart+w.restart) {
-					begin(p, now)
+			if now >= p.listAt && p.listAt > 0 {
+				if p.listAt >= coldStart && (f.restart == 0 || p.listAt < coldStart+f.restart) {
+					announceStart(p, now)
 				}
-				p.told = 0
+				p.listAt = 0
 			}
-			if now >= coldStart+w.othersLostAfter {
+			if now >= coldStart+f.othersLostAfter {
 				for _, s := range p.b.servers {
-					if int(s.ID) > w.coldServers {
+					if int(s.ID) > f.coldServers {
 						s.ejectedUntil = math.MaxInt64
 					}
 				}
 			}
-			for k := 0; k < len(p.ends); {
-				if p.due[k] <= now {
-					endAttempt(p.b, now, p.ends[k].id, 0, balance.Served)
-					p.ends, p.due = append(p.ends[:k:k], p.ends[k+1:]...), append(p.due[:k:k], p.due[k+1:]...)
+			for k := 0; k < len(p.inFlight); {
+				if p.endsAt[k] <= now {
+					endAttempt(p.b, now, p.inFlight[k].id, 0, balance.Served)
+					p.inFlight, p.endsAt = append(p.inFlight[:k:k], p.inFlight[k+1:]...), append(p.endsAt[:k:k], p.endsAt[k+1:]...)
 				} else {
 					k++
 				}
@@ -195,10 +195,10 @@
 				}
 			}
 			p.b.Wake(now)
-			for ; p.seen < len(p.h.sends); p.seen++ {
-				s := p.h.sends[p.seen]
-				c.record(now, s.to, p.told == 0)
-				p.ends, p.due = append(p.ends, s), append(p.due, now+time.Duration(20*rng.ExpFloat64()*float64(ms)))
+			for ; p.recorded < len(p.h.sends); p.recorded++ {
+				s := p.h.sends[p.recorded]
+				c.record(now, s.to, p.listAt == 0)
+				p.inFlight, p.endsAt = append(p.inFlight, s), append(p.endsAt, now+time.Duration(20*rng.ExpFloat64()*float64(ms)))
 			}
 		}
 	}
@@ -212,38 +212,38 @@
 	slow := coldFleet{capacity: 5, coldServers: 1, load: 0.9, coldFrom: 0.2, coldMultiple: 3, coldTime: 9 * time.Second, overloadSpan: time.Second}
 	nearly := coldFleet{capacity: 20, coldServers: 1, load: 0.9, coldFrom: 0.7, coldMultiple: 2, coldTime: 20 * time.Second, overloadSpan: time.Second}
 	changes := map[string]func(w *coldFleet){
-		"even":              func(*coldFleet) {},
-		"uneven":            func(w *coldFleet) { w.skew = 1 },
-		"told over 1 s":     func(w *coldFleet) { w.listDelay = time.Second },
-		"alone after 6 s":   func(w *coldFleet) { w.othersLostAfter = 6 * time.Second },
-		"others stay":       func(w *coldFleet) { w.othersLostAfter = time.Hour },
-		"no quotas":         func(w *coldFleet) { w.noQuota = true },
-		"no quotas, uneven": func(w *coldFleet) { w.noQuota, w.skew = true, 1 },
-		"restart":           func(w *coldFleet) { w.restart = 2 * time.Second },
-		"upgrade":           func(w *coldFleet) { w.restart, w.overlappingProcesses = 2*time.Second, true },
-		"three":             func(w *coldFleet) { w.coldServers = 3 },
-		"by hand":           func(w *coldFleet) { w.byOperator = true },
-		"by hand, restart":  func(w *coldFleet) { w.byOperator, w.restart = true, 2*time.Second },
+		"even":                      func(*coldFleet) {},
+		"uneven":                    func(w *coldFleet) { w.skew = 1 },
+		"list delayed by up to 1 s": func(w *coldFleet) { w.listDelay = time.Second },
+		"others lost after 6 s":     func(w *coldFleet) { w.othersLostAfter = 6 * time.Second },
+		"others lost after an hour": func(w *coldFleet) { w.othersLostAfter = time.Hour },
+		"no quotas":                 func(w *coldFleet) { w.noQuota = true },
+		"no quotas, uneven":         func(w *coldFleet) { w.noQuota, w.skew = true, 1 },
+		"restart":                   func(w *coldFleet) { w.restart = 2 * time.Second },
+		"upgrade":                   func(w *coldFleet) { w.restart, w.overlappingProcesses = 2*time.Second, true },
+		"three cold servers":        func(w *coldFleet) { w.coldServers = 3 },
+		"by operator":               func(w *coldFleet) { w.byOperator = true },
+		"by operator, restart":      func(w *coldFleet) { w.byOperator, w.restart = true, 2*time.Second },
 	}
 	for name, base := range map[string]coldFleet{"site": site, "other": other, "slow": slow, "nearly warm": nearly} {
-		for what, change := range changes {
+		for variant, change := range changes {
 			sizes := [][2]int{{4, 10}, {30, 14}, {300, 10}} // numbers of balancers and servers
 			switch {
 			case name == "other":
 				sizes = append(sizes, [2]int{20, 40})
-			case name == "slow" && (what == "even" || what == "no quotas"):
+			case name == "slow" && (variant == "even" || variant == "no quotas"):
 				sizes = append(sizes, [2]int{300, 200})
 			}
 			for _, size := range sizes {
-				w := base
-				w.balancers, w.servers = size[0], size[1]
-				change(&w)
-				t.Run(fmt.Sprintf("%s/%d by %d/%s", name, size[0], size[1], what), func(t *testing.T) {
+				f := base
+				f.balancers, f.servers = size[0], size[1]
+				change(&f)
+				t.Run(fmt.Sprintf("%s/%d by %d/%s", name, size[0], size[1], variant), func(t *testing.T) {
 					t.Parallel()
-					if c := w.play(t, 1); c.maxBoundShare > 1 || c.sends == 0 {
+					if c := f.play(t, 1); c.maxBoundShare > 1 || c.sends == 0 {
 						t.Errorf("%d sends, at most %.2f times the bound", c.sends, c.maxBoundShare)
 					} else {
-						t.Logf("%d sends, at most %.2f of the bound", c.sends, c.maxBoundShare)
+						t.Logf("%d sends, at most %.2f times the bound", c.sends, c.maxBoundShare)
 					}
 				})
 			}
@@ -260,14 +260,14 @@
 		warmAt   time.Duration // 1: cold for up to ColdTime from now; 0: warm
 		restarts bool          // the list had the server before
 	}{
-		"set forward, and it restarts":   {balance.ListDelta, now - time.Hour, 1, true},
-		"the clock is right":             {balance.ListDelta, now, 1, false},
-		"set back":                       {balance.ListDelta, now + time.Hour, 1, false},
-		"the list tells it late":         {balance.ListDelta, now - 3*time.Second, 1, false},
-		"set back, in a whole list":      {balance.ListFull, now + time.Hour, 1, false},
-		"set forward":                    {balance.ListDelta, now - time.Hour, 1, false},
-		"long ago, by a whole list":      {balance.ListFull, now - time.Hour, 0, false},
-		"long ago, as the list has told": {balance.ListDelta, 0, 0, false},
+		"clock ahead, and the server restarts": {balance.ListDelta, now - time.Hour, 1, true},
+		"clock right":                          {balance.ListDelta, now, 1, false},
+		"clock behind":                         {balance.ListDelta, now + time.Hour, 1, false},
+		"list late":                            {balance.ListDelta, now - 3*time.Second, 1, false},
+		"clock behind, in a full list":         {balance.ListFull, now + time.Hour, 1, false},
+		"clock ahead":                          {balance.ListDelta, now - time.Hour, 1, false},
+		"long ago, by a full list":             {balance.ListFull, now - time.Hour, 0, false},
+		"long ago, without a start time":       {balance.ListDelta, 0, 0, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			cfg := testConfig()
@@ -284,7 +284,7 @@
 			b.UpdateServers(now, c.kind, []balance.Server{entry})
 			left := b.serverByID(2).warmAt - now
 			if cold := left > cfg.ColdTime/4; cold != (c.warmAt > 0) || left > cfg.ColdTime {
-				t.Errorf("it is cold for %v more", left)
+				t.Errorf("it is cold for another %v", left)
 			}
 		})
 	}
@@ -303,7 +303,7 @@
 		b.Start(now)
 		b.UpdateServers(now, balance.ListFull, []balance.Server{{ID: 1, State: balance.Ready, Weight: 1, Started: start}})
 		if s := b.serverByID(1); s.warmAt <= now {
-			t.Errorf("the clock is %v ahead: a server that started a second ago is held for warm", ahead)
+			t.Errorf("the clock is %v ahead: a server that started a second ago counts as warm", ahead)
 		}
 	}
 }
--- a/policy/fleet_test.go
+++ b/policy/fleet_test.go
@@ -16,60 +16,60 @@
 	agreed := func(present, silent int) balance.Fleet {
 		return balance.Fleet{Present: present, Silent: silent, Agreed: true}
 	}
-	for what, c := range map[string]struct {
-		told  balance.Fleet
-		every time.Duration // time between updates
-		after time.Duration
-		want  float64
+	for name, c := range map[string]struct {
+		update balance.Fleet
+		every  time.Duration // time between updates
+		after  time.Duration
+		want   float64
 	}{
-		"doubled, views differ":          {balance.Fleet{Present: 20}, time.Second, 0, 20},
-		"doubled":                        {agreed(20, 0), time.Second, 0, 20},
-		"silent ones, as many":           {agreed(4, 16), time.Second, 0, 20},
-		"seven of ten gone, at once":     {agreed(3, 0), time.Second, 0, 10},
-		"seven of ten gone, after 10 s":  {agreed(3, 0), time.Second, fleetHalfLife, 5},
-		"seven of ten gone, after 20 s":  {agreed(3, 0), time.Second, 2 * fleetHalfLife, 3},
-		"seven of ten gone, told seldom": {agreed(3, 0), fleetHalfLife, fleetHalfLife, 10 * math.Exp2(-0.1)},
-		"seven of ten gone, often":       {agreed(3, 0), 100 * ms, fleetHalfLife, 5},
-		"seven of ten silent":            {agreed(3, 7), time.Second, time.Minute, 10},
-		"seven of ten, views differ":     {balance.Fleet{Present: 3}, time.Second, time.Minute, 10},
-		"all others gone":                {agreed(1, 0), time.Second, 2 * time.Minute, 1},
-		"nonsense":                       {agreed(-5, 0), time.Second, 2 * time.Minute, 1},
+		"doubled, views differ":               {balance.Fleet{Present: 20}, time.Second, 0, 20},
+		"doubled":                             {agreed(20, 0), time.Second, 0, 20},
+		"as many silent members":              {agreed(4, 16), time.Second, 0, 20},
+		"seven of ten left, at once":          {agreed(3, 0), time.Second, 0, 10},
+		"seven of ten left, after 10 s":       {agreed(3, 0), time.Second, fleetHalfLife, 5},
+		"seven of ten left, after 20 s":       {agreed(3, 0), time.Second, 2 * fleetHalfLife, 3},
+		"seven of ten left, rare updates":     {agreed(3, 0), fleetHalfLife, fleetHalfLife, 10 * math.Exp2(-0.1)},
+		"seven of ten left, frequent updates": {agreed(3, 0), 100 * ms, fleetHalfLife, 5},
+		"seven of ten silent":                 {agreed(3, 7), time.Second, time.Minute, 10},
+		"seven of ten, views differ":          {balance.Fleet{Present: 3}, time.Second, time.Minute, 10},
+		"all others left":                     {agreed(1, 0), time.Second, 2 * time.Minute, 1},
+		"invalid number":                      {agreed(-5, 0), time.Second, 2 * time.Minute, 1},
 	} {
 		cfg := testConfig()
 		cfg.Balancers, cfg.Slots = 10, 0
 		b, _ := startBalancer(t, cfg, readyList(1, 2))
-		fresh := cfg
-		fresh.Balancers = int(math.Round(c.want))
-		same, _ := startBalancer(t, fresh, readyList(1, 2))
+		sameCfg := cfg
+		sameCfg.Balancers = int(math.Round(c.want))
+		same, _ := startBalancer(t, sameCfg, readyList(1, 2))
 		now := time.Minute
 		b.SetFleet(now, agreed(10, 0))
-		b.SetFleet(now, c.told)
+		b.SetFleet(now, c.update)
 		for end := now + c.after; now < end; {
 			now += c.every
-			b.SetFleet(now, c.told)
+			b.SetFleet(now, c.update)
 		}
 		if math.Abs(b.fleetSize-c.want) > 1e-9 {
-			t.Errorf("%s: %v count, want %v", what, b.fleetSize, c.want)
+			t.Errorf("%s: %v balancers count, want %v", name, b.fleetSize, c.want)
 		}
 		if c.want != math.Round(c.want) {
 			continue
 		}
 		if b.slots != same.slots || b.coldSendInterval(now, b.serverByID(1)) != same.coldSendInterval(now, same.serverByID(1)) {
-			t.Errorf("%s: %d slots and %v between sends to a cold server; with that number from the start %d and %v",
-				what, b.slots, b.coldSendInterval(now, b.serverByID(1)), same.slots, same.coldSendInterval(now, same.serverByID(1)))
+			t.Errorf("%s: %d slots and %v between sends to a cold server; with that number in the settings %d and %v",
+				name, b.slots, b.coldSendInterval(now, b.serverByID(1)), same.slots, same.coldSendInterval(now, same.serverByID(1)))
 		}
 	}
 }
 
 // Fleet updates that agree with the settings change no decision. Slots in use outlast a compartment that shrinks.
 func TestFleetUpdateEqualToSettingsChangesNothing(t *testing.T) {
-	play := func(told bool) []string {
+	play := func(update bool) []string {
 		cfg := testConfig()
 		cfg.Balancers = 12
 		b, h := startBalancer(t, cfg, readyList(1, 2, 3, 4, 5))
 		for i := range 400 {
 			now := time.Duration(i) * 7 * ms
-			if told && i%10 == 0 {
+			if update && i%10 == 0 {
 				b.SetFleet(now, balance.Fleet{Present: 12, Agreed: i%20 == 0})
 			}
 			sendRequest(b, now, balance.RequestID(i), i%5)
@@ -81,7 +81,7 @@
 		return h.trace
 	}
 	if a, b := play(false), play(true); !slices.Equal(a, b) {
-		t.Errorf("%d actions without a word, %d with one that changes nothing, and not the same", len(a), len(b))
+		t.Errorf("%d actions without updates and %d with updates that change nothing differ", len(a), len(b))
 	}
 	cfg := testConfig()
 	cfg.Balancers, cfg.Slots = 2, 0
@@ -92,13 +92,13 @@
 	held := len(h.sends)
 	b.SetFleet(ms, balance.Fleet{Present: 500})
 	if free, places := b.SlotsFree(0), b.QueueFree(0); free != 0 || places < 0 {
-		t.Errorf("%d slots and %d places free behind a wall that shrank below what it holds", free, places)
+		t.Errorf("%d slots and %d places free in a compartment that shrank below its slots in use", free, places)
 	}
 	for i := range held {
 		endAttempt(b, 2*ms, h.sends[i].id, 0, balance.Served)
 	}
 	if held < 2 || b.inFlight != 0 || b.compartments[0].slotsInUse != 0 || b.compartments[0].slots < 1 {
-		t.Errorf("%d were out; now %d, %d of %d slots in use", held, b.inFlight, b.compartments[0].slotsInUse, b.compartments[0].slots)
+		t.Errorf("%d attempts were in flight; now %d, and %d of %d slots in use", held, b.inFlight, b.compartments[0].slotsInUse, b.compartments[0].slots)
 	}
 }
 
@@ -113,7 +113,7 @@
 		cfg := testConfig()
 		cfg.Balancers, cfg.Tenants, cfg.Slots = balancers, nil, 0
 		if b, _ := startBalancer(t, cfg, readyList(ids...)); len(b.subset) != want {
-			t.Errorf("%d balancers of 200 servers: %d in the first arc, want %d", balancers, len(b.subset), want)
+			t.Errorf("%d balancers of 200 servers: %d in the first subset, want %d", balancers, len(b.subset), want)
 		}
 	}
 }
--- a/policy/hand_test.go
+++ b/policy/hand_test.go
@@ -14,7 +14,7 @@
 	b.Disable(0, 1)
 	b.Disable(0, 1) // no further effect
 	now, id := time.Duration(0), balance.RequestID(0)
-	serve := func(what string, ending balance.Ending) {
+	serve := func(when string, ending balance.Ending) {
 		t.Helper()
 		for range 20 {
 			now += 20 * ms
@@ -24,13 +24,13 @@
 			id++
 		}
 		if n := h.sentTo(1); n > 0 {
-			t.Fatalf("%s: %d sends to a server that is out", what, n)
+			t.Fatalf("%s: %d sends to a disabled server", when, n)
 		}
 	}
-	serve("taken out", balance.Served)
+	serve("disabled", balance.Served)
 	serve("with retries", balance.TurnedAway)
 	b.UpdateServers(now, balance.ListFull, readyList(1, 2))
-	serve("in a whole list", balance.Served)
+	serve("in a full list", balance.Served)
 	b.UpdateServers(now, balance.ListDelta, []balance.Server{{ID: 1, State: balance.Draining, Weight: 1}})
 	b.UpdateServers(now, balance.ListDelta, []balance.Server{{ID: 1, State: balance.Ready, Weight: 1, Started: now}})
 	serve("restarted", balance.Served)
@@ -38,11 +38,11 @@
 	b.UpdateServers(now, balance.ListDelta, readyList(1))
 	serve("gone and back", balance.Served)
 	if listed, unavailable := b.ServerCounts(now); listed != 2 || unavailable != 1 {
-		t.Errorf("%d members, %d unavailable, want 2 and 1", listed, unavailable)
+		t.Errorf("%d servers, %d unavailable, want 2 and 1", listed, unavailable)
 	}
 	b.Enable(now, 1, now)
 	if listed, unavailable := b.ServerCounts(now); listed != 2 || unavailable != 0 || b.Disabled(1) {
-		t.Errorf("after one call back: %d members, %d unavailable, out %v", listed, unavailable, b.Disabled(1))
+		t.Errorf("after Enable: %d servers, %d unavailable, disabled %v", listed, unavailable, b.Disabled(1))
 	}
 }
 
@@ -52,7 +52,7 @@
 	sendRequest(b, 0, 1, safeClass)
 	b.Disable(ms, 1)
 	if len(h.cancelled) != 0 {
-		t.Fatal("what ran there was called off")
+		t.Fatal("the attempt in flight was cancelled")
 	}
 	sendRequest(b, 2*ms, 2, safeClass) // queued: no server is available
 	endAttempt(b, 10*ms, 1, 0, balance.Errored)
@@ -62,7 +62,7 @@
 	}
 	b.UpdateServers(30*ms, balance.ListDelta, readyList(2))
 	if h.sentTo(2) == 0 || h.sentTo(1) != 1 {
-		t.Fatalf("sends %v, want what waited at the other server", h.sends)
+		t.Fatalf("sends %v, want the queued request at the other server", h.sends)
 	}
 }
 
@@ -103,7 +103,7 @@
 	}
 	b.Enable(20*time.Second, 2, 20*time.Second) // was never disabled
 	if s := b.serverByID(2); s.warmAt != 0 {
-		t.Error("a call back of a server that was not out made it cold")
+		t.Error("Enable made a server cold that was not disabled")
 	}
 }
 
@@ -126,7 +126,7 @@
 	}
 	alone, each := sends(1), sends(2)
 	if each == 0 || 2*each > alone+2 {
-		t.Errorf("%d sends alone, %d from each of two, want half", alone, each)
+		t.Errorf("%d sends from a single process, %d from each of two, want half", alone, each)
 	}
 }
 
@@ -156,33 +156,33 @@
 	dead := balance.LearnedServer{ID: 2, Failures: 5, SilentSince: now - 10*time.Second, LatencyRatio: failureLatencyRatio}
 	cold := balance.LearnedServer{ID: 2, WarmAt: now + 4*time.Second, LatencyRatio: 1}
 	for _, c := range []struct {
-		name   string
-		at     time.Duration
-		learnt balance.LearnedServer
-		since  time.Duration // the server's start time in the list
-		rests  bool
-		warmAt time.Duration
+		name    string
+		at      time.Duration
+		learned balance.LearnedServer
+		started time.Duration // the server's start time in the list
+		ejected bool
+		warmAt  time.Duration
 	}{
-		{"a dead server rests", now - time.Second, dead, 0, true, 0},
-		{"what is old is not believed", now - time.Minute, dead, 0, false, 0},
-		{"nor what comes from the future", now + time.Second, dead, 0, false, 0},
-		{"nor of a server that has started again since", now - 2*time.Second, dead, now - time.Second, false, now + 7*time.Second},
-		{"a cold one goes on warming", now - time.Second, cold, 0, false, now + 4*time.Second},
-		{"also when that is older", now - time.Minute, cold, 0, false, now + 4*time.Second},
-		{"no longer than a start takes", now - time.Second, balance.LearnedServer{ID: 2, WarmAt: 9 * now}, 0, false, now + 8*time.Second},
-		{"nonsense does no harm", now - time.Second, balance.LearnedServer{ID: 2, Failures: -9, SilentSince: -5, LatencyRatio: math.NaN()}, 0, false, 0},
-		{"nor do servers that nobody knows", now - time.Second, balance.LearnedServer{ID: 77, Failures: 5}, 0, false, 0},
+		{"a dead server is ejected", now - time.Second, dead, 0, true, 0},
+		{"old health is ignored", now - time.Minute, dead, 0, false, 0},
+		{"health from the future is ignored", now + time.Second, dead, 0, false, 0},
+		{"health of a server that has restarted is ignored", now - 2*time.Second, dead, now - time.Second, false, now + 7*time.Second},
+		{"a cold server stays cold", now - time.Second, cold, 0, false, now + 4*time.Second},
+		{"a cold server stays cold, by older health", now - time.Minute, cold, 0, false, now + 4*time.Second},
+		{"a cold server stays cold for at most ColdTime", now - time.Second, balance.LearnedServer{ID: 2, WarmAt: 9 * now}, 0, false, now + 8*time.Second},
+		{"invalid values are harmless", now - time.Second, balance.LearnedServer{ID: 2, Failures: -9, SilentSince: -5, LatencyRatio: math.NaN()}, 0, false, 0},
+		{"unknown servers are harmless", now - time.Second, balance.LearnedServer{ID: 77, Failures: 5}, 0, false, 0},
 	} {
 		list := readyList(1, 2)
-		list[1].Started = c.since
+		list[1].Started = c.started
 		b, _ := startBalancer(t, cfg, nil)
 		b.UpdateServers(now, balance.ListFull, list)
-		b.RestoreLearned(now, balance.Learned{At: c.at, Rate: 70, Servers: []balance.LearnedServer{c.learnt}})
+		b.RestoreLearned(now, balance.Learned{At: c.at, Rate: 70, Servers: []balance.LearnedServer{c.learned}})
 		s := b.serverByID(2)
-		if rests := s.ejectedUntil > now; rests != c.rests || s.warmAt != c.warmAt || s.failures < 0 || !(s.latencyRatio > 0) || s.silentSince < 0 {
-			t.Errorf("%s: rests %v, warm at %v, %d fails, strain %v", c.name, rests, s.warmAt, s.failures, s.latencyRatio)
+		if ejected := s.ejectedUntil > now; ejected != c.ejected || s.warmAt != c.warmAt || s.failures < 0 || !(s.latencyRatio > 0) || s.silentSince < 0 {
+			t.Errorf("%s: ejected %v, warm at %v, %d failures, latency ratio %v", c.name, ejected, s.warmAt, s.failures, s.latencyRatio)
 		}
-		if young := c.at >= now-rateTimeConstant && c.at <= now; young != (b.rate == 70) {
+		if recent := c.at >= now-rateTimeConstant && c.at <= now; recent != (b.rate == 70) {
 			t.Errorf("%s: rate %v", c.name, b.rate)
 		}
 	}
--- a/policy/helpers_test.go
+++ b/policy/helpers_test.go
@@ -42,9 +42,9 @@
 	h.trace = append(h.trace, fmt.Sprintf(format, args...))
 }
 
-func (h *fakeHost) Send(id balance.RequestID, to balance.ServerID, timeout, unsent time.Duration) {
-	h.sends = append(h.sends, sentAttempt{id, to, timeout, unsent})
-	h.note("send %d %d %v %v", id, to, timeout, unsent)
+func (h *fakeHost) Send(id balance.RequestID, to balance.ServerID, timeout, sendWithin time.Duration) {
+	h.sends = append(h.sends, sentAttempt{id, to, timeout, sendWithin})
+	h.note("send %d %d %v %v", id, to, timeout, sendWithin)
 }
 
 func (h *fakeHost) Withdraw(id balance.RequestID, attempt int) {
@@ -52,9 +52,9 @@
 	h.note("withdraw %d %d", id, attempt)
 }
 
-func (h *fakeHost) Refuse(id balance.RequestID, pause time.Duration, _ balance.Reason) {
-	h.refused[id] = pause
-	h.note("refuse %d %v", id, pause)
+func (h *fakeHost) Refuse(id balance.RequestID, retryAfter time.Duration, _ balance.Reason) {
+	h.refused[id] = retryAfter
+	h.note("refuse %d %v", id, retryAfter)
 }
 
 func (h *fakeHost) Fail(id balance.RequestID, _ balance.Reason) {
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -13,7 +13,7 @@
 func TestSlotsAndQueue(t *testing.T) {
 	b, h := startBalancer(t, testConfig(), readyList(1, 2, 3, 4, 5, 6, 7, 8)) // tenant 0: 6 slots and 1 place
 	if b.SlotsFree(0) != 6 || b.SlotsFree(1) != 2 || b.QueueFree(0) != 1 || b.QueueFree(1) != 1 {
-		t.Fatalf("walls: slots %d %d, places %d %d", b.SlotsFree(0), b.SlotsFree(1), b.QueueFree(0), b.QueueFree(1))
+		t.Fatalf("compartments: slots %d and %d, queue places %d and %d", b.SlotsFree(0), b.SlotsFree(1), b.QueueFree(0), b.QueueFree(1))
 	}
 	for id := range balance.RequestID(10) {
 		sendRequest(b, 0, id, safeClass)
@@ -22,14 +22,14 @@
 		t.Fatalf("sent %d, queue places free %d; want 6 and 0", len(h.sends), b.QueueFree(0))
 	}
 	if pause, ok := h.refused[9]; !ok || pause <= 0 || pause > time.Second {
-		t.Fatalf("tenth request: refused %v with pause %v; want a prompt refusal with advice", ok, pause)
+		t.Fatalf("tenth request: refused %v with pause %v; want a prompt refusal with a retry delay", ok, pause)
 	}
 	if b.SlotsFree(1) != 2 {
 		t.Fatalf("tenant 1 lost slots to tenant 0")
 	}
 	b.Request(0, balance.Request{ID: 20, Class: safeClass, Tenant: 1, TimeLeft: 2 * time.Second})
 	if len(h.sends) != 7 {
-		t.Fatalf("the other compartment did not send past the full one")
+		t.Fatalf("a full compartment blocks the other one")
 	}
 	endAttempt(b, 50*ms, 0, 0, balance.Served)
 	if len(h.sends) != 8 || h.sends[7].id != 6 {
@@ -40,17 +40,17 @@
 // Guards against slots that are spent on clients' retries whose response can't be timely any more.
 func TestLateRetriesAreRefusedUnderCongestion(t *testing.T) {
 	b, h := startBalancer(t, testConfig(), readyList(1, 2))
-	left := func(id balance.RequestID, d time.Duration) {
+	arrive := func(id balance.RequestID, d time.Duration) {
 		b.Request(0, balance.Request{ID: id, Class: safeClass, TimeLeft: d})
 	}
-	left(1, 2800*ms) // first tries arrive with this much of the class's 3 s
-	left(2, 2500*ms) // first sent half a second ago
-	left(3, 1500*ms) // first sent 1.5 s ago: late already, but servers answer quickly
+	arrive(1, 2800*ms) // first tries arrive with this much of the class's 3 s
+	arrive(2, 2500*ms) // first sent half a second ago
+	arrive(3, 1500*ms) // first sent 1.5 s ago: late already, but servers answer quickly
 	if len(h.sends) != 3 || h.sends[1].timeout != 500*ms || h.sends[2].timeout != 1500*ms {
-		t.Fatalf("sends %v: want the second cut to what is left of its aim, and the third served", h.sends)
+		t.Fatalf("sends %v: want the second's time-out cut to the rest of its aim, and the third sent", h.sends)
 	}
 	b.congestion = 0.2 // servers answer slowly
-	left(4, 1500*ms)
+	arrive(4, 1500*ms)
 	if _, refused := h.refused[4]; !refused {
 		t.Fatal("a late retry took a slot while servers answered slowly")
 	}
@@ -69,7 +69,7 @@
 		endAttempt(b, now+5*ms, id, 0, balance.Served)
 	}
 	if last := h.sends[len(h.sends)-1]; last.timeout != time.Second {
-		t.Fatalf("time-out %v: the aim of a first try is still cut", last.timeout)
+		t.Fatalf("time-out %v: the aim of a first try is still cut short", last.timeout)
 	}
 }
 
@@ -98,7 +98,7 @@
 		t.Errorf("time-out %v, want all of a first try's aim", last.timeout)
 	}
 	if try(400, 700*ms) {
-		t.Error("a try with less left than a first one has was served, though it is late")
+		t.Error("a try with less time left than first tries have was served, though it is late")
 	}
 }
 
@@ -110,7 +110,7 @@
 	b.Request(0, balance.Request{ID: 2, Class: safeClass, TimeLeft: 2500 * ms})
 	b.Request(0, balance.Request{ID: 3, Class: safeClass, TimeLeft: 2500 * ms, ClientRetry: true})
 	if h.sends[1].timeout != time.Second || h.sends[2].timeout != 500*ms {
-		t.Fatalf("sends %v: want only the marked one cut", h.sends)
+		t.Fatalf("sends %v: want only the marked one's time-out cut", h.sends)
 	}
 }
 
@@ -124,7 +124,7 @@
 		b.Wake(now)
 	}
 	if _, ok := h.refused[1]; !ok {
-		t.Fatal("still held when its aim had passed")
+		t.Fatal("still queued after its aim has passed")
 	}
 }
 
@@ -135,11 +135,11 @@
 	sendRequest(b, 0, 1, safeClass) // an aim of 1 s and a typical latency of 125 ms
 	b.Wake(740 * ms)
 	if len(h.refused) != 0 {
-		t.Fatal("refused with over twice the usual time left")
+		t.Fatal("refused with more than twice the typical latency left")
 	}
 	b.UpdateServers(760*ms, balance.ListFull, readyList(1))
 	if _, refused := h.refused[1]; !refused {
-		t.Fatalf("sent %v with less than twice the usual time left after a wait", h.sends)
+		t.Fatalf("sent %v after a wait with less than twice the typical latency left", h.sends)
 	}
 }
 
@@ -153,7 +153,7 @@
 		endAttempt(b, now+10*ms, id, 0, balance.Served)
 	}
 	if n := h.sentTo(3); n < 19 || n > 21 || h.sentTo(1)-h.sentTo(2) > 1 || h.sentTo(2)-h.sentTo(1) > 1 {
-		t.Fatalf("turns %d %d %d, want 10 10 20, or one more or less", h.sentTo(1), h.sentTo(2), h.sentTo(3))
+		t.Fatalf("turns %d %d %d, want 10 10 20, plus or minus one", h.sentTo(1), h.sentTo(2), h.sentTo(3))
 	}
 	if c := b.Counters(); c.Ordinary != 40 {
 		t.Fatalf("ordinary sends %d of 40", c.Ordinary)
@@ -184,7 +184,7 @@
 		t.Errorf("time-out %v, want the aim", got)
 	}
 	if got := h.sends[1].timeout; got != 2*time.Second {
-		t.Errorf("time-out %v where late answers are worth something, want all the time left", got)
+		t.Errorf("time-out %v where late responses have worth, want all the time left", got)
 	}
 	if got := h.sends[2].timeout; got != 300*ms {
 		t.Errorf("time-out %v, want the client's time left", got)
@@ -193,17 +193,17 @@
 
 func TestRetriesByClassAndEnding(t *testing.T) {
 	for _, c := range []struct {
-		name  string
-		class int
-		ends  balance.Ending
-		again bool
-		fails bool // failed rather than refused, if it is not sent again
+		name    string
+		class   int
+		ending  balance.Ending
+		retried bool
+		fails   bool // failed rather than refused, if it is not sent again
 	}{
 		{"safe after an error", safeClass, balance.Errored, true, false},
 		{"keyed after a reset", keyedAll, balance.Broken, true, false},
-		{"unsafe turned away", unsafeClass, balance.TurnedAway, true, false},
+		{"unsafe after being turned away", unsafeClass, balance.TurnedAway, true, false},
 		{"unsafe without a connection", unsafeClass, balance.NoConnection, true, false},
-		{"unsafe never sent", unsafeClass, balance.NotSent, true, false},
+		{"unsafe, never sent", unsafeClass, balance.NotSent, true, false},
 		{"unsafe after an error", unsafeClass, balance.Errored, false, true},
 		{"unsafe after a reset", unsafeClass, balance.Broken, false, true},
 		{"unsafe after a time-out", unsafeClass, balance.TimedOut, false, true},
@@ -212,14 +212,14 @@
 		t.Run(c.name, func(t *testing.T) {
 			b, h := startBalancer(t, testConfig(), readyList(1, 2, 3))
 			sendRequest(b, 0, 1, c.class)
-			endAttempt(b, 30*ms, 1, 0, c.ends)
-			if again := len(h.sends) == 2; again != c.again {
-				t.Fatalf("sent again: %v, want %v", again, c.again)
+			endAttempt(b, 30*ms, 1, 0, c.ending)
+			if retried := len(h.sends) == 2; retried != c.retried {
+				t.Fatalf("sent again: %v, want %v", retried, c.retried)
 			}
-			if !c.again && h.failed[1] != c.fails {
+			if !c.retried && h.failed[1] != c.fails {
 				t.Fatalf("failed: %v, want %v (refused: %v)", h.failed[1], c.fails, h.refused)
 			}
-			if c.again && h.sends[1].to == h.sends[0].to {
+			if c.retried && h.sends[1].to == h.sends[0].to {
 				t.Fatal("sent again to the same server")
 			}
 		})
@@ -262,7 +262,7 @@
 			}
 			second := byID(h.sends[1].to)
 			if second.Zone != first.Zone || (class == keyedCell && second.Cell != first.Cell) {
-				t.Fatalf("class %d went from server %d to %d, outside its group", class, first.ID, second.ID)
+				t.Fatalf("class %d: retried from server %d to %d, outside its scope", class, first.ID, second.ID)
 			}
 		}
 	}
@@ -281,7 +281,7 @@
 	h.sends = nil
 	sendRequest(b, 2*ms, 1, keyedZone) // it is the turn of server 2, in zone 1
 	if h.sends[0].to != 2 {
-		t.Fatalf("set-up: first attempt went to %d", h.sends[0].to)
+		t.Fatalf("set-up: first attempt was sent to server %d", h.sends[0].to)
 	}
 	endAttempt(b, 3*ms, 1, 0, balance.TurnedAway) // it never ran there, so it is not bound to zone 1
 	if len(h.sends) != 2 || h.sends[1].to != 1 {
@@ -289,7 +289,7 @@
 	}
 	endAttempt(b, 4*ms, 1, 1, balance.Broken) // may have run in zone 0: server 2 is out of scope now
 	if len(h.sends) != 2 {
-		t.Fatalf("sent outside the group: %v", h.sends)
+		t.Fatalf("sent outside the scope: %v", h.sends)
 	}
 }
 
@@ -304,7 +304,7 @@
 	sendRequest(b, 800*ms, 2, keyedZone)
 	endAttempt(b, 1500*ms, 2, 0, balance.Errored)
 	if !h.failed[2] {
-		t.Fatal("a keyed request that may have run, with a group of one zone, must be failed and not refused")
+		t.Fatal("a keyed request with the scope of a zone that may have run was not failed")
 	}
 }
 
@@ -352,7 +352,7 @@
 		// Capacity by the quotas: 100 a second over two servers; cold at 0.3, budget 3 times that.
 		budget := 100.0 / 2 * 0.3 * 3 / float64(balancers)
 		if n := float64(sends[true]); n == 0 || n > budget {
-			t.Errorf("%d balancers: %v sends in the first second, budget of each %.1f", balancers, n, budget)
+			t.Errorf("%d balancers: %v sends in the first second, each balancer's budget is %.1f", balancers, n, budget)
 		}
 		if h.sentTo(1) < 500 {
 			t.Errorf("%d balancers: only %d sends once it had warmed up", balancers, h.sentTo(1))
@@ -378,7 +378,7 @@
 		}
 	}
 	if n := h.sentTo(1); n > 60 {
-		t.Fatalf("a server that never answered got %d of 300 first sends", n)
+		t.Fatalf("an unresponsive server got %d of 300 first attempts", n)
 	}
 	if len(h.log) != 1 {
 		t.Fatalf("log %q: want one line", h.log)
@@ -393,7 +393,7 @@
 		b.serverByID(1).congestion += (0.8*0.8 - b.serverByID(1).congestion) / 8
 	}
 	if slow, well := b.serverLimit(b.serverByID(1)), b.serverLimit(b.serverByID(2)); slow != 1 || well != 4 {
-		t.Fatalf("portions %v and %v, want 1 and 4", slow, well)
+		t.Fatalf("limits %v and %v, want 1 and 4", slow, well)
 	}
 }
 
@@ -401,9 +401,9 @@
 // aim, and against few balancers that hold back although servers can take more.
 func TestTotalLimitUnderCongestion(t *testing.T) {
 	for _, c := range []struct {
-		balancers int
-		crowd     float64 // mean square of the share of the aim that answers take
-		want      int
+		balancers  int
+		congestion float64 // mean square of the share of the aim that answers take
+		want       int
 	}{
 		{80, 0.036, 6}, {80, 0.072, 5}, {80, 0.108, 3}, {80, 0.36, 1},
 		{2, 0.09, 6}, {2, 0.18, 4}, {2, 0.36, 2},
@@ -412,13 +412,13 @@
 		cfg.Balancers = c.balancers
 		cfg.Tenants = []balance.Tenant{{Share: 1, Quota: 50 * float64(c.balancers)}}
 		b, h := startBalancer(t, cfg, readyList(1, 2, 3, 4, 5, 6))
-		b.congestion = c.crowd
+		b.congestion = c.congestion
 		for id := range balance.RequestID(6) {
 			sendRequest(b, 0, id, safeClass)
 		}
 		if len(h.sends) != c.want || b.Counters().Held != uint64(6-c.want) {
-			t.Errorf("%d balancers, crowded by %v: %d attempts out of 8 slots, %d held, want %d and %d",
-				c.balancers, c.crowd, len(h.sends), b.Counters().Held, c.want, 6-c.want)
+			t.Errorf("%d balancers, congestion %v: %d attempts in flight with 8 slots, %d held, want %d and %d",
+				c.balancers, c.congestion, len(h.sends), b.Counters().Held, c.want, 6-c.want)
 		}
 	}
 }
@@ -428,14 +428,14 @@
 func TestTotalLimitFollowsOwnTraffic(t *testing.T) {
 	cfg := testConfig()
 	cfg.Balancers = 80 // 1.25 requests per second each, an aim of 1 s
-	for crowd, want := range map[float64]int{0: 6, 0.037: 4} {
+	for congestion, want := range map[float64]int{0: 6, 0.037: 4} {
 		b, h := startBalancer(t, cfg, readyList(1, 2, 3, 4, 5, 6))
-		b.congestion = crowd
+		b.congestion = congestion
 		for id := range balance.RequestID(6) {
 			sendRequest(b, 0, id, safeClass)
 		}
 		if len(h.sends) != want || b.Counters().Held != uint64(6-want) {
-			t.Fatalf("%d attempts out of 8 slots, %d held, want %d for 1.25 requests a second, crowded by %v", len(h.sends), b.Counters().Held, want, crowd)
+			t.Fatalf("%d attempts in flight with 8 slots, %d held, want %d for 1.25 requests per second, congestion %v", len(h.sends), b.Counters().Held, want, congestion)
 		}
 	}
 	b, _ := startBalancer(t, cfg, readyList(1, 2, 3, 4, 5, 6))
@@ -445,7 +445,7 @@
 		endAttempt(b, now+10*ms, id, 0, balance.Served)
 	}
 	if got := b.totalLimit(0.999); got < 7.9 {
-		t.Fatalf("a limit of %v over all attempts, want about the 8 slots for 10 requests a second", got)
+		t.Fatalf("a limit of %v over all attempts, want about the 8 slots for 10 requests per second", got)
 	}
 }
 
@@ -457,59 +457,59 @@
 		cfg.Balancers = balancers
 		b, h := startBalancer(t, cfg, readyList(1))
 		now, id, last := time.Duration(0), balance.RequestID(0), time.Duration(0)
-		try := func(e balance.Ending) (rest time.Duration) {
+		try := func(e balance.Ending) (ejected time.Duration) {
 			t.Helper()
 			id, b.admission = id+1, admissionStats{}
 			sendRequest(b, now, id, unsafeClass)
 			if h.sends[len(h.sends)-1].id != id {
-				t.Fatalf("%d balancers: nothing is sent at %v", balancers, now)
+				t.Fatalf("%d balancers: nothing was sent at %v", balancers, now)
 			}
 			endAttempt(b, now, id, 0, e)
 			return b.serverByID(1).ejectedUntil - now
 		}
 		try(balance.Errored)
 		for i := range 10 {
-			rest := try(balance.Errored)
-			if d := min(maxBackoff, time.Duration(balancers)*backoffPerSharer<<i); rest < d/2 || rest > d*3/2 {
-				t.Fatalf("%d balancers: a rest of %v after %d failures, want about %v", balancers, rest, i+2, d)
+			ejected := try(balance.Errored)
+			if d := min(maxBackoff, time.Duration(balancers)*backoffPerSharer<<i); ejected < d/2 || ejected > d*3/2 {
+				t.Fatalf("%d balancers: ejected for %v after %d failures, want about %v", balancers, ejected, i+2, d)
 			}
 			id, b.admission = id+1, admissionStats{}
-			sendRequest(b, now+rest/2, id, unsafeClass)
+			sendRequest(b, now+ejected/2, id, unsafeClass)
 			if h.sends[len(h.sends)-1].id == id {
-				t.Fatalf("%d balancers: sent to a server that rests", balancers)
+				t.Fatalf("%d balancers: sent to an ejected server", balancers)
 			}
-			b.ClientGone(now+rest/2, id)
-			now, last = now+rest, rest
+			b.ClientGone(now+ejected/2, id)
+			now, last = now+ejected, ejected
 		}
 		if last < maxBackoff/2 {
-			t.Fatalf("%d balancers: a rest of %v at last, want about %v", balancers, last, maxBackoff)
+			t.Fatalf("%d balancers: ejected for %v at last, want about %v", balancers, last, maxBackoff)
 		}
 		try(balance.Served)
 		if rest := try(balance.Errored); rest < backoffPerSharer {
-			t.Fatalf("%d balancers: a rest of %v, one answer clears a server that fails mostly", balancers, rest)
+			t.Fatalf("%d balancers: ejected for %v: one response clears a server that mostly fails", balancers, rest)
 		}
 		now = b.serverByID(1).ejectedUntil
 		for range 3 {
 			try(balance.Served)
 		}
 		if rest := try(balance.Errored); rest > 0 {
-			t.Fatalf("%d balancers: a rest of %v after three answers and one failure", balancers, rest)
+			t.Fatalf("%d balancers: ejected for %v after three responses and one failure", balancers, rest)
 		}
 	}
 }
 
-// Guards against the load of failing servers moving to the last healthy ones.
+// Guards against load that moves from failing servers to the last healthy ones.
 func TestTotalLimitShrinksWithFailingServers(t *testing.T) {
 	b, _ := startBalancer(t, testConfig(), readyList(1, 2, 3, 4))
 	if got := b.totalLimit(1); got != 8 {
-		t.Fatalf("a wall of %v over all attempts, want all 8 slots", got)
+		t.Fatalf("a limit of %v over all attempts, want all 8 slots", got)
 	}
 	for i, end := range []balance.Ending{balance.Errored, balance.NoConnection, balance.TimedOut, balance.Errored} {
 		r := &request{class: &b.classes[0]}
 		b.recordResult(0, r, &attempt{server: b.serverByID(balance.ServerID(1 + i%2))}, end)
 	}
 	if got := b.totalLimit(1); got != 4 {
-		t.Fatalf("a wall of %v over all attempts, want 4 while two of four servers fail", got)
+		t.Fatalf("a limit of %v over all attempts, want 4 while two of four servers fail", got)
 	}
 }
 
@@ -533,7 +533,7 @@
 		sendRequest(b, 2*time.Second, id, safeClass)
 	}
 	if h.sentTo(1) == 0 {
-		t.Fatal("an old report still bars the server")
+		t.Fatal("an outdated report still excludes the server")
 	}
 }
 
@@ -546,23 +546,23 @@
 	b.reportPairs, b.freshPairs = maxReportPairs, maxReportPairs // as after samples that were fresh
 	sendRequest(b, 0, 1, safeClass)
 	if len(h.probes) != 1 || len(h.sends) != 0 {
-		t.Fatalf("%d probes, %d sends; want the server whose turn it is asked first", len(h.probes), len(h.sends))
+		t.Fatalf("%d probes, %d sends; want a query to the server whose turn it is first", len(h.probes), len(h.sends))
 	}
 	first := h.probes[0]
 	b.Probed(6*ms, first, true, balance.Load{Has: balance.HasInFlight, InFlight: 50})
 	if len(h.probes) != 2 || h.probes[1] == first || len(h.sends) != 0 {
-		t.Fatalf("probes %v: want the next one asked, as the first is full", h.probes)
+		t.Fatalf("probes %v: want a query to the next server, as the first is full", h.probes)
 	}
 	b.Probed(12*ms, h.probes[1], true, balance.Load{Has: balance.HasInFlight, InFlight: 1})
 	if len(h.sends) != 1 || h.sends[0].to != h.probes[1] {
-		t.Fatalf("sends %v: want one to the server that has room", h.sends)
+		t.Fatalf("sends %v: want one to the server with spare capacity", h.sends)
 	}
 	sendRequest(b, time.Second, 2, safeClass)
 	for now := time.Second; now < 1200*ms; now += 10 * ms {
 		b.Wake(now) // no report comes
 	}
 	if n := len(h.probes) - 2; n != maxLoadQueries || len(h.sends) != 1 {
-		t.Fatalf("%d asked, %d sends; want %d and nothing sent to servers that do not answer or were not asked",
+		t.Fatalf("%d queries, %d sends; want %d and nothing sent to servers that did not answer or were not queried",
 			n, len(h.sends), maxLoadQueries)
 	}
 	for now := 1200 * ms; now < 3*time.Second; now += 10 * ms {
@@ -584,12 +584,12 @@
 		sendRequest(b, ms, id, safeClass)
 	}
 	if h.sentTo(1) != 2 {
-		t.Fatalf("%d of 8 slots at the last of four servers, want its portion of 2", h.sentTo(1))
+		t.Fatalf("%d of 8 slots used for the last of four servers, want its limit of 2", h.sentTo(1))
 	}
 	// At traffic of the quotas all balancers have 100/s x 1 s x 0.12 = 12 attempts in flight, a fourth per server.
 	b.Probed(2*ms, 1, true, balance.Load{Has: balance.HasInFlight, InFlight: 5})
 	if !b.reportsFull(2*ms, &request{}, b.serverByID(1)) {
-		t.Fatal("the last of four servers may hold more than a fourth and one of the whole fleet's attempts")
+		t.Fatal("the last of four servers may hold more than a fourth of the fleet's attempts plus one")
 	}
 }
 
@@ -598,31 +598,31 @@
 	cfg.AskList = true
 	b, h := startBalancer(t, cfg, readyList(1))
 	if h.watches != 1 {
-		t.Fatalf("asked %d times at the start", h.watches)
+		t.Fatalf("%d list calls at the start, want 1", h.watches)
 	}
-	gaps, last, asked := []time.Duration{}, time.Duration(0), 1
+	intervals, last, calls := []time.Duration{}, time.Duration(0), 1
 	b.UpdateServers(0, balance.ListFailed, nil)
 	for now := 10 * ms; now < 40*time.Second; now += 10 * ms {
 		b.Wake(now)
-		if h.watches > asked {
-			asked = h.watches
-			gaps = append(gaps, now-last)
+		if h.watches > calls {
+			calls = h.watches
+			intervals = append(intervals, now-last)
 			last = now
 			b.UpdateServers(now, balance.ListFailed, nil)
 		}
 	}
-	if len(gaps) < 4 || slices.Max(gaps) >= cfg.AskWithin || gaps[0] >= gaps[len(gaps)-1] {
-		t.Fatalf("gaps between calls %v: want them to grow, and none to reach %v", gaps, cfg.AskWithin)
+	if len(intervals) < 4 || slices.Max(intervals) >= cfg.AskWithin || intervals[0] >= intervals[len(intervals)-1] {
+		t.Fatalf("times between list calls %v: want them to grow and stay below %v", intervals, cfg.AskWithin)
 	}
 	if b.serverByID(1) == nil {
-		t.Fatal("a failed call dropped the old list")
+		t.Fatal("a failed list call dropped the old list")
 	}
 	b.UpdateServers(40*time.Second, balance.ListFull, readyList(1))
 	for now := 40 * time.Second; now < 60*time.Second; now += 10 * ms {
 		b.Wake(now)
 	}
-	if h.watches != asked {
-		t.Fatal("asks again though it is subscribed")
+	if h.watches != calls {
+		t.Fatal("another list call though it is subscribed")
 	}
 }
 
@@ -636,7 +636,7 @@
 		b.Wake(now)
 	}
 	if h.watches < 2 {
-		t.Fatal("silence of the list service would have counted as being told")
+		t.Fatal("no second list call before AskWithin was over")
 	}
 }
 
@@ -651,7 +651,7 @@
 		b.Wake(now)
 	}
 	if h.watches != 3 {
-		t.Fatalf("asked %d times in 10 s, want at the start and every 4 s", h.watches)
+		t.Fatalf("%d list calls in 10 s, want one at the start and every 4 s", h.watches)
 	}
 }
 
@@ -688,11 +688,11 @@
 	sendRequest(b, 0, 1, safeClass)
 	b.ClientGone(ms, 1)
 	if len(h.cancelled) != 1 || b.SlotsFree(0) != 5 {
-		t.Fatal("the attempt was not called off, or its slot freed before it ended")
+		t.Fatal("the attempt was not cancelled, or its slot was freed before it ended")
 	}
 	endAttempt(b, 2*ms, 1, 0, balance.Cancelled)
 	if len(h.refused)+len(h.failed) != 0 || len(b.requests) != 0 || b.SlotsFree(0) != 6 {
-		t.Fatalf("answers %d, held %d", len(h.refused)+len(h.failed), len(b.requests))
+		t.Fatalf("%d answers, %d requests still held, want none", len(h.refused)+len(h.failed), len(b.requests))
 	}
 }
 
@@ -704,7 +704,7 @@
 		b.Wake(now)
 	}
 	if len(h.refused)+len(h.failed)+len(h.cancelled) != 0 || len(h.sends) != 1 {
-		t.Fatal("a stream that had begun was answered, called off or sent again")
+		t.Fatal("a started stream was answered, cancelled or sent again")
 	}
 	b.Outcome(11*time.Second, balance.Outcome{ID: 1, Ending: balance.Broken, Settled: true})
 	if len(b.requests) != 0 {
@@ -734,7 +734,7 @@
 		late += h.watches
 	}
 	if early < 10 || early > 30 || late < 40 {
-		t.Errorf("%d of 40 asked in the first second, %d in two; want about half, and all", early, late)
+		t.Errorf("%d of 40 balancers called in the first second, %d in two; want about half, and all", early, late)
 	}
 	cfg := testConfig()
 	cfg.AskList, cfg.Balancers = true, 40
@@ -746,7 +746,7 @@
 	b.Start(0)
 	b.UpdateServers(0, balance.ListCached, nil)
 	if h.watches != 1 {
-		t.Errorf("asked %d times with nothing known, want once and at once", h.watches)
+		t.Errorf("%d list calls at once with no server known, want 1", h.watches)
 	}
 }
 
@@ -789,9 +789,9 @@
 	for _, balancers := range []int{1, 4, 64} {
 		cfg.Balancers = balancers
 		b, _ := startBalancer(t, cfg, readyList(1))
-		whole := 100*1*slotAimShare + 2*slotDeviations*math.Sqrt(100*slotAimShare) + 2
-		if b.slots < 2 || float64(b.slots) > whole {
-			t.Errorf("%d balancers: %d slots, want 2 to %.0f", balancers, b.slots, whole)
+		limit := 100*1*slotAimShare + 2*slotDeviations*math.Sqrt(100*slotAimShare) + 2
+		if b.slots < 2 || float64(b.slots) > limit {
+			t.Errorf("%d balancers: %d slots, want 2 to %.0f", balancers, b.slots, limit)
 		}
 		if b.SlotsFree(0) < b.SlotsFree(1) || b.QueueFree(1) < 1 {
 			t.Errorf("%d balancers: compartments %d and %d", balancers, b.SlotsFree(0), b.SlotsFree(1))
@@ -806,7 +806,7 @@
 }
 
 func TestNewNamesTheInvalidField(t *testing.T) {
-	for field, spoil := range map[string]func(*balance.Config){
+	for field, invalidate := range map[string]func(*balance.Config){
 		"Balancers":     func(c *balance.Config) { c.Balancers = 0 },
 		"Classes":       func(c *balance.Config) { c.Classes = nil },
 		"MaxAttempts":   func(c *balance.Config) { c.MaxAttempts = 0 },
@@ -824,7 +824,7 @@
 		"MaxRetryAfter": func(c *balance.Config) { c.MaxRetryAfter = -1 },
 	} {
 		cfg := testConfig()
-		spoil(&cfg)
+		invalidate(&cfg)
 		if _, err := New(cfg, 1, newFakeHost()); err == nil || !strings.Contains(err.Error(), field) {
 			t.Errorf("%s: error %v does not name it", field, err)
 		}
@@ -848,18 +848,18 @@
 		sendRequest(b, 0, 1, safeClass)
 		sent[h.sends[0].to]++
 	}
-	light, heavy, most := 0, 0, 0
+	light, heavy, maxSends := 0, 0, 0
 	for id := range balance.ServerID(servers) {
 		n := sent[id*7]
-		most = max(most, n)
+		maxSends = max(maxSends, n)
 		if id%2 == 0 {
 			light += n
 		} else {
 			heavy += n
 		}
 	}
-	if light < balancers/6 || light > balancers/3 || most > 60 { // in proportion: 300 to the light ones, 30 to each heavy one
-		t.Fatalf("first sends: %d to light servers, %d to heavy ones, at most %d to one", light, heavy, most)
+	if light < balancers/6 || light > balancers/3 || maxSends > 60 { // in proportion: 300 to the light ones, 30 to each heavy one
+		t.Fatalf("first sends: %d to light servers, %d to heavy ones, at most %d to one", light, heavy, maxSends)
 	}
 }
 
@@ -867,7 +867,7 @@
 // learn that one is unresponsive. Together the subsets must still load all servers evenly.
 func TestSubsetsFollowTrafficAndCoverTheList(t *testing.T) {
 	const balancers, servers = 50, 100
-	cover := map[balance.ServerID]int{}
+	coverage := map[balance.ServerID]int{}
 	cfg := testConfig()
 	cfg.Balancers = balancers
 	cfg.Tenants = []balance.Tenant{{Share: 1, Quota: 9 * balancers}}
@@ -879,19 +879,19 @@
 		}
 		b, _ := startBalancer(t, cfg, list)
 		if got := len(b.subset); got != 9 { // 9 requests per second, one turn per second
-			t.Fatalf("an arc of %d servers, want 9", got)
+			t.Fatalf("a subset of %d servers, want 9", got)
 		}
 		for _, s := range b.subset {
-			cover[s.ID]++
+			coverage[s.ID]++
 		}
 	}
-	for id, n := range cover {
+	for id, n := range coverage {
 		if n < 3 || n > 6 { // evenly 4.5
-			t.Errorf("server %d lies in %d arcs", id, n)
+			t.Errorf("server %d is in %d subsets, want about 4.5", id, n)
 		}
 	}
-	if len(cover) != servers {
-		t.Errorf("%d servers covered", len(cover))
+	if len(coverage) != servers {
+		t.Errorf("%d servers covered, want all", len(coverage))
 	}
 	cfg.Balancers = 3
 	b, _ := startBalancer(t, cfg, readyList(1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16, 17, 18, 19, 20))
@@ -900,7 +900,7 @@
 		endAttempt(b, time.Duration(i)*10*ms+5*ms, balance.RequestID(i), 0, balance.Served)
 	}
 	if got := len(b.subset); got != 20 {
-		t.Fatalf("a busy balancer keeps to %d of 20 servers", got)
+		t.Fatalf("a busy balancer sends to %d of 20 servers, want all", got)
 	}
 }
 
@@ -916,7 +916,7 @@
 		b.UpdateServers(began, balance.ListFull, readyList(1, 2))
 		sendRequest(b, began+20*ms, 1, safeClass)
 		if b.rate < 49 || b.rate > 51 { // half of the quotas' sum
-			t.Errorf("started at %v: %.1f requests a second after the first, want about 50", began, b.rate)
+			t.Errorf("started at %v: a rate of %.1f requests per second after the first, want about 50", began, b.rate)
 		}
 	}
 }
@@ -935,7 +935,7 @@
 		cfg.Tenants = []balance.Tenant{{Share: 1, Quota: 2000}}
 		b, _ := startBalancer(t, cfg, list)
 		if got := len(b.subset); got != want && got != want+1 { // 25 or 400 requests per second each
-			t.Errorf("%d balancers: an arc of %d of 60 servers, want %d", balancers, got, want)
+			t.Errorf("%d balancers: a subset of %d of 60 servers, want %d", balancers, got, want)
 		}
 		if sharers := float64(balancers*len(b.subset)) / 60; sharers > maxSharersPerServer+1 {
 			t.Errorf("%d balancers: %.1f share a server", balancers, sharers)
@@ -943,7 +943,7 @@
 		b.rate *= 3
 		b.updateSubset()
 		if got := len(b.subset); got < min(3*want, 60) {
-			t.Errorf("%d balancers: an arc of %d for three times the traffic", balancers, got)
+			t.Errorf("%d balancers: a subset of %d for three times the traffic", balancers, got)
 		}
 	}
 }
@@ -994,12 +994,12 @@
 			}
 		}
 		warmth := 0.3 + 0.7*(from-10*time.Second).Seconds()/8
-		if most := 3 * 40 * warmth; float64(got) > most {
-			t.Fatalf("%d sends to the cold server in the second from %v, at most %.0f", got, from, most)
+		if limit := 3 * 40 * warmth; float64(got) > limit {
+			t.Fatalf("%d sends to the cold server in the second from %v, at most %.0f", got, from, limit)
 		}
 	}
 	if len(times) < 20 {
-		t.Fatalf("only %d sends: the test shows nothing", len(times))
+		t.Fatalf("only %d sends, too few for the test", len(times))
 	}
 }
 
@@ -1031,16 +1031,16 @@
 	b.ClientGone(30*ms, 1)
 	b.Wake(40 * ms)
 	if got := sentIDs(h); len(got) != 5 {
-		t.Fatalf("sent %v though the attempt of 1 is still out", got)
+		t.Fatalf("sent %v though the attempt of 1 is still in flight", got)
 	}
 	endAttempt(b, 50*ms, 1, 0, balance.Cancelled)
 	b.Wake(140 * ms)
 	if got := sentIDs(h); len(got) != 5 {
-		t.Fatalf("sent %v though the cancelled attempt may still run", got)
+		t.Fatalf("sent %v though the cancelled attempt may still be running", got)
 	}
 	b.Wake(160 * ms)
 	if got := sentIDs(h); !slices.Equal(got, []balance.RequestID{0, 3, 4, 0, 1, 2}) {
-		t.Fatalf("sent %v, want 2 once the key has rested", got)
+		t.Fatalf("sent %v, want 2 once OrderSettle is over", got)
 	}
 }
 
@@ -1058,7 +1058,7 @@
 	n := len(h.sends)
 	endAttempt(b, ms, h.sends[n-1].id, 0, balance.Served)
 	if len(h.sends) != n+1 || h.sends[n].id == 1 {
-		t.Fatalf("sends %+v, want the one behind the key", h.sends[n:])
+		t.Fatalf("sends %+v, want the request queued behind the one that waits for its key", h.sends[n:])
 	}
 }
 
@@ -1085,17 +1085,17 @@
 		return len(h.sends) - n
 	}
 	if try(0, 1, safeClass) != 2 || try(0, 2, unsafeClass) != 2 || try(0, 3, unsafeClass) != 1 {
-		t.Fatalf("sends %+v: want one free further attempt and one for two requests", h.sends)
+		t.Fatalf("sends %+v: want one free retry and one for two requests", h.sends)
 	}
 	if _, ok := h.refused[3]; !ok {
-		t.Fatal("a request that never ran and met the end of the budget is not refused")
+		t.Fatal("a request that never ran and has no retry budget left was not refused")
 	}
 	// Exactly one span later the requests no longer count, but the retries sent at that time still do.
 	if n := try(time.Second, 4, safeClass); n != 1 {
-		t.Fatalf("%d sends at the window's edge, want 1", n)
+		t.Fatalf("%d sends at the edge of the span, want 1", n)
 	}
 	if n := try(time.Second+1, 5, safeClass); n != 2 {
-		t.Fatalf("%d sends once the window has passed, want 2", n)
+		t.Fatalf("%d sends after the span, want 2", n)
 	}
 }
 
@@ -1124,20 +1124,20 @@
 	sendRequest(b, 0, 1, safeClass)
 	b.UpdateServers(10*ms, balance.ListDelta, []balance.Server{{ID: 1, State: balance.Draining}})
 	if len(h.closes) != 1 {
-		t.Fatalf("%d closes at the notice", len(h.closes))
+		t.Fatalf("%d closes when the server starts draining, want 1", len(h.closes))
 	}
 	endAttempt(b, 400*ms, 1, 0, balance.Served)
 	if len(h.closes) != 2 {
-		t.Fatalf("%d closes after the outcome", len(h.closes))
+		t.Fatalf("%d closes after the outcome, want 2", len(h.closes))
 	}
 	b.Wake(700*ms - 1)
 	if len(h.closes) != 3 {
-		t.Fatalf("%d closes within the time", len(h.closes))
+		t.Fatalf("%d closes within CloseWithin, want 3", len(h.closes))
 	}
 	b, h = startBalancer(t, testConfig(), readyList(1))
 	b.UpdateServers(10*ms, balance.ListDelta, []balance.Server{{ID: 1, State: balance.Draining}})
 	if len(h.closes) != 0 {
-		t.Fatal("closed though no time is set")
+		t.Fatal("closed though CloseWithin is not set")
 	}
 }
 
@@ -1164,25 +1164,25 @@
 			return h.sentTo(1) - before
 		}
 		if n := run(400, ending); n > 40 {
-			t.Errorf("ending %d: a server that only fails got %d of 400 sends, evenly 100", ending, n)
+			t.Errorf("ending %d: a server that always fails got %d of 400 sends, an even part is 100", ending, n)
 		}
 		run(200, balance.Served)
 		if n := run(100, balance.Served); n < 12 {
-			t.Errorf("ending %d: well again it got %d of 100 sends, evenly 25", ending, n)
+			t.Errorf("ending %d: after recovery it got %d of 100 sends, an even part is 25", ending, n)
 		}
 	}
 }
 
 // Guards against a thousand balancers with a slot each that keep sending requests which are all answered late.
 func TestAdmissionFollowsTimelyResponses(t *testing.T) {
-	sent := func(end1 balance.Ending, took time.Duration) int {
+	sent := func(ending balance.Ending, took time.Duration) int {
 		b, h := startBalancer(t, testConfig(), readyList(1, 2, 3, 4))
 		for id := range balance.RequestID(200) {
 			now := time.Duration(id) * 500 * ms
 			n := len(h.sends)
 			sendRequest(b, now, id, unsafeClass)
 			if len(h.sends) > n {
-				endAttempt(b, now+took, id, 0, end1)
+				endAttempt(b, now+took, id, 0, ending)
 			}
 		}
 		return len(h.sends)
@@ -1194,7 +1194,7 @@
 		t.Errorf("%d of 200 sent while all are answered late", n)
 	}
 	if n := sent(balance.TimedOut, time.Second); n > 120 || n < 20 {
-		t.Errorf("%d of 200 sent while none is answered, want far fewer, but some", n)
+		t.Errorf("%d of 200 sent while none is answered, want 20 to 120", n)
 	}
 }
 
@@ -1216,7 +1216,7 @@
 func TestAdmissionReopensAfterRecovery(t *testing.T) {
 	b, h := startBalancer(t, testConfig(), readyList(1, 2, 3, 4))
 	const every = 5 * ms // 200 a second
-	let, ended := make([]int, 16), 0
+	admitted, ended := make([]int, 16), 0
 	for id := range balance.RequestID(16 * 200) {
 		now := time.Duration(id) * every
 		b.Wake(now)
@@ -1226,15 +1226,15 @@
 			outcome = balance.Served
 		}
 		for ; ended < len(h.sends); ended++ {
-			let[now/time.Second]++
+			admitted[now/time.Second]++
 			endAttempt(b, now+every/2, h.sends[ended].id, 0, outcome)
 		}
 	}
-	if let[4] > 40 {
-		t.Errorf("%d of 200 let in while none is answered", let[4])
+	if admitted[4] > 40 {
+		t.Errorf("%d of 200 admitted while none is answered", admitted[4])
 	}
-	if let[15] < 190 {
-		t.Errorf("%d of 200 let in 10 s after answers came in time again; by second %v", let[15], let)
+	if admitted[15] < 190 {
+		t.Errorf("%d of 200 admitted 10 s after recovery; by second %v", admitted[15], admitted)
 	}
 }
 
@@ -1245,15 +1245,15 @@
 	cfg.Classes[0].Worth, cfg.Classes[1].Worth = 1, 4
 	b, _ := startBalancer(t, cfg, readyList(1, 2))
 	b.admission = admissionStats{offered: 40, timely: 10}
-	var let [2]int
+	var admitted [2]int
 	for i := range 2000 {
 		b.admission = admissionStats{offered: 40, timely: 10}
 		if b.admit(0, &request{class: &b.classes[i%2]}) {
-			let[i%2]++
+			admitted[i%2]++
 		}
 	}
-	if let[0]*3 > let[1]*2 || let[0] == 0 {
-		t.Fatalf("let in %v of 1000 each, want the worthier class far ahead, and some of the other", let)
+	if admitted[0]*3 > admitted[1]*2 || admitted[0] == 0 {
+		t.Fatalf("admitted %v of 1000 each, want far more of the class with the higher worth, and some of the other", admitted)
 	}
 }
 
@@ -1294,8 +1294,8 @@
 		}
 		n := len(h.probes)
 		sendRequest(b, 4*time.Second, 1, safeClass)
-		if asked := len(h.probes) > n; asked == stale {
-			t.Errorf("stale %v: asked before sending %v", stale, asked)
+		if queried := len(h.probes) > n; queried == stale {
+			t.Errorf("stale %v: load queried before sending: %v", stale, queried)
 		}
 	}
 }
@@ -1337,19 +1337,19 @@
 func TestMaySendKeepsRule1(t *testing.T) {
 	b, _ := startBalancer(t, testConfig(), readyList(1))
 	for name, r := range map[string]*request{
-		"over":    {ended: true, deadline: time.Second},
-		"begun":   {streaming: true, deadline: time.Second},
-		"late":    {deadline: 100 * ms},
-		"out":     {deadline: time.Second, attemptsInFlight: 1},
-		"all out": {deadline: time.Second, attempts: make([]attempt, b.cfg.MaxAttempts)},
+		"answered":          {ended: true, deadline: time.Second},
+		"streaming":         {streaming: true, deadline: time.Second},
+		"late":              {deadline: 100 * ms},
+		"already in flight": {deadline: time.Second, attemptsInFlight: 1},
+		"out of attempts":   {deadline: time.Second, attempts: make([]attempt, b.cfg.MaxAttempts)},
 	} {
 		r.class = &b.classes[safeClass]
 		if b.maySend(100*ms, r, b.servers[0]) {
-			t.Errorf("a request that is %s may go", name)
+			t.Errorf("a request that is %s may be sent", name)
 		}
 	}
 	if !b.maySend(100*ms, &request{class: &b.classes[safeClass], deadline: time.Second}, b.servers[0]) {
-		t.Error("an ordinary request may not go")
+		t.Error("an ordinary request may not be sent")
 	}
 }
 
@@ -1361,7 +1361,7 @@
 	b, h := startBalancer(t, cfg, readyList(1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16, 17, 18, 19, 20))
 	b.rate, b.rateAt = 4, 0
 	b.updateSubset()
-	short := len(b.subset)
+	sizeBefore := len(b.subset)
 	for seen, now := 0, time.Duration(0); now < time.Second; now += 10 * ms {
 		b.Wake(now)
 		for ; seen < len(h.probes); seen++ {
@@ -1370,23 +1370,23 @@
 	}
 	b.rate, b.rateAt = 4, time.Second
 	sendRequest(b, time.Second, 1, safeClass)
-	if len(b.subset) < 2*short {
-		t.Fatalf("an arc of %d, %d before reports were found fresh", len(b.subset), short)
+	if len(b.subset) < 2*sizeBefore {
+		t.Fatalf("a subset of %d, and of %d before reports were found fresh", len(b.subset), sizeBefore)
 	}
 }
 
 // Guards against a partitioned zone whose time-outs hold back the requests for all other servers: time-outs of servers
 // that are known to be bad do not count as congestion.
 func TestTimeoutsOfBadServersAreNotCongestion(t *testing.T) {
-	for _, strained := range []bool{false, true} {
+	for _, bad := range []bool{false, true} {
 		b, _ := startBalancer(t, testConfig(), readyList(1))
-		if strained {
+		if bad {
 			b.serverByID(1).latencyRatio = failureLatencyRatio
 		}
 		sendRequest(b, 0, 1, unsafeClass)
 		endAttempt(b, time.Second, 1, 0, balance.TimedOut)
-		if crowd := b.congestion > 0; crowd == strained {
-			t.Errorf("strained %v: a time-out counts as crowding %v", strained, crowd)
+		if congested := b.congestion > 0; congested == bad {
+			t.Errorf("bad server %v: a time-out counts as congestion: %v", bad, congested)
 		}
 	}
 }
@@ -1403,35 +1403,35 @@
 	}
 	set := func(r balance.Rules) func(*Balancer) { return func(b *Balancer) { b.SetRules(ms, r) } }
 	for name, c := range map[string]struct {
-		happens         func(*Balancer)
-		withdrawn, more bool
+		event              func(*Balancer)
+		withdrawn, retried bool
 	}{
-		"drains":          {list(balance.ListDelta, balance.Draining, 1), true, true},
-		"gone":            {list(balance.ListDelta, balance.Gone, 1), true, true},
-		"in no full list": {list(balance.ListFull, balance.Ready, 2), true, true},
-		"out by hand":     {func(b *Balancer) { b.Disable(ms, 1) }, true, true},
-		"out by the set":  {set(balance.Rules{Servers: map[balance.ServerID]float64{1: 0}}), true, true},
-		"another drains":  {list(balance.ListDelta, balance.Draining, 2), false, false},
+		"drains":                  {list(balance.ListDelta, balance.Draining, 1), true, true},
+		"gone":                    {list(balance.ListDelta, balance.Gone, 1), true, true},
+		"absent from a full list": {list(balance.ListFull, balance.Ready, 2), true, true},
+		"disabled by an operator": {func(b *Balancer) { b.Disable(ms, 1) }, true, true},
+		"excluded by a rule set":  {set(balance.Rules{Servers: map[balance.ServerID]float64{1: 0}}), true, true},
+		"another drains":          {list(balance.ListDelta, balance.Draining, 2), false, false},
 		"restarted": {func(b *Balancer) {
 			b.UpdateServers(ms, balance.ListDelta, []balance.Server{{ID: 1, State: balance.Ready, Started: ms}})
 		}, false, false},
-		"its client leaves":  {func(b *Balancer) { b.ClientGone(ms, 1) }, true, false},
-		"its time is over":   {func(b *Balancer) { b.Wake(2 * time.Second) }, true, false},
-		"its answer streams": {func(b *Balancer) { b.StreamStarted(ms, 1, 0) }, false, false},
+		"client gone":        {func(b *Balancer) { b.ClientGone(ms, 1) }, true, false},
+		"deadline passed":    {func(b *Balancer) { b.Wake(2 * time.Second) }, true, false},
+		"response streaming": {func(b *Balancer) { b.StreamStarted(ms, 1, 0) }, false, false},
 	} {
 		cfg := testConfig()
 		cfg.MayCancel = false
 		b, h := startBalancer(t, cfg, readyList(1))
 		sendRequest(b, 0, 1, unsafeClass)
 		b.UpdateServers(0, balance.ListDelta, readyList(2))
-		if c.happens(b); (len(h.withdrawn) > 0) != c.withdrawn || len(h.cancelled) > 0 {
+		if c.event(b); (len(h.withdrawn) > 0) != c.withdrawn || len(h.cancelled) > 0 {
 			t.Errorf("%s: withdrawn %v, cancelled %v, want withdrawn: %v", name, h.withdrawn, h.cancelled, c.withdrawn)
 		}
 		if c.withdrawn {
 			endAttempt(b, 2*ms, 1, 0, balance.NotSent)
 		}
-		if h.sentTo(2) == 1 != c.more || b.SlotsFree(0) != 6-len(h.sends)+1 && c.withdrawn {
-			t.Errorf("%s: sent %v, %d slots free; want another server: %v", name, h.sends, b.SlotsFree(0), c.more)
+		if h.sentTo(2) == 1 != c.retried || b.SlotsFree(0) != 6-len(h.sends)+1 && c.withdrawn {
+			t.Errorf("%s: sent %v, %d slots free; want another server: %v", name, h.sends, b.SlotsFree(0), c.retried)
 		}
 	}
 }
@@ -1445,6 +1445,6 @@
 	sendRequest(b, 0, 1, safeClass)
 	endAttempt(b, 10*ms, 1, 0, balance.Errored)
 	if len(h.sends) != 2 {
-		t.Fatalf("%d attempts, %d refused, want the second one at once", len(h.sends), len(h.refused))
+		t.Fatalf("%d attempts, %d refused, want a second attempt at once", len(h.sends), len(h.refused))
 	}
 }
--- a/policy/random_test.go
+++ b/policy/random_test.go
@@ -58,97 +58,97 @@
 }
 
 // mayHaveRun returns the first attempt that may have run, or nil.
-func (a *requestRecord) mayHaveRun() *attemptRecord {
-	for i := range a.attempts {
-		if e := a.attempts[i].end; a.attempts[i].inFlight || (e != balance.TurnedAway && e != balance.NoConnection && e != balance.NotSent) {
-			return &a.attempts[i]
+func (r *requestRecord) mayHaveRun() *attemptRecord {
+	for i := range r.attempts {
+		if e := r.attempts[i].end; r.attempts[i].inFlight || (e != balance.TurnedAway && e != balance.NoConnection && e != balance.NotSent) {
+			return &r.attempts[i]
 		}
 	}
 	return nil
 }
 
-func (w *randomHost) note(format string, args ...any) {
-	w.trace = append(w.trace, fmt.Sprintf(format, args...))
+func (h *randomHost) note(format string, args ...any) {
+	h.trace = append(h.trace, fmt.Sprintf(format, args...))
 }
 
-func (w *randomHost) Send(id balance.RequestID, to balance.ServerID, timeout, unsent time.Duration) {
-	w.note("send %d %d %v", id, to, timeout)
-	a, s := w.requests[id], w.listed[to]
+func (h *randomHost) Send(id balance.RequestID, to balance.ServerID, timeout, sendWithin time.Duration) {
+	h.note("send %d %d %v", id, to, timeout)
+	r, s := h.requests[id], h.listed[to]
 	switch {
-	case a == nil || a.answered:
-		w.t.Fatalf("rule 1: attempt for request %d, which is over", id)
+	case r == nil || r.answered:
+		h.t.Fatalf("rule 1: attempt for request %d, which is answered or unknown", id)
 	case s.State != balance.Ready:
-		w.t.Fatalf("rule 3: attempt at server %d in state %d", to, s.State)
-	case excluded(w.rules, s):
-		w.t.Fatalf("rule 3: attempt at server %d of zone %d, which are excluded", to, s.Zone)
-	case timeout <= 0 || w.now+timeout > a.deadline:
-		w.t.Fatalf("rule 1: time-out %v at %v runs past the deadline %v", timeout, w.now, a.deadline)
-	case len(a.attempts) >= w.cfg.MaxAttempts:
-		w.t.Fatalf("attempt %d of at most %d", len(a.attempts)+1, w.cfg.MaxAttempts)
-	}
-	class := w.cfg.Classes[a.request.Class]
-	if first := a.mayHaveRun(); first != nil {
+		h.t.Fatalf("rule 3: attempt at server %d in state %d", to, s.State)
+	case excluded(h.rules, s):
+		h.t.Fatalf("rule 3: attempt at server %d of zone %d, which is excluded", to, s.Zone)
+	case timeout <= 0 || h.now+timeout > r.deadline:
+		h.t.Fatalf("rule 1: time-out %v at %v is after the deadline %v", timeout, h.now, r.deadline)
+	case len(r.attempts) >= h.cfg.MaxAttempts:
+		h.t.Fatalf("attempt %d of at most %d", len(r.attempts)+1, h.cfg.MaxAttempts)
+	}
+	class := h.cfg.Classes[r.request.Class]
+	if first := r.mayHaveRun(); first != nil {
 		switch {
 		case class.Idempotency == balance.Unsafe:
-			w.t.Fatalf("rule 2: unsafe request %d sent again though it may have run", id)
-		case class.Idempotency == balance.Keyed && w.now+cmp.Or(unsent, timeout) > first.sent+class.DedupWindow:
-			w.t.Fatalf("rule 2: keyed request %d may be sent again %v after the first send", id, w.now+cmp.Or(unsent, timeout)-first.sent)
+			h.t.Fatalf("rule 2: unsafe request %d sent again though it may have run", id)
+		case class.Idempotency == balance.Keyed && h.now+cmp.Or(sendWithin, timeout) > first.sent+class.DedupWindow:
+			h.t.Fatalf("rule 2: keyed request %d may be sent again %v after the first send", id, h.now+cmp.Or(sendWithin, timeout)-first.sent)
 		case class.Idempotency == balance.Keyed && class.Scope == balance.ScopeZone && s.Zone != first.to.Zone,
 			class.Idempotency == balance.Keyed && class.Scope == balance.ScopeCell && s.Cell != first.to.Cell:
-			w.t.Fatalf("rule 2: keyed request %d sent outside its group", id)
+			h.t.Fatalf("rule 2: keyed request %d sent outside its scope", id)
 		}
 	}
-	w.checkKeyOrder(a)
-	w.checkColdBudget(s)
-	if out := a.out(); out > 0 { // no setting allows two at a time
-		w.t.Fatalf("rule 2: request %d sent while %d of its attempts are out", id, out)
+	h.checkKeyOrder(r)
+	h.checkColdBudget(s)
+	if n := r.attemptsInFlight(); n > 0 { // no setting allows two at a time
+		h.t.Fatalf("rule 2: request %d sent while %d of its attempts are in flight", id, n)
 	}
-	if len(a.attempts) > 0 {
-		w.retryTimes = append(w.retryTimes, w.now)
+	if len(r.attempts) > 0 {
+		h.retryTimes = append(h.retryTimes, h.now)
 	}
-	if b := w.cfg.Budget; len(a.attempts) > 0 && b.Span > 0 {
-		n, taken := 0, 0
-		for _, t := range w.retryTimes {
-			if t >= max(w.now-b.Span, w.rulesSince) {
-				n++
+	if b := h.cfg.Budget; len(r.attempts) > 0 && b.Span > 0 {
+		retries, arrivals := 0, 0
+		for _, t := range h.retryTimes {
+			if t >= max(h.now-b.Span, h.rulesSince) {
+				retries++
 			}
 		}
-		for _, t := range w.requestTimes {
-			if t > w.now-b.Span {
-				taken++
+		for _, t := range h.requestTimes {
+			if t > h.now-b.Span {
+				arrivals++
 			}
 		}
-		if float64(n) > b.Free+b.Share*float64(taken)+1e-6 {
-			w.t.Fatalf("rule 6: %d further attempts in %v, in which %d requests were taken", n, b.Span, taken)
+		if float64(retries) > b.Free+b.Share*float64(arrivals)+1e-6 {
+			h.t.Fatalf("rule 6: %d retries in %v, in which %d requests arrived", retries, b.Span, arrivals)
 		}
 	}
-	a.attempts = append(a.attempts, attemptRecord{to: s, sent: w.now, inFlight: true, connecting: id%2 == 0})
+	r.attempts = append(r.attempts, attemptRecord{to: s, sent: h.now, inFlight: true, connecting: id%2 == 0})
 }
 
-func (w *randomHost) Withdraw(id balance.RequestID, attempt int) {
-	w.note("withdraw %d %d", id, attempt)
-	if tr := &w.requests[id].attempts[attempt]; tr.inFlight && tr.connecting {
-		tr.withdrawn = true
+func (h *randomHost) Withdraw(id balance.RequestID, attempt int) {
+	h.note("withdraw %d %d", id, attempt)
+	if a := &h.requests[id].attempts[attempt]; a.inFlight && a.connecting {
+		a.withdrawn = true
 	}
 }
 
 // checkWithdrawn checks that no attempt waits for a connection that must not be used once it is open.
-func (w *randomHost) checkWithdrawn() {
-	for id, a := range w.requests {
-		for _, tr := range a.attempts {
-			s, listed := w.listed[tr.to.ID]
-			leaves := !listed || s.State != balance.Ready || excluded(w.rules, s)
-			if tr.inFlight && tr.connecting && !tr.withdrawn && (a.answered || leaves) {
-				w.t.Fatalf("request %d, answered %v, still waits for its connection to server %d, %+v", id, a.answered, tr.to.ID, s)
+func (h *randomHost) checkWithdrawn() {
+	for id, r := range h.requests {
+		for _, a := range r.attempts {
+			s, listed := h.listed[a.to.ID]
+			outOfService := !listed || s.State != balance.Ready || excluded(h.rules, s)
+			if a.inFlight && a.connecting && !a.withdrawn && (r.answered || outOfService) {
+				h.t.Fatalf("request %d, answered %v, still waits for its connection to server %d, %+v", id, r.answered, a.to.ID, s)
 			}
 		}
 	}
 }
 
-// inFlight returns the number of attempts in flight.
-func (a *requestRecord) out() (n int) {
-	for _, tr := range a.attempts {
-		if tr.inFlight {
+// attemptsInFlight returns the number of attempts in flight.
+func (r *requestRecord) attemptsInFlight() (n int) {
+	for _, a := range r.attempts {
+		if a.inFlight {
 			n++
 		}
 	}
@@ -156,107 +156,107 @@
 }
 
 // checkColdBudget checks, at a send, that this balancer uses no more than an even part of a cold server's budget.
-func (w *randomHost) checkColdBudget(s balance.Server) {
-	age := w.now - s.Started
-	if s.Started == 0 || age >= w.cfg.ColdTime {
+func (h *randomHost) checkColdBudget(s balance.Server) {
+	age := h.now - s.Started
+	if s.Started == 0 || age >= h.cfg.ColdTime {
 		return
 	}
-	w.coldSends[s.ID] = append(w.coldSends[s.ID], w.now)
+	h.coldSends[s.ID] = append(h.coldSends[s.ID], h.now)
 	n := 0
-	for _, at := range w.coldSends[s.ID] {
-		if at > w.now-time.Second {
+	for _, at := range h.coldSends[s.ID] {
+		if at > h.now-time.Second {
 			n++
 		}
 	}
 	quota := 0.0
-	for _, t := range w.cfg.Tenants {
+	for _, t := range h.cfg.Tenants {
 		quota += t.Quota
 	}
-	warmth := w.cfg.ColdFrom + (1-w.cfg.ColdFrom)*float64(age)/float64(w.cfg.ColdTime)
-	if most := 1 + w.cfg.ColdMultiple*warmth*quota/float64(w.cfg.Balancers); float64(n) > most {
-		w.t.Fatalf("rule 4: %d sends in a second to server %d, cold for %v, at most %.1f", n, s.ID, age, most)
+	warmth := h.cfg.ColdFrom + (1-h.cfg.ColdFrom)*float64(age)/float64(h.cfg.ColdTime)
+	if limit := 1 + h.cfg.ColdMultiple*warmth*quota/float64(h.cfg.Balancers); float64(n) > limit {
+		h.t.Fatalf("rule 4: %d sends in a second to server %d, cold for %v, at most %.1f", n, s.ID, age, limit)
 	}
 }
 
 // checkKeyOrder checks rule 5, the order of requests per key, at a send.
-func (w *randomHost) checkKeyOrder(a *requestRecord) {
+func (h *randomHost) checkKeyOrder(r *requestRecord) {
 	ordered := func(o *requestRecord) bool {
-		return w.cfg.Classes[o.request.Class].InOrder && o.request.Key == a.request.Key && a.request.Key != 0
+		return h.cfg.Classes[o.request.Class].InOrder && o.request.Key == r.request.Key && r.request.Key != 0
 	}
-	if !ordered(a) {
+	if !ordered(r) {
 		return
 	}
-	for id, o := range w.requests {
-		out := slices.ContainsFunc(o.attempts, func(tr attemptRecord) bool { return tr.inFlight })
-		if o != a && ordered(o) && o.arrival < a.arrival && (!o.answered || out) {
-			w.t.Fatalf("rule 5: request %d sent while %d of its key is not over", a.request.ID, id)
+	for id, o := range h.requests {
+		inFlight := slices.ContainsFunc(o.attempts, func(tr attemptRecord) bool { return tr.inFlight })
+		if o != r && ordered(o) && o.arrival < r.arrival && (!o.answered || inFlight) {
+			h.t.Fatalf("rule 5: request %d sent while request %d of its key is not ended", r.request.ID, id)
 		}
 	}
-	if len(a.attempts) == 0 && w.now < w.keySettledAt[a.request.Key] {
-		w.t.Fatalf("rule 5: request %d sent %v before its key has rested", a.request.ID, w.keySettledAt[a.request.Key]-w.now)
+	if len(r.attempts) == 0 && h.now < h.keySettledAt[r.request.Key] {
+		h.t.Fatalf("rule 5: request %d sent %v before OrderSettle of its key is over", r.request.ID, h.keySettledAt[r.request.Key]-h.now)
 	}
 }
 
 // checkIdleClosed checks rule 7: idle connections to draining servers are closed in time.
-func (w *randomHost) checkIdleClosed() {
-	for id, until := range w.closeIdleBy {
-		if w.now > until {
-			w.t.Fatalf("rule 7: connections to server %d not closed %v after their time", id, w.now-until)
+func (h *randomHost) checkIdleClosed() {
+	for id, until := range h.closeIdleBy {
+		if h.now > until {
+			h.t.Fatalf("rule 7: idle connections to server %d still open %v after they had to be closed", id, h.now-until)
 		}
 	}
 }
 
 // mustClose sets the time by which idle connections to a server must be closed, if it is draining.
-func (w *randomHost) mustClose(id balance.ServerID) {
-	if w.cfg.CloseWithin > 0 && w.listed[id].State == balance.Draining {
-		w.closeIdleBy[id] = w.now + w.cfg.CloseWithin
+func (h *randomHost) mustClose(id balance.ServerID) {
+	if h.cfg.CloseWithin > 0 && h.listed[id].State == balance.Draining {
+		h.closeIdleBy[id] = h.now + h.cfg.CloseWithin
 	}
 }
 
 // answer checks rule 1, one answer in time for each request, and returns the request.
-func (w *randomHost) answer(id balance.RequestID) *requestRecord {
-	a := w.requests[id]
-	if a == nil || a.answered {
-		w.t.Fatalf("rule 1: second answer for request %d, or one for a request not held", id)
+func (h *randomHost) answer(id balance.RequestID) *requestRecord {
+	r := h.requests[id]
+	if r == nil || r.answered {
+		h.t.Fatalf("rule 1: second answer for request %d, or the request is unknown", id)
 	}
-	if w.now > a.deadline+20*ms {
-		w.t.Fatalf("rule 1: answered %v after the deadline", w.now-a.deadline)
+	if h.now > r.deadline+20*ms {
+		h.t.Fatalf("rule 1: answered %v after the deadline", h.now-r.deadline)
 	}
-	a.answered = true
-	return a
+	r.answered = true
+	return r
 }
 
-func (w *randomHost) Refuse(id balance.RequestID, pause time.Duration, _ balance.Reason) {
-	w.note("refuse %d %v", id, pause)
-	a := w.answer(id)
-	class := w.cfg.Classes[a.request.Class]
-	if a.mayHaveRun() != nil && (class.Idempotency == balance.Unsafe || class.Idempotency == balance.Keyed && class.Scope != balance.ScopeAll) {
-		w.t.Fatalf("rule 2: request %d refused though it may have run", id)
+func (h *randomHost) Refuse(id balance.RequestID, retryAfter time.Duration, _ balance.Reason) {
+	h.note("refuse %d %v", id, retryAfter)
+	r := h.answer(id)
+	class := h.cfg.Classes[r.request.Class]
+	if r.mayHaveRun() != nil && (class.Idempotency == balance.Unsafe || class.Idempotency == balance.Keyed && class.Scope != balance.ScopeAll) {
+		h.t.Fatalf("rule 2: request %d refused though it may have run", id)
 	}
-	if pause < 0 || pause > w.cfg.MaxRetryAfter {
-		w.t.Fatalf("pause %v", pause)
+	if retryAfter < 0 || retryAfter > h.cfg.MaxRetryAfter {
+		h.t.Fatalf("retry delay %v", retryAfter)
 	}
 }
 
-func (w *randomHost) Fail(id balance.RequestID, _ balance.Reason) {
-	w.note("fail %d", id)
-	w.answer(id)
+func (h *randomHost) Fail(id balance.RequestID, _ balance.Reason) {
+	h.note("fail %d", id)
+	h.answer(id)
 }
-func (w *randomHost) Cancel(id balance.RequestID, attempt int) { w.note("cancel %d %d", id, attempt) }
-func (w *randomHost) Wake(d time.Duration)                     { w.note("wake %v", d) }
-func (w *randomHost) Probe(to balance.ServerID)                { w.note("probe %d", to) }
-func (w *randomHost) CloseIdle(to balance.ServerID) {
-	w.note("close %d", to)
-	delete(w.closeIdleBy, to)
+func (h *randomHost) Cancel(id balance.RequestID, attempt int) { h.note("cancel %d %d", id, attempt) }
+func (h *randomHost) Wake(d time.Duration)                     { h.note("wake %v", d) }
+func (h *randomHost) Probe(to balance.ServerID)                { h.note("probe %d", to) }
+func (h *randomHost) CloseIdle(to balance.ServerID) {
+	h.note("close %d", to)
+	delete(h.closeIdleBy, to)
 }
-func (w *randomHost) WatchList()      { w.note("watch"); w.watches++ }
-func (w *randomHost) Log(line string) { w.note("log %s", line) }
+func (h *randomHost) WatchList()      { h.note("watch"); h.watches++ }
+func (h *randomHost) Log(line string) { h.note("log %s", line) }
 
 // excluded reports whether a rule set excludes a server.
 func excluded(r balance.Rules, s balance.Server) bool {
-	m, ok := r.Servers[s.ID]
-	z, zok := r.Zones[s.Zone]
-	return ok && m == 0 || zok && z == 0
+	multiple, ok := r.Servers[s.ID]
+	zoneMultiple, zoneOK := r.Zones[s.Zone]
+	return ok && multiple == 0 || zoneOK && zoneMultiple == 0
 }
 
 // randomRules returns a rule set that is valid for these settings, now and then the empty one.
@@ -285,22 +285,22 @@
 }
 
 // setRules puts a rule set in force and updates w.cfg.
-func (w *randomHost) setRules(settings balance.Config, r balance.Rules) {
-	for id, s := range w.listed {
-		if w.cfg.CloseWithin > 0 && s.State == balance.Ready && excluded(r, s) && !excluded(w.rules, s) {
-			w.closeIdleBy[id] = w.now + w.cfg.CloseWithin
+func (h *randomHost) setRules(settings balance.Config, r balance.Rules) {
+	for id, s := range h.listed {
+		if h.cfg.CloseWithin > 0 && s.State == balance.Ready && excluded(r, s) && !excluded(h.rules, s) {
+			h.closeIdleBy[id] = h.now + h.cfg.CloseWithin
 		}
 	}
-	w.rules, w.rulesSince, w.cfg = r, w.now, settings
-	w.cfg.MaxAttempts = cmp.Or(r.MaxAttempts, settings.MaxAttempts)
+	h.rules, h.rulesSince, h.cfg = r, h.now, settings
+	h.cfg.MaxAttempts = cmp.Or(r.MaxAttempts, settings.MaxAttempts)
 	if r.Tenants != nil {
-		w.cfg.Tenants = r.Tenants
+		h.cfg.Tenants = r.Tenants
 	}
 	if r.Budget != nil {
-		w.cfg.Budget = *r.Budget
+		h.cfg.Budget = *r.Budget
 	}
-	clear(w.coldSends) // cold budgets depend on the quotas
-	w.b.SetRules(w.now, r)
+	clear(h.coldSends) // cold budgets depend on the quotas
+	h.b.SetRules(h.now, r)
 }
 
 // playRandomEvents plays a number of random events, with or without rule sets and fleet updates, and returns the trace
@@ -320,113 +320,113 @@
 		cfg.Classes[i].InOrder = pick(2) == 0
 	}
 	cfg.CrossZonePrice = float64(pick(2)) * 0.02
-	w := &randomHost{t: t, cfg: cfg, requests: map[balance.RequestID]*requestRecord{}, listed: map[balance.ServerID]balance.Server{}, now: time.Hour}
-	w.coldSends = map[balance.ServerID][]time.Duration{}
-	w.listStable = pick(2) == 0
-	w.keySettledAt, w.closeIdleBy = map[uint64]time.Duration{}, map[balance.ServerID]time.Duration{}
-	b, err := New(cfg, uint64(pick(1000)), w)
+	h := &randomHost{t: t, cfg: cfg, requests: map[balance.RequestID]*requestRecord{}, listed: map[balance.ServerID]balance.Server{}, now: time.Hour}
+	h.coldSends = map[balance.ServerID][]time.Duration{}
+	h.listStable = pick(2) == 0
+	h.keySettledAt, h.closeIdleBy = map[uint64]time.Duration{}, map[balance.ServerID]time.Duration{}
+	b, err := New(cfg, uint64(pick(1000)), h)
 	if err != nil {
 		t.Fatal(err)
 	}
-	w.b, w.sets, w.slotsInUse = b, sets, make([]int, len(cfg.Tenants))
-	b.Start(w.now)
+	h.b, h.sets, h.slotsInUse = b, sets, make([]int, len(cfg.Tenants))
+	b.Start(h.now)
 	for range steps {
 		if sets && pick(12) == 0 {
-			w.setFleet(pick)
+			h.setFleet(pick)
 		}
 		if sets && pick(12) == 0 {
-			w.setRules(cfg, randomRules(t, cfg, pick))
+			h.setRules(cfg, randomRules(t, cfg, pick))
 		}
-		w.step(pick)
-		w.checkIdleClosed()
-		w.checkCounts()
-		w.checkWithdrawn()
+		h.step(pick)
+		h.checkIdleClosed()
+		h.checkCounts()
+		h.checkWithdrawn()
 	}
 	for range 600 { // all remaining requests must be answered in time
-		w.now += 5 * ms
-		w.endTimedOut()
-		b.Wake(w.now)
-		w.checkCounts()
-		w.checkIdleClosed()
-	}
-	for id, a := range w.requests {
-		if !a.answered {
+		h.now += 5 * ms
+		h.endTimedOut()
+		b.Wake(h.now)
+		h.checkCounts()
+		h.checkIdleClosed()
+	}
+	for id, r := range h.requests {
+		if !r.answered {
 			t.Fatalf("rule 1: request %d was never answered", id)
 		}
 	}
 	if len(b.requests) != 0 || b.inFlight != 0 {
 		t.Fatalf("%d requests and %d attempts are still held", len(b.requests), b.inFlight)
 	}
-	return w.trace
+	return h.trace
 }
 
 // setFleet announces the configured number of balancers with arbitrary traffic, and checks the subset and the turns.
-func (w *randomHost) setFleet(pick func(int) int) {
-	f := balance.Fleet{Present: w.cfg.Balancers, Agreed: pick(2) == 0}
+func (h *randomHost) setFleet(pick func(int) int) {
+	f := balance.Fleet{Present: h.cfg.Balancers, Agreed: pick(2) == 0}
 	for range pick(8) {
 		rate := []float64{1, 20, 0.1, 0, -1, 1e9, math.NaN(), math.Inf(1)}[pick(8)]
 		f.Sharers = append(f.Sharers, balance.Sharer{Index: pick(5) - 1, Zone: pick(3), Rate: rate})
 	}
-	w.b.SetFleet(w.now, f)
-	for _, s := range w.b.readyServers() {
+	h.b.SetFleet(h.now, f)
+	for _, s := range h.b.readyServers() {
 		if !(s.turnMultiple >= 1/maxTurnMultiple && s.turnMultiple <= maxTurnMultiple) {
-			w.t.Fatalf("server %d has turns %v by %+v", s.ID, s.turnMultiple, f.Sharers)
+			h.t.Fatalf("server %d has a turn multiple of %v by %+v", s.ID, s.turnMultiple, f.Sharers)
 		}
 	}
-	away := slices.ContainsFunc(w.b.subset, func(s *server) bool { return !s.inService() })
-	if away || len(w.b.subset) == 0 && len(w.b.readyServers()) > 0 {
-		w.t.Fatalf("an arc of %d by %+v, one of them away: %v", len(w.b.subset), f.Sharers, away)
+	outOfService := slices.ContainsFunc(h.b.subset, func(s *server) bool { return !s.inService() })
+	if outOfService || len(h.b.subset) == 0 && len(h.b.readyServers()) > 0 {
+		h.t.Fatalf("a subset of %d by %+v, with a server out of service: %v", len(h.b.subset), f.Sharers, outOfService)
 	}
 }
 
 // step plays one random event.
-func (w *randomHost) step(pick func(int) int) {
-	w.now += time.Duration(pick(8)) * ms
-	w.endTimedOut()
+func (h *randomHost) step(pick func(int) int) {
+	h.now += time.Duration(pick(8)) * ms
+	h.endTimedOut()
 	switch pick(10) {
 	case 0, 1, 2:
-		w.lastID++
-		q := balance.Request{ID: w.lastID, Class: pick(len(w.cfg.Classes)), Tenant: pick(2)}
+		h.lastID++
+		q := balance.Request{ID: h.lastID, Class: pick(len(h.cfg.Classes)), Tenant: pick(2)}
 		q.TimeLeft = time.Duration(1+pick(2000)) * ms
 		q.Key = uint64(pick(4))
-		w.requests[q.ID] = &requestRecord{request: q, deadline: w.now + q.TimeLeft, arrival: int(w.lastID)}
-		w.requestTimes = append(w.requestTimes, w.now)
-		w.requestIDs = append(w.requestIDs, q.ID)
-		w.b.Request(w.now, q)
+		h.requests[q.ID] = &requestRecord{request: q, deadline: h.now + q.TimeLeft, arrival: int(h.lastID)}
+		h.requestTimes = append(h.requestTimes, h.now)
+		h.requestIDs = append(h.requestIDs, q.ID)
+		h.b.Request(h.now, q)
 	case 3, 4, 5:
-		w.finish(pick)
+		h.finish(pick)
 	case 6:
-		w.b.Wake(w.now)
+		h.b.Wake(h.now)
 	case 7:
-		if !w.listStable || len(w.listed) == 0 || pick(30) == 0 {
-			w.updateServers(pick)
+		if !h.listStable || len(h.listed) == 0 || pick(30) == 0 {
+			h.updateServers(pick)
 		}
 	case 8:
-		w.b.Probed(w.now, balance.ServerID(pick(8)), pick(2) == 0, w.load(pick(200)))
+		h.b.Probed(h.now, balance.ServerID(pick(8)), pick(2) == 0, h.load(pick(200)))
 	case 9:
-		if len(w.requestIDs) > 0 {
-			if id := w.requestIDs[pick(len(w.requestIDs))]; !w.requests[id].answered {
-				w.requests[id].answered = true
-				w.b.ClientGone(w.now, id)
+		if len(h.requestIDs) > 0 {
+			if id := h.requestIDs[pick(len(h.requestIDs))]; !h.requests[id].answered {
+				h.requests[id].answered = true
+				h.b.ClientGone(h.now, id)
 			}
 		}
 	}
 }
 
 // finish ends one attempt in flight.
-func (w *randomHost) finish(pick func(int) int) {
+func (h *randomHost) finish(pick func(int) int) {
 	for range 4 {
-		if len(w.requestIDs) == 0 {
+		if len(h.requestIDs) == 0 {
 			return
 		}
-		id := w.requestIDs[pick(len(w.requestIDs))]
-		for i := range w.requests[id].attempts {
-			if w.requests[id].attempts[i].inFlight {
+		id := h.requestIDs[pick(len(h.requestIDs))]
+		for i := range h.requests[id].attempts {
+			if h.requests[id].attempts[i].inFlight {
 				e := []balance.Ending{balance.Served, balance.Errored, balance.TurnedAway, balance.NoConnection, balance.Broken, balance.Cancelled, balance.NotSent}[pick(7)]
-				if w.requests[id].attempts[i].withdrawn {
+				if h.requests[id].attempts[i].withdrawn {
 					e = balance.NotSent
 				}
-				w.end(id, i, e)
+				h.end(id, i, e)
 				return
 			}
 		}
@@ -434,50 +434,50 @@
 }
 
 // end ends attempt i of a request.
-func (w *randomHost) end(id balance.RequestID, i int, e balance.Ending) {
-	a := w.requests[id]
-	a.attempts[i].inFlight, a.attempts[i].end = false, e
-	settled := a.answered || e == balance.Served
-	a.answered = settled
-	if w.cfg.Classes[a.request.Class].InOrder && (e == balance.TimedOut || e == balance.Broken || e == balance.Cancelled) {
-		w.keySettledAt[a.request.Key] = w.now + w.cfg.OrderSettle
+func (h *randomHost) end(id balance.RequestID, i int, e balance.Ending) {
+	r := h.requests[id]
+	r.attempts[i].inFlight, r.attempts[i].end = false, e
+	settled := r.answered || e == balance.Served
+	r.answered = settled
+	if h.cfg.Classes[r.request.Class].InOrder && (e == balance.TimedOut || e == balance.Broken || e == balance.Cancelled) {
+		h.keySettledAt[r.request.Key] = h.now + h.cfg.OrderSettle
 	}
-	w.mustClose(a.attempts[i].to.ID)
-	w.b.Outcome(w.now, balance.Outcome{ID: id, Attempt: i, Ending: e, Settled: settled, Load: w.load(int(id))})
+	h.mustClose(r.attempts[i].to.ID)
+	h.b.Outcome(h.now, balance.Outcome{ID: id, Attempt: i, Ending: e, Settled: settled, Load: h.load(int(id))})
 }
 
 // endTimedOut wakes the Balancer as its timers would, and ends the attempts whose request has passed its deadline.
-func (w *randomHost) endTimedOut() {
-	w.b.Wake(w.now)
-	for _, id := range w.requestIDs {
-		for i := range w.requests[id].attempts {
-			if a := w.requests[id]; a.attempts[i].inFlight && w.now >= a.deadline {
-				w.end(id, i, balance.TimedOut)
+func (h *randomHost) endTimedOut() {
+	h.b.Wake(h.now)
+	for _, id := range h.requestIDs {
+		for i := range h.requests[id].attempts {
+			if r := h.requests[id]; r.attempts[i].inFlight && h.now >= r.deadline {
+				h.end(id, i, balance.TimedOut)
 			}
 		}
 	}
 }
 
 // updateServers plays a random server list event.
-func (w *randomHost) updateServers(pick func(int) int) {
+func (h *randomHost) updateServers(pick func(int) int) {
 	entry := func() balance.Server {
 		id := balance.ServerID(pick(8))
 		s := balance.Server{ID: id, Zone: int(id) % 2, Cell: int(id) / 2 % 2 * 2, State: balance.State(pick(3)), Weight: float64(pick(4))}
 		s.Cell += s.Zone // no two zones share a cell
 		if pick(4) == 0 {
-			s.Started = w.now - time.Duration(pick(10000))*ms
+			s.Started = h.now - time.Duration(pick(10000))*ms
 		}
 		return s
 	}
 	kind := balance.ListKind(pick(4))
 	if kind == balance.ListFailed {
-		w.b.UpdateServers(w.now, kind, nil)
+		h.b.UpdateServers(h.now, kind, nil)
 		return
 	}
 	var entries []balance.Server
-	before := maps.Clone(w.listed)
+	before := maps.Clone(h.listed)
 	if kind != balance.ListDelta {
-		clear(w.listed)
+		clear(h.listed)
 	}
 	for range pick(8) {
 		s := entry()
@@ -486,63 +486,63 @@
 		}
 		entries = append(entries, s)
 		if old, ok := before[s.ID]; !ok || s.Started > old.Started || old.State == balance.Gone {
-			delete(w.coldSends, s.ID)
+			delete(h.coldSends, s.ID)
 		}
-		w.listed[s.ID] = s
+		h.listed[s.ID] = s
 	}
 	if kind != balance.ListDelta {
-		clear(w.closeIdleBy)
+		clear(h.closeIdleBy)
 	}
 	for _, s := range entries {
-		delete(w.closeIdleBy, s.ID)
-		w.mustClose(s.ID)
+		delete(h.closeIdleBy, s.ID)
+		h.mustClose(s.ID)
 	}
-	w.b.UpdateServers(w.now, kind, entries)
+	h.b.UpdateServers(h.now, kind, entries)
 }
 
 // load returns a load report with the fields that the settings name, now and then the zero value.
-func (w *randomHost) load(n int) balance.Load {
+func (h *randomHost) load(n int) balance.Load {
 	if n%3 == 0 {
 		return balance.Load{}
 	}
-	return balance.Load{Has: w.cfg.Reports, InFlight: float64(n % 40), Busy: float64(n%11) / 10,
+	return balance.Load{Has: h.cfg.Reports, InFlight: float64(n % 40), Busy: float64(n%11) / 10,
 		Service: time.Duration(n%7) * 20 * ms}
 }
 
 // checkCounts checks that slots and attempts in flight are counted exactly, and drops the records of ended requests.
-func (w *randomHost) checkCounts() {
-	used := make([]int, len(w.cfg.Tenants))
-	out := 0
-	for _, a := range w.requests {
-		for _, tr := range a.attempts {
-			if tr.inFlight {
-				used[a.request.Tenant]++
-				out++
+func (h *randomHost) checkCounts() {
+	used := make([]int, len(h.cfg.Tenants))
+	inFlight := 0
+	for _, r := range h.requests {
+		for _, a := range r.attempts {
+			if a.inFlight {
+				used[r.request.Tenant]++
+				inFlight++
 			}
 		}
 	}
-	for i, c := range w.b.compartments {
-		if most := max(c.slots, w.slotsInUse[i]); c.slotsInUse != used[i] || c.slotsInUse > most || w.b.SlotsFree(i) < 0 || w.b.QueueFree(i) < 0 {
-			w.t.Fatalf("compartment %d: %d of %d slots used, %d before, %d attempts out", i, c.slotsInUse, c.slots, w.slotsInUse[i], used[i])
+	for i, c := range h.b.compartments {
+		if limit := max(c.slots, h.slotsInUse[i]); c.slotsInUse != used[i] || c.slotsInUse > limit || h.b.SlotsFree(i) < 0 || h.b.QueueFree(i) < 0 {
+			h.t.Fatalf("compartment %d: %d of %d slots in use, %d before, %d attempts in flight", i, c.slotsInUse, c.slots, h.slotsInUse[i], used[i])
 		}
-		w.slotsInUse[i] = used[i] // attempts beyond a shrunken compartment may finish
+		h.slotsInUse[i] = used[i] // attempts beyond a shrunken compartment may finish
 	}
-	if w.b.inFlight != out {
-		w.t.Fatalf("%d attempts counted, %d out", w.b.inFlight, out)
+	if h.b.inFlight != inFlight {
+		h.t.Fatalf("%d attempts counted, %d in flight", h.b.inFlight, inFlight)
 	}
-	for _, s := range w.b.servers {
+	for _, s := range h.b.servers {
 		if s.inFlight < 0 {
-			w.t.Fatalf("server %d holds %d", s.ID, s.inFlight)
+			h.t.Fatalf("server %d has %d attempts in flight", s.ID, s.inFlight)
 		}
 	}
-	if len(w.requestIDs) > 60 { // drop the ended requests
-		w.requestIDs = slices.DeleteFunc(w.requestIDs, func(id balance.RequestID) bool {
-			a := w.requests[id]
-			over := a.answered && !slices.ContainsFunc(a.attempts, func(tr attemptRecord) bool { return tr.inFlight })
-			if over {
-				delete(w.requests, id)
+	if len(h.requestIDs) > 60 { // drop the ended requests
+		h.requestIDs = slices.DeleteFunc(h.requestIDs, func(id balance.RequestID) bool {
+			a := h.requests[id]
+			ended := a.answered && !slices.ContainsFunc(a.attempts, func(tr attemptRecord) bool { return tr.inFlight })
+			if ended {
+				delete(h.requests, id)
 			}
-			return over
+			return ended
 		})
 	}
 }
--- a/policy/rules_test.go
+++ b/policy/rules_test.go
@@ -14,13 +14,13 @@
 
 // describeRulesState returns as text all the state of a Balancer that a rule set may change.
 func describeRulesState(b *Balancer) string {
-	s := fmt.Sprintf("%+v; %v servers hold %v at quota %v, slots %d, weight %v of %v, arc %v;",
+	s := fmt.Sprintf("%+v; first list %v, concurrency %v at quota %v, slots %d, weight %v, maximum %v, of the subset %v;",
 		b.cfg, b.firstListSize, b.quotaConcurrency, b.totalQuota, b.slots, b.readyWeight, b.maxReadyWeight, b.subsetWeight)
 	for _, p := range b.compartments {
 		s += fmt.Sprintf(" %d+%d", p.slots, p.queuePlaces)
 	}
 	for _, v := range b.servers {
-		s += fmt.Sprintf("; %d weighs %v, out %v, portion %v", v.ID, v.Weight, v.excluded, b.weightShare(float64(b.slots), v))
+		s += fmt.Sprintf("; server %d: weight %v, excluded %v, share %v", v.ID, v.Weight, v.excluded, b.weightShare(float64(b.slots), v))
 	}
 	for _, v := range b.subset {
 		s += fmt.Sprintf(" %d", v.ID)
@@ -40,16 +40,16 @@
 			cfg.Tenants = []balance.Tenant{{Share: 1}, {Share: 2}}
 		}
 		b, _ := startSeeded(t, cfg, seed, nil)
-		never, _ := startSeeded(t, cfg, seed, nil)
+		without, _ := startSeeded(t, cfg, seed, nil)
 		now := time.Duration(0)
 		for i := range balance.RequestID(80) {
 			now += time.Duration(rng.IntN(2000)) * ms
 			id, set := balance.ServerID(rng.IntN(9)), randomRules(t, cfg, rng.IntN)
 			entry := balance.Server{ID: id, Zone: int(id) % 3, State: balance.State(min(2, rng.IntN(5))), Weight: float64(1 + rng.IntN(9))}
 			fleet := balance.Fleet{Present: 1 + rng.IntN(40), Agreed: rng.IntN(3) > 0}
-			what, kind := rng.IntN(8), balance.ListKind(min(1, rng.IntN(20))) // a delta, now and then a full list
-			for _, x := range []*Balancer{b, never} {
-				switch what {
+			event, kind := rng.IntN(8), balance.ListKind(min(1, rng.IntN(20))) // a delta, now and then a full list
+			for _, x := range []*Balancer{b, without} {
+				switch event {
 				case 0, 4, 5:
 					x.UpdateServers(now, kind, []balance.Server{entry})
 				case 1:
@@ -68,10 +68,10 @@
 			}
 		}
 		b.SetRules(now, balance.Rules{})
-		never.sizeCompartments() // as SetRules does: the subset by the present traffic
-		never.recalculateWeights(now)
-		if got, want := describeRulesState(b), describeRulesState(never); got != want {
-			t.Fatalf("seed %d: after the empty set\n%s\nwith no set ever\n%s", seed, got, want)
+		without.sizeCompartments() // as SetRules does: the subset by the present traffic
+		without.recalculateWeights(now)
+		if got, want := describeRulesState(b), describeRulesState(without); got != want {
+			t.Fatalf("seed %d: after the empty rule set\n%s\nwithout rule sets\n%s", seed, got, want)
 		}
 	}
 }
@@ -82,12 +82,12 @@
 	for seed := range uint64(30) {
 		cfg := testConfig()
 		cfg.Balancers, cfg.Budget = 12, balance.RetryBudget{Span: time.Second, Free: 2, Share: 0.2}
-		play := func(told bool) []string {
+		play := func(apply bool) []string {
 			rng, sets := rand.New(rand.NewPCG(seed, 1)), rand.New(rand.NewPCG(seed, 2))
 			b, h := startSeeded(t, cfg, seed, readyList(1, 2, 3, 4, 5))
 			for i := range balance.RequestID(400) {
 				now := time.Duration(i) * 7 * ms
-				if set := randomRules(t, cfg, sets.IntN); told {
+				if set := randomRules(t, cfg, sets.IntN); apply {
 					set.Servers, set.Zones, set.Tenants = map[balance.ServerID]float64{2: 3, 4: 0.1, 9: 0}, map[int]float64{0: 0.5, 1: 0}, nil
 					b.SetRules(now, set)
 					b.SetRules(now, balance.Rules{})
@@ -101,7 +101,7 @@
 			return h.trace
 		}
 		if a, b := play(false), play(true); !slices.Equal(a, b) {
-			t.Fatalf("seed %d: %d actions without a set, %d with sets that were taken back at once, and not the same", seed, len(a), len(b))
+			t.Fatalf("seed %d: %d actions without rule sets and %d with sets that were reverted at once differ", seed, len(a), len(b))
 		}
 	}
 }
@@ -119,14 +119,14 @@
 		set := cfg
 		set.Tenants, set.Balancers = tenants, 40
 		b, _ := startBalancer(t, cfg, readyList(1, 2, 3))
-		like, _ := startBalancer(t, set, readyList(1, 2, 3))
+		same, _ := startBalancer(t, set, readyList(1, 2, 3))
 		b.SetFleet(ms, balance.Fleet{Present: 40})
 		b.SetRules(2*ms, balance.Rules{MaxAttempts: 2, Budget: &balance.RetryBudget{}, Tenants: []balance.Tenant{{}, {Share: 1}}})
 		b.SetRules(3*ms, balance.Rules{Tenants: tenants})
-		like.rate, like.cfg.Balancers = b.rate, cfg.Balancers // the measured rate, and the fleet's number set later
-		like.updateSubset()
-		if got, want := describeRulesState(b), describeRulesState(like); got != want {
-			t.Errorf("%s:\n%s\nwith such settings\n%s", name, got, want)
+		same.rate, same.cfg.Balancers = b.rate, cfg.Balancers // the measured rate, and the fleet's number set later
+		same.updateSubset()
+		if got, want := describeRulesState(b), describeRulesState(same); got != want {
+			t.Errorf("%s:\n%s\nwith the same settings\n%s", name, got, want)
 		}
 	}
 }
@@ -159,7 +159,7 @@
 	endAttempt(b, ms, 1, 0, balance.TurnedAway) // there is no other server: it waits in the queue
 	b.SetRules(2*ms, balance.Rules{MaxAttempts: 1})
 	if b.Wake(20 * ms); len(h.refused) != 1 {
-		t.Errorf("a request that has had its attempts is kept waiting")
+		t.Errorf("a request without attempts left is still queued")
 	}
 	b, h = startBalancer(t, testConfig(), readyList(1, 2, 3))
 	for i := range 6 {
@@ -169,13 +169,13 @@
 	b.SetRules(ms, balance.Rules{Tenants: []balance.Tenant{{Share: 1}, {Share: 99}}})
 	sendRequest(b, 2*ms, 10, safeClass)
 	if free := b.SlotsFree(0); held < 2 || len(h.sends) != held || free != 0 || b.QueueFree(0) < 0 || len(h.cancelled)+len(h.failed) > 0 {
-		t.Errorf("%d sends, then %d; %d slots free, %d called off", held, len(h.sends), free, len(h.cancelled))
+		t.Errorf("%d sends, then %d; %d slots free, %d cancelled", held, len(h.sends), free, len(h.cancelled))
 	}
 	for i := range held {
 		endAttempt(b, 3*ms, h.sends[i].id, 0, balance.Served)
 	}
 	if b.SlotsFree(0) > 1 || b.compartments[0].slotsInUse > 1 || len(h.sends) == held {
-		t.Errorf("after they ended: %d slots free, %d used, %d sends", b.SlotsFree(0), b.compartments[0].slotsInUse, len(h.sends))
+		t.Errorf("after they ended: %d slots free, %d in use, %d sends", b.SlotsFree(0), b.compartments[0].slotsInUse, len(h.sends))
 	}
 }
 
@@ -186,11 +186,11 @@
 		set  balance.Rules
 		want [4]float64 // shares of turns
 	}{
-		"none":         {balance.Rules{}, [4]float64{0.25, 0.25, 0.25, 0.25}},
-		"one doubled":  {balance.Rules{Servers: map[balance.ServerID]float64{1: 2}}, [4]float64{0.4, 0.2, 0.2, 0.2}},
-		"one out":      {balance.Rules{Servers: map[balance.ServerID]float64{3: 0}}, [4]float64{1. / 3, 1. / 3, 0, 1. / 3}},
-		"zone tripled": {balance.Rules{Zones: map[int]float64{1: 3}}, [4]float64{3. / 8, 1. / 8, 3. / 8, 1. / 8}},
-		"zone out":     {balance.Rules{Zones: map[int]float64{0: 0, 7: 0}}, [4]float64{0.5, 0, 0.5, 0}},
+		"none":          {balance.Rules{}, [4]float64{0.25, 0.25, 0.25, 0.25}},
+		"one doubled":   {balance.Rules{Servers: map[balance.ServerID]float64{1: 2}}, [4]float64{0.4, 0.2, 0.2, 0.2}},
+		"one excluded":  {balance.Rules{Servers: map[balance.ServerID]float64{3: 0}}, [4]float64{1. / 3, 1. / 3, 0, 1. / 3}},
+		"zone tripled":  {balance.Rules{Zones: map[int]float64{1: 3}}, [4]float64{3. / 8, 1. / 8, 3. / 8, 1. / 8}},
+		"zone excluded": {balance.Rules{Zones: map[int]float64{0: 0, 7: 0}}, [4]float64{0.5, 0, 0.5, 0}},
 		"both count": {balance.Rules{Servers: map[balance.ServerID]float64{1: 2}, Zones: map[int]float64{1: 0.5}},
 			[4]float64{2. / 7, 2. / 7, 1. / 7, 2. / 7}},
 		"all halved":     {balance.Rules{Zones: map[int]float64{0: 0.5, 1: 0.5}}, [4]float64{0.25, 0.25, 0.25, 0.25}},
@@ -201,7 +201,7 @@
 			list[i].Zone = int(list[i].ID) % 2
 		}
 		b, h := startBalancer(t, testConfig(), list)
-		part := b.weightShare(1, b.serverByID(2))
+		shareBefore := b.weightShare(1, b.serverByID(2))
 		b.SetRules(0, c.set)
 		last := map[balance.ServerID]int{}
 		const requests = 560
@@ -220,9 +220,9 @@
 				t.Errorf("%s: server %d had %.3f of turns, want %.3f", name, i+1, got, want)
 			}
 		}
-		same := strings.HasPrefix(name, "all") || strings.HasSuffix(name, "out") && c.want[1] > 0
-		if got := b.weightShare(1, b.serverByID(2)); same && math.Abs(got-part) > 1e-9 {
-			t.Errorf("%s: a server's part is %v, and %v before", name, got, part)
+		same := strings.HasPrefix(name, "all") || strings.HasSuffix(name, "excluded") && c.want[1] > 0
+		if got := b.weightShare(1, b.serverByID(2)); same && math.Abs(got-shareBefore) > 1e-9 {
+			t.Errorf("%s: a server's weight share is %v, and %v before", name, got, shareBefore)
 		}
 	}
 }
@@ -232,8 +232,8 @@
 func TestExcludedServer(t *testing.T) {
 	cfg := testConfig()
 	cfg.CloseWithin = 100 * ms
-	out := balance.Rules{Servers: map[balance.ServerID]float64{1: 0}}
-	one := func(state balance.State, started time.Duration) func(b *Balancer) {
+	excludeOne := balance.Rules{Servers: map[balance.ServerID]float64{1: 0}}
+	listOne := func(state balance.State, started time.Duration) func(b *Balancer) {
 		return func(b *Balancer) {
 			b.UpdateServers(time.Second, balance.ListDelta, []balance.Server{{ID: 1, State: state, Weight: 1, Started: started}})
 		}
@@ -243,28 +243,28 @@
 		serves bool // after the empty set
 		warmAt time.Duration
 	}{
-		"nothing":       {func(*Balancer) {}, true, 0},
-		"drains":        {one(balance.Draining, 0), false, 0},
-		"gone":          {one(balance.Gone, 0), false, 0},
-		"restarted":     {one(balance.Ready, time.Second), true, 9 * time.Second},
-		"out by hand":   {func(b *Balancer) { b.Disable(time.Second, 1) }, false, 0},
-		"out and back":  {func(b *Balancer) { b.Disable(time.Second, 1); b.Enable(time.Second, 1, time.Second) }, true, 9 * time.Second},
-		"gone and back": {func(b *Balancer) { one(balance.Gone, 0)(b); one(balance.Ready, 0)(b) }, true, 0},
-		"a set of another": {func(b *Balancer) {
+		"nothing":                 {func(*Balancer) {}, true, 0},
+		"drains":                  {listOne(balance.Draining, 0), false, 0},
+		"gone":                    {listOne(balance.Gone, 0), false, 0},
+		"restarted":               {listOne(balance.Ready, time.Second), true, 9 * time.Second},
+		"disabled by an operator": {func(b *Balancer) { b.Disable(time.Second, 1) }, false, 0},
+		"disabled and enabled":    {func(b *Balancer) { b.Disable(time.Second, 1); b.Enable(time.Second, 1, time.Second) }, true, 9 * time.Second},
+		"gone and back":           {func(b *Balancer) { listOne(balance.Gone, 0)(b); listOne(balance.Ready, 0)(b) }, true, 0},
+		"set excludes another too": {func(b *Balancer) {
 			b.SetRules(time.Second, balance.Rules{Servers: map[balance.ServerID]float64{1: 0, 2: 0}})
 		}, true, 0},
-		"a set unfit": {func(b *Balancer) { b.SetRules(time.Second, balance.Rules{MaxAttempts: 9}) }, true, 0},
+		"invalid set": {func(b *Balancer) { b.SetRules(time.Second, balance.Rules{MaxAttempts: 9}) }, true, 0},
 	} {
 		b, h := startBalancer(t, cfg, readyList(1, 2))
 		sendRequest(b, 0, 1, safeClass)
 		sendRequest(b, 0, 2, safeClass)
-		b.SetRules(ms, out)
+		b.SetRules(ms, excludeOne)
 		if !slices.Contains(h.closes, 1) || slices.Contains(h.closes, 2) || len(h.cancelled) > 0 {
-			t.Errorf("%s: closed %v, cancelled %v, want idle connections to 1 closed and what runs left", name, h.closes, h.cancelled)
+			t.Errorf("%s: closed %v, cancelled %v, want idle connections to server 1 closed and no attempt cancelled", name, h.closes, h.cancelled)
 		}
 		closed := len(h.closes)
-		if b.SetRules(ms, out); len(h.closes) != closed {
-			t.Errorf("%s: closed %v for a set that changes nothing", name, h.closes)
+		if b.SetRules(ms, excludeOne); len(h.closes) != closed {
+			t.Errorf("%s: closed %v for a rule set that changes nothing", name, h.closes)
 		}
 		endAttempt(b, 2*ms, 1, 0, balance.Served)
 		endAttempt(b, 2*ms, 2, 0, balance.Served)
@@ -279,23 +279,23 @@
 		}
 		c.during(b)
 		if try(2 * time.Second); h.sentTo(1) != before {
-			t.Errorf("%s: %d sends to a server that is excluded", name, h.sentTo(1)-before)
+			t.Errorf("%s: %d sends to an excluded server", name, h.sentTo(1)-before)
 		}
 		b.SetRules(10*time.Second, balance.Rules{})
 		if try(10 * time.Second); (h.sentTo(1) > before) != c.serves {
-			t.Errorf("%s: %d sends after the set's end, want some: %v", name, h.sentTo(1)-before, c.serves)
+			t.Errorf("%s: %d sends after the empty rule set, want some: %v", name, h.sentTo(1)-before, c.serves)
 		}
 		if s := b.serverByID(1); s != nil && s.warmAt != c.warmAt {
 			t.Errorf("%s: cold until %v, want %v", name, s.warmAt, c.warmAt)
 		}
 	}
 	b, h := startBalancer(t, cfg, readyList(2))
-	b.SetRules(0, out)
+	b.SetRules(0, excludeOne)
 	b.UpdateServers(ms, balance.ListDelta, readyList(1)) // excluded before it is listed
 	sendRequest(b, 2*ms, 1, safeClass)
 	sendRequest(b, 2*ms, 2, safeClass)
 	if listed, unavailable := b.ServerCounts(2 * ms); h.sentTo(1) > 0 || listed != 2 || unavailable != 1 || b.Disabled(1) {
-		t.Errorf("%d sends to a server that was excluded before it was listed; %d members, %d unavailable", h.sentTo(1), listed, unavailable)
+		t.Errorf("%d sends to a server that was excluded before it was listed; %d servers, %d unavailable", h.sentTo(1), listed, unavailable)
 	}
 }
 
@@ -319,7 +319,7 @@
 		}
 	}
 	if first < balancers/8 || first > balancers*2/5 {
-		t.Errorf("%d of %d balancers send to it at once, want about a quarter", first, balancers)
+		t.Errorf("%d of %d balancers send to the server at once, want about a quarter", first, balancers)
 	}
 }
 
--- a/policy/stream_test.go
+++ b/policy/stream_test.go
@@ -17,30 +17,30 @@
 	sendRequest(b, 0, 5, safeClass)
 	b.StreamStarted(ms, 5, 0)
 	if len(h.sends) != 6 || b.SlotsFree(0) != 6 || b.inFlight != 0 || b.Counters().Slow != 6 {
-		t.Fatalf("%d sends, %d slots free, %d out, want 6, all and none", len(h.sends), b.SlotsFree(0), b.inFlight)
+		t.Fatalf("%d sends, %d slots free, %d in flight, want 6, 6 and 0", len(h.sends), b.SlotsFree(0), b.inFlight)
 	}
 	for now := time.Duration(0); now < 10*time.Second; now += 10 * ms {
 		b.Wake(now)
 	}
 	if len(h.refused)+len(h.failed)+len(h.cancelled) != 0 {
-		t.Fatalf("a request was ended while its client sent or read: refused %v, failed %v", h.refused, h.failed)
+		t.Fatalf("a request was ended while its client was sending or reading: refused %v, failed %v", h.refused, h.failed)
 	}
 	now := 10 * time.Second
 	b.BodyEnded(now, 0, time.Second)
 	b.BodyEnded(now, 0, time.Second) // no further effect
 	if b.SlotsFree(0) != 5 || b.inFlight != 1 {
-		t.Fatalf("%d slots free, %d out, want 5 and 1: its body has come, so it is its server's work", b.SlotsFree(0), b.inFlight)
+		t.Fatalf("%d slots free, %d in flight, want 5 and 1 once the body is complete", b.SlotsFree(0), b.inFlight)
 	}
 	endAttempt(b, now+50*ms, 0, 0, balance.Served)
 	for id := balance.RequestID(1); id < 6; id++ {
 		b.Outcome(now, balance.Outcome{ID: id, Ending: balance.Broken, Settled: true})
 	}
 	if b.SlotsFree(0) != 6 || b.inFlight != 0 || len(b.requests) != 0 {
-		t.Fatalf("%d slots free, %d out, %d held after all have ended", b.SlotsFree(0), b.inFlight, len(b.requests))
+		t.Fatalf("%d slots free, %d in flight, %d requests held after all have ended", b.SlotsFree(0), b.inFlight, len(b.requests))
 	}
 	for _, s := range b.servers {
 		if s.inFlight != 0 {
-			t.Errorf("server %d is left with %d out", s.ID, s.inFlight)
+			t.Errorf("server %d is left with %d attempts in flight", s.ID, s.inFlight)
 		}
 	}
 }
@@ -65,13 +65,13 @@
 	b.BodyEnded(5*time.Second, 1, 500*ms)
 	b.Outcome(5*time.Second+100*ms, balance.Outcome{ID: 1, Ending: balance.Served, Settled: true})
 	if s := b.serverByID(1); s.latencyRatio > 1 || b.admission.timely == 0 {
-		t.Errorf("strain %v, good %v: its client's time counted against the server", s.latencyRatio, b.admission.timely)
+		t.Errorf("latency ratio %v, timely %v: the client's time counted against the server", s.latencyRatio, b.admission.timely)
 	}
 	b.Request(6*time.Second, balance.Request{ID: 2, Class: unsafeClass, TimeLeft: 500 * ms, BodyPending: true})
 	b.BodyEnded(6*time.Second, 2, 500*ms)
 	b.Wake(6*time.Second + 600*ms)
 	if !h.failed[2] {
-		t.Error("a request whose time is over since its last byte was not ended")
+		t.Error("a request whose time is over after its last byte was not ended")
 	}
 }
 
@@ -81,19 +81,19 @@
 	b, _ := startBalancer(t, testConfig(), readyList(1))
 	sendRequest(b, 0, 1, safeClass)
 	b.StreamStarted(50*ms, 1, 0)
-	good, strain := b.admission.timely, b.serverByID(1).latencyRatio
-	if good == 0 || strain > 1 {
-		t.Fatalf("good %v, strain %v as it begins", good, strain)
+	timely, latencyRatio := b.admission.timely, b.serverByID(1).latencyRatio
+	if timely == 0 || latencyRatio > 1 {
+		t.Fatalf("timely %v, latency ratio %v when it starts", timely, latencyRatio)
 	}
 	b.Outcome(20*time.Second, balance.Outcome{ID: 1, Ending: balance.Served, Settled: true})
-	if s := b.serverByID(1); b.admission.timely != good || s.latencyRatio != strain || b.congestion > 0.1 {
-		t.Errorf("its length told: good %v, strain %v, crowd %v", b.admission.timely, s.latencyRatio, b.congestion)
+	if s := b.serverByID(1); b.admission.timely != timely || s.latencyRatio != latencyRatio || b.congestion > 0.1 {
+		t.Errorf("its duration counted: timely %v, latency ratio %v, congestion %v", b.admission.timely, s.latencyRatio, b.congestion)
 	}
 	sendRequest(b, 20*time.Second, 2, safeClass)
 	b.StreamStarted(20*time.Second, 2, 0)
 	b.Outcome(40*time.Second, balance.Outcome{ID: 2, Ending: balance.TimedOut, Settled: true})
 	if s := b.serverByID(1); s.failures != 1 || b.congestion > 0.1 {
-		t.Errorf("a broken stream: %d failures, crowd %v, want one and none", s.failures, b.congestion)
+		t.Errorf("a broken stream: %d failures, congestion %v, want 1 and at most 0.1", s.failures, b.congestion)
 	}
 }
 
@@ -109,50 +109,50 @@
 	b.Request(0, balance.Request{ID: 2, Class: safeClass, TimeLeft: time.Second, BodyPending: true})
 	b.Outcome(10*ms, balance.Outcome{ID: 2, Ending: balance.NoConnection})
 	if len(h.sends) != 2 {
-		t.Fatalf("sends %v, want another for what is still held", h.sends)
+		t.Fatalf("sends %v, want a retry while the body is still held", h.sends)
 	}
 }
 
 // A response whose server stalls ends within half a second after the client's deadline. A response that makes progress,
 // or whose server has made longer pauses before, continues. Time in which the client is slower is not a pause.
 func TestStallDetector(t *testing.T) {
-	const owed = time.Second
+	const deadline = time.Second
 	for name, c := range map[string]struct {
 		pauses []time.Duration // successive pauses of the server
 		piece  int             // bytes received after each pause
 		idle   time.Duration   // time that the client took before the last wait
 		until  time.Duration   // limit of the last wait; 0: until 0.35 s after the deadline
 	}{
-		"stands from the start":         {nil, 0, 0, 0},
-		"stands behind some bytes":      {[]time.Duration{ms, ms, 400 * ms}, 100, 0, 0},
-		"stands just before the time":   {[]time.Duration{20 * ms, 20 * ms, 200 * ms, 200 * ms, 200 * ms, 200 * ms, 150 * ms}, 100, 0, 0},
-		"stands just behind it":         {[]time.Duration{200 * ms, 200 * ms, 200 * ms, 200 * ms, 210 * ms}, 100, 0, 500 * ms},
-		"was fast, and stands there":    {slices.Repeat([]time.Duration{15 * ms}, 80), 16 << 10, 0, 300 * ms},
-		"was fast with little":          {slices.Repeat([]time.Duration{15 * ms}, 80), 10, 0, 500 * ms},
-		"goes on behind the time":       {[]time.Duration{400 * ms, 400 * ms, 400 * ms, 400 * ms}, 16 << 10, 0, 600 * ms},
-		"pauses, just before the time":  {[]time.Duration{400 * ms, 400 * ms, 150 * ms}, 16 << 10, 0, 600 * ms},
-		"pauses for long":               {[]time.Duration{400 * ms, 400 * ms, 900 * ms}, 16 << 10, 0, 1350 * ms},
-		"pauses for very long":          {[]time.Duration{1250 * ms, 1800 * ms}, 16 << 10, 0, 2 * time.Second},
-		"its client is slow, behind it": {[]time.Duration{100 * ms, 100 * ms}, 16 << 10, 5 * time.Second, 500 * ms},
+		"stalls from the start":               {nil, 0, 0, 0},
+		"stalls after some bytes":             {[]time.Duration{ms, ms, 400 * ms}, 100, 0, 0},
+		"stalls just before the deadline":     {[]time.Duration{20 * ms, 20 * ms, 200 * ms, 200 * ms, 200 * ms, 200 * ms, 150 * ms}, 100, 0, 0},
+		"stalls just after the deadline":      {[]time.Duration{200 * ms, 200 * ms, 200 * ms, 200 * ms, 210 * ms}, 100, 0, 500 * ms},
+		"was fast, stalls after the deadline": {slices.Repeat([]time.Duration{15 * ms}, 80), 16 << 10, 0, 300 * ms},
+		"was fast with few bytes":             {slices.Repeat([]time.Duration{15 * ms}, 80), 10, 0, 500 * ms},
+		"continues after the deadline":        {[]time.Duration{400 * ms, 400 * ms, 400 * ms, 400 * ms}, 16 << 10, 0, 600 * ms},
+		"pauses just before the deadline":     {[]time.Duration{400 * ms, 400 * ms, 150 * ms}, 16 << 10, 0, 600 * ms},
+		"long pauses":                         {[]time.Duration{400 * ms, 400 * ms, 900 * ms}, 16 << 10, 0, 1350 * ms},
+		"very long pauses":                    {[]time.Duration{1250 * ms, 1800 * ms}, 16 << 10, 0, 2 * time.Second},
+		"slow client, after the deadline":     {[]time.Duration{100 * ms, 100 * ms}, 16 << 10, 5 * time.Second, 500 * ms},
 	} {
 		now := time.Duration(0)
-		p := NewStallDetector(now, owed)
+		d := NewStallDetector(now, deadline)
 		for _, pause := range c.pauses {
-			p.StartRead(now)
+			d.StartRead(now)
 			now += pause
-			p.BytesReceived(now, c.piece)
+			d.BytesReceived(now, c.piece)
 		}
 		now += c.idle
 		want := now + c.until
 		if c.until == 0 {
-			want = owed + 350*ms
+			want = deadline + 350*ms
 		}
-		if until := p.StartRead(now); until != want {
-			t.Errorf("%s: waited for from %v until %v, want %v", name, now, until, want)
+		if until := d.StartRead(now); until != want {
+			t.Errorf("%s: a wait from %v until %v, want %v", name, now, until, want)
 		}
 	}
-	p := NewStallDetector(0, time.Hour)
-	if until := p.StartRead(time.Minute); until != time.Minute+5*time.Second {
-		t.Errorf("within its client's time it may stand still until %v, want 5 s", until)
+	d := NewStallDetector(0, time.Hour)
+	if until := d.StartRead(time.Minute); until != time.Minute+5*time.Second {
+		t.Errorf("before the deadline a stall may last until %v, want 5 s", until)
 	}
 }
