--- a/policy/policy.go
+++ b/policy/policy.go
@@ -32,25 +32,25 @@
 
 // Wake-ups.
 const (
-	busyWakeInterval = 10 * time.Millisecond  // time between Wakes while requests are open
-	idleWakeInterval = 100 * time.Millisecond // time between Wakes while none are
+	busyWakeInterval = 10 * time.Millisecond  // time between calls of Wake while requests are open
+	idleWakeInterval = 100 * time.Millisecond // time between calls of Wake while none are
 )
 
 // Sizes of compartments, see sizeCompartments.
 const (
-	slotAimShare       = 0.12 // slots hold the traffic of the quotas for this share of the aim
-	slotDeviations     = 2.0  // standard deviations of that concurrency added to the slots
-	slotsPerServer     = 3.0  // slots of all balancers per server of the first list, without quotas
+	slotAimShare       = 0.12 // slots are sized as if a request took this share of the aim, to leave a margin
+	slotDeviations     = 2.0  // standard deviations of the concurrency added to the slots
+	slotsPerServer     = 3.0  // without quotas: slots of all balancers per server of the first list
 	queuePlacesPerSlot = 0.15 // queues are just long enough to keep freed slots in use
 	clientPacedPerSlot = 4    // client-paced attempts that hold no slot, per slot
 )
 
 // Server subsets and round-robin turns, see updateSubset and computeSubset.
 const (
-	rateTimeConstant    = 10 * time.Second // of the moving average of this balancer's traffic
+	rateTimeConstant    = 10 * time.Second // moving average of this balancer's traffic
 	turnInterval        = 1 * time.Second  // a subset is sized to give each of its servers a turn this often
-	maxSharersPerServer = 10               // balancers that share a server, in a fleet that has more of them
-	minSubsetSize       = 4.0              // servers
+	maxSharersPerServer = 10               // balancers that share a server, in a fleet with more than these
+	minSubsetSize       = 4.0              // servers of a subset, if there are as many
 
 	// When members are lost, the counted size of the fleet halves in no less than fleetHalfLife.
 	fleetHalfLife     = 10 * time.Second
@@ -58,18 +58,20 @@
 
 	// The fleet's traffic moves a subset only by what exceeds this number of servers, which saves connections.
 	subsetShiftTolerance = 0.5
-	minSubsetCoverage    = 2.0  // the subsets of all sharers together cover the server list this many times
-	maxSubsetWidening    = 4.0  // and for that exceed the size their own traffic supports by at most this factor
-	fittingRounds        = 5    // rounds of the proportional fitting of turns
-	maxTurnMultiple      = 4.0  // fitting changes a server's turns by at most this factor, up or down
-	crossZoneTurnShare   = 0.25 // turns of another zone's server, relative to this zone, if crossing is priced
+
+	minSubsetCoverage  = 2.0  // subsets grow until those of all sharers cover the list this many times
+	maxSubsetWidening  = 4.0  // limit on this growth, as a multiple of the size their traffic supports
+	fittingRounds      = 5    // rounds of the proportional fitting of turns
+	maxTurnMultiple    = 4.0  // fitting changes a server's turns by at most this factor, up or down
+	crossZoneTurnShare = 0.25 // turns of another zone's server, relative to this zone, if crossing is priced
 
 	// Lower latency ratios count as the floor: a fast server gets no more turns than the floor gives. Where
 	// turns are fitted to the fleet's traffic the floor is higher, or random latency would outweigh the fitting.
 	latencyRatioFloorAlone  = 0.5
 	latencyRatioFloorShared = 1.5
-	failureLatencyRatio     = 8.0 // a failure counts as a response of this multiple of the typical latency
-	coldBudgetShare         = 0.5 // used share of a cold server's budget; the rest absorbs random arrivals
+
+	failureLatencyRatio = 8.0 // a failure counts as a response of this multiple of the typical latency
+	coldBudgetShare     = 0.5 // used share of a cold server's budget; the rest absorbs random arrivals
 )
 
 // Load reports, see sampleReports and queryLoad.
@@ -82,13 +84,13 @@
 
 // Concurrency limits and admission, see serverLimit, totalLimit and admit.
 const (
-	congestedAimShare = 0.3             // a server whose responses take a larger share of the aim is congested
+	congestedAimShare = 0.3             // a larger share of the aim taken by responses counts as congestion
 	admitMultiple     = 1.5             // requests admitted per recent timely response
-	admitAllowance    = 1.5             // and beyond: a balancer with little traffic must survive one failure
-	admitTimeConstant = 2 * time.Second // of the counts for admission: about as long as queues take to build up
+	admitAllowance    = 1.5             // added to both counts: a failure at low traffic must not refuse the next
+	admitTimeConstant = 2 * time.Second // decay of the counts: about as long as queues take to build up
 
-	// The limit over all attempts shrinks when congestion exceeds a server's threshold by these factors. In a
-	// fleet of more than maxSharersPerServer it shrinks sooner: single attempts of many balancers add up.
+	// The limit over all attempts shrinks when congestion exceeds these multiples of the threshold that reduces a
+	// server's limit. In a fleet of more than maxSharersPerServer single attempts add up, so it shrinks sooner.
 	totalLimitOnset           = 1.0
 	totalLimitOnsetLargeFleet = 0.4
 	totalLimitAllowance       = 2.0 // attempts beyond the concurrency that the balancer's traffic has at the aim
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -10,6 +10,7 @@
 	"arrowgw/internal/balance"
 )
 
+// Guards against a tenant that uses more than its slots and queue places, or another tenant's.
 func TestSlotsAndQueue(t *testing.T) {
 	b, h := startBalancer(t, testConfig(), readyList(1, 2, 3, 4, 5, 6, 7, 8)) // tenant 0: 6 slots and 1 place
 	if b.SlotsFree(0) != 6 || b.SlotsFree(1) != 2 || b.QueueFree(0) != 1 || b.QueueFree(1) != 1 {
@@ -21,8 +22,8 @@
 	if len(h.sends) != 6 || b.QueueFree(0) != 0 {
 		t.Fatalf("sent %d, queue places free %d; want 6 and 0", len(h.sends), b.QueueFree(0))
 	}
-	if pause, ok := h.refused[9]; !ok || pause <= 0 || pause > time.Second {
-		t.Fatalf("tenth request: refused %v with pause %v; want a prompt refusal with a retry delay", ok, pause)
+	if retryAfter, ok := h.refused[9]; !ok || retryAfter <= 0 || retryAfter > time.Second {
+		t.Fatalf("tenth request: refused %v with retry delay %v; want a refusal at once with a retry delay", ok, retryAfter)
 	}
 	if b.SlotsFree(1) != 2 {
 		t.Fatalf("tenant 1 lost slots to tenant 0")
@@ -197,7 +198,7 @@
 		class   int
 		ending  balance.Ending
 		retried bool
-		fails   bool // failed rather than refused, if it is not sent again
+		fails   bool // failed rather than refused, if it is not retried
 	}{
 		{"safe after an error", safeClass, balance.Errored, true, false},
 		{"keyed after a reset", keyedAll, balance.Broken, true, false},
@@ -349,7 +350,7 @@
 				sends[true]++
 			}
 		}
-		// Capacity by the quotas: 100 a second over two servers; cold at 0.3, budget 3 times that.
+		// The quotas give a capacity of 100 per second over two servers; 0.3 of it while cold, and a budget of 3 times that.
 		budget := 100.0 / 2 * 0.3 * 3 / float64(balancers)
 		if n := float64(sends[true]); n == 0 || n > budget {
 			t.Errorf("%d balancers: %v sends in the first second, each balancer's budget is %.1f", balancers, n, budget)
@@ -402,7 +403,7 @@
 func TestTotalLimitUnderCongestion(t *testing.T) {
 	for _, c := range []struct {
 		balancers  int
-		congestion float64 // mean square of the share of the aim that answers take
+		congestion float64 // mean square of the share of the aim that responses take
 		want       int
 	}{
 		{80, 0.036, 6}, {80, 0.072, 5}, {80, 0.108, 3}, {80, 0.36, 1},
@@ -485,15 +486,15 @@
 			t.Fatalf("%d balancers: ejected for %v at last, want about %v", balancers, last, maxBackoff)
 		}
 		try(balance.Served)
-		if rest := try(balance.Errored); rest < backoffPerSharer {
-			t.Fatalf("%d balancers: ejected for %v: one response clears a server that mostly fails", balancers, rest)
+		if ejected := try(balance.Errored); ejected < backoffPerSharer {
+			t.Fatalf("%d balancers: ejected for %v: one response clears a server that mostly fails", balancers, ejected)
 		}
 		now = b.serverByID(1).ejectedUntil
 		for range 3 {
 			try(balance.Served)
 		}
-		if rest := try(balance.Errored); rest > 0 {
-			t.Fatalf("%d balancers: ejected for %v after three responses and one failure", balancers, rest)
+		if ejected := try(balance.Errored); ejected > 0 {
+			t.Fatalf("%d balancers: ejected for %v after three responses and one failure", balancers, ejected)
 		}
 	}
 }
@@ -655,6 +656,7 @@
 	}
 }
 
+// Guards against events about unknown or ended requests that change counts, and against invalid requests that are sent.
 func TestInvalidEventsAreIgnored(t *testing.T) {
 	b, h := startBalancer(t, testConfig(), readyList(1, 2))
 	b.Request(0, balance.Request{ID: 1, Class: 99, TimeLeft: time.Second})
@@ -750,6 +752,7 @@
 	}
 }
 
+// Guards against requests and servers that are kept in memory after they have ended or left.
 func TestMemoryStaysBounded(t *testing.T) {
 	b, h := startBalancer(t, testConfig(), readyList(1, 2))
 	ended := 0
@@ -886,7 +889,7 @@
 		}
 	}
 	for id, n := range coverage {
-		if n < 3 || n > 6 { // evenly 4.5
+		if n < 3 || n > 6 { // an even part is 4.5
 			t.Errorf("server %d is in %d subsets, want about 4.5", id, n)
 		}
 	}
@@ -1062,6 +1065,7 @@
 	}
 }
 
+// sentIDs returns the request ids of all attempts, in the order of the sends.
 func sentIDs(h *fakeHost) (ids []balance.RequestID) {
 	for _, s := range h.sends {
 		ids = append(ids, s.id)
@@ -1215,7 +1219,7 @@
 // it counts each retry of a refused client in full.
 func TestAdmissionReopensAfterRecovery(t *testing.T) {
 	b, h := startBalancer(t, testConfig(), readyList(1, 2, 3, 4))
-	const every = 5 * ms // 200 a second
+	const every = 5 * ms // 200 per second
 	admitted, ended := make([]int, 16), 0
 	for id := range balance.RequestID(16 * 200) {
 		now := time.Duration(id) * every
--- a/policy/random_test.go
+++ b/policy/random_test.go
@@ -26,10 +26,10 @@
 	listed       map[balance.ServerID]balance.Server
 	trace        []string
 	watches      int
-	requestTimes []time.Duration // arrivals, for the retry budget
-	retryTimes   []time.Duration // retries, for the retry budget
-	listStable   bool            // the list rarely changes
-	keySettledAt map[uint64]time.Duration
+	requestTimes []time.Duration                      // arrivals, for the retry budget
+	retryTimes   []time.Duration                      // retries, for the retry budget
+	listStable   bool                                 // the list rarely changes
+	keySettledAt map[uint64]time.Duration             // end of OrderSettle, by key
 	coldSends    map[balance.ServerID][]time.Duration // sends to each cold server since it was listed as started
 	closeIdleBy  map[balance.ServerID]time.Duration   // time by which idle connections must be closed, by server
 	sets         bool                                 // rule sets are played too
@@ -54,7 +54,7 @@
 	end        balance.Ending
 	inFlight   bool
 	connecting bool // it still waits for its connection
-	withdrawn  bool // it was withdrawn
+	withdrawn  bool // Host.Withdraw was called for it
 }
 
 // mayHaveRun returns the first attempt that may have run, or nil.
@@ -547,6 +547,7 @@
 	}
 }
 
+// The rules must hold for random events.
 func TestRulesUnderRandomEvents(t *testing.T) {
 	for seed := range uint64(150) {
 		rng := rand.New(rand.NewPCG(seed, 7))
@@ -554,12 +555,14 @@
 	}
 }
 
+// The rules must hold for random events with rule sets and fleet updates.
 func TestRulesUnderRandomRuleSets(t *testing.T) {
 	for seed := range uint64(150) {
 		playRandomEvents(t, 600, true, rand.New(rand.NewPCG(seed, 11)).IntN)
 	}
 }
 
+// Guards against decisions that depend on anything but the events and the seed, such as the order of a map.
 func TestSameEventsSameActions(t *testing.T) {
 	for seed := range uint64(5) {
 		a := playRandomEvents(t, 800, seed%2 > 0, rand.New(rand.NewPCG(seed, 3)).IntN)
@@ -570,6 +573,7 @@
 	}
 }
 
+// FuzzRules plays events that the fuzzer's bytes choose.
 func FuzzRules(f *testing.F) {
 	f.Add([]byte("a seed of some length, so that a few events happen"))
 	f.Add([]byte{0, 1, 7, 7, 7, 7, 0, 0, 0, 3, 3, 3, 9, 9})
--- a/policy/spread_test.go
+++ b/policy/spread_test.go
@@ -301,7 +301,7 @@
 		if now == lostAt {
 			fleet.lost = lost
 		}
-		events := make(map[time.Duration]int) // events: the balancer of an arrival, or -1 for the end of an attempt
+		events := make(map[time.Duration]int) // the balancer at which a request arrives, or -1 for the end of an attempt
 		for i, b := range balancers {
 			if now < starts[i] || slices.Contains(fleet.lost, i) {
 				continue
@@ -309,7 +309,7 @@
 			if measured := b.Learned(now).Rate; (now-starts[i])%(4*time.Second) < tick && math.Abs(math.Log2(measured/announced[i])) > math.Log2(1.3) {
 				announced[i] = quantizedRate(measured)
 			}
-			if now%(500*ms) == 0 && (now < lostAt || now >= lossKnownAt) { // all at the same moment
+			if now%(500*ms) == 0 && (now < lostAt || now >= lossKnownAt) { // at the same moment for all
 				b.SetFleet(now, balance.Fleet{Present: 300, Sharers: fleet.sharers()})
 			}
 			if now == 15*time.Second {
