--- a/policy/policy.go
+++ b/policy/policy.go
@@ -86,11 +86,11 @@
 const (
 	congestedAimShare = 0.3             // a larger share of the aim taken by responses counts as congestion
 	admitMultiple     = 1.5             // requests admitted per recent timely response
-	admitAllowance    = 1.5             // added to both counts: a failure at low traffic must not refuse the next
+	admitAllowance    = 1.5             // added to both counts: one failure at low traffic must refuse nothing
 	admitTimeConstant = 2 * time.Second // decay of the counts: about as long as queues take to build up
 
-	// The limit over all attempts shrinks when congestion exceeds these multiples of the threshold that reduces a
-	// server's limit. In a fleet of more than maxSharersPerServer single attempts add up, so it shrinks sooner.
+	// The limit over all attempts shrinks when congestion exceeds these multiples of the threshold that reduces
+	// a server's limit: sooner in a fleet of more than maxSharersPerServer, whose single attempts add up.
 	totalLimitOnset           = 1.0
 	totalLimitOnsetLargeFleet = 0.4
 	totalLimitAllowance       = 2.0 // attempts beyond the concurrency that the balancer's traffic has at the aim
