--- a/internal/sidecar/duties.go
+++ b/internal/sidecar/duties.go
@@ -23,16 +23,16 @@
 
 // duties is this sidecar's part in its fleet's duties. Where the fleet file has no duty.voters there is none.
 type duties struct {
-	group *duty.Group
-	peers *peers
-	state *handover
-	stop  context.CancelFunc
-	ended chan struct{}
+	group  *duty.Group
+	peers  *peers
+	state  *sharedState
+	cancel context.CancelFunc
+	done   chan struct{}
 }
 
 // newDuties reads what the configuration says of duties.
-func newDuties(cfg *Config, p *peers, state *handover) (*duties, error) {
-	d := &duties{peers: p, state: state, ended: make(chan struct{})}
+func newDuties(cfg *Config, p *peers, state *sharedState) (*duties, error) {
+	d := &duties{peers: p, state: state, done: make(chan struct{})}
 	if p.group == nil || len(cfg.Fleet.Duty.Voters) == 0 {
 		return d, nil
 	}
@@ -40,9 +40,9 @@
 		return nil, errors.New("duty.voters needs a folder for what outlives the process (TMPDIR)")
 	}
 	c := duty.Config{
-		Name: cfg.Name, Start: state.store.Number(), Voters: cfg.Fleet.Duty.Voters, Lease: cfg.Fleet.Duty.Lease.D(),
-		Wire: p.group, Keep: keeper{state.store}, Lost: len(state.store.Damage().Files) > 0, Candidates: d.candidates,
-		Begin: func(string, uint64) {}, End: func(string) {}, // whoever acts asks before
+		Name: cfg.Name, Start: state.store.ProcessNumber(), Voters: cfg.Fleet.Duty.Voters, Lease: cfg.Fleet.Duty.Lease.Std(),
+		Transport: p.group, Storage: keeper{state.store}, StorageDamaged: len(state.store.Damage().Findings) > 0, Candidates: d.candidates,
+		OnAcquired: func(string, uint64) {}, OnLost: func(string) {}, // whoever acts asks before
 	}
 	if cfg.Fleet.Duty.Report {
 		c.Duties = append(c.Duties, duty.Duty{Name: dutyReport})
@@ -58,13 +58,13 @@
 // keeper is the state as duties want it.
 type keeper struct{ *store.Store }
 
-// Get implements duty.Keeper.
+// Get implements duty.Storage.
 func (k keeper) Get(section, key string) ([]byte, bool) {
 	e, ok := k.Store.Get(section, key)
 	return e.Value, ok
 }
 
-// All implements duty.Keeper.
+// All implements duty.Storage.
 func (k keeper) All(section string) map[string][]byte {
 	all := make(map[string][]byte)
 	for key, e := range k.Store.All(section) {
@@ -86,13 +86,13 @@
 // run takes part until ctx ends or leave is called: from when this process has the sidecar's address among its peers, so that
 // never two processes are one voter.
 func (d *duties) run(ctx context.Context) {
-	ctx, d.stop = context.WithCancel(ctx)
+	ctx, d.cancel = context.WithCancel(ctx)
 	if d.group == nil {
-		close(d.ended)
+		close(d.done)
 		return
 	}
 	go func() {
-		defer close(d.ended)
+		defer close(d.done)
 		for d.peers.group.View().Standing == member.Waiting {
 			select {
 			case <-time.After(addressPoll):
@@ -100,23 +100,23 @@
 				return
 			}
 		}
-		if _, err := d.state.store.Follow(); err != nil { // what the process before this one has written last
+		if _, err := d.state.store.Refresh(); err != nil { // what the process before this one has written last
 			slog.Error("duties", "error", err)
 			return
 		}
 		d.group.Run(ctx)
 	}()
-	go d.report(ctx)
+	go d.runReport(ctx)
 }
 
 // leave gives up what this process holds, and returns once others may have it.
-func (d *duties) leave() {
-	d.stop()
-	<-d.ended
+func (d *duties) release() {
+	d.cancel()
+	<-d.done
 }
 
 // report is the duty of that name.
-func (d *duties) report(ctx context.Context) {
+func (d *duties) runReport(ctx context.Context) {
 	tick := time.NewTicker(reportEvery)
 	defer tick.Stop()
 	for {
@@ -134,7 +134,7 @@
 			}
 		}
 		if token, yes := d.group.Holds(dutyReport); yes {
-			slog.Info("fleet", "token", token, "present", v.Present, "silent", v.Silent, "views", v.Views, "agreed", v.Agreed,
+			slog.Info("fleet", "token", token, "present", v.Present, "silent", v.Silent, "views", v.DistinctViews, "agreed", v.Agreed,
 				"versions", len(versions), "phases", fmt.Sprint(phases))
 		}
 	}
@@ -145,7 +145,7 @@
 	if d.group == nil {
 		return
 	}
-	for _, name := range d.group.Names() {
+	for _, name := range d.group.DutyNames() {
 		token, _ := d.group.Holds(name)
 		fmt.Fprintf(w, "app.duty_token.%s=%d\n", name, token)
 	}
@@ -173,7 +173,7 @@
 var errNoDuties = errors.New("there are no duties: the fleet file has no duty.voters")
 
 // move has a duty passed on, to a member if there is one named.
-func (d *duties) move(words []string) error {
+func (d *duties) moveDuty(words []string) error {
 	switch {
 	case d.group == nil:
 		return errNoDuties
--- a/internal/sidecar/peers.go
+++ b/internal/sidecar/peers.go
@@ -32,18 +32,18 @@
 // peers is this sidecar's part in its fleet: it ties membership to the module, the state and the console. Where the
 // fleet file has no member.listen there is none, and nothing is done.
 type peers struct {
-	group *member.Group
-	cfg   *Config
-	path  requests
-	state *handover
+	group     *member.Group
+	cfg       *Config
+	dataPlane dataPlane
+	state     *sharedState
 
-	barred   func() bool // by rules: it serves nothing, and is given no duties
+	rulesBar func() bool // by rules: it serves nothing, and is given no duties
 	stopping atomic.Bool
 }
 
 // newPeers reads what the configuration and the state say of the fleet.
-func newPeers(cfg *Config, path requests, state *handover, counts *meter.Meter) (*peers, error) {
-	p := &peers{cfg: cfg, path: path, state: state, barred: func() bool { return false }}
+func newPeers(cfg *Config, path dataPlane, state *sharedState, counts *meter.Meter) (*peers, error) {
+	p := &peers{cfg: cfg, dataPlane: path, state: state, rulesBar: func() bool { return false }}
 	if !cfg.hasPeers() {
 		return p, nil
 	}
@@ -54,9 +54,9 @@
 	}
 	c := member.Config{
 		Name: cfg.Name, Start: uint64(time.Now().UnixMilli()), Version: revision(), Digest: cfg.digest(),
-		Listen: listen, Cluster: m.Cluster, Seeds: m.Seeds, Routes: cfg.Fleet.Routes, Probe: m.Probe.D(),
-		Expect: cfg.Policy.Balancers, Forget: m.Forget.D(), Index: cfg.Policy.Index, Tells: cfg.Fleet.Spread.Share,
-		Meter: counts, Kinds: map[byte]meter.Kind{duty.CallStream: meter.Duties, duty.RaftStream: meter.Duties, rules.Stream: meter.Rules},
+		Listen: listen, Cluster: m.Cluster, Seeds: m.Seeds, Routes: cfg.Fleet.Routes, ProbeInterval: m.Probe.Std(),
+		ExpectedMembers: cfg.Policy.Balancers, ForgetAfter: m.Forget.Std(), Index: cfg.Policy.Index, ShareTraffic: cfg.Fleet.Spread.Share,
+		Meter: counts, StreamKinds: map[byte]meter.Kind{duty.CallStream: meter.Duties, duty.RaftStream: meter.Duties, rules.MessageStream: meter.Rules},
 	}
 	for zone, i := range cfg.Zones {
 		if i == cfg.Policy.Zone {
@@ -67,12 +67,12 @@
 		c.Forms = rules.Highest
 	}
 	if state.store != nil {
-		c.Start = state.store.Number()
-		c.Known, _, _ = read[[]string](state.store, sectionPeers)
+		c.Start = state.store.ProcessNumber()
+		c.KnownPeers, _, _ = readSection[[]string](state.store, sectionPeers)
 	}
-	if p.group, err = member.New(c); err != nil && len(c.Known) > 0 {
+	if p.group, err = member.New(c); err != nil && len(c.KnownPeers) > 0 {
 		slog.Warn("members not recalled", "reason", err)
-		c.Known = nil
+		c.KnownPeers = nil
 		p.group, err = member.New(c)
 	}
 	return p, err
@@ -111,15 +111,15 @@
 	if p.group == nil {
 		return
 	}
-	if !p.barred() {
-		p.group.Say(member.Serving)
+	if !p.rulesBar() {
+		p.group.SetPhase(member.Serving)
 	}
 	go p.group.Run(ctx)
-	go p.follow(ctx)
+	go p.syncFleet(ctx)
 }
 
 // follow tells the module who is there, and has the state keep by whom a later process can join.
-func (p *peers) follow(ctx context.Context) {
+func (p *peers) syncFleet(ctx context.Context) {
 	tick := time.NewTicker(peersEvery)
 	defer tick.Stop()
 	var keptAt time.Time
@@ -136,34 +136,34 @@
 		switch {
 		case p.stopping.Load():
 			phase = member.Draining
-		case p.barred():
+		case p.rulesBar():
 			phase = member.Starting
 		case v.Starved: // it is given no duties
 			phase = member.Starved
 		}
-		p.group.Say(phase)
+		p.group.SetPhase(phase)
 		if p.stopping.Load() { // it may have begun since the last line
-			p.group.Say(member.Draining)
+			p.group.SetPhase(member.Draining)
 		}
 		if p.cfg.Fleet.Spread.Share {
-			l, err := p.path.learned(ctx)
+			l, err := p.dataPlane.learnedState(ctx)
 			if err != nil {
 				return // it ends
 			}
-			p.group.Tell(l.Rate)
+			p.group.ReportTraffic(l.Rate)
 		}
-		if f, ok := p.fleet(v, told); ok {
-			if p.path.fleet(ctx, f) != nil {
+		if f, ok := p.fleetUpdate(v, told); ok {
+			if p.dataPlane.updateFleet(ctx, f) != nil {
 				return
 			}
 			told = f
 		}
-		known := p.group.Known()
+		known := p.group.KnownPeers()
 		if p.state.store == nil || len(known) == 0 || slices.Equal(known, kept) || time.Since(keptAt) < peersKept {
 			continue
 		}
 		raw, err := json.Marshal(known)
-		if err = errors.Join(err, p.state.store.Keep(sectionPeers, only, raw)); err != nil {
+		if err = errors.Join(err, p.state.store.PutUnsynced(sectionPeers, singleKey, raw)); err != nil {
 			slog.Debug("members not kept", "reason", err) // whoever keeps the state tells of its trouble
 		}
 		kept, keptAt = known, time.Now()
@@ -172,7 +172,7 @@
 
 // fleet is what the module is to be told of a view, if anything, where it was last told that. A process that stood still lately has
 // an old view. One that is no member any more, as another has its name, is not reckoned with by the others, and goes by nobody's traffic.
-func (p *peers) fleet(v member.View, told balance.Fleet) (f balance.Fleet, ok bool) {
+func (p *peers) fleetUpdate(v member.View, told balance.Fleet) (f balance.Fleet, ok bool) {
 	switch {
 	case v.Standing != member.Member && len(told.Sharers) > 0:
 		told.Sharers, told.Agreed = nil, false
@@ -200,12 +200,12 @@
 
 // draining gives up this process's duties and tells the others that it stops; or, where another has taken over, lets that one
 // have the name.
-func (p *peers) draining(replaced bool, work *duties) {
+func (p *peers) startDraining(replaced bool, work *duties) {
 	if p.group != nil && !replaced {
 		p.stopping.Store(true)
-		p.group.Say(member.Draining)
+		p.group.SetPhase(member.Draining)
 	}
-	work.leave()
+	work.release()
 	if p.group != nil && replaced {
 		p.group.Close()
 	}
@@ -229,7 +229,7 @@
 		agreed = 1
 	}
 	fmt.Fprintf(w, "app.fleet_members=%d\napp.fleet_silent=%d\napp.fleet_suspected=%d\napp.fleet_views=%d\napp.fleet_agreed=%d\n",
-		v.Present, v.Silent, v.Suspected, v.Views, agreed)
+		v.Present, v.Silent, v.Suspected, v.DistinctViews, agreed)
 	if p.cfg.Fleet.Spread.Share {
 		n := 0
 		for _, m := range v.Members {
@@ -255,7 +255,7 @@
 	}
 	words := []string{
 		"self=" + p.cfg.Name, "standing=" + string(v.Standing), fmt.Sprintf("view=%d digest=%x", v.Number, v.Digest),
-		fmt.Sprintf("views=%d agreed=%v for=%v", v.Views, v.Agreed, v.Since.Round(time.Second)),
+		fmt.Sprintf("views=%d agreed=%v for=%v", v.DistinctViews, v.Agreed, v.AgreementAge.Round(time.Second)),
 	}
 	if v.Starved {
 		words = append(words, "starved")
@@ -277,11 +277,11 @@
 			notes = append(notes, fmt.Sprintf("traffic=%.3g", m.Traffic))
 		}
 		word := "none"
-		if m.Word >= 0 {
-			word = m.Word.Round(time.Second / 10).String()
+		if m.LastContactAge >= 0 {
+			word = m.LastContactAge.Round(time.Second / 10).String()
 		}
 		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%v\t%d\t%s\t%s\t%s\t%s\n",
-			m.Name, m.Zone, m.State, m.Phase, m.Since.Round(time.Second), m.Start, m.Version, word, m.Address, strings.Join(notes, " "))
+			m.Name, m.Zone, m.State, m.Phase, m.StateAge.Round(time.Second), m.Start, m.Version, word, m.Address, strings.Join(notes, " "))
 	}
 	fmt.Fprintln(w, "EOF")
 	return nil
