--- a/policy/policy.go
+++ b/policy/policy.go
@@ -290,14 +290,14 @@
 	b.dispatchQueued(now)
 }
 
-// BodyEnded handles the end of a request body: the client's remaining time, left, starts now. The server
+// BodyEnded handles the end of a request body: the client's remaining time starts now. The server
 // starts work with the last byte too, so that the time before it does not count as latency.
-func (b *Balancer) BodyEnded(now time.Duration, id balance.RequestID, left time.Duration) {
+func (b *Balancer) BodyEnded(now time.Duration, id balance.RequestID, timeLeft time.Duration) {
 	r := b.requests[id]
 	if r == nil || r.ended || !r.bodyPending {
 		return
 	}
-	r.bodyPending, r.deadline = false, now+min(left, time.Hour)
+	r.bodyPending, r.deadline = false, now+min(timeLeft, time.Hour)
 	r.usefulUntil, r.aimAt = r.deadline, min(r.deadline, now+r.class.Aim)
 	if r.attemptsInFlight > 0 {
 		a := &r.attempts[len(r.attempts)-1]
@@ -351,7 +351,7 @@
 // the periodic work.
 func (b *Balancer) Wake(now time.Duration) {
 	if now < b.wakeAt {
-		return // an earlier request, superseded
+		return // an outdated timer
 	}
 	if b.cfg.AskList && b.watchAt > 0 && now >= b.watchAt {
 		b.watchList(now)
@@ -423,11 +423,11 @@
 	return false
 }
 
-// totalLimit returns the concurrency limit over all attempts of this balancer. It is the number of slots.
-// Under congestion it is the given factor of the concurrency that the balancer's own traffic has at the aim,
-// by Little's law: slots are sized for the busiest balancer, and eighty balancers' slots are more than
-// servers can take. The limit falls with the share of failing servers, so that their load does not move to
-// the others.
+// totalLimit returns the concurrency limit over all attempts of this balancer. Without congestion (a factor
+// of 1) it is the number of slots. Otherwise it is the factor times the concurrency that the balancer's own
+// traffic has at the aim, by Little's law: slots are sized for the busiest balancer, and eighty balancers'
+// slots are more than servers can take. The limit falls with the share of failing servers, so that their load
+// does not move to the others.
 func (b *Balancer) totalLimit(factor float64) float64 {
 	limit := float64(b.slots)
 	if factor < 1 {
@@ -465,7 +465,7 @@
 	return balance.NoAttemptLeft
 }
 
-// dispatchQueued gives free slots to queued requests. Each call starts with another compartment.
+// dispatchQueued sends queued requests while slots are free. Each call starts with another compartment.
 func (b *Balancer) dispatchQueued(now time.Duration) {
 	b.dispatchFrom = (b.dispatchFrom + 1) % len(b.compartments)
 	for i := range b.compartments {
@@ -567,8 +567,8 @@
 }
 
 // coldSendInterval returns the time between two sends to a cold server. Each balancer uses an even part of
-// what the server may be sent. The capacity is derived from the quotas, or without quotas from this
-// balancer's traffic.
+// what the server may be sent. The server's capacity is derived from the quotas or, without quotas, estimated
+// from the present traffic, of which this balancer's rate is its part.
 func (b *Balancer) coldSendInterval(now time.Duration, s *server) time.Duration {
 	rate := cmp.Or(b.totalQuota/b.fleetSize, b.rate)
 	rate = b.weightShare(rate, s) * b.readyWeight / max(b.subsetWeight, s.Weight) * b.capacityShare(now, s)
@@ -846,7 +846,7 @@
 	s.ejectedUntil = now + b.backoff(first, s.failures-ejectAfterFailures)
 }
 
-// UpdateServers handles a server list event.
+// UpdateServers handles a server list event: it updates the servers, their weights and the subset.
 func (b *Balancer) UpdateServers(now time.Duration, kind balance.ListKind, entries []balance.Server) {
 	switch {
 	case kind == balance.ListFailed:
@@ -880,7 +880,7 @@
 	b.dispatchQueued(now)
 }
 
-// effectiveStart returns the start time of a server that its cold start goes by. This process's clock may
+// effectiveStart returns the time at which a server's cold start began. This process's clock may
 // have been wrong by up to an hour when it was first read. A start in the future therefore counts as now, and
 // so does a newly announced start that lies well before a list that did not have it.
 func (b *Balancer) effectiveStart(now time.Duration, kind balance.ListKind, e balance.Server) time.Duration {
