--- a/internal/lab/soak_test.go
+++ b/internal/lab/soak_test.go
@@ -22,7 +22,7 @@
 		t.Fatal(err)
 	}
 	red := knownRedSeeds(t)
-	for _, seed := range []uint64{1002, 1005, SoakWiderFrom + 1, SoakWiderFrom + 4} {
+	for _, seed := range []uint64{1002, 1005, ExtendedSoakFrom + 1, ExtendedSoakFrom + 4} {
 		if red[seed] {
 			t.Logf("seed %d is left out: see KNOWN-RED.txt", seed)
 			continue
@@ -31,8 +31,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		t.Logf("seed %d: %s", seed, strings.Join(s.Kinds(), " "))
-		res, _ := play(t, s, Options{Seed: seed, Program: program})
+		t.Logf("seed %d: %s", seed, strings.Join(s.FaultKinds(), " "))
+		res, _ := playScenario(t, s, Options{Seed: seed, Program: program})
 		for _, v := range res.Verdicts {
 			if !v.Held {
 				t.Errorf("seed %d: %s broke %d times: %s", seed, v.Invariant, v.Broken, strings.Join(v.Findings, "\n"))
@@ -64,18 +64,18 @@
 	return seeds
 }
 
-// Seeds that were noted before draw what they drew, and those from SoakWiderFrom on have terminations and crossings besides.
+// Seeds that were noted before draw what they drew, and those from ExtendedSoakFrom on have terminations and crossings besides.
 func TestWiderSoakDrawsMore(t *testing.T) {
 	var kinds []string
-	for _, seed := range []uint64{SoakWiderFrom - 1, SoakWiderFrom, SoakWiderFrom + 1, SoakWiderFrom + 2, SoakWiderFrom + 3, SoakWiderFrom + 4, SoakWiderFrom + 5} {
+	for _, seed := range []uint64{ExtendedSoakFrom - 1, ExtendedSoakFrom, ExtendedSoakFrom + 1, ExtendedSoakFrom + 2, ExtendedSoakFrom + 3, ExtendedSoakFrom + 4, ExtendedSoakFrom + 5} {
 		s, err := Soak(seed, 0)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if more := len(s.Fault) > soakFaults; more != (seed >= SoakWiderFrom) {
+		if more := len(s.Fault) > soakFaults; more != (seed >= ExtendedSoakFrom) {
 			t.Errorf("seed %d draws %d faults", seed, len(s.Fault))
 		}
-		kinds = append(kinds, s.Kinds()...)
+		kinds = append(kinds, s.FaultKinds()...)
 	}
 	for _, want := range []string{"term", "swap", "deaf", "crowd", "busy"} {
 		if !slices.Contains(kinds, want) {
@@ -89,7 +89,7 @@
 func TestLateKillAndCrowdExcuseNoMore(t *testing.T) {
 	const s, ms = time.Second, time.Millisecond
 	told := 10 * s
-	h := &History{late: []kill{{span{0, told + 2*s, told + 2*s}, told + killSlack}}, crowded: []span{{0, 20 * s, 21 * s}}}
+	h := &History{lateKills: []lateKill{{sidecarSpan{0, told + 2*s, told + 2*s}, told + killSlack}}, descriptorsFull: []sidecarSpan{{0, 20 * s, 21 * s}}}
 	for name, c := range map[string]struct {
 		try    Try
 		broken bool
@@ -103,7 +103,7 @@
 		"never answered beside it":        {Try{End: GaveUp, Fresh: true, Sent: 20*s + 500*ms, Ended: 20*s + 600*ms}, true},
 	} {
 		h.tries = []*Try{&c.try}
-		for _, v := range judge(h, scene(t, "hold=['final']\n[fleet]\nservers=2"), false) {
+		for _, v := range judge(h, readScenario(t, "hold=['final']\n[fleet]\nservers=2"), false) {
 			if v.Held == c.broken {
 				t.Errorf("%s: held %v", name, v.Held)
 			}
@@ -115,7 +115,7 @@
 func TestTerminationKillsAtTheEarliest(t *testing.T) {
 	const after = 300 * time.Millisecond
 	p := &processes{clock: newClock(), history: new(History), current: make([]*process, 1)}
-	p.clock.begin(0)
+	p.clock.startIn(0)
 	cmd := exec.Command("sh", "-c", "trap '' TERM HUP; echo deaf; while :; do sleep 0.05; done")
 	out, err := cmd.StdoutPipe()
 	if err != nil {
@@ -138,8 +138,8 @@
 	if took := time.Since(from); took < after {
 		t.Errorf("killed %v behind SIGTERM, want %v", took, after)
 	}
-	if len(p.history.late) != 1 || p.history.late[0].came < killSlack {
-		t.Errorf("noted as %+v", p.history.late)
+	if len(p.history.lateKills) != 1 || p.history.lateKills[0].coveredUntil < killSlack {
+		t.Errorf("noted as %+v", p.history.lateKills)
 	}
 }
 
@@ -158,7 +158,7 @@
 		if !slices.Equal(a.Fault, b.Fault) || a.Fleet != b.Fleet {
 			t.Errorf("seed %d draws two scenarios", seed)
 		}
-		kinds = append(kinds, a.Kinds()...)
+		kinds = append(kinds, a.FaultKinds()...)
 		overlap := 0
 		for i, f := range a.Fault {
 			for _, g := range a.Fault[:i] {
@@ -184,25 +184,25 @@
 	at := func(at time.Duration, r Reached) []Reached { r.At = at; return []Reached{r} }
 	for name, c := range map[string]struct {
 		try    Try
-		killed []span
+		killed []sidecarSpan
 		broken string // the invariant that is; empty: none
 	}{
 		"answered":                           {Try{End: Served, Sent: s, Ended: 2 * s, Owed: 3 * s}, nil, ""},
 		"no answer in time":                  {Try{End: GaveUp, Sent: s, Ended: 4 * s, Owed: 3 * s}, nil, "final"},
 		"no answer, as its client left":      {Try{End: GaveUp, Sent: s, Ended: 2 * s, Left: 2 * s, Owed: 3 * s}, nil, ""},
-		"no answer, as its sidecar died":     {Try{End: GaveUp, Sent: s, Ended: 4 * s, Owed: 3 * s}, []span{{0, 2 * s, 3 * s}}, ""},
+		"no answer, as its sidecar died":     {Try{End: GaveUp, Sent: s, Ended: 4 * s, Owed: 3 * s}, []sidecarSpan{{0, 2 * s, 3 * s}}, ""},
 		"closed on a new connection":         {Try{End: Broken, Fresh: true, Sent: s, Ended: 2 * s, Owed: 3 * s}, nil, "final"},
 		"closed between requests":            {Try{End: Broken, Sent: s, Ended: 2 * s, Owed: 3 * s}, nil, ""},
 		"broken off by its server":           {Try{End: Broken, Fresh: true, Partial: true, Sent: s, Ended: 2 * s, Owed: 3 * s, Reached: at(s, Reached{Spoilt: true})}, nil, ""},
-		"broken off, but not by its server":  {Try{End: Broken, Fresh: true, Partial: true, Sent: s, Ended: 2 * s, Owed: 3 * s, Reached: at(s, Reached{Verdict: world.Taken})}, nil, "final"},
+		"broken off, but not by its server":  {Try{End: Broken, Fresh: true, Partial: true, Sent: s, Ended: 2 * s, Owed: 3 * s, Reached: at(s, Reached{Verdict: world.Accepted})}, nil, "final"},
 		"sent on behind the leaving":         {Try{End: GaveUp, Sent: s, Left: s, Owed: 3 * s, Reached: at(s+400*time.Millisecond, Reached{})}, nil, "left"},
 		"sent on just behind it":             {Try{End: GaveUp, Sent: s, Left: s, Owed: 3 * s, Reached: at(s+90*time.Millisecond, Reached{})}, nil, ""},
 		"told more time than the client has": {Try{End: Served, Sent: s, Owed: 3 * s, Reached: at(2*s, Reached{Told: 1300 * time.Millisecond})}, nil, "told"},
 		"told what it has":                   {Try{End: Served, Sent: s, Owed: 3 * s, Reached: at(2*s, Reached{Told: s})}, nil, ""},
 	} {
 		t.Run(name, func(t *testing.T) {
-			h := &History{tries: []*Try{&c.try}, killed: c.killed}
-			scenario := scene(t, "hold=['final','left','told','peers','guarded']\n[fleet]\nservers=2")
+			h := &History{tries: []*Try{&c.try}, kills: c.killed}
+			scenario := readScenario(t, "hold=['final','left','told','peers','guarded']\n[fleet]\nservers=2")
 			for _, v := range judge(h, scenario, false) {
 				if v.Held == (v.Invariant == c.broken) {
 					t.Errorf("%s held: %v; %v", v.Invariant, v.Held, v.Findings)
@@ -210,8 +210,8 @@
 			}
 		})
 	}
-	h := &History{peers: []string{"x"}, broken: []string{"x"}}
-	for _, v := range judge(h, scene(t, "hold=['peers','guarded']\n[fleet]\nservers=2"), false) {
+	h := &History{unansweredPeers: []string{"x"}, guardViolations: []string{"x"}}
+	for _, v := range judge(h, readScenario(t, "hold=['peers','guarded']\n[fleet]\nservers=2"), false) {
 		if v.Held {
 			t.Errorf("%s held", v.Invariant)
 		}
@@ -221,7 +221,7 @@
 // A slow client's time begins as its last byte is handed over, neither before nor at a later read.
 func TestSlowBodyEndsWithItsLastByte(t *testing.T) {
 	whole := 0
-	b := &body{text: strings.NewReader("abcde"), piece: 2, whole: func() { whole++ }}
+	b := &requestBody{text: strings.NewReader("abcde"), piece: 2, whole: func() { whole++ }}
 	for _, want := range []struct{ n, whole int }{{2, 0}, {2, 0}, {1, 1}, {0, 1}} {
 		if n, err := b.Read(make([]byte, 10)); n != want.n || whole != want.whole || (err == io.EOF) != (n == 0) {
 			t.Errorf("read %d bytes, error %v, ended %d times; want %+v", n, err, whole, want)
