--- a/policy/policy.go
+++ b/policy/policy.go
@@ -332,8 +332,8 @@
 	change := 1
 	if a.clientPaced = on; on {
 		change = -1
-		a.holdsPacedPlace = r.compartment.pacedInUse < r.compartment.slots*clientPacedPerSlot
-		if !a.holdsPacedPlace {
+		if a.holdsPacedPlace = r.compartment.pacedInUse <
+			r.compartment.slots*clientPacedPerSlot; !a.holdsPacedPlace {
 			b.counters.SlowFull++
 		}
 		b.counters.Slow++
@@ -433,8 +433,8 @@
 	if factor < 1 {
 		limit = factor * min(limit, totalLimitAllowance+b.rate*b.meanAim)
 	}
-	failing := func(s *server) bool { return s.failures >= ejectAfterFailures }
-	healthy := slices.DeleteFunc(slices.Clone(b.subset), failing)
+	healthy := slices.DeleteFunc(slices.Clone(b.subset),
+		func(s *server) bool { return s.failures >= ejectAfterFailures })
 	return limit * float64(len(healthy)) / max(1, float64(len(b.subset)))
 }
 
@@ -445,8 +445,8 @@
 		!r.mayRepeat(now, nil) || b.retryBudgetSpent(now):
 		b.refuseOrFail(r, b.noRetryReason(now, r))
 	case !b.dispatch(now, r):
-		b.dispatchQueued(now) // the freed slot may serve a queued request
-		if len(r.compartment.queue) >= r.compartment.queuePlaces {
+		// the freed slot may serve a queued request
+		if b.dispatchQueued(now); len(r.compartment.queue) >= r.compartment.queuePlaces {
 			b.refuseOrFail(r, balance.QueueFull)
 			return
 		}
@@ -518,8 +518,8 @@
 // isNextOfKey reports whether a request is at the head of its per-key queue, if it has one, and no attempt of
 // an earlier request may still be running.
 func (r *request) isNextOfKey(now time.Duration) bool {
-	q := r.keyQueue
-	return q == nil || q.waiting[0] == r && (len(r.attempts) > 0 || now >= q.settledAt)
+	return r.keyQueue == nil ||
+		r.keyQueue.waiting[0] == r && (len(r.attempts) > 0 || now >= r.keyQueue.settledAt)
 }
 
 // retryBudgetSpent reports whether the retry budget allows no retry now. At the edge of the period, a request
@@ -641,8 +641,8 @@
 // serverLimit returns how many attempts of this balancer a server may hold: its part of the slots, reduced
 // under congestion. It does not grow when other servers leave or fail, as that would overload the last ones.
 func (b *Balancer) serverLimit(s *server) float64 {
-	limit := b.weightShare(float64(b.slots), s) * b.readyWeight / b.subsetWeight * s.turnMultiple
-	return max(1, limit*congestionFactor(s.congestion))
+	return max(1, b.weightShare(float64(b.slots), s)*b.readyWeight/b.subsetWeight*
+		s.turnMultiple*congestionFactor(s.congestion))
 }
 
 // congestionFactor returns the factor by which congestion reduces a concurrency limit. Congestion is the mean
@@ -696,8 +696,8 @@
 		return section(n*subsetStart(b.cfg.Index), b.subsetTarget)
 	}
 	b.latencyRatioFloor = latencyRatioFloorShared // random latency must not outweigh the fitting
-	total, sum, meanShift := 0.0, 0.0, 0.0
-	shifts, subsets := make([]float64, len(sharers)), make([][]*server, len(sharers))
+	total, sum, meanShift, shifts, subsets := 0.0, 0.0, 0.0,
+		make([]float64, len(sharers)), make([][]*server, len(sharers))
 	for _, a := range sharers {
 		total += a.Rate
 	}
@@ -708,8 +708,8 @@
 	}
 	for i, a := range sharers {
 		shifts[i] -= meanShift + max(-subsetShiftTolerance, min(shifts[i]-meanShift, subsetShiftTolerance))
-		size := b.subsetSize(a.Rate)
-		width := max(size, min(minSubsetCoverage*n*a.Rate/total, maxSubsetWidening*size))
+		width := max(b.subsetSize(a.Rate),
+			min(minSubsetCoverage*n*a.Rate/total, maxSubsetWidening*b.subsetSize(a.Rate)))
 		subsets[i] = section(n*subsetStart(a.Index)+shifts[i], width)
 	}
 	for range fittingRounds {
@@ -723,8 +723,8 @@
 			}
 		}
 		for _, s := range all {
-			fitted := s.turnMultiple * s.Weight / b.readyWeight / s.fittedShare
-			s.turnMultiple, s.fittedShare = max(1/maxTurnMultiple, min(fitted, maxTurnMultiple)), 0
+			s.turnMultiple, s.fittedShare = max(1/maxTurnMultiple,
+				min(s.turnMultiple*s.Weight/b.readyWeight/s.fittedShare, maxTurnMultiple)), 0
 		}
 	}
 	return subsets[self]
@@ -751,8 +751,8 @@
 // turnGap returns the virtual time between two turns of a server. It is longer for slow, failing and cold
 // servers, but bounded: the remaining turns show when a server has recovered.
 func (b *Balancer) turnGap(now time.Duration, s *server) float64 {
-	ratio := max(b.latencyRatioFloor, min(s.latencyRatio, failureLatencyRatio/2))
-	return math.Pow(ratio, 1.5) / (b.turnWeight(b.cfg.Zone, s) * b.capacityShare(now, s))
+	return math.Pow(max(b.latencyRatioFloor, min(s.latencyRatio, failureLatencyRatio/2)), 1.5) /
+		(b.turnWeight(b.cfg.Zone, s) * b.capacityShare(now, s))
 }
 
 // turnWeight returns the weight of a server's turns for a balancer in the given zone. Servers of other zones
@@ -803,8 +803,8 @@
 	if end == balance.Served || unexpected {
 		aimShare := float64(took) / float64(r.class.Aim)
 		s.congestion += (aimShare*aimShare - s.congestion) / 8
-		weight := min(0.5, max(1.0/16, (now-b.congestionAt).Seconds()/10)) // rare responses weigh more
-		b.congestion += (aimShare*aimShare - b.congestion) * weight
+		b.congestion += (aimShare*aimShare - b.congestion) *
+			min(0.5, max(1.0/16, (now-b.congestionAt).Seconds()/10)) // rare responses weigh more
 		b.congestionAt = now
 	}
 	ratio := failureLatencyRatio
@@ -842,8 +842,8 @@
 // sharers.
 func (b *Balancer) eject(now time.Duration, s *server) {
 	sharers := b.fleetSize * b.subsetWeight / max(b.readyWeight, 1e-9)
-	first := time.Duration(sharers * float64(backoffPerSharer))
-	s.ejectedUntil = now + b.backoff(first, s.failures-ejectAfterFailures)
+	s.ejectedUntil = now +
+		b.backoff(time.Duration(sharers*float64(backoffPerSharer)), s.failures-ejectAfterFailures)
 }
 
 // UpdateServers handles a server list event: it updates the servers, their weights and the subset.
@@ -871,8 +871,8 @@
 	b.servers = slices.DeleteFunc(b.servers, func(s *server) bool { return s.State == balance.Gone })
 	if b.firstListSize == 0 { // without quotas, compartments are sized by the first list
 		b.firstListSize = float64(len(b.servers))
-		b.sizeCompartments()
-		if b.totalQuota == 0 { // as if maxSharersPerServer balancers gave each server one turn per second
+		if b.sizeCompartments(); b.totalQuota == 0 {
+			// as if maxSharersPerServer balancers gave each server one turn per second
 			b.rate = b.firstListSize * min(1, maxSharersPerServer/b.fleetSize) / b.secondsPerTurn
 		}
 	}
@@ -906,8 +906,8 @@
 	if e.Started > 0 && e.Started > s.Started { // restarted: cold, and its health is unknown
 		*s = server{Server: e, inFlight: s.inFlight, warmAt: max(s.warmAt, start+b.cfg.ColdTime), latencyRatio: 1}
 	}
-	s.Server, s.listedWeight, s.excluded = e, e.Weight, b.disabled[e.ID]
-	s.warmAt = max(s.warmAt, b.enabledWarmAt[e.ID])
+	s.Server, s.listedWeight, s.excluded, s.warmAt = e, e.Weight, b.disabled[e.ID],
+		max(s.warmAt, b.enabledWarmAt[e.ID])
 	if !s.inService() {
 		b.closeIdle(now, s)
 	}
@@ -929,8 +929,8 @@
 		return
 	}
 	delete(b.disabled, id)
-	warm := func(_ balance.ServerID, warmAt time.Duration) bool { return now >= warmAt }
-	maps.DeleteFunc(b.enabledWarmAt, warm)
+	maps.DeleteFunc(b.enabledWarmAt,
+		func(_ balance.ServerID, warmAt time.Duration) bool { return now >= warmAt })
 	b.enabledWarmAt[id] = at + b.cfg.ColdTime
 	if s := b.serverByID(id); s != nil {
 		*s = server{Server: s.Server, listedWeight: s.listedWeight, inFlight: s.inFlight,
--- a/policy/state.go
+++ b/policy/state.go
@@ -98,9 +98,10 @@
 // admissionStats counts recent events for the admission throttle. All counts decay exponentially.
 type admissionStats struct {
 	decayedAt time.Duration // time of the last decay
-	offered   float64       // attempts that ended, and refused requests as counted by countThrottled
-	timely    float64       // attempts answered in time; less for those that used up most of the aim
-	ended     float64       // attempts that ended
+	// offered: attempts that ended, and refused requests as counted by countThrottled;
+	// timely: attempts answered in time, less for those that used up most of the aim
+	offered, timely float64
+	ended           float64 // attempts that ended
 }
 
 // decay brings the counts up to date.
@@ -333,8 +334,8 @@
 // joinKeyQueue appends a request to the queue of its key. It now and then removes the empty queues.
 func (b *Balancer) joinKeyQueue(now time.Duration, r *request, key uint64) {
 	if len(b.keyQueues) > 64+2*len(b.requests) {
-		idle := func(_ uint64, q *keyQueue) bool { return len(q.waiting) == 0 && now >= q.settledAt }
-		maps.DeleteFunc(b.keyQueues, idle)
+		maps.DeleteFunc(b.keyQueues,
+			func(_ uint64, q *keyQueue) bool { return len(q.waiting) == 0 && now >= q.settledAt })
 	}
 	q := b.keyQueues[key]
 	if q == nil {
