--- a/internal/conf/conf.go
+++ b/internal/conf/conf.go
@@ -30,7 +30,7 @@
 )
 
 // fileLimit is the size of a file in bytes at most; far above any real one.
-const fileLimit = 1 << 20
+const maxFileSize = 1 << 20
 
 // Duration is a time that is written as "250ms" or "1m30s".
 type Duration time.Duration
@@ -60,12 +60,12 @@
 		return err
 	}
 	defer f.Close()
-	raw, err := io.ReadAll(io.LimitReader(f, fileLimit+1))
+	raw, err := io.ReadAll(io.LimitReader(f, maxFileSize+1))
 	switch {
 	case err != nil:
 		return err
-	case len(raw) > fileLimit:
-		return fmt.Errorf("%s: more than %d bytes", path, fileLimit)
+	case len(raw) > maxFileSize:
+		return fmt.Errorf("%s: more than %d bytes", path, maxFileSize)
 	}
 	return Parse(path, raw, into)
 }
@@ -76,7 +76,7 @@
 	if err := d.Decode(into); err != nil {
 		return explain(name, err)
 	}
-	lines, err := linesOf(raw)
+	lines, err := keyLines(raw)
 	if err != nil {
 		return fmt.Errorf("%s: %w", name, err)
 	}
@@ -87,7 +87,7 @@
 
 // Lines tells on which line each key of a file stands, for whoever finds more wrong with one than Parse does. An entry of an array of
 // tables is a[0], a[1] and so on.
-func KeyLines(raw []byte) (map[string]int, error) { return linesOf(raw) }
+func KeyLines(raw []byte) (map[string]int, error) { return keyLines(raw) }
 
 // explain names the file, the line and the key that the library's error is about.
 func explain(name string, err error) error {
@@ -114,7 +114,7 @@
 }
 
 // linesOf tells on which line each key stands; an entry of an array of tables is a[0], a[1] and so on.
-func linesOf(raw []byte) (map[string]int, error) {
+func keyLines(raw []byte) (map[string]int, error) {
 	var p unstable.Parser
 	p.Reset(raw)
 	lines, arrays, table := make(map[string]int), make(map[string]int), ""
@@ -131,7 +131,7 @@
 		e := p.Expression()
 		path, line := "", 0
 		for k := e.Key(); k.Next(); {
-			path = join(path, string(k.Node().Data))
+			path = joinPath(path, string(k.Node().Data))
 			if n, ok := arrays[path]; ok && (e.Kind != unstable.ArrayTable || !k.IsLast()) {
 				path = fmt.Sprintf("%s[%d]", path, n-1)
 			}
@@ -145,10 +145,10 @@
 			table = fmt.Sprintf("%s[%d]", path, arrays[path]-1)
 			path = table
 		default:
-			path = join(table, path)
+			path = joinPath(table, path)
 			for v := e.Value().Children(); e.Value().Kind == unstable.InlineTable && v.Next(); {
 				for k := v.Node().Key(); k.Next(); {
-					lines[join(path, string(k.Node().Data))] = line
+					lines[joinPath(path, string(k.Node().Data))] = line
 				}
 			}
 		}
@@ -157,7 +157,7 @@
 	return lines, p.Error()
 }
 
-func join(path, key string) string {
+func joinPath(path, key string) string {
 	if path == "" {
 		return key
 	}
@@ -181,7 +181,7 @@
 	return 1
 }
 
-func (c *checker) fail(path, format string, args ...any) {
+func (c *checker) addError(path, format string, args ...any) {
 	c.errs = append(c.errs, fmt.Errorf("%s:%d: key %q %s", c.name, c.line(path), path, fmt.Sprintf(format, args...)))
 }
 
@@ -191,7 +191,7 @@
 		for i := range v.NumField() {
 			f := v.Type().Field(i)
 			if key := f.Tag.Get("toml"); key != "" && key != "-" {
-				c.walk(join(path, key), v.Field(i), f)
+				c.walk(joinPath(path, key), v.Field(i), f)
 			} else if f.Anonymous { // its keys are the outer one's
 				c.walk(path, v.Field(i), f)
 			}
@@ -207,20 +207,20 @@
 	}
 	if _, given := c.lines[path]; !given {
 		if f.Tag.Get("need") != "" {
-			c.fail(path, "is missing")
+			c.addError(path, "is missing")
 			return
 		}
-		set(v, f.Tag.Get("default"))
+		setDefault(v, f.Tag.Get("default"))
 	}
-	c.bounds(path, v, f.Tag)
+	c.checkBounds(path, v, f.Tag)
 }
 
 // set gives a field the value that a tag has as text. A tag that can't be read is a mistake in the program.
-func set(v reflect.Value, text string) {
+func setDefault(v reflect.Value, text string) {
 	if text == "" {
 		return
 	}
-	n, err := number(v.Type(), text)
+	n, err := parseNumber(v.Type(), text)
 	switch v.Kind() {
 	case reflect.String:
 		v.SetString(text)
@@ -244,7 +244,7 @@
 var durationType = reflect.TypeFor[Duration]()
 
 // number reads a tag as a number of its field's type.
-func number(t reflect.Type, text string) (float64, error) {
+func parseNumber(t reflect.Type, text string) (float64, error) {
 	if t == durationType {
 		d, err := time.ParseDuration(text)
 		return float64(d), err
@@ -252,7 +252,7 @@
 	return strconv.ParseFloat(text, 64)
 }
 
-func (c *checker) bounds(path string, v reflect.Value, tag reflect.StructTag) {
+func (c *checker) checkBounds(path string, v reflect.Value, tag reflect.StructTag) {
 	if words := strings.Fields(tag.Get("oneof")); len(words) > 0 {
 		given := []string{}
 		switch v.Kind() {
@@ -263,7 +263,7 @@
 		}
 		for _, word := range given {
 			if !slices.Contains(words, word) {
-				c.fail(path, "is %q: %s are allowed", word, strings.Join(words, ", "))
+				c.addError(path, "is %q: %s are allowed", word, strings.Join(words, ", "))
 			}
 		}
 	}
@@ -277,13 +277,13 @@
 		return
 	}
 	least, most := tag.Get("min"), tag.Get("max")
-	low, errLow := number(v.Type(), cmp.Or(least, "0"))
-	high, errHigh := number(v.Type(), cmp.Or(most, "0"))
+	low, errLow := parseNumber(v.Type(), cmp.Or(least, "0"))
+	high, errHigh := parseNumber(v.Type(), cmp.Or(most, "0"))
 	if errLow != nil || errHigh != nil {
 		panic(fmt.Sprintf("conf: bounds of %s: %v", path, errors.Join(errLow, errHigh)))
 	}
 	if least != "" && !(at >= low) || most != "" && !(at <= high) { // a NaN is neither
-		c.fail(path, "is %v: %s to %s is allowed", v.Interface(), least, cmp.Or(most, "any"))
+		c.addError(path, "is %v: %s to %s is allowed", v.Interface(), least, cmp.Or(most, "any"))
 	}
 }
 
@@ -298,20 +298,20 @@
 type Key struct{ Path, Kind, Default, Bounds, Help string }
 
 // Keys lists the keys of a struct, in its own order.
-func Keys(v any) []Key { return keys("", reflect.TypeOf(v), reflect.StructField{}) }
+func Keys(v any) []Key { return listKeys("", reflect.TypeOf(v), reflect.StructField{}) }
 
-func keys(path string, t reflect.Type, f reflect.StructField) (all []Key) {
+func listKeys(path string, t reflect.Type, f reflect.StructField) (all []Key) {
 	kind := map[reflect.Kind]string{
 		reflect.Int: "whole number", reflect.Float64: "number", reflect.String: "text", reflect.Bool: "true or false",
 		reflect.Slice: "list of texts", reflect.Map: "table of texts",
 	}[t.Kind()]
 	switch {
 	case t.Kind() == reflect.Slice && t.Elem().Kind() == reflect.Struct:
-		return keys(path+"[]", t.Elem(), f)
+		return listKeys(path+"[]", t.Elem(), f)
 	case t.Kind() == reflect.Struct:
 		for i := range t.NumField() {
 			if key := t.Field(i).Tag.Get("toml"); key != "" && key != "-" {
-				all = append(all, keys(join(path, key), t.Field(i).Type, t.Field(i))...)
+				all = append(all, listKeys(joinPath(path, key), t.Field(i).Type, t.Field(i))...)
 			}
 		}
 		return all
--- a/internal/guard/guard.go
+++ b/internal/guard/guard.go
@@ -29,38 +29,38 @@
 	AnsweredSoon                   // at AnswerSlack behind the deadline at the latest
 	ClosedAfter                    // a client that waits is not closed on without an answer
 	SentToListed                   // nothing is sent to a server that was told draining or gone longer than the grace ago
-	rules
+	invariantCount
 )
 
-var names = [rules]string{
+var invariantNames = [invariantCount]string{
 	"started", "sent_while_open", "sent_in_time", "repeat_allowed", "answered_once", "answered_soon", "closed_after", "sent_to_listed",
 }
 
 // String returns the rule's name in the log and among the figures.
-func (r Invariant) String() string { return names[r] }
+func (r Invariant) String() string { return invariantNames[r] }
 
 const (
 	// LeftSlack is how long behind a client's leaving an attempt may begin (the operators' terms): 0.1 s, and 0.15 s for a
 	// machine that holds the process up between its look and its write.
-	LeftSlack = 250 * time.Millisecond
+	ClientLeftSlack = 250 * time.Millisecond
 	// AnswerSlack is how long behind its deadline a final answer may come (the operators' terms).
 	AnswerSlack = 500 * time.Millisecond
 	// GraceSlack is how much longer than the grace a send may take (the operators' terms, for sockets).
-	GraceSlack = 50 * time.Millisecond
+	DrainGraceSlack = 50 * time.Millisecond
 	// outKept bounds how long it is remembered that a server is gone: nothing is on its way there any more.
-	outKept = time.Minute
+	goneRetention = time.Minute
 	// clearedIn is how often in that time those are forgotten that have been kept for so long.
-	clearedIn = 10
+	sweepsPerRetention = 10
 )
 
 // Denied says which rule does not permit what was asked for.
-type Denied struct{ Rule Invariant }
+type DeniedError struct{ Invariant Invariant }
 
-func (d Denied) Error() string { return "not permitted: " + d.Rule.String() }
+func (d DeniedError) Error() string { return "not permitted: " + d.Invariant.String() }
 
 // Violation is one breach of an invariant.
 type Violation struct {
-	Rule      Invariant
+	Invariant Invariant
 	RequestID string // the request's X-Request-ID
 	Detail    string // what happened
 }
@@ -75,20 +75,20 @@
 }
 
 // entry is a request in the table. It stays until it has ended and none of its attempts is out.
-type entry struct {
+type requestState struct {
 	Request
-	out      int           // attempts with no end yet
-	ran      time.Duration // when the first attempt that may have run was sent
-	mayRun   bool          // there is one
-	answered bool
-	settled  bool // the program has no answer for it any more: it has given one, or knows that its client has left
-	left     bool // its client has closed its connection, or the sending side of it
-	leftAt   time.Duration
-	closed   bool // its handler has ended
+	attemptsInFlight int           // attempts with no end yet
+	firstRun         time.Duration // when the first attempt that may have run was sent
+	mayHaveRun       bool          // there is one
+	answered         bool
+	noAnswerDue      bool // the program has no answer for it any more: it has given one, or knows that its client has left
+	clientLeft       bool // its client has closed its connection, or the sending side of it
+	clientLeftAt     time.Duration
+	handlerEnded     bool // its handler has ended
 }
 
 // outage is what was told of a server that is not ready. One that drains is kept as long as it is listed.
-type outage struct {
+type notReadyServer struct {
 	since time.Duration
 	gone  bool
 }
@@ -96,22 +96,22 @@
 // Guard checks the invariants of all requests of a process. Its methods are safe for concurrent use.
 type Guard struct {
 	report     func(Violation)
-	grace      time.Duration // a server may be sent to for so long after it was told draining or gone; 0: for ever
+	drainGrace time.Duration // a server may be sent to for so long after it was told draining or gone; 0: for ever
 	ready      atomic.Bool
-	violations [rules]atomic.Uint64
-	denials    [rules]atomic.Uint64
+	violations [invariantCount]atomic.Uint64
+	denials    [invariantCount]atomic.Uint64
 
-	mu   sync.Mutex
-	open map[balance.RequestID]*entry
-	out  map[string]outage // servers that were told draining or gone, by address
+	mu       sync.Mutex
+	requests map[balance.RequestID]*requestState
+	notReady map[string]notReadyServer // servers that were told draining or gone, by address
 
-	cleared time.Duration // when those of long ago were forgotten last
+	lastSweep time.Duration // when those of long ago were forgotten last
 }
 
 // New makes a Guard. report hears of each violation, and must not call back. grace is how long a server may still be sent
 // to after it was told draining or gone; 0: for ever.
 func New(report func(Violation), grace time.Duration) *Guard {
-	return &Guard{report: report, grace: grace, open: make(map[balance.RequestID]*entry), out: make(map[string]outage)}
+	return &Guard{report: report, drainGrace: grace, requests: make(map[balance.RequestID]*requestState), notReady: make(map[string]notReadyServer)}
 }
 
 // Start takes that the sidecar is ready: requests may be taken from now on.
@@ -121,17 +121,17 @@
 func (g *Guard) Admit(id balance.RequestID, r Request) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.open[id] != nil || !g.ready.Load() {
-		g.violated(Started, r.RequestID, "taken before the sidecar was ready, or twice")
+	if g.requests[id] != nil || !g.ready.Load() {
+		g.reportViolation(Started, r.RequestID, "taken before the sidecar was ready, or twice")
 	}
-	g.open[id] = &entry{Request: r}
+	g.requests[id] = &requestState{Request: r}
 }
 
 // BodyEnded takes that a request's body has come: its time begins.
 func (g *Guard) BodyEnded(id balance.RequestID, deadline time.Duration) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if e := g.open[id]; e != nil {
+	if e := g.requests[id]; e != nil {
 		e.BodyPending, e.Deadline = false, deadline
 	}
 }
@@ -141,38 +141,38 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if state == balance.Ready {
-		delete(g.out, address)
+		delete(g.notReady, address)
 		return
 	}
-	if now-g.cleared > outKept/clearedIn {
-		g.cleared = now
-		maps.DeleteFunc(g.out, func(_ string, o outage) bool { return o.gone && now-o.since > outKept })
+	if now-g.lastSweep > goneRetention/sweepsPerRetention {
+		g.lastSweep = now
+		maps.DeleteFunc(g.notReady, func(_ string, o notReadyServer) bool { return o.gone && now-o.since > goneRetention })
 	}
-	o, known := g.out[address]
+	o, known := g.notReady[address]
 	if !known {
 		o.since = now
 	}
 	o.gone = state == balance.Gone
-	g.out[address] = o
+	g.notReady[address] = o
 }
 
 // Send asks whether an attempt at the server at an address may be begun, a first or a further one. Each that may has an End.
 func (g *Guard) PermitSend(now time.Duration, id balance.RequestID, address string) error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	e := g.open[id]
-	if rule, denied := e.denies(now, g.ready.Load()); denied {
+	e := g.requests[id]
+	if rule, denied := e.sendDenied(now, g.ready.Load()); denied {
 		return g.deny(rule)
 	}
-	if e.Effect != balance.Safe && e.out > 0 || e.mayRun && !e.mayRepeat(now) {
-		g.violated(RepeatAllowed, e.RequestID, "a repeat was asked for that its class does not allow")
+	if e.Effect != balance.Safe && e.attemptsInFlight > 0 || e.mayHaveRun && !e.mayRepeat(now) {
+		g.reportViolation(RepeatAllowed, e.RequestID, "a repeat was asked for that its class does not allow")
 		return g.deny(RepeatAllowed)
 	}
-	if g.outFor(now, address) > g.grace {
-		g.violated(SentToListed, e.RequestID, "an attempt was asked for at a server that drains or is gone")
+	if g.notReadyFor(now, address) > g.drainGrace {
+		g.reportViolation(SentToListed, e.RequestID, "an attempt was asked for at a server that drains or is gone")
 		return g.deny(SentToListed)
 	}
-	e.out++
+	e.attemptsInFlight++
 	return nil
 }
 
@@ -180,34 +180,34 @@
 func (g *Guard) PermitWrite(now time.Duration, id balance.RequestID, address string) error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	e := g.open[id]
-	rule, denied := e.denies(now, true)
+	e := g.requests[id]
+	rule, denied := e.sendDenied(now, true)
 	switch {
 	case denied:
 		return g.deny(rule)
-	case e.mayRun && !e.mayRepeat(now):
+	case e.mayHaveRun && !e.mayRepeat(now):
 		return g.deny(RepeatAllowed)
-	case g.outFor(now, address) > g.grace:
+	case g.notReadyFor(now, address) > g.drainGrace:
 		return g.deny(SentToListed)
 	}
 	return nil
 }
 
 // outFor is how long ago the server at an address was told draining or gone; 0: it is ready, or nothing limits sends.
-func (g *Guard) outFor(now time.Duration, address string) time.Duration {
-	o, out := g.out[address]
-	if !out || g.grace == 0 {
+func (g *Guard) notReadyFor(now time.Duration, address string) time.Duration {
+	o, out := g.notReady[address]
+	if !out || g.drainGrace == 0 {
 		return 0
 	}
 	return now - o.since
 }
 
 // denies says which rule keeps anything from being sent for a request.
-func (e *entry) denies(now time.Duration, ready bool) (Invariant, bool) {
+func (e *requestState) sendDenied(now time.Duration, ready bool) (Invariant, bool) {
 	switch {
 	case !ready:
 		return Started, true
-	case e == nil || e.answered || e.left || e.closed:
+	case e == nil || e.answered || e.clientLeft || e.handlerEnded:
 		return SentWhileOpen, true
 	case !e.BodyPending && now >= e.Deadline:
 		return SentInTime, true
@@ -216,30 +216,30 @@
 }
 
 // mayRepeat says whether a request that may have run may be sent once more.
-func (e *entry) mayRepeat(now time.Duration) bool {
-	return e.Effect == balance.Safe || e.Effect == balance.Keyed && now < e.ran+e.Window
+func (e *requestState) mayRepeat(now time.Duration) bool {
+	return e.Effect == balance.Safe || e.Effect == balance.Keyed && now < e.firstRun+e.Window
 }
 
 // Written takes that the last byte of an attempt has gone out to an address, which was begun at a moment.
 func (g *Guard) AttemptWritten(began, now time.Duration, id balance.RequestID, address string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	e := g.open[id]
+	e := g.requests[id]
 	switch {
 	case e == nil:
-		g.violated(SentWhileOpen, "", "an attempt was written for a request that is not held")
-	case e.left && began > e.leftAt+LeftSlack:
-		g.violated(SentWhileOpen, e.RequestID, fmt.Sprintf("an attempt was begun %v behind its client's leaving", began-e.leftAt))
-	case e.mayRun && !e.mayRepeat(now):
-		g.violated(RepeatAllowed, e.RequestID, "a repeat went out that its class does not allow any more")
+		g.reportViolation(SentWhileOpen, "", "an attempt was written for a request that is not held")
+	case e.clientLeft && began > e.clientLeftAt+ClientLeftSlack:
+		g.reportViolation(SentWhileOpen, e.RequestID, fmt.Sprintf("an attempt was begun %v behind its client's leaving", began-e.clientLeftAt))
+	case e.mayHaveRun && !e.mayRepeat(now):
+		g.reportViolation(RepeatAllowed, e.RequestID, "a repeat went out that its class does not allow any more")
 	}
-	if name := nameOf(e); g.outFor(began, address) > g.grace+GraceSlack {
-		g.violated(SentToListed, name, fmt.Sprintf("an attempt was begun at %s %v after that was told draining or gone", address, g.outFor(began, address)))
+	if name := requestIDOf(e); g.notReadyFor(began, address) > g.drainGrace+DrainGraceSlack {
+		g.reportViolation(SentToListed, name, fmt.Sprintf("an attempt was begun at %s %v after that was told draining or gone", address, g.notReadyFor(began, address)))
 	}
 }
 
 // nameOf is the X-Request-ID of an entry, if there is one.
-func nameOf(e *entry) string {
+func requestIDOf(e *requestState) string {
 	if e == nil {
 		return ""
 	}
@@ -250,24 +250,24 @@
 func (g *Guard) AttemptEnded(sent time.Duration, id balance.RequestID, ending balance.Ending) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	e := g.open[id]
+	e := g.requests[id]
 	if e == nil {
 		return
 	}
-	e.out--
+	e.attemptsInFlight--
 	never := ending == balance.TurnedAway || ending == balance.NoConnection || ending == balance.NotSent
-	if !never && !e.mayRun {
-		e.mayRun, e.ran = true, sent
+	if !never && !e.mayHaveRun {
+		e.mayHaveRun, e.firstRun = true, sent
 	}
-	g.forget(id, e)
+	g.forgetIfEnded(id, e)
 }
 
 // Left takes that a request's client has closed its connection.
 func (g *Guard) ClientLeft(now time.Duration, id balance.RequestID) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if e := g.open[id]; e != nil && !e.left {
-		e.left, e.leftAt = true, now
+	if e := g.requests[id]; e != nil && !e.clientLeft {
+		e.clientLeft, e.clientLeftAt = true, now
 	}
 }
 
@@ -275,19 +275,19 @@
 func (g *Guard) PermitAnswer(now time.Duration, id balance.RequestID) error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	e := g.open[id]
+	e := g.requests[id]
 	switch {
 	case e == nil || e.answered:
-		g.violated(AnsweredOnce, nameOf(e), "a second final answer, or one to a request that is not held")
+		g.reportViolation(AnsweredOnce, requestIDOf(e), "a second final answer, or one to a request that is not held")
 		return g.deny(AnsweredOnce)
-	case e.closed: // its handler has gone with the client, and word of that is on its way
-		e.settled = true
-		g.forget(id, e)
+	case e.handlerEnded: // its handler has gone with the client, and word of that is on its way
+		e.noAnswerDue = true
+		g.forgetIfEnded(id, e)
 		return g.deny(ClosedAfter)
-	case !e.BodyPending && !e.left && now > e.Deadline+AnswerSlack:
-		g.violated(AnsweredSoon, e.RequestID, fmt.Sprintf("answered %v behind its deadline", now-e.Deadline))
+	case !e.BodyPending && !e.clientLeft && now > e.Deadline+AnswerSlack:
+		g.reportViolation(AnsweredSoon, e.RequestID, fmt.Sprintf("answered %v behind its deadline", now-e.Deadline))
 	}
-	e.answered, e.settled = true, true
+	e.answered, e.noAnswerDue = true, true
 	return nil
 }
 
@@ -295,9 +295,9 @@
 func (g *Guard) AnswerDropped(id balance.RequestID) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if e := g.open[id]; e != nil {
-		e.settled = true
-		g.forget(id, e)
+	if e := g.requests[id]; e != nil {
+		e.noAnswerDue = true
+		g.forgetIfEnded(id, e)
 	}
 }
 
@@ -306,54 +306,54 @@
 func (g *Guard) HandlerEnded(now time.Duration, id balance.RequestID, broken bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	e := g.open[id]
+	e := g.requests[id]
 	if e == nil {
 		return
 	}
-	if !e.answered && !e.left && !broken {
-		g.violated(ClosedAfter, e.RequestID, "closed with no answer while its client waits")
+	if !e.answered && !e.clientLeft && !broken {
+		g.reportViolation(ClosedAfter, e.RequestID, "closed with no answer while its client waits")
 	}
-	e.closed = true
-	g.forget(id, e)
+	e.handlerEnded = true
+	g.forgetIfEnded(id, e)
 }
 
 // Stop takes that the process ends: whoever waits now is lost.
 func (g *Guard) Stop() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	for _, e := range g.open {
-		if !e.left && !e.closed {
-			g.violated(ClosedAfter, e.RequestID, "held when the process ended")
+	for _, e := range g.requests {
+		if !e.clientLeft && !e.handlerEnded {
+			g.reportViolation(ClosedAfter, e.RequestID, "held when the process ended")
 		}
 	}
 }
 
 // forget drops a request that has ended. The caller holds the lock.
-func (g *Guard) forget(id balance.RequestID, e *entry) {
-	if e.closed && e.settled && e.out <= 0 {
-		delete(g.open, id)
+func (g *Guard) forgetIfEnded(id balance.RequestID, e *requestState) {
+	if e.handlerEnded && e.noAnswerDue && e.attemptsInFlight <= 0 {
+		delete(g.requests, id)
 	}
 }
 
 func (g *Guard) deny(rule Invariant) error {
 	g.denials[rule].Add(1)
-	return Denied{rule}
+	return DeniedError{rule}
 }
 
-func (g *Guard) violated(rule Invariant, name, text string) {
+func (g *Guard) reportViolation(rule Invariant, name, text string) {
 	g.violations[rule].Add(1)
 	g.report(Violation{rule, name, text})
 }
 
 // Count is how often a rule was violated, and how often it denied something.
 type InvariantCount struct {
-	Rule               Invariant
+	Invariant          Invariant
 	Violations, Denied uint64
 }
 
 // Counts lists the counts of all rules.
 func (g *Guard) Counts() []InvariantCount {
-	all := make([]InvariantCount, rules)
+	all := make([]InvariantCount, invariantCount)
 	for i := range all {
 		all[i] = InvariantCount{Invariant(i), g.violations[i].Load(), g.denials[i].Load()}
 	}
--- a/internal/listener/conn.go
+++ b/internal/listener/conn.go
@@ -15,8 +15,8 @@
 )
 
 const (
-	registerTime  = time.Second // a connection's registration is tried for so long
-	registerPause = 2 * time.Millisecond
+	registerTimeout       = time.Second // a connection's registration is tried for so long
+	registerRetryInterval = 2 * time.Millisecond
 )
 
 // noDeadline clears a deadline.
@@ -24,11 +24,11 @@
 
 // options are what a test may have go wrong.
 type options struct {
-	register func(*os.File) error // tells whether the network poller has taken a file
-	limit    time.Duration        // for a connection's registration
+	register        func(*os.File) error // tells whether the network poller has taken a file
+	registerTimeout time.Duration        // for a connection's registration
 }
 
-func systemOptions() options { return options{registered, registerTime} }
+func defaultOptions() options { return options{checkRegistered, registerTimeout} }
 
 // Conn is an accepted connection. It owns its descriptor from the start. The network poller may refuse that at first: then
 // whoever first sets a deadline, reads or writes waits until it has taken a copy, for registerTime at most.
@@ -36,13 +36,13 @@
 	local, remote net.Addr
 	options       options
 	socket        atomic.Pointer[socket]
-	taken         atomic.Bool // by the network poller
+	registered    atomic.Bool // by the network poller
 
-	mu     sync.Mutex // held by each try to have it taken, and by the close
-	closed bool
-	lost   error // it was not taken in time; guarded by registering
+	mu          sync.Mutex // held by each try to have it taken, and by the close
+	closed      bool
+	registerErr error // it was not taken in time; guarded by registering
 
-	registering sync.Mutex
+	registerMu sync.Mutex
 }
 
 // socket owns a descriptor.
@@ -66,28 +66,28 @@
 	_ = unix.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1) // it mostly has it from its listener
 	s := newSocket(fd)
 	c.socket.Store(s)
-	c.taken.Store(o.register(s.File) == nil)
+	c.registered.Store(o.register(s.File) == nil)
 	return c
 }
 
 // register returns once the network poller has taken the connection. An error says that it has not in time, or that the
 // connection is closed.
 func (c *Conn) register() error {
-	if c.taken.Load() {
+	if c.registered.Load() {
 		return nil
 	}
-	c.registering.Lock()
-	defer c.registering.Unlock()
-	for end := time.Now().Add(c.options.limit); c.lost == nil; time.Sleep(registerPause) {
+	c.registerMu.Lock()
+	defer c.registerMu.Unlock()
+	for end := time.Now().Add(c.options.registerTimeout); c.registerErr == nil; time.Sleep(registerRetryInterval) {
 		err := c.tryRegister()
 		if err == nil || errors.Is(err, net.ErrClosed) {
 			return err
 		}
 		if time.Now().After(end) {
-			c.lost = err
+			c.registerErr = err
 		}
 	}
-	return c.lost
+	return c.registerErr
 }
 
 // tryRegister has the network poller take a copy of the descriptor in place of it: one that it refused is never asked of it again.
@@ -97,7 +97,7 @@
 	switch {
 	case c.closed:
 		return net.ErrClosed
-	case c.taken.Load():
+	case c.registered.Load():
 		return nil
 	}
 	old := c.socket.Load()
@@ -114,7 +114,7 @@
 		return err
 	}
 	c.socket.Store(s)
-	c.taken.Store(true)
+	c.registered.Store(true)
 	_ = old.Close() // the copy stands
 	return nil
 }
@@ -160,15 +160,19 @@
 func (c *Conn) RemoteAddr() net.Addr { return c.remote }
 
 // SetDeadline sets until when reads and writes wait.
-func (c *Conn) SetDeadline(t time.Time) error { return c.set((*os.File).SetDeadline, t) }
+func (c *Conn) SetDeadline(t time.Time) error { return c.setDeadline((*os.File).SetDeadline, t) }
 
 // SetReadDeadline sets until when reads wait.
-func (c *Conn) SetReadDeadline(t time.Time) error { return c.set((*os.File).SetReadDeadline, t) }
+func (c *Conn) SetReadDeadline(t time.Time) error {
+	return c.setDeadline((*os.File).SetReadDeadline, t)
+}
 
 // SetWriteDeadline sets until when writes wait.
-func (c *Conn) SetWriteDeadline(t time.Time) error { return c.set((*os.File).SetWriteDeadline, t) }
+func (c *Conn) SetWriteDeadline(t time.Time) error {
+	return c.setDeadline((*os.File).SetWriteDeadline, t)
+}
 
-func (c *Conn) set(deadline func(*os.File, time.Time) error, t time.Time) error {
+func (c *Conn) setDeadline(deadline func(*os.File, time.Time) error, t time.Time) error {
 	if err := c.register(); err != nil {
 		return err
 	}
--- a/internal/listener/listener.go
+++ b/internal/listener/listener.go
@@ -20,7 +20,7 @@
 )
 
 // looks is how often the system is asked whether connections wait, where it would not tell.
-const looks = 3
+const pollAttempts = 3
 
 // ErrUnregistered says that the system could not set up a wait for a socket. It may pass.
 var ErrUnregistered = errors.New("the network poller has not taken the socket")
@@ -35,8 +35,8 @@
 	mu     sync.Mutex
 	queued []*Conn // taken by Finish, for Accept
 
-	finishing sync.Mutex // held by Finish
-	finished  bool
+	shutdownMu sync.Mutex // held by Finish
+	shutDown   bool
 }
 
 // Listen opens a listener at an address, as net.ListenConfig does. With shared, others may listen there too (SO_REUSEPORT).
@@ -57,28 +57,28 @@
 		return nil, err
 	}
 	defer inner.Close()
-	return of(inner.(*net.TCPListener))
+	return newListener(inner.(*net.TCPListener))
 }
 
 // of makes a listener of package net's, which may be closed behind it. Package net lets nobody else wait on its own descriptor.
-func of(inner *net.TCPListener) (*Listener, error) {
+func newListener(inner *net.TCPListener) (*Listener, error) {
 	file, err := inner.File()
 	if err != nil {
 		return nil, err
 	}
 	raw, err := file.SyscallConn()
 	if err == nil {
-		err = registered(file)
+		err = checkRegistered(file)
 	}
 	if err != nil {
 		file.Close()
 		return nil, fmt.Errorf("listen %v: %w", inner.Addr(), err)
 	}
-	return &Listener{file: file, raw: raw, address: inner.Addr(), options: systemOptions()}, nil
+	return &Listener{file: file, raw: raw, address: inner.Addr(), options: defaultOptions()}, nil
 }
 
 // registered is nil where the network poller has taken a file.
-func registered(file *os.File) error {
+func checkRegistered(file *os.File) error {
 	if file.SetReadDeadline(noDeadline) != nil {
 		return ErrUnregistered
 	}
@@ -102,13 +102,13 @@
 		case errors.Is(err, os.ErrDeadlineExceeded): // woken by Finish
 			_ = l.file.SetReadDeadline(noDeadline) // fails only on a closed one
 		case err != nil:
-			return l.lastQueued()
+			return l.queuedOrClosed()
 		case failed == nil:
 			return c, nil
-		case failed != unix.EINVAL || !l.isFinished():
+		case failed != unix.EINVAL || !l.isShutDown():
 			return nil, os.NewSyscallError("accept4", failed)
 		default:
-			return l.lastQueued()
+			return l.queuedOrClosed()
 		}
 	}
 }
@@ -132,7 +132,7 @@
 		socket, remote, err := syscall.Accept4(fd, unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC)
 		switch err {
 		case nil:
-			return newConn(socket, l.address, addressOf(remote), l.options), nil
+			return newConn(socket, l.address, tcpAddr(remote), l.options), nil
 		case unix.EINTR, unix.ECONNABORTED:
 		default:
 			return nil, err
@@ -141,7 +141,7 @@
 }
 
 // lastQueued is what Accept returns behind the end of listening.
-func (l *Listener) lastQueued() (net.Conn, error) {
+func (l *Listener) queuedOrClosed() (net.Conn, error) {
 	if c := l.nextQueued(); c != nil {
 		return c, nil
 	}
@@ -149,26 +149,26 @@
 }
 
 // isFinished tells whether Finish has ended listening. It waits for one that is under way.
-func (l *Listener) isFinished() bool {
-	l.finishing.Lock()
-	defer l.finishing.Unlock()
-	return l.finished
+func (l *Listener) isShutDown() bool {
+	l.shutdownMu.Lock()
+	defer l.shutdownMu.Unlock()
+	return l.shutDown
 }
 
 // Finish takes all connections that wait, for Accept to return, and ends listening. The last look for one and the end are two
 // system calls in a row, as nothing else keeps the kernel from choosing this listener meanwhile. Where it fails, the
 // listener still listens, and Accept returns at once what could be taken.
-func (l *Listener) Finish() error {
-	l.finishing.Lock()
-	defer l.finishing.Unlock()
+func (l *Listener) Shutdown() error {
+	l.shutdownMu.Lock()
+	defer l.shutdownMu.Unlock()
 	var failed error
-	err := l.raw.Control(func(fd uintptr) { failed = l.finish(int(fd)) })
-	l.finished = err == nil && failed == nil
+	err := l.raw.Control(func(fd uintptr) { failed = l.shutdown(int(fd)) })
+	l.shutDown = err == nil && failed == nil
 	_ = l.file.SetReadDeadline(time.Unix(1, 0)) // wakes Accept; it fails only on a closed one
 	return errors.Join(err, failed)
 }
 
-func (l *Listener) finish(fd int) error {
+func (l *Listener) shutdown(fd int) error {
 	for {
 		c, err := l.accept(fd)
 		if err == unix.EAGAIN {
@@ -189,7 +189,7 @@
 }
 
 // Waiting tells whether connections are known to have come that Accept has not returned.
-func (l *Listener) Waiting() bool {
+func (l *Listener) HasPending() bool {
 	l.mu.Lock()
 	queued := len(l.queued)
 	l.mu.Unlock()
@@ -198,7 +198,7 @@
 	}
 	ready := 0
 	_ = l.raw.Control(func(fd uintptr) { // it fails only on a closed one
-		for range looks {
+		for range pollAttempts {
 			var err error
 			p := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLIN}}
 			if ready, err = unix.Poll(p, 0); err == nil {
@@ -225,7 +225,7 @@
 func (l *Listener) SyscallConn() (syscall.RawConn, error) { return l.raw, nil }
 
 // addressOf is a peer's address, of either version of IP.
-func addressOf(address syscall.Sockaddr) net.Addr {
+func tcpAddr(address syscall.Sockaddr) net.Addr {
 	switch at := address.(type) {
 	case *syscall.SockaddrInet4:
 		return &net.TCPAddr{IP: at.Addr[:], Port: at.Port}
--- a/internal/listener/listener_test.go
+++ b/internal/listener/listener_test.go
@@ -14,10 +14,10 @@
 )
 
 // patience bounds every wait for what is to happen.
-const patience = 20 * time.Second
+const testTimeout = 20 * time.Second
 
 // opened is a listener with options, and its address.
-func opened(t *testing.T, o options) (*Listener, string) {
+func listen(t *testing.T, o options) (*Listener, string) {
 	t.Helper()
 	l, err := Listen(context.Background(), "127.0.0.1:0", true)
 	if err != nil {
@@ -28,28 +28,28 @@
 	return l, l.Addr().String()
 }
 
-func dialled(t *testing.T, address string) net.Conn {
+func dialTCP(t *testing.T, address string) net.Conn {
 	t.Helper()
 	c, err := net.Dial("tcp", address)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { c.Close() })
-	_ = c.SetDeadline(time.Now().Add(patience)) // fails only on a closed one
+	_ = c.SetDeadline(time.Now().Add(testTimeout)) // fails only on a closed one
 	return c
 }
 
 // A connection that the network poller refuses at first is read and written once it takes it, also where a read was begun before.
-func TestConnectionIsTakenLater(t *testing.T) {
+func TestRegistrationIsRetried(t *testing.T) {
 	var refusals atomic.Int64
 	refusals.Store(5)
-	l, address := opened(t, options{limit: patience, register: func(f *os.File) error {
+	l, address := listen(t, options{registerTimeout: testTimeout, register: func(f *os.File) error {
 		if refusals.Add(-1) >= 0 {
 			return ErrUnregistered
 		}
-		return registered(f)
+		return checkRegistered(f)
 	}})
-	far := dialled(t, address)
+	far := dialTCP(t, address)
 	near, err := l.Accept()
 	if err != nil {
 		t.Fatal(err)
@@ -84,9 +84,9 @@
 }
 
 // A connection that the network poller never takes fails its reads in time, and still can be written to and closed.
-func TestConnectionThatIsNeverTaken(t *testing.T) {
-	l, address := opened(t, options{limit: 20 * time.Millisecond, register: func(*os.File) error { return ErrUnregistered }})
-	far := dialled(t, address)
+func TestConnectionIsNeverRegistered(t *testing.T) {
+	l, address := listen(t, options{registerTimeout: 20 * time.Millisecond, register: func(*os.File) error { return ErrUnregistered }})
+	far := dialTCP(t, address)
 	near, err := l.Accept()
 	if err != nil {
 		t.Fatal(err)
@@ -108,16 +108,16 @@
 }
 
 // The close of a connection ends the wait for the network poller to take it.
-func TestCloseEndsTheWait(t *testing.T) {
+func TestCloseEndsRegistration(t *testing.T) {
 	asked := make(chan struct{}, 1)
-	l, address := opened(t, options{limit: time.Hour, register: func(*os.File) error {
+	l, address := listen(t, options{registerTimeout: time.Hour, register: func(*os.File) error {
 		select {
 		case asked <- struct{}{}:
 		default:
 		}
 		return ErrUnregistered
 	}})
-	dialled(t, address)
+	dialTCP(t, address)
 	near, err := l.Accept()
 	if err != nil {
 		t.Fatal(err)
@@ -135,14 +135,14 @@
 		if !errors.Is(err, net.ErrClosed) {
 			t.Errorf("the read failed with %v, want %v", err, net.ErrClosed)
 		}
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Fatal("the read goes on")
 	}
 }
 
 // Whoever waits in Accept as listening ends has all connections that had come, and then the end.
-func TestAcceptHasWhatFinishTook(t *testing.T) {
-	l, address := opened(t, systemOptions())
+func TestAcceptAfterShutdown(t *testing.T) {
+	l, address := listen(t, defaultOptions())
 	accepted := make(chan error, 10)
 	go func() {
 		for {
@@ -154,9 +154,9 @@
 		}
 	}()
 	for range 3 {
-		dialled(t, address)
+		dialTCP(t, address)
 	}
-	if err := l.Finish(); err != nil {
+	if err := l.Shutdown(); err != nil {
 		t.Fatal(err)
 	}
 	if err := l.Close(); err != nil {
@@ -167,7 +167,7 @@
 			t.Fatal(err)
 		}
 	}
-	for end := time.After(patience); ; {
+	for end := time.After(testTimeout); ; {
 		select {
 		case err := <-accepted:
 			if errors.Is(err, net.ErrClosed) {
--- a/internal/sidecar/byhand.go
+++ b/internal/sidecar/byhand.go
@@ -16,11 +16,11 @@
 )
 
 const (
-	stateVersion = 1
-	stateLimit   = 1 << 20                // bytes of a state file; far above any real one
-	stateMost    = 4096                   // servers in it
-	backKept     = time.Minute            // a call back is kept so long: a second process must know who is cold
-	stateWait    = 300 * time.Millisecond // the other process writes for no longer than this
+	legacyVersion     = 1
+	maxLegacyFileSize = 1 << 20                // bytes of a state file; far above any real one
+	maxOperatorCalls  = 4096                   // servers in it
+	enableRetention   = time.Minute            // a call back is kept so long: a second process must know who is cold
+	writeLockTimeout  = 300 * time.Millisecond // the other process writes for no longer than this
 )
 
 // handed is a server that is out by hand, or was until lately.
@@ -30,20 +30,20 @@
 }
 
 // backSeen is when a call back was first seen by this process.
-type backSeen struct {
+type enableSeen struct {
 	atMs int64     // of the call, which tells it from others
 	at   time.Time // with the monotonic clock
 }
 
 // stateFile is the form of the file for older programs, which pass over the sum.
-type stateFile struct {
+type legacyFile struct {
 	Version int                     `json:"version"`
 	Servers map[string]operatorCall `json:"servers"`
 	Sum     *uint32                 `json:"sum,omitempty"` // of the servers; nil: an older program wrote it
 }
 
 // sum is the checksum of a file's servers.
-func (s *stateFile) checksum() uint32 {
+func (s *legacyFile) checksum() uint32 {
 	raw, err := json.Marshal(s.Servers)
 	if err != nil {
 		panic(err) // of plain fields
@@ -52,7 +52,7 @@
 }
 
 // adopt takes over what older programs have left, or a second copy of the calls where the state itself was damaged.
-func (h *sharedState) adopt() {
+func (h *sharedState) importLegacy() {
 	servers, old, err := h.readLegacy()
 	bare := h.store.Fresh() || len(h.store.Damage().Files) > 0
 	switch {
@@ -75,7 +75,7 @@
 		if was, ok := known[instance]; ok && was.AtMs >= c.AtMs {
 			continue
 		}
-		if err := h.enterCall(instance, c); err != nil {
+		if err := h.storeCall(instance, c); err != nil {
 			slog.Error("by hand not kept", "server", instance, "out", c.Out, "error", err)
 		}
 	}
@@ -100,18 +100,18 @@
 		return nil, false, err
 	}
 	defer f.Close()
-	raw, err := io.ReadAll(io.LimitReader(f, stateLimit+1))
+	raw, err := io.ReadAll(io.LimitReader(f, maxLegacyFileSize+1))
 	if err != nil {
 		return nil, false, err
 	}
-	var s stateFile
+	var s legacyFile
 	d := json.NewDecoder(bytes.NewReader(raw))
 	d.DisallowUnknownFields() // a key with a flipped bit is no key of an older form
 	if err := d.Decode(&s); err != nil {
 		return nil, false, fmt.Errorf("%s is damaged: %w", h.legacyPath, err)
 	}
 	switch {
-	case s.Version != stateVersion || len(s.Servers) > stateMost:
+	case s.Version != legacyVersion || len(s.Servers) > maxOperatorCalls:
 		return nil, false, fmt.Errorf("%s: version %d with %d servers can't be used", h.legacyPath, s.Version, len(s.Servers))
 	case s.Sum != nil && *s.Sum != s.checksum():
 		return nil, false, fmt.Errorf("%s is damaged: its checksum is wrong", h.legacyPath)
@@ -121,23 +121,23 @@
 
 // save enters a call, on top of those that the other process has entered, and returns once it is durable.
 func (h *sharedState) persistCall(instance string, out bool, now time.Time) error {
-	h.saving.Lock()
-	defer h.saving.Unlock()
-	if h.lock != nil {
+	h.saveMu.Lock()
+	defer h.saveMu.Unlock()
+	if h.lockFile != nil {
 		for tries := 0; ; tries++ { // the other process writes only for moments
-			err := fcntl(h.lock, ofdSetLock, writerByte, syscall.F_WRLCK)
+			err := fcntl(h.lockFile, ofdSetLock, writerByte, syscall.F_WRLCK)
 			if err == nil {
 				break
 			}
-			if time.Duration(tries)*time.Millisecond >= stateWait {
-				return errors.Join(fmt.Errorf("lock: %w", err), h.enterCall(instance, operatorCall{out, now.UnixMilli()}))
+			if time.Duration(tries)*time.Millisecond >= writeLockTimeout {
+				return errors.Join(fmt.Errorf("lock: %w", err), h.storeCall(instance, operatorCall{out, now.UnixMilli()}))
 			}
 			time.Sleep(time.Millisecond)
 		}
-		defer func() { _ = fcntl(h.lock, ofdSetLock, writerByte, syscall.F_UNLCK) }() // fails only on a closed file
+		defer func() { _ = fcntl(h.lockFile, ofdSetLock, writerByte, syscall.F_UNLCK) }() // fails only on a closed file
 		h.followOthers()
 	}
-	if err := h.enterCall(instance, operatorCall{out, now.UnixMilli()}); err != nil {
+	if err := h.storeCall(instance, operatorCall{out, now.UnixMilli()}); err != nil {
 		return err
 	}
 	h.dropOldEnables(now)
@@ -148,7 +148,7 @@
 }
 
 // enterCall makes a call durable. Said again, it keeps the moment at which it was said first.
-func (h *sharedState) enterCall(instance string, c operatorCall) error {
+func (h *sharedState) storeCall(instance string, c operatorCall) error {
 	known := h.inForce()
 	old, ok := known[instance]
 	if h.store == nil {
@@ -163,7 +163,7 @@
 	if ok && old.Out == c.Out || !ok && !c.Out {
 		return h.store.Sync() // it may not have been kept the first time
 	}
-	if len(known) >= stateMost {
+	if len(known) >= maxOperatorCalls {
 		return errors.New("too many servers are out by hand to keep one more")
 	}
 	raw, err := json.Marshal(c)
@@ -174,26 +174,26 @@
 }
 
 // seeBacks notes since when this process has seen each call back.
-func (h *sharedState) seeBacks(now time.Time) {
-	seen := make(map[string]backSeen)
+func (h *sharedState) noteEnables(now time.Time) {
+	seen := make(map[string]enableSeen)
 	for instance, c := range h.inForce() {
 		if c.Out {
 			continue
 		}
-		seen[instance] = backSeen{c.AtMs, now}
-		if before, ok := h.backs[instance]; ok && before.atMs == c.AtMs {
+		seen[instance] = enableSeen{c.AtMs, now}
+		if before, ok := h.enables[instance]; ok && before.atMs == c.AtMs {
 			seen[instance] = before
 		}
 	}
-	h.backs = seen
+	h.enables = seen
 }
 
 // forget drops calls back that everybody knows of by now. How long one has been there is time of this process's own: the wall
 // clock may have been stepped since the call.
 func (h *sharedState) dropOldEnables(now time.Time) {
-	h.seeBacks(now)
-	for instance, seen := range h.backs {
-		if h.store != nil && now.Sub(seen.at) > backKept {
+	h.noteEnables(now)
+	for instance, seen := range h.enables {
+		if h.store != nil && now.Sub(seen.at) > enableRetention {
 			_ = h.store.Delete(sectionCalls, instance) // or it stays for longer
 		}
 	}
@@ -204,7 +204,7 @@
 	if h.legacyPath == "" {
 		return nil
 	}
-	s := stateFile{Version: stateVersion, Servers: h.inForce()}
+	s := legacyFile{Version: legacyVersion, Servers: h.inForce()}
 	sum := s.checksum()
 	s.Sum = &sum
 	raw, err := json.Marshal(s)
@@ -241,18 +241,18 @@
 
 // known returns the calls in force, those of the other process included.
 func (h *sharedState) currentCalls() map[string]operatorCall {
-	h.saving.Lock()
-	defer h.saving.Unlock()
-	if h.lock != nil {
+	h.saveMu.Lock()
+	defer h.saveMu.Unlock()
+	if h.lockFile != nil {
 		h.followOthers()
 	}
-	h.seeBacks(time.Now())
+	h.noteEnables(time.Now())
 	return h.inForce()
 }
 
 // followLate takes over the calls by hand of a folder that did not answer in time, once it does; those that were made at this
 // process meanwhile are newer. Nothing else of it counts until the next start.
-func (h *sharedState) followLate(ctx context.Context, calls func(map[string]operatorCall)) {
+func (h *sharedState) followLateState(ctx context.Context, calls func(map[string]operatorCall)) {
 	if h.lateState == nil {
 		return
 	}
--- a/internal/sidecar/calledoff_test.go
+++ b/internal/sidecar/calledoff_test.go
@@ -12,16 +12,16 @@
 )
 
 // crossing bounds how long a crossing is held open, so that the other side may run into it.
-const crossing = 300 * time.Millisecond
+const crossingTimeout = 300 * time.Millisecond
 
 // callOff calls a request's first attempt off, and holds the loop until happened or crossing is over.
-func (f *front) callOff(t *testing.T, happened func() bool) {
+func (f *front) cancelFirstAttempt(t *testing.T, happened func() bool) {
 	t.Helper()
 	err := f.loop.do(context.Background(), func(time.Duration) {
 		for id := range f.loop.requests {
 			f.loop.Cancel(id, 0)
 		}
-		for end := time.Now().Add(crossing); !happened() && time.Now().Before(end); time.Sleep(time.Millisecond) {
+		for end := time.Now().Add(crossingTimeout); !happened() && time.Now().Before(end); time.Sleep(time.Millisecond) {
 		}
 	})
 	if err != nil {
@@ -31,7 +31,7 @@
 
 // A request whose body has gone out whole keeps its final answer as its attempt is called off: that interrupted the reads of
 // its connection, which was taken for its client's leaving.
-func TestCalledOffUploadIsAnswered(t *testing.T) {
+func TestCancelledUploadIsAnswered(t *testing.T) {
 	s := newStub(t, func(net.Conn, stubRequest) bool { select {} })
 	f, side, serve := assembled(t, s.address, nil)
 	serve()
@@ -41,7 +41,7 @@
 		t.Fatal(err)
 	}
 	wait(t, "the request", s.requests)
-	f.callOff(t, func() bool { return f.openRequests.Load() == 0 })
+	f.cancelFirstAttempt(t, func() bool { return f.openRequests.Load() == 0 })
 	_ = c.SetReadDeadline(time.Now().Add(testTimeout)) // fails only on a closed one
 	if res, err := http.ReadResponse(bufio.NewReader(c), nil); err != nil || res.StatusCode < 500 {
 		t.Errorf("it was answered %v, error %v, want a failure or a refusal", res, err)
@@ -49,7 +49,7 @@
 }
 
 // An answer that begins as its attempt is called off is no answer: its connection is closed, so that the client saw it break off.
-func TestCalledOffStreamIsNoAnswer(t *testing.T) {
+func TestCancelledStreamIsNoAnswer(t *testing.T) {
 	begin := make(chan struct{})
 	s := newStub(t, func(c net.Conn, r stubRequest) bool {
 		<-begin
--- a/internal/sidecar/clients.go
+++ b/internal/sidecar/clients.go
@@ -16,8 +16,8 @@
 )
 
 const (
-	restTime = 250 * time.Millisecond // what comes behind a last answer is read for so long,
-	restMost = 256 << 10              // or so many bytes of it
+	lingerTimeout  = 250 * time.Millisecond // what comes behind a last answer is read for so long,
+	maxLingerBytes = 256 << 10              // or so many bytes of it
 )
 
 // clients is the listener that the application connects to. Anyone may connect, so it holds only so many
@@ -30,21 +30,21 @@
 	countClose func(closeReason)
 	readFD     func(fd int, p []byte) (int, error) // the system call
 
-	mu          sync.Mutex
-	clientShare int           // connections with open requests at most
-	maxTotal    int           // and connections of any kind, those to upstreams included
-	stopping    bool          // another process takes those that come from now on, or this one ends
-	failing     time.Duration // since when accept has failed while connections may have waited; 0: it has not
-	conns       map[*clientConn]struct{}
-	peak        int    // the most at once, since the last count
-	shed        [3]int // closed to make room: silent, idle, with half a request
-	rejected    int    // refused at once, as there was none
-	scarce      int    // not accepted, as there was no descriptor or memory
-
-	failures      int       // of accept, for whatever reason
-	failureLogged time.Time // when the last of them was logged
-
-	refusing atomic.Int64 // connections that are being closed with a refusal
+	mu           sync.Mutex
+	clientShare  int           // connections with open requests at most
+	maxTotal     int           // and connections of any kind, those to upstreams included
+	stopping     bool          // another process takes those that come from now on, or this one ends
+	failingSince time.Duration // since when accept has failed while connections may have waited; 0: it has not
+	conns        map[*clientConn]struct{}
+	peak         int    // the most at once, since the last count
+	shedCounts   [3]int // closed to make room: silent, idle, with half a request
+	rejected     int    // refused at once, as there was none
+	exhausted    int    // not accepted, as there was no descriptor or memory
+
+	acceptFailures  int       // of accept, for whatever reason
+	failureLoggedAt time.Time // when the last of them was logged
+
+	pendingRefusals atomic.Int64 // connections that are being closed with a refusal
 }
 
 // clientConn is a connection of the application, or of whoever else connects. net/http drops
@@ -69,18 +69,18 @@
 	queuedSince      time.Duration // since when what has come on it may have waited to be accepted; 0: no longer than it was looked for
 	refuseOnce       sync.Once
 
-	spoke atomic.Int64 // when the last of its bytes came, by the clients' clock
+	lastRead atomic.Int64 // when the last of its bytes came, by the clients' clock
 
 	since      time.Time // when it was accepted, or went idle; what follows is guarded by clients.mu
 	hadRequest bool      // a whole request has come on it
-	spoken     bool      // bytes were seen that its goroutine had not read by then
+	dataSeen   bool      // bytes were seen that its goroutine had not read by then
 	state      http.ConnState
 }
 
 // newClients makes the application's listener, with room for all that one process may hold.
 func newClients(cfg *Config, l clientListener, upstreams func() int) *clients {
 	k := &clients{clientListener: l, clock: newClock(), upstreams: upstreams, countClose: func(closeReason) {}, readFD: syscall.Read, conns: make(map[*clientConn]struct{})}
-	k.setLimits(cfg.clientConns(1), cfg.allConns(1))
+	k.setLimits(cfg.clientConnLimit(1), cfg.totalConnLimit(1))
 	return k
 }
 
@@ -114,7 +114,7 @@
 }
 
 // endIdle ends the connections that stand idle between requests, and from half on all that hold no whole one.
-func (l *clients) endIdle(half bool) {
+func (l *clients) closeIdle(half bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for c := range l.conns {
@@ -129,7 +129,7 @@
 	l.mu.Lock()
 	l.stopping = true
 	l.mu.Unlock()
-	l.endIdle(false)
+	l.closeIdle(false)
 }
 
 // open is how many connections there are.
@@ -142,7 +142,7 @@
 // waitClosed waits until all connections are closed, or until end.
 func (l *clients) waitClosed(end time.Time) {
 	for l.count() > 0 && time.Now().Before(end) {
-		time.Sleep(lookEvery)
+		time.Sleep(closePollInterval)
 	}
 }
 
@@ -202,13 +202,13 @@
 // came tells how long ago the last bytes came on ctx's connection: a request that was sent behind another lies in its
 // server's buffer while that one is answered, and its client's time runs.
 func (l *clients) sinceLastRead(ctx context.Context) time.Duration {
-	return l.clock.now() - time.Duration(ctx.Value(connKey{}).(*clientConn).spoke.Load())
+	return l.clock.now() - time.Duration(ctx.Value(connKey{}).(*clientConn).lastRead.Load())
 }
 
 // presenceOf tells whether the client of ctx's connection has closed it, or its sending side. net/http hears of that as it
 // reads, and reads no further than one byte behind a request, nor into a body that waits to be sent on: so the kernel
 // is asked, which knows of the end whatever is still to be read before it.
-func (l *clients) presenceOf(ctx context.Context) presence {
+func (l *clients) queryPresence(ctx context.Context) presence {
 	c, ok := ctx.Value(connKey{}).(*clientConn).Conn.(syscall.Conn)
 	if !ok {
 		return clientPresent
@@ -218,7 +218,7 @@
 		return clientGone
 	}
 	found := clientUnknown
-	if raw.Control(func(fd uintptr) { found = presenceAt(int(fd)) }) != nil {
+	if raw.Control(func(fd uintptr) { found = pollPresence(int(fd)) }) != nil {
 		return clientGone // this side has closed it
 	}
 	return found
@@ -236,7 +236,7 @@
 func (l *clients) counters() map[string]int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	counts := map[string]int{"peak": l.peak, "silent": l.shed[0], "idled": l.shed[1], "half": l.shed[2], "barred": l.rejected, "scarce": l.scarce}
+	counts := map[string]int{"peak": l.peak, "silent": l.shedCounts[0], "idled": l.shedCounts[1], "half": l.shedCounts[2], "barred": l.rejected, "scarce": l.exhausted}
 	for c := range l.conns {
 		counts[c.state.String()]++
 	}
@@ -249,7 +249,7 @@
 func (c *clientConn) Read(p []byte) (n int, err error) {
 	waited := c.raw.Read(func(fd uintptr) bool {
 		// No lock is held between two tries: whoever makes room waits for a look, and not for the system to have memory.
-		n, err = retryMomentary(func() (int, error) { return c.lookOnce(int(fd), p) })
+		n, err = retryTransient(func() (int, error) { return c.readOnce(int(fd), p) })
 		if errno, failed := err.(syscall.Errno); failed && errno != syscall.EAGAIN {
 			err = &net.OpError{Op: "read", Net: "tcp", Err: errno}
 		}
@@ -267,7 +267,7 @@
 }
 
 // lookOnce takes the bytes that have come, if any may be read. Where the system call fails its error is returned as it is.
-func (c *clientConn) lookOnce(fd int, p []byte) (int, error) {
+func (c *clientConn) readOnce(fd int, p []byte) (int, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	switch {
@@ -294,7 +294,7 @@
 		return 0, io.EOF
 	}
 	c.requestBegun = true
-	c.spoke.Store(int64(cmp.Or(c.queuedSince, c.clients.clock.now())))
+	c.lastRead.Store(int64(cmp.Or(c.queuedSince, c.clients.clock.now())))
 	c.queuedSince = 0
 	if good, bad := c.framing.advance(p[:n]); bad != nil {
 		if c.framingErr = bad; good == 0 && len(p) == 1 {
@@ -321,7 +321,7 @@
 	c.mu.Unlock()
 	switch {
 	case refused:
-		c.refuseOnce.Do(c.closeRefused)
+		c.refuseOnce.Do(c.refuseAndClose)
 		return nil
 	case answered && c.discardAvailable() > 0:
 		c.linger()
@@ -336,7 +336,7 @@
 	}
 	var rest [4 << 10]byte
 	_ = c.raw.Control(func(fd uintptr) { // fails only on a closed one
-		n, _ = retryMomentary(func() (int, error) { return syscall.Read(int(fd), rest[:]) })
+		n, _ = retryTransient(func() (int, error) { return syscall.Read(int(fd), rest[:]) })
 	})
 	return n
 }
@@ -350,12 +350,12 @@
 	if !ok || sending.CloseWrite() != nil {
 		return
 	}
-	if c.Conn.SetReadDeadline(time.Now().Add(restTime)) != nil {
+	if c.Conn.SetReadDeadline(time.Now().Add(lingerTimeout)) != nil {
 		c.discardAvailable()
 		return
 	}
 	var rest [4 << 10]byte
-	for left := restMost; left > 0; {
+	for left := maxLingerBytes; left > 0; {
 		n, err := c.Conn.Read(rest[:])
 		if err != nil {
 			return
@@ -369,25 +369,25 @@
 
 // refusingMost is how many connections may be closed with a refusal at once: each has a descriptor for up to restTime,
 // and until its goroutine has its turn. Others are closed at once.
-const refusingMost = 8
+const maxPendingRefusals = 8
 
 // reserveRefusal takes one of the places for connections that are closed with a refusal, if there is one left.
 func (l *clients) reserveRefusal() bool {
 	if l == nil {
 		return false
 	}
-	if l.refusing.Add(1) > refusingMost {
-		l.refusing.Add(-1)
+	if l.pendingRefusals.Add(1) > maxPendingRefusals {
+		l.pendingRefusals.Add(-1)
 		return false
 	}
 	return true
 }
 
 // closeRefused closes a connection with a refusal that has been reserved, for what may have come on it or still comes.
-func (c *clientConn) closeRefused() {
-	defer c.clients.refusing.Add(-1)
+func (c *clientConn) refuseAndClose() {
+	defer c.clients.pendingRefusals.Add(-1)
 	defer c.Conn.Close()
-	_ = c.Conn.SetWriteDeadline(time.Now().Add(restTime)) // fails only on a closed one, as the next does
+	_ = c.Conn.SetWriteDeadline(time.Now().Add(lingerTimeout)) // fails only on a closed one, as the next does
 	if _, err := io.WriteString(c.Conn, refusalResponse); err == nil {
 		c.linger()
 	}
--- a/internal/sidecar/clients_test.go
+++ b/internal/sidecar/clients_test.go
@@ -26,8 +26,8 @@
 )
 
 // Connections make room in the order of how little they are needed, and those with an open request do not.
-func TestWhoMakesRoom(t *testing.T) {
-	l := newClients(testConfig(t, listAnswer(1, "ready"), nil), nil, noUpstreams)
+func TestShedOrder(t *testing.T) {
+	l := newClients(testConfig(t, listAnswer(1, "ready"), nil), nil, noUpstreamConns)
 	names := make(map[*clientConn]string)
 	for _, c := range []struct {
 		name  string
@@ -55,7 +55,7 @@
 		}
 		k.since, k.hadRequest, k.state = k.since.Add(-c.age), c.known, c.state
 		if c.spoke > 0 {
-			k.spoke.Store(time.Now().Add(-c.spoke).UnixNano())
+			k.lastRead.Store(time.Now().Add(-c.spoke).UnixNano())
 		}
 		if k.requestBegun = c.spoke > 0 && !strings.HasPrefix(c.name, "idle"); k.requestBegun && !strings.HasSuffix(c.name, "read") {
 			_, _ = k.framing.advance([]byte("POST")) // a good beginning
@@ -63,7 +63,7 @@
 		names[k] = c.name
 	}
 	var order []string
-	for l.shedOne(closedRoomPartial) {
+	for l.shedOne(closedShedPartial) {
 		for k, name := range names {
 			if _, held := l.conns[k]; !held {
 				order = append(order, name)
@@ -78,7 +78,7 @@
 }
 
 // Clients may take the descriptors that upstreams leave, and give them back once upstreams want them.
-func TestClientsTakeWhatUpstreamsLeave(t *testing.T) {
+func TestClientsUseFreeUpstreamDescriptors(t *testing.T) {
 	cfg := testConfig(t, listAnswer(1, "ready"), nil)
 	upstreams := 10
 	l := newClients(cfg, nil, func() int { return upstreams })
@@ -92,11 +92,11 @@
 		}
 		all = append(all, k)
 	}
-	if n := len(l.conns); n <= l.clientShare || n+upstreams > cfg.allConns(1) {
-		t.Errorf("%d held beside %d upstreams, want more than %d and %d together at most", n, upstreams, l.clientShare, cfg.allConns(1))
+	if n := len(l.conns); n <= l.clientShare || n+upstreams > cfg.totalConnLimit(1) {
+		t.Errorf("%d held beside %d upstreams, want more than %d and %d together at most", n, upstreams, l.clientShare, cfg.totalConnLimit(1))
 	}
 	for ; upstreams < cfg.upstreamConnLimit(1); upstreams++ {
-		if !l.makeRoomForUpstream(upstreams) || len(l.conns)+upstreams >= cfg.allConns(1) {
+		if !l.makeRoomForUpstream(upstreams) || len(l.conns)+upstreams >= cfg.totalConnLimit(1) {
 			t.Fatalf("%d held beside %d upstreams and one to come", len(l.conns), upstreams)
 		}
 	}
@@ -105,20 +105,20 @@
 			l.requestReceived(l.connContext(context.Background(), k))
 		}
 	}
-	if l.makeRoomForUpstream(cfg.allConns(1)) {
+	if l.makeRoomForUpstream(cfg.totalConnLimit(1)) {
 		t.Error("connections with open requests made room")
 	}
 }
 
 // With limits cut by half too, what clients, upstreams, operators and the process itself may hold fits.
-func TestDescriptorsAreSetAside(t *testing.T) {
+func TestDescriptorBudget(t *testing.T) {
 	for _, sockets := range []float64{96, 128, 192, 1024} {
 		cfg := testConfig(t, listAnswer(1, "ready"), func(file, _ map[string]any) {
 			file["console"] = "127.0.0.1:0"
 			file["limits"].(map[string]any)["sockets"] = sockets
 		})
 		const process = 10 // standard streams, poller and its wake-up, listeners, lock, discovery twice
-		if all := cfg.allConns(1) + consoleConns + process; all > cfg.Sockets {
+		if all := cfg.totalConnLimit(1) + maxConsoleConns + process; all > cfg.Sockets {
 			t.Errorf("%d descriptors may be held of %d", all, cfg.Sockets)
 		}
 	}
@@ -130,7 +130,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	l := newClients(testConfig(t, listAnswer(1, "ready"), nil), listener, noUpstreams)
+	l := newClients(testConfig(t, listAnswer(1, "ready"), nil), listener, noUpstreamConns)
 	defer l.Close()
 	var read, ended int
 	for range 500 {
@@ -165,16 +165,16 @@
 }
 
 // without is a listener that has no descriptor to accept with until some moment.
-type without struct {
+type failingListener struct {
 	clientListener
 	failure error
 	until   time.Time
 	calls   int
 }
 
-func (l *without) Waiting() bool { return false }
+func (l *failingListener) HasPending() bool { return false }
 
-func (l *without) Accept() (net.Conn, error) {
+func (l *failingListener) Accept() (net.Conn, error) {
 	l.calls++
 	if time.Now().Before(l.until) {
 		return nil, &net.OpError{Op: "accept", Net: "tcp", Err: os.NewSyscallError("accept4", l.failure)}
@@ -183,11 +183,11 @@
 }
 
 // Where no descriptor is left to accept with, idle connections make room, and it is tried again soon, but not without a pause.
-func TestAcceptWithNoneLeft(t *testing.T) {
-	for _, failure := range scarce {
+func TestAcceptWithoutDescriptors(t *testing.T) {
+	for _, failure := range resourceErrors {
 		synctest.Test(t, func(t *testing.T) {
-			none := &without{failure: failure, until: time.Now().Add(3 * time.Second)}
-			l := newClients(testConfig(t, listAnswer(1, "ready"), nil), none, noUpstreams)
+			none := &failingListener{failure: failure, until: time.Now().Add(3 * time.Second)}
+			l := newClients(testConfig(t, listAnswer(1, "ready"), nil), none, noUpstreamConns)
 			near, far := net.Pipe()
 			defer far.Close()
 			if !l.add(&clientConn{Conn: near}) {
@@ -224,7 +224,7 @@
 
 // While a crowd of idle clients takes all descriptors that there are, and discovery is down, requests are served, the
 // console answers, discovery's first word behind the outage is heard and kept on disk, and no call of the system lacks a descriptor.
-func TestCrowdWhileDiscoveryIsDown(t *testing.T) {
+func TestIdleClientsDuringDiscoveryOutage(t *testing.T) {
 	const sockets = 96
 	s := newStub(t, echo)
 	later := newStub(t, echo)
@@ -362,12 +362,12 @@
 
 // A malformed request behind a good one, cut where net/http looks for its client's end by reading one byte, takes no
 // answer from the good one: that read sees nothing, and the next fails.
-func TestMalformedRequestBehindAGoodOne(t *testing.T) {
+func TestMalformedPipelinedRequest(t *testing.T) {
 	inner, err := listen(context.Background(), "127.0.0.1:0", true)
 	if err != nil {
 		t.Fatal(err)
 	}
-	l := newClients(testConfig(t, listAnswer(1, "ready"), nil), inner, noUpstreams)
+	l := newClients(testConfig(t, listAnswer(1, "ready"), nil), inner, noUpstreamConns)
 	defer l.Close()
 	far, err := net.Dial("tcp", inner.Addr().String())
 	if err != nil {
@@ -405,7 +405,7 @@
 
 // However many half requests make room before any of their goroutines has its turn, only few descriptors wait for that.
 func TestRefusedConnectionsAreBounded(t *testing.T) {
-	l := busyClients(t)
+	l := newBusyClients(t)
 	var ends []net.Conn
 	for range 4 * l.clientShare {
 		near, far := net.Pipe()
@@ -424,29 +424,29 @@
 			open++
 		}
 	}
-	if most := len(l.conns) + refusingMost; open > most {
+	if most := len(l.conns) + maxPendingRefusals; open > most {
 		t.Errorf("%d connections are open, want %d at most", open, most)
 	}
 }
 
 // countedConn is a connection's raw side that counts how often the kernel is asked by it.
-type countedConn struct {
+type countingRawConn struct {
 	syscall.RawConn
 	asked *int
 }
 
-func (c countedConn) Control(func(fd uintptr)) error {
+func (c countingRawConn) Control(func(fd uintptr)) error {
 	*c.asked++
 	return nil
 }
 
 // However full the table, making room for one connection asks the kernel of one.
-func TestMakingRoomAsksOfOne(t *testing.T) {
-	l, asked := busyClients(t), 0
+func TestMakingRoomQueriesOneSocket(t *testing.T) {
+	l, asked := newBusyClients(t), 0
 	for n := range 4 * l.clientShare {
 		near, far := net.Pipe()
 		t.Cleanup(func() { near.Close(); far.Close() })
-		if !l.add(&clientConn{Conn: near, raw: countedConn{asked: &asked}}) {
+		if !l.add(&clientConn{Conn: near, raw: countingRawConn{asked: &asked}}) {
 			t.Fatal("no room")
 		}
 		if asked > n+1 {
@@ -460,8 +460,8 @@
 
 // A connection that its server is closing already takes no place among those that are closed with a refusal: nobody
 // would give the place back.
-func TestClosingConnectionTakesNoPlace(t *testing.T) {
-	l := newClients(testConfig(t, listAnswer(1, "ready"), nil), nil, noUpstreams)
+func TestClosingConnectionReservesNoRefusal(t *testing.T) {
+	l := newClients(testConfig(t, listAnswer(1, "ready"), nil), nil, noUpstreamConns)
 	near, far := net.Pipe()
 	t.Cleanup(func() { far.Close() })
 	k := &clientConn{Conn: near, clients: l}
@@ -474,18 +474,18 @@
 		t.Fatal(err)
 	}
 	k.closeUnlessServing(true) // to make room: it is held until its server reports that it is closed
-	if n := l.refusing.Load(); n != 0 {
+	if n := l.pendingRefusals.Load(); n != 0 {
 		t.Errorf("%d places are taken, want none", n)
 	}
 }
 
 // Whoever makes room for others does not wait for a connection whose looks fail for lack of memory: the lock was held over all of them.
-func TestMakingRoomWaitsForNoMemory(t *testing.T) {
+func TestMakingRoomDoesNotWaitForMemory(t *testing.T) {
 	inner, err := listen(context.Background(), "127.0.0.1:0", true)
 	if err != nil {
 		t.Fatal(err)
 	}
-	l := newClients(testConfig(t, listAnswer(1, "ready"), nil), inner, noUpstreams)
+	l := newClients(testConfig(t, listAnswer(1, "ready"), nil), inner, noUpstreamConns)
 	defer l.Close()
 	var looks atomic.Int64
 	first := make(chan struct{})
@@ -509,7 +509,7 @@
 	if !near.(*clientConn).closeUnlessServing(false) {
 		t.Error("it makes no room")
 	}
-	if n := looks.Load(); n > momentaryTries/2 {
+	if n := looks.Load(); n > maxTransientRetries/2 {
 		t.Errorf("the end waited for %d looks", n)
 	}
 	if err := wait(t, "the end of its read", read); !errors.Is(err, net.ErrClosed) {
@@ -518,12 +518,12 @@
 }
 
 // A connection that has come and that the system can't wait on for as long as it is tried is refused, and its request with it.
-func TestConnectionThatCannotBeWaitedOnIsRefused(t *testing.T) {
+func TestUnregisteredConnectionIsRefused(t *testing.T) {
 	inner, err := listen(context.Background(), "127.0.0.1:0", true)
 	if err != nil {
 		t.Fatal(err)
 	}
-	l := newClients(testConfig(t, listAnswer(1, "ready"), nil), &unregistering{inner}, noUpstreams)
+	l := newClients(testConfig(t, listAnswer(1, "ready"), nil), &unregisteredListener{inner}, noUpstreamConns)
 	c := dialTCP(t, inner.Addr().String())
 	if _, err := io.WriteString(c, "GET /look HTTP/1.1\r\nHost: x\r\n\r\n"); err != nil {
 		t.Fatal(err)
@@ -543,31 +543,31 @@
 	if err != nil || res.StatusCode != http.StatusServiceUnavailable {
 		t.Errorf("the client read %v, error %v, want 503", res, err)
 	}
-	if n := l.refusing.Load(); n != 0 {
+	if n := l.pendingRefusals.Load(); n != 0 {
 		t.Errorf("%d places of refusals are taken, want none", n)
 	}
 }
 
 // unregistering is a listener whose connections the network poller never takes.
-type unregistering struct{ clientListener }
+type unregisteredListener struct{ clientListener }
 
-func (l *unregistering) Accept() (net.Conn, error) {
+func (l *unregisteredListener) Accept() (net.Conn, error) {
 	c, err := l.clientListener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	return &unregistered{c.(*listener.Conn)}, nil
+	return &unregisteredConn{c.(*listener.Conn)}, nil
 }
 
-type unregistered struct{ *listener.Conn }
+type unregisteredConn struct{ *listener.Conn }
 
-func (c *unregistered) SetReadDeadline(time.Time) error { return listener.ErrUnregistered }
+func (c *unregisteredConn) SetReadDeadline(time.Time) error { return listener.ErrUnregistered }
 
-func (c *unregistered) SyscallConn() (syscall.RawConn, error) {
+func (c *unregisteredConn) SyscallConn() (syscall.RawConn, error) {
 	raw, err := c.Conn.SyscallConn()
-	return unreadable{raw}, err
+	return unreadableRawConn{raw}, err
 }
 
-type unreadable struct{ syscall.RawConn }
+type unreadableRawConn struct{ syscall.RawConn }
 
-func (unreadable) Read(func(uintptr) bool) error { return listener.ErrUnregistered }
+func (unreadableRawConn) Read(func(uintptr) bool) error { return listener.ErrUnregistered }
--- a/internal/sidecar/config.go
+++ b/internal/sidecar/config.go
@@ -25,7 +25,7 @@
 )
 
 // readConfigTime is how long a start tries to read its configuration where the system fails.
-const readConfigTime = 5 * time.Second
+const readConfigTimeout = 5 * time.Second
 
 // Config is what a sidecar is told at its start.
 type Config struct {
@@ -48,10 +48,10 @@
 	LoadReportFields  []string       // names of a load report's fields, in the order of Columns
 	LoadReportColumns wire.Columns
 
-	MostOpen            int           // requests held at once
+	MaxOpenRequests     int           // requests held at once
 	UpstreamIdleTimeout time.Duration // an upstream closes connections that stood idle so long
 	DialTimeout         time.Duration
-	Longest             time.Duration // the longest deadline of any class
+	MaxDeadline         time.Duration // the longest deadline of any class
 	DrainGrace          time.Duration // nothing is sent to a server so long after it is told to drain; 0: not known
 
 	KnownServers listing // the servers as last known
@@ -70,14 +70,14 @@
 // ReadConfigAtStart reads a configuration, and tries for a moment where the system fails. A file that is not there, or
 // may not be read, or can't be used, is an error at once.
 func ReadConfigAtStart(ctx context.Context, path string) (*Config, error) {
-	for end := time.Now().Add(readConfigTime); ; {
+	for end := time.Now().Add(readConfigTimeout); ; {
 		cfg, err := ReadConfig(path)
 		final := errors.Is(err, fs.ErrNotExist) || errors.Is(err, fs.ErrPermission) || errors.Is(err, syscall.EISDIR)
 		if err == nil || !isSystemError(err) || final || time.Now().After(end) {
 			return cfg, err
 		}
 		select {
-		case <-time.After(listenPause):
+		case <-time.After(listenRetryInterval):
 		case <-ctx.Done():
 			return nil, err
 		}
@@ -228,12 +228,12 @@
 		c.Zones[zone] = i
 	}
 	c.LoadReportFields, c.LoadReportColumns = strings.Split(s.Text("telemetry.columns"), ","), s.Columns()
-	c.MostOpen = int(s.Number("caps.max_open"))
+	c.MaxOpenRequests = int(s.Number("caps.max_open"))
 	c.UpstreamIdleTimeout = s.Duration("caps.conn_idle_ms")
 	c.DialTimeout = s.Duration("caps.dial_timeout_ms")
 	c.DrainGrace = s.Duration("rules.stop_sending_within_ms")
 	for _, k := range c.Policy.Classes {
-		c.Longest = max(c.Longest, k.Deadline)
+		c.MaxDeadline = max(c.MaxDeadline, k.Deadline)
 	}
 	if err := s.Err(); err != nil {
 		return fmt.Errorf("config: %w", err)
@@ -243,8 +243,8 @@
 			return fmt.Errorf("config: settings: %s is %v, a time above 0 is needed", field, d)
 		}
 	}
-	if c.MostOpen < 0 {
-		return fmt.Errorf("config: settings: caps.max_open is %d", c.MostOpen)
+	if c.MaxOpenRequests < 0 {
+		return fmt.Errorf("config: settings: caps.max_open is %d", c.MaxOpenRequests)
 	}
 	return nil
 }
@@ -252,24 +252,24 @@
 // ownFiles are the descriptors set aside before clients and upstreams divide the rest: the process's own
 // (standard streams, poller, listener, lock, discovery at two addresses, the state's file and the next) and, where there is a console, its listener's
 // and its callers'; membership's, where there is one. Clients may take all that upstreams leave, so that no more is free than is set aside.
-func (c *Config) ownFiles() int {
+func (c *Config) reservedFiles() int {
 	own := 12
 	if c.Console != "" {
-		own += consoleConns + 2
+		own += maxConsoleConns + 2
 	}
-	if c.hasPeers() {
-		own += memberFiles
+	if c.hasMembership() {
+		own += membershipFiles
 	}
 	return min(own, c.Sockets/4)
 }
 
 // clientConns and upstreamConns divide the descriptors of one of n processes: half for upstreams, most of the
 // rest for the application's connections, and a reserve for what is being closed and for the process itself.
-func (c *Config) clientConns(n int) int { return c.freeFiles(n) * 3 / 8 }
+func (c *Config) clientConnLimit(n int) int { return c.connBudget(n) * 3 / 8 }
 
-func (c *Config) upstreamConnLimit(n int) int { return c.freeFiles(n) / 2 }
+func (c *Config) upstreamConnLimit(n int) int { return c.connBudget(n) / 2 }
 
 // allConns is how many connections of both kinds one of n processes may hold.
-func (c *Config) allConns(n int) int { return c.freeFiles(n) * 15 / 16 }
+func (c *Config) totalConnLimit(n int) int { return c.connBudget(n) * 15 / 16 }
 
-func (c *Config) freeFiles(n int) int { return max(c.Sockets/n-c.ownFiles(), 8) }
+func (c *Config) connBudget(n int) int { return max(c.Sockets/n-c.reservedFiles(), 8) }
--- a/internal/sidecar/config_test.go
+++ b/internal/sidecar/config_test.go
@@ -10,8 +10,8 @@
 
 func TestConfig(t *testing.T) {
 	c := testConfig(t, listAnswer(41, "ready", "127.0.0.1:80"), nil)
-	if c.Seed != 0x8c1f30d27a5be964 || c.UpstreamIdleTimeout != 30*time.Second || c.Longest != 20*time.Second || c.KnownServers.version != 41 ||
-		c.Classes["entry"] != 1 || c.Tenants["south"] != 1 || c.Zones["b"] != 1 || c.MostOpen != 100 {
+	if c.Seed != 0x8c1f30d27a5be964 || c.UpstreamIdleTimeout != 30*time.Second || c.MaxDeadline != 20*time.Second || c.KnownServers.version != 41 ||
+		c.Classes["entry"] != 1 || c.Tenants["south"] != 1 || c.Zones["b"] != 1 || c.MaxOpenRequests != 100 {
 		t.Errorf("config %+v", c)
 	}
 	p := c.Policy
--- a/internal/sidecar/console.go
+++ b/internal/sidecar/console.go
@@ -16,18 +16,18 @@
 )
 
 const (
-	consoleConns    = 12                     // callers at once; past that the one silent longest makes room
-	callReadTimeout = 2 * time.Second        // a caller may take so long over its line
-	replyTime       = 500 * time.Millisecond // and so long to take its answer; it is owed that within 1 s
-	callLimit       = 256                    // bytes of a line
-	callRest        = 64 << 10               // bytes read behind an unusable line, so that its answer is not lost to a reset
+	maxConsoleConns  = 12                     // callers at once; past that the one silent longest makes room
+	callReadTimeout  = 2 * time.Second        // a caller may take so long over its line
+	callReplyTimeout = 500 * time.Millisecond // and so long to take its answer; it is owed that within 1 s
+	maxCallLine      = 256                    // bytes of a line
+	maxCallDrain     = 64 << 10               // bytes read behind an unusable line, so that its answer is not lost to a reset
 )
 
 // console is the operators' door: one line to a connection, one answer, and a close. It stands apart from
 // the clients' side, so that neither load there nor silent callers here keep an answer back.
 type console struct {
 	ready        func() bool
-	stat         func(io.Writer)
+	writeStats   func(io.Writer)
 	setServer    func(ctx context.Context, id string, out bool) error // takes a server out by hand, or brings it back
 	writeDuties  func(io.Writer) error                                // who of the fleet has which duty
 	moveDuty     func(words []string) error                           // passes a duty on
@@ -60,7 +60,7 @@
 				slog.Error("console failed", "error", err)
 			}
 			select {
-			case <-time.After(acceptPause):
+			case <-time.After(acceptRetryInterval):
 			case <-ctx.Done():
 			}
 		}
@@ -71,7 +71,7 @@
 func (c *console) addWaiting(conn net.Conn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if len(c.waiting) >= consoleConns {
+	if len(c.waiting) >= maxConsoleConns {
 		c.waiting[0].Close()
 		c.waiting = c.waiting[1:]
 	}
@@ -79,7 +79,7 @@
 }
 
 // spoke takes that a caller's line has come, or never will: it makes room for nobody any more.
-func (c *console) spoke(conn net.Conn) {
+func (c *console) removeWaiting(conn net.Conn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for i := range c.waiting {
@@ -95,9 +95,9 @@
 	defer conn.Close()
 	// Deadlines and writes fail only on a connection that is gone: nobody is left to tell.
 	_ = conn.SetDeadline(time.Now().Add(callReadTimeout))
-	line, err := bufio.NewReaderSize(conn, callLimit).ReadSlice('\n')
-	c.spoke(conn)
-	_ = conn.SetDeadline(time.Now().Add(replyTime))
+	line, err := bufio.NewReaderSize(conn, maxCallLine).ReadSlice('\n')
+	c.removeWaiting(conn)
+	_ = conn.SetDeadline(time.Now().Add(callReplyTimeout))
 	if err != nil {
 		why := "400 the line has no end\n"
 		if errors.Is(err, bufio.ErrBufferFull) {
@@ -105,13 +105,13 @@
 		}
 		_, _ = io.WriteString(conn, why)
 		if sending, ok := conn.(writeCloser); ok && sending.CloseWrite() == nil {
-			_, _ = io.CopyN(io.Discard, conn, callRest)
+			_, _ = io.CopyN(io.Discard, conn, maxCallDrain)
 		}
 		return
 	}
 	w := bufio.NewWriter(conn)
 	c.execute(ctx, w, strings.Fields(string(line)))
-	_ = conn.SetDeadline(time.Now().Add(replyTime)) // the call itself may have waited for a disk
+	_ = conn.SetDeadline(time.Now().Add(callReplyTimeout)) // the call itself may have waited for a disk
 	_ = w.Flush()
 }
 
@@ -126,7 +126,7 @@
 	case len(words) != wanted && !(name == "move-duty" && len(words) == 3):
 		err = fmt.Errorf("%s takes %d words after it", name, wanted-1)
 	case name == "show-stat":
-		c.stat(w)
+		c.writeStats(w)
 		return
 	case name == "show-members" || name == "show-duties" || name == "show-rules":
 		show := map[string]func(io.Writer) error{"show-members": c.writeMembers, "show-duties": c.writeDuties, "show-rules": c.writeRules}[name]
@@ -155,7 +155,7 @@
 
 // stat writes the figures, for operators and what watches the sidecar for them. Requests are counted where
 // they are answered, attempts where they are written; what only the loop knows is at most membersEvery old.
-func (f *front) stat(w io.Writer) {
+func (f *front) writeStats(w io.Writer) {
 	for _, name := range slices.Sorted(maps.Keys(f.cfg.Classes)) {
 		ended := &f.tallies[f.cfg.Classes[name]]
 		for _, figure := range []struct {
@@ -168,6 +168,6 @@
 	members := f.loop.members.Load()
 	// A long body that still comes belongs to no request taken.
 	fmt.Fprintf(w, "app.upstream_requests=%d\napp.pending=%d\napp.members=%d\napp.members_unavailable=%d\napp.state_damaged=%d\napp.state_bytes=%d\n",
-		f.loop.upstream.written.Load(), f.openRequests.Load()-f.uploads.Load(), members.listed, members.unavailable,
+		f.loop.upstream.written.Load(), f.openRequests.Load()-f.pendingUploads.Load(), members.listed, members.unavailable,
 		f.loop.handover.damaged(), f.loop.handover.bytes())
 }
--- a/internal/sidecar/console_test.go
+++ b/internal/sidecar/console_test.go
@@ -98,7 +98,7 @@
 func TestSilentCallersMakeRoom(t *testing.T) {
 	side := startSidecar(t, nil, newStub(t, echo).address)
 	var silent []net.Conn
-	for range 3 * consoleConns {
+	for range 3 * maxConsoleConns {
 		c := side.dialConsole(t)
 		_, _ = io.WriteString(c, "read")
 		silent = append(silent, c)
@@ -106,7 +106,7 @@
 	if got := side.callConsole(t, "ready\n"); !strings.HasPrefix(got, "200 ") {
 		t.Fatalf("ready: %q", got)
 	}
-	for _, c := range silent[:consoleConns] {
+	for _, c := range silent[:maxConsoleConns] {
 		if got, _ := io.ReadAll(c); len(got) > 0 {
 			t.Fatalf("the longest silent: %q, want a close before their time is up", got)
 		}
@@ -114,7 +114,7 @@
 }
 
 // Each way that a request can end is counted once, and nothing stays pending.
-func TestFiguresByOutcome(t *testing.T) {
+func TestStatsByOutcome(t *testing.T) {
 	held := make(chan struct{})
 	s := newStub(t, func(c net.Conn, r stubRequest) bool {
 		switch r.body {
@@ -158,7 +158,7 @@
 }
 
 // A server is unavailable while it is out by hand, while the module rests it, and once while both hold.
-func TestUnavailableByHandAndByChoice(t *testing.T) {
+func TestUnavailableServersInStats(t *testing.T) {
 	fine, bad := newStub(t, echo), newStub(t, func(c net.Conn, _ stubRequest) bool {
 		_, err := io.WriteString(c, "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n")
 		return err == nil
@@ -185,7 +185,7 @@
 }
 
 // The console says no once the process is stopping, and yes while clients that connect are served.
-func TestReadyEndsWithTheStop(t *testing.T) {
+func TestNotReadyDuringStop(t *testing.T) {
 	release := make(chan struct{})
 	s := newStub(t, func(c net.Conn, r stubRequest) bool {
 		<-release
--- a/internal/sidecar/control.go
+++ b/internal/sidecar/control.go
@@ -75,7 +75,7 @@
 			k.discovery.beside(kept, list)
 		}
 	})
-	go k.state.followLate(ctx, func(owed map[string]operatorCall) { k.dataPlane.calls(ctx, owed) })
+	go k.state.followLateState(ctx, func(owed map[string]operatorCall) { k.dataPlane.calls(ctx, owed) })
 	go func() {
 		defer close(kept)
 		k.state.keep(ctx, k.dataPlane.learned)
@@ -92,17 +92,17 @@
 }
 
 const (
-	reloadTime  = 3 * time.Second // a configuration that can't be used is read again for so long: it may just be being written
-	reloadPause = 50 * time.Millisecond
+	reloadTimeout       = 3 * time.Second // a configuration that can't be used is read again for so long: it may just be being written
+	reloadRetryInterval = 50 * time.Millisecond
 )
 
 // followReloads acts on each signal to read the configuration again, until ctx ends.
-func (k *control) followReloads(ctx context.Context, path string, signals <-chan os.Signal) {
+func (k *control) handleReloads(ctx context.Context, path string, signals <-chan os.Signal) {
 	for {
 		select {
 		case <-signals:
 			k.ruleSets.pushFile()
-			k.reconfigure(ctx, path)
+			k.reloadConfig(ctx, path)
 		case <-ctx.Done():
 			return
 		}
@@ -111,8 +111,8 @@
 
 // reconfigure reads the configuration again and goes to where it has discovery now. Nothing else in it may change under a
 // running sidecar. One that can't be used leaves everything as it is, and is tried again for a while, until ctx ends.
-func (k *control) reconfigure(ctx context.Context, path string) {
-	for end, told := time.Now().Add(reloadTime), false; ; told = true {
+func (k *control) reloadConfig(ctx context.Context, path string) {
+	for end, told := time.Now().Add(reloadTimeout), false; ; told = true {
 		cfg, err := ReadConfig(path)
 		if err == nil {
 			k.discovery.move(cfg.Discovery)
@@ -125,7 +125,7 @@
 			return
 		}
 		select {
-		case <-time.After(reloadPause):
+		case <-time.After(reloadRetryInterval):
 		case <-ctx.Done():
 			return
 		}
@@ -133,11 +133,11 @@
 }
 
 // stat writes the figures of control.
-func (k *control) stat(w io.Writer) {
-	k.peers.stat(w)
-	k.duties.stat(w)
-	k.ruleSets.stat(w)
-	if !k.cfg.hasPeers() {
+func (k *control) writeStats(w io.Writer) {
+	k.peers.writeStats(w)
+	k.duties.writeStats(w)
+	k.ruleSets.writeStats(w)
+	if !k.cfg.hasMembership() {
 		return
 	}
 	t := k.meter.Traffic()
--- a/internal/sidecar/duties.go
+++ b/internal/sidecar/duties.go
@@ -16,9 +16,9 @@
 )
 
 const (
-	addressPoll = 50 * time.Millisecond // how often a process looks whether it has its address by now
-	reportEvery = 10 * time.Second
-	dutyReport  = "report"
+	standingPollInterval = 50 * time.Millisecond // how often a process looks whether it has its address by now
+	reportInterval       = 10 * time.Second
+	reportDuty           = "report"
 )
 
 // duties is this sidecar's part in its fleet's duties. Where the fleet file has no duty.voters there is none.
@@ -41,14 +41,14 @@
 	}
 	c := duty.Config{
 		Name: cfg.Name, Start: state.store.Number(), Voters: cfg.Fleet.Duty.Voters, Lease: cfg.Fleet.Duty.Lease.Std(),
-		Wire: p.group, Keep: keeper{state.store}, Lost: len(state.store.Damage().Files) > 0, Candidates: d.candidates,
+		Wire: p.group, Keep: storeKeeper{state.store}, Lost: len(state.store.Damage().Files) > 0, Candidates: d.candidates,
 		Begin: func(string, uint64) {}, End: func(string) {}, // whoever acts asks before
 	}
 	if cfg.Fleet.Duty.Report {
-		c.Duties = append(c.Duties, duty.Duty{Name: dutyReport})
+		c.Duties = append(c.Duties, duty.Duty{Name: reportDuty})
 	}
 	if cfg.Fleet.Rules.File != "" {
-		c.Duties = append(c.Duties, duty.Duty{Name: dutyRules})
+		c.Duties = append(c.Duties, duty.Duty{Name: rulesDuty})
 	}
 	var err error
 	d.group, err = duty.New(c)
@@ -56,16 +56,16 @@
 }
 
 // keeper is the state as duties want it.
-type keeper struct{ *store.Store }
+type storeKeeper struct{ *store.Store }
 
 // Get implements duty.Keeper.
-func (k keeper) Get(section, key string) ([]byte, bool) {
+func (k storeKeeper) Get(section, key string) ([]byte, bool) {
 	e, ok := k.Store.Get(section, key)
 	return e.Value, ok
 }
 
 // All implements duty.Keeper.
-func (k keeper) All(section string) map[string][]byte {
+func (k storeKeeper) All(section string) map[string][]byte {
 	all := make(map[string][]byte)
 	for key, e := range k.Store.All(section) {
 		all[key] = e.Value
@@ -95,7 +95,7 @@
 		defer close(d.done)
 		for d.peers.group.View().Standing == member.Waiting {
 			select {
-			case <-time.After(addressPoll):
+			case <-time.After(standingPollInterval):
 			case <-ctx.Done():
 				return
 			}
@@ -117,7 +117,7 @@
 
 // report is the duty of that name.
 func (d *duties) runReport(ctx context.Context) {
-	tick := time.NewTicker(reportEvery)
+	tick := time.NewTicker(reportInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -133,7 +133,7 @@
 				phases[m.Phase]++
 			}
 		}
-		if token, yes := d.group.Holds(dutyReport); yes {
+		if token, yes := d.group.Holds(reportDuty); yes {
 			slog.Info("fleet", "token", token, "present", v.Present, "silent", v.Silent, "views", v.Views, "agreed", v.Agreed,
 				"versions", len(versions), "phases", fmt.Sprint(phases))
 		}
@@ -141,7 +141,7 @@
 }
 
 // stat writes the tokens of the duties that this process holds now.
-func (d *duties) stat(w io.Writer) {
+func (d *duties) writeStats(w io.Writer) {
 	if d.group == nil {
 		return
 	}
@@ -152,7 +152,7 @@
 }
 
 // show writes who holds what, as the leader of the voters has it.
-func (d *duties) show(w io.Writer) error {
+func (d *duties) writeDuties(w io.Writer) error {
 	if d.group == nil {
 		return errNoDuties
 	}
--- a/internal/sidecar/framing.go
+++ b/internal/sidecar/framing.go
@@ -8,19 +8,19 @@
 )
 
 // lineKept is how much of a head's line is looked at: enough for the names and values that frame a body.
-const lineKept = 128
+const maxLineKept = 128
 
 var errFraming = errors.New("the request frames its body in more than one way")
 
 // framing follows the requests on a connection: their heads, and the bodies whose length they tell.
 type framing struct {
-	line          []byte // the line of a head under way, as far as it is looked at
-	inHead        bool   // the head's first line is over
-	lengths       int    // Content-Length lines in the head
-	contentLength uint64 // what the last of them says
-	coded         bool   // the head has Transfer-Encoding
-	bodyLeft      uint64 // bytes of a body still to come
-	unfollowed    bool   // nothing more is followed: the server closes after this request
+	line             []byte // the line of a head under way, as far as it is looked at
+	inHead           bool   // the head's first line is over
+	contentLengths   int    // Content-Length lines in the head
+	contentLength    uint64 // what the last of them says
+	transferEncoding bool   // the head has Transfer-Encoding
+	bodyLeft         uint64 // bytes of a body still to come
+	unfollowed       bool   // nothing more is followed: the server closes after this request
 }
 
 // between tells whether what has come ends with a request's last byte, as far as it is followed.
@@ -39,7 +39,7 @@
 			continue
 		}
 		part, _, whole := bytes.Cut(p[at:], []byte{'\n'})
-		f.line = append(f.line, part[:min(len(part), lineKept-len(f.line))]...)
+		f.line = append(f.line, part[:min(len(part), maxLineKept-len(f.line))]...)
 		if !whole {
 			break
 		}
@@ -66,14 +66,14 @@
 			if f.contentLength, err = strconv.ParseUint(strings.TrimSpace(value), 10, 63); err != nil {
 				return errors.New("Content-Length is malformed")
 			}
-			f.lengths++
+			f.contentLengths++
 		case strings.EqualFold(name, "Transfer-Encoding"):
-			f.coded = true
+			f.transferEncoding = true
 		}
 		return nil
-	case f.lengths > 1 || f.lengths == 1 && f.coded:
+	case f.contentLengths > 1 || f.contentLengths == 1 && f.transferEncoding:
 		return errFraming
 	}
-	*f = framing{line: f.line, bodyLeft: f.contentLength, unfollowed: f.coded}
+	*f = framing{line: f.line, bodyLeft: f.contentLength, unfollowed: f.transferEncoding}
 	return nil
 }
--- a/internal/sidecar/framing_test.go
+++ b/internal/sidecar/framing_test.go
@@ -33,7 +33,7 @@
 
 // A request that stands inside the body of another, by one of two ways to read that body, does not
 // reach an upstream, and neither does the one around it.
-func TestNothingInsideABodyIsServed(t *testing.T) {
+func TestNoRequestSmuggling(t *testing.T) {
 	inside := requestHead("inside", "Content-Length: 0")
 	length := fmt.Sprintf("Content-Length: %d", len("0\r\n\r\n")+len(inside))
 	for name, framing := range map[string]string{
@@ -84,7 +84,7 @@
 
 // Chunks alone are good framing. What comes behind them on the connection is not served, as it is
 // not followed; the same goes for HTTP/1.0, to which chunks mean nothing.
-func TestConnectionEndsBehindChunks(t *testing.T) {
+func TestConnectionClosesAfterChunkedRequest(t *testing.T) {
 	for name, c := range map[string]struct{ request, body string }{
 		"chunked":         {requestHead("1", "Transfer-Encoding: chunked") + "2\r\nhi\r\n0\r\n\r\n", "hi"},
 		"HTTP/1.0 chunks": {strings.Replace(requestHead("1", "Connection: keep-alive\r\nTransfer-Encoding: chunked"), "1.1", "1.0", 1), ""},
@@ -111,7 +111,7 @@
 func TestFramingFollowsBodies(t *testing.T) {
 	body := "Content-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n"
 	good := requestHead("1", fmt.Sprintf("Content-Length: %d", len(body))) + body
-	good += strings.ReplaceAll(requestHead("2", "X-Long: "+strings.Repeat("x", 3*lineKept)+"\r\nContent-Length: 0"), "\r\n", "\n")
+	good += strings.ReplaceAll(requestHead("2", "X-Long: "+strings.Repeat("x", 3*maxLineKept)+"\r\nContent-Length: 0"), "\r\n", "\n")
 	bad := requestHead("3", "Content-Length: 1\r\nTransfer-Encoding: chunked")
 	for _, size := range []int{1, 2, 3, 7, 50, 1 << 20} {
 		var f framing
--- a/internal/sidecar/front.go
+++ b/internal/sidecar/front.go
@@ -20,24 +20,24 @@
 )
 
 const (
-	headTime    = 2500 * time.Millisecond // a client may take this long over a head; one that connects is owed an end in 3 s
-	writeTime   = 2 * time.Second         // and this long to take its answer
-	clientIdle  = 2250 * time.Millisecond // a connection may stand idle for so long; it is safe to close after 2 s
-	leftEvery   = 100 * time.Millisecond  // how often it is looked whether a client that waits is still there
-	headerLimit = 32 << 10
-	longestWait = time.Hour // figures above this mean the same to everyone
+	headTimeout          = 2500 * time.Millisecond // a client may take this long over a head; one that connects is owed an end in 3 s
+	writeTimeout         = 2 * time.Second         // and this long to take its answer
+	clientIdleTimeout    = 2250 * time.Millisecond // a connection may stand idle for so long; it is safe to close after 2 s
+	presencePollInterval = 100 * time.Millisecond  // how often it is looked whether a client that waits is still there
+	maxHeaderBytes       = 32 << 10
+	maxTimeout           = time.Hour // figures above this mean the same to everyone
 )
 
 // front is the application's side.
 type front struct {
-	cfg          *Config
-	clock        clock
-	loop         *loop
-	clients      *clients
-	openRequests atomic.Int64 // requests with no answer yet
-	uploads      atomic.Int64 // and of these, those whose last byte is still to come: they are not taken yet
-	tallies      []tally      // those that had theirs, by class
-	streams      struct {     // answers passed on as they come, for the log
+	cfg            *Config
+	clock          clock
+	loop           *loop
+	clients        *clients
+	openRequests   atomic.Int64 // requests with no answer yet
+	pendingUploads atomic.Int64 // and of these, those whose last byte is still to come: they are not taken yet
+	tallies        []tally      // those that had theirs, by class
+	streams        struct {     // answers passed on as they come, for the log
 		begun  atomic.Int64
 		now    atomic.Int64 // under way
 		broken atomic.Int64 // by their server, or cut off as it stood still
@@ -73,7 +73,7 @@
 // server is the HTTP server that serves the application.
 func (f *front) server() *http.Server {
 	return &http.Server{
-		Handler: f, ReadHeaderTimeout: headTime, WriteTimeout: writeTime, IdleTimeout: clientIdle, MaxHeaderBytes: headerLimit,
+		Handler: f, ReadHeaderTimeout: headTimeout, WriteTimeout: writeTimeout, IdleTimeout: clientIdleTimeout, MaxHeaderBytes: maxHeaderBytes,
 		DisableGeneralOptionsHandler: true, // it would answer OPTIONS * with 200: nobody is owed that here
 		ConnState:                    f.clients.connStateChanged, ConnContext: f.clients.connContext,
 	}
@@ -82,7 +82,7 @@
 // counters are for the log.
 func (f *front) counters() map[string]int {
 	counts := f.clients.counters()
-	counts["held"], counts["uploads"] = int(f.openRequests.Load()), int(f.uploads.Load())
+	counts["held"], counts["uploads"] = int(f.openRequests.Load()), int(f.pendingUploads.Load())
 	counts["streams"], counts["broken"] = int(f.streams.begun.Load()), int(f.streams.broken.Load())
 	counts["still"] = int(f.streams.still.Load())
 	return counts
@@ -104,10 +104,10 @@
 	}
 	q, left, err := f.parseRequest(r)
 	if err != nil {
-		reject(w, err.Error(), http.StatusBadRequest)
+		writeRejection(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	m := &message{id: r.Header.Get("X-Request-ID"), method: r.Method, url: r.URL, host: r.Host, header: endToEnd(r.Header), length: r.ContentLength, left: left}
+	m := &message{id: r.Header.Get("X-Request-ID"), method: r.Method, url: r.URL, host: r.Host, header: endToEndHeaders(r.Header), length: r.ContentLength, left: left}
 	if err := f.readBody(w, r, m); err != nil {
 		f.rejectBody(w, err)
 		return
@@ -123,7 +123,7 @@
 	}
 	m.left = f.stopLimits.Load().bound(arrived, m.left)
 	if !f.clients.requestReceived(r.Context()) { // its connection has made room for others, and closes with a refusal
-		f.loop.trace.unanswered(m.id, closedRoomPartial, f.clock.now()-arrived)
+		f.loop.trace.logUnanswered(m.id, closedShedPartial, f.clock.now()-arrived)
 		panic(http.ErrAbortHandler)
 	}
 	defer f.openRequests.Add(-1)
@@ -133,18 +133,18 @@
 		w.Header().Set("Connection", "close")
 	}
 	barred := !f.rulesAllow() // by rules, which were not those of before
-	if full && !leaving || barred || f.cfg.MostOpen > 0 && held > int64(f.cfg.MostOpen) {
+	if full && !leaving || barred || f.cfg.MaxOpenRequests > 0 && held > int64(f.cfg.MaxOpenRequests) {
 		f.reply(w, r, q.Class, answer{status: http.StatusServiceUnavailable, pause: f.retryAfter()}, m.rest)
 		return
 	}
 	if m.rest != nil {
-		f.uploads.Add(1)
-		m.rest.whole = sync.OnceFunc(func() { f.uploads.Add(-1) })
+		f.pendingUploads.Add(1)
+		m.rest.whole = sync.OnceFunc(func() { f.pendingUploads.Add(-1) })
 		defer m.rest.whole()
 	}
-	m.presence = func() presence { return f.clients.presenceOf(r.Context()) }
+	m.presence = func() presence { return f.clients.queryPresence(r.Context()) }
 	if m.presence() == clientGone { // while the request waited to be read
-		f.abandon(m, arrived)
+		f.abortConnection(m, arrived)
 	}
 	f.loop.trace.logStep("request taken", m.id, slog.Duration("left", m.left), slog.Int64("held", held))
 	f.awaitAnswer(w, r, q, m, arrived)
@@ -157,7 +157,7 @@
 	if m.rest != nil {
 		broken = m.rest.failed
 	}
-	id, look := f.loop.ask(q, m, arrived+m.left, reply), time.NewTicker(leftEvery)
+	id, look := f.loop.ask(q, m, arrived+m.left, reply), time.NewTicker(presencePollInterval)
 	defer look.Stop()
 	incomplete := false // its client has not sent all of it
 	defer func() { f.loop.guard.HandlerEnded(f.clock.now(), id, incomplete) }()
@@ -177,7 +177,7 @@
 		case <-cancelled: // net/http's word for any read that fails, also one that was interrupted
 			cancelled = nil
 		}
-		if f.clients.presenceOf(ctx) != clientGone {
+		if f.clients.queryPresence(ctx) != clientGone {
 			continue
 		}
 		f.loop.guard.ClientLeft(f.clock.now(), id)
@@ -185,13 +185,13 @@
 		if m.rest != nil {
 			m.rest.stop()
 		}
-		f.abandon(m, arrived)
+		f.abortConnection(m, arrived)
 	}
 }
 
 // abandon closes the connection of a client that has left, with no answer: net/http's way to do that is a panic.
-func (f *front) abandon(m *message, arrived time.Duration) {
-	f.loop.trace.unanswered(m.id, closedClientLeft, f.clock.now()-arrived)
+func (f *front) abortConnection(m *message, arrived time.Duration) {
+	f.loop.trace.logUnanswered(m.id, closedClientLeft, f.clock.now()-arrived)
 	panic(http.ErrAbortHandler)
 }
 
@@ -229,15 +229,15 @@
 	case errors.As(err, &late) && late.Timeout():
 		status = http.StatusRequestTimeout
 	}
-	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(writeTime)) // fails only on a closed connection
-	reject(w, "body: "+err.Error(), status)
+	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(writeTimeout)) // fails only on a closed connection
+	writeRejection(w, "body: "+err.Error(), status)
 }
 
 // reply passes a final answer on. Its request's body may not have come to its end by then.
 func (f *front) reply(w http.ResponseWriter, r *http.Request, class int, a answer, rest *upload) {
 	out := http.NewResponseController(w)
-	_ = out.SetWriteDeadline(time.Now().Add(writeTime)) // fails only on a closed connection, as this and the next do
-	if _, leaving := f.clients.overLimit(0); leaving {  // since the request came
+	_ = out.SetWriteDeadline(time.Now().Add(writeTimeout)) // fails only on a closed connection, as this and the next do
+	if _, leaving := f.clients.overLimit(0); leaving {     // since the request came
 		w.Header().Set("Connection", "close")
 	}
 	switch {
@@ -275,7 +275,7 @@
 			f.streams.still.Add(1)
 			why = closedClientStalled
 		}
-		f.loop.trace.unanswered(r.Header.Get("X-Request-ID"), why, f.clock.now()-began)
+		f.loop.trace.logUnanswered(r.Header.Get("X-Request-ID"), why, f.clock.now()-began)
 		f.tallies[class].count(http.StatusBadGateway)
 		a.stream.leave()
 		panic(http.ErrAbortHandler)
@@ -353,7 +353,7 @@
 	if err != nil {
 		return 0, false
 	}
-	return time.Duration(min(n*float64(unit), float64(longestWait))), true
+	return time.Duration(min(n*float64(unit), float64(maxTimeout))), true
 }
 
 // answer sends a request's final answer, and is the one place that counts it.
@@ -379,7 +379,7 @@
 
 // head sets the headers of a served answer, but for its length.
 func (a answer) setHeaders(w http.ResponseWriter) {
-	for name, values := range endToEnd(a.header) {
+	for name, values := range endToEndHeaders(a.header) {
 		w.Header()[name] = values
 	}
 	if a.header["Content-Type"] == nil {
@@ -404,13 +404,13 @@
 
 // reject answers what is no proper request, at once, and ends the connection: the application does
 // not send such, and whoever does may send more of it, leave its body out or stay.
-func reject(w http.ResponseWriter, why string, status int) {
+func writeRejection(w http.ResponseWriter, why string, status int) {
 	w.Header().Set("Connection", "close")
 	http.Error(w, why, status)
 }
 
 // endToEnd copies the headers that are meant for the other end, not for this connection.
-func endToEnd(from http.Header) http.Header {
+func endToEndHeaders(from http.Header) http.Header {
 	to := make(http.Header, len(from)+2)
 	for name, values := range from {
 		to[name] = values
--- a/internal/sidecar/front_test.go
+++ b/internal/sidecar/front_test.go
@@ -42,7 +42,7 @@
 }
 
 // What rules bar is refused with a time to come back, and no attempt is made.
-func TestBarred(t *testing.T) {
+func TestRulesBarServing(t *testing.T) {
 	s := newStub(t, echo)
 	f, side, serve := assembled(t, s.address, nil)
 	var serves atomic.Bool
@@ -186,7 +186,7 @@
 func TestDuration(t *testing.T) {
 	for text, want := range map[string]time.Duration{
 		"480m": 480 * time.Millisecond, "250u": 250 * time.Microsecond, "0.5m": 500 * time.Microsecond, "0u": 0,
-		"99999999999999999999m": longestWait,
+		"99999999999999999999m": maxTimeout,
 	} {
 		if got, ok := parseTimeout(text); !ok || got != want {
 			t.Errorf("%q is %v, %v, want %v", text, got, ok, want)
@@ -200,7 +200,7 @@
 }
 
 // An unsafe request that may have run has failed; nobody sends it again.
-func TestFailed(t *testing.T) {
+func TestUnsafeRequestIsNotRetried(t *testing.T) {
 	s := newStub(t, func(c net.Conn, _ stubRequest) bool {
 		_, err := fmt.Fprint(c, "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n")
 		return err == nil
@@ -215,7 +215,7 @@
 }
 
 // A refusal says when to come back, in decimal seconds.
-func TestRefused(t *testing.T) {
+func TestRetryAfterOfRefusals(t *testing.T) {
 	side := startSidecar(t, nil) // no servers: requests wait for one, as long as that is worth it or the queue has room
 	const requests = 50
 	type got struct {
@@ -244,18 +244,18 @@
 	}
 }
 
-func noUpstreams() int { return 0 }
+func noUpstreamConns() int { return 0 }
 
 // busyClients has no more than the application's share, as upstreams use theirs.
-func busyClients(t *testing.T) *clients {
+func newBusyClients(t *testing.T) *clients {
 	cfg := testConfig(t, listAnswer(1, "ready"), nil)
 	return newClients(cfg, nil, func() int { return cfg.upstreamConnLimit(1) })
 }
 
 // Connections that no request has come on make room, the first of them first, so that the
 // application keeps its own however many strangers connect.
-func TestStrangersMakeRoom(t *testing.T) {
-	l := busyClients(t)
+func TestSilentConnectionsMakeRoom(t *testing.T) {
+	l := newBusyClients(t)
 	connect := func() (*clientConn, net.Conn) {
 		t.Helper()
 		near, far := net.Pipe()
@@ -290,14 +290,14 @@
 			t.Error("one of the last, or the known one, is not held")
 		}
 	}
-	if len(l.conns) != l.clientShare || l.shed[2] != shed {
+	if len(l.conns) != l.clientShare || l.shedCounts[2] != shed {
 		t.Errorf("%d held, counters %v, want %d held and %d shed", len(l.conns), l.counters(), l.clientShare, shed)
 	}
 }
 
 // Where each connection has a request open, the next ones are refused and closed, so that upstreams
 // stay within reach; past the reserve they are closed at once.
-func TestMostConnections(t *testing.T) {
+func TestConnectionLimit(t *testing.T) {
 	release := make(chan struct{})
 	s := newStub(t, func(c net.Conn, r stubRequest) bool {
 		if r.Header.Get("X-Request-ID") == "held" {
@@ -335,7 +335,7 @@
 
 // The listener holds no more connections than its most.
 func TestConnectionsAreBounded(t *testing.T) {
-	l := busyClients(t)
+	l := newBusyClients(t)
 	var all []*clientConn
 	for range 2 * (l.clientShare + l.clientShare/6) {
 		near, far := net.Pipe()
@@ -424,7 +424,7 @@
 }
 
 // Over caps.max_open requests are refused without an attempt.
-func TestMostOpen(t *testing.T) {
+func TestOpenRequestLimit(t *testing.T) {
 	s := newStub(t, neverAnswer)
 	side := startSidecar(t, func(_, settings map[string]any) {
 		caps := settings["caps"].(map[string]any)
@@ -462,7 +462,7 @@
 
 // After SIGTERM what is held is answered, new connections are served for a while, all of them
 // close, and the sidecar ends by itself. http.Server.Shutdown alone would refuse the newcomers.
-func TestStop(t *testing.T) {
+func TestGracefulStop(t *testing.T) {
 	release := make(chan struct{})
 	s := newStub(t, func(c net.Conn, r stubRequest) bool {
 		if r.Header.Get("X-Request-ID") == "held" {
@@ -529,7 +529,7 @@
 			if _, err := io.WriteString(c, whole[:20]); err != nil {
 				t.Fatal(err)
 			}
-			waitRead(t, c)
+			waitUntilRead(t, c)
 			side.stop()
 			if more, err := io.ReadAll(idle); err != nil || len(more) > 0 {
 				t.Errorf("the idle one: %q, error %v, want a close", more, err)
@@ -550,7 +550,7 @@
 }
 
 // waitRead waits until the other side has read all that was written on a connection, by what the kernel tells of its end.
-func waitRead(t *testing.T, c net.Conn) {
+func waitUntilRead(t *testing.T, c net.Conn) {
 	t.Helper()
 	port := func(a net.Addr) string { return fmt.Sprintf("0100007F:%04X", a.(*net.TCPAddr).Port) }
 	ends := " " + port(c.RemoteAddr()) + " " + port(c.LocalAddr()) + " 01 "
@@ -567,7 +567,7 @@
 }
 
 // The time of a request that was sent behind another counts from when it came, not from when that one was answered.
-func TestTimeOfWhatIsSentBehind(t *testing.T) {
+func TestTimeoutOfPipelinedRequest(t *testing.T) {
 	held := make(chan struct{})
 	s := newStub(t, func(c net.Conn, r stubRequest) bool {
 		if r.Header.Get("X-Request-ID") == "1" {
@@ -582,7 +582,7 @@
 		t.Fatal(err)
 	}
 	wait(t, "the first", s.requests)
-	waitRead(t, c)
+	waitUntilRead(t, c)
 	const waited = 30 * time.Millisecond
 	time.Sleep(waited)
 	close(held)
@@ -593,7 +593,7 @@
 }
 
 // A request that comes late behind a stop's signal has no longer than there is until the end.
-func TestTimeLeftAtAStop(t *testing.T) {
+func TestTimeoutDuringStop(t *testing.T) {
 	for name, c := range map[string]struct {
 		stop          *stopLimits
 		arrived, want time.Duration
@@ -656,7 +656,7 @@
 }
 
 // The time to send a request in does not bound the wait for its answer.
-func TestAnswerAfterTheTimeToRead(t *testing.T) {
+func TestReadTimeoutDoesNotBoundAnswer(t *testing.T) {
 	release := make(chan struct{})
 	s := newStub(t, func(c net.Conn, r stubRequest) bool {
 		<-release
--- a/internal/sidecar/handover.go
+++ b/internal/sidecar/handover.go
@@ -16,11 +16,11 @@
 )
 
 const (
-	soloPollInterval    = 250 * time.Millisecond // how often a process looks for a second one
-	upgradePollInterval = 50 * time.Millisecond  // and, beside one, for calls made to that
-	processStallMargin  = 150 * time.Millisecond // for which the second process may be held up besides
-	unreadPoll          = time.Second            // and whether a folder that could not be read can be read by now
-	folderWait          = 4 * time.Second        // for a folder that does not answer; a start has 6 s
+	soloPollInterval        = 250 * time.Millisecond // how often a process looks for a second one
+	upgradePollInterval     = 50 * time.Millisecond  // and, beside one, for calls made to that
+	processStallMargin      = 150 * time.Millisecond // for which the second process may be held up besides
+	unreadableRetryInterval = time.Second            // and whether a folder that could not be read can be read by now
+	folderTimeout           = 4 * time.Second        // for a folder that does not answer; a start has 6 s
 )
 
 // handover is what a sidecar's processes share in $TMPDIR: who runs, the state (docs/state.md), and a file by which
@@ -29,24 +29,24 @@
 //
 // Its zero value is such a process.
 type sharedState struct {
-	lock         *os.File // nil: this process stands alone
+	lockFile     *os.File // nil: this process stands alone
 	lockIndex    int64    // the byte of it that this process holds
 	legacyPath   string   // path of the file for older programs
 	store        *store.Store
 	pendingSaves chan struct{} // calls that wait for the disk
 	listChanged  chan struct{} // there is a list to be kept
 
-	saving       sync.Mutex              // one call is saved after the other; it may wait for a disk
+	saveMu       sync.Mutex              // one call is saved after the other; it may wait for a disk
 	legacyInfo   fs.FileInfo             // the older programs' file as last read; nil: there was none
 	unsavedCalls map[string]operatorCall // by instanceId, where there is no store
 
-	backs map[string]backSeen // calls back in force, by instanceId
+	enables map[string]enableSeen // calls back in force, by instanceId
 
 	lateState <-chan *sharedState // what its folder holds, once that answers; nil: it did in time
 
-	counting       sync.Mutex
+	countMu        sync.Mutex
 	otherProcesses [maxProcesses]bool // other processes that run, as the system told last
-	counted        atomic.Int64       // how many processes that makes; 0: nobody has counted yet
+	lastCount      atomic.Int64       // how many processes that makes; 0: nobody has counted yet
 
 	mu           sync.Mutex
 	pendingList  *keepNext // the list that is to be kept next; nil: there is no news
@@ -64,43 +64,43 @@
 func openSharedState(dir, name string, options store.Options) *sharedState {
 	if dir == "" {
 		slog.Info("state not kept", "reason", "TMPDIR is not set: calls by hand end with this process")
-		return emptyHandover()
+		return emptySharedState()
 	}
 	opened := make(chan *sharedState, 1)
-	go func() { opened <- enterFolder(dir, name, options) }()
+	go func() { opened <- openStateFolder(dir, name, options) }()
 	select {
 	case h := <-opened:
 		return h
-	case <-time.After(folderWait):
-		slog.Error("state not kept", "reason", "the folder does not answer within "+folderWait.String())
-		h := emptyHandover()
+	case <-time.After(folderTimeout):
+		slog.Error("state not kept", "reason", "the folder does not answer within "+folderTimeout.String())
+		h := emptySharedState()
 		h.lateState = opened
 		return h
 	}
 }
 
 // emptyHandover is that of a process that stands alone and keeps nothing.
-func emptyHandover() *sharedState {
+func emptySharedState() *sharedState {
 	return &sharedState{pendingSaves: make(chan struct{}, savesAtOnce), listChanged: make(chan struct{}, 1)}
 }
 
 // enterFolder opens the state in a folder.
-func enterFolder(dir, name string, options store.Options) *sharedState {
-	h := emptyHandover()
+func openStateFolder(dir, name string, options store.Options) *sharedState {
+	h := emptySharedState()
 	base := filepath.Join(dir, "sidecar-"+url.PathEscape(name))
 	h.legacyPath = base + ".state"
 	if err := h.acquireProcessLock(base + ".lock"); err != nil {
 		slog.Error("upgrade alone", "error", err)
 	}
 	began := time.Now()
-	options.Dir, options.Alone = base+".kept", func() bool { return h.lock != nil && h.countProcesses() == 1 }
+	options.Dir, options.Alone = base+".kept", func() bool { return h.lockFile != nil && h.countProcesses() == 1 }
 	var err error
 	h.store, err = store.Open(options)
 	if err != nil {
 		slog.Error("state not kept", "reason", err)
 	}
-	h.adopt()
-	h.seeBacks(time.Now())
+	h.importLegacy()
+	h.noteEnables(time.Now())
 	damage := h.store.Damage().Files
 	slog.Info("state", "number", h.store.Number(), "calls", len(h.inForce()), "bytes", h.bytes(), "took", time.Since(began), "damaged", len(damage))
 	for _, d := range damage {
@@ -112,7 +112,7 @@
 // watch follows the other process until ctx ends, from n processes on: changed hears how many run when that is
 // another number, and calls hears which servers are out while there are two, and once more when there is one again.
 func (h *sharedState) watchProcesses(ctx context.Context, n int, changed func(n int), calls func(map[string]operatorCall)) {
-	if h.lock == nil {
+	if h.lockFile == nil {
 		return
 	}
 	looked := time.Now()
@@ -126,7 +126,7 @@
 		if n > 1 {
 			pause = upgradePollInterval
 		}
-		again := h.store.Unread() && time.Since(looked) >= unreadPoll
+		again := h.store.Unread() && time.Since(looked) >= unreadableRetryInterval
 		if n > 1 || before > 1 || again {
 			looked = time.Now()
 			calls(h.currentCalls())
--- a/internal/sidecar/handover_test.go
+++ b/internal/sidecar/handover_test.go
@@ -15,7 +15,7 @@
 )
 
 // die ends a process as the kernel would: its lock goes with it.
-func (h *sharedState) exit() { h.lock.Close() }
+func (h *sharedState) exit() { h.lockFile.Close() }
 
 // A second process is told by its lock, which dies with it; no file that a killed one leaves is taken for it.
 func TestProcessesAreCounted(t *testing.T) {
@@ -43,7 +43,7 @@
 }
 
 // Calls made to either process are known to both, and to the next one.
-func TestCallsAreShared(t *testing.T) {
+func TestOperatorCallsAreShared(t *testing.T) {
 	dir, now := t.TempDir(), time.Now()
 	same := func(h *sharedState, want map[string]bool) {
 		t.Helper()
@@ -74,26 +74,26 @@
 	old.exit()
 	third := newSharedState(dir, "n0")
 	same(third, map[string]bool{"a": false, "b": true, "c": true})
-	now = now.Add(2 * backKept)
+	now = now.Add(2 * enableRetention)
 	save(third, "b", false) // a long ago is forgotten
 	same(newSharedState(dir, "n0"), map[string]bool{"b": false, "c": true})
 }
 
 // A call back is kept for its minute though the wall clock is stepped by an hour behind it: that was counted as time passed.
-func TestSteppedClockForgetsNoCallBack(t *testing.T) {
+func TestSteppedClockKeepsEnableCalls(t *testing.T) {
 	for _, step := range []time.Duration{time.Hour, -time.Hour} {
 		h := newSharedState(t.TempDir(), "n0")
 		before := time.Now().Add(-step) // the clock's date as the call was made
-		if err := errors.Join(h.enterCall("a", operatorCall{true, before.UnixMilli()}), h.enterCall("a", operatorCall{false, before.UnixMilli()})); err != nil {
+		if err := errors.Join(h.storeCall("a", operatorCall{true, before.UnixMilli()}), h.storeCall("a", operatorCall{false, before.UnixMilli()})); err != nil {
 			t.Fatal(err)
 		}
 		h.currentCalls()
 		now := time.Now()
-		h.dropOldEnables(now.Add(backKept / 2))
+		h.dropOldEnables(now.Add(enableRetention / 2))
 		if _, kept := h.inForce()["a"]; !kept {
 			t.Errorf("stepped by %v: the call back is forgotten half a minute behind it", step)
 		}
-		h.dropOldEnables(now.Add(2 * backKept))
+		h.dropOldEnables(now.Add(2 * enableRetention))
 		if _, kept := h.inForce()["a"]; kept {
 			t.Errorf("stepped by %v: the call back is kept for two minutes", step)
 		}
@@ -102,7 +102,7 @@
 }
 
 // A state file that can't be used keeps no process from its start, and the next call replaces it.
-func TestDamagedState(t *testing.T) {
+func TestDamagedLegacyFile(t *testing.T) {
 	for name, text := range map[string]string{
 		"empty": "", "torn": `{"version":1,"serv`, "of another version": `{"version":2,"servers":{"a":{"out":true}}}`,
 		"of no servers": `{"version":1}`,
@@ -178,13 +178,13 @@
 
 // Connections that have come when the process leaves are handed out, whether or not Accept waits for one; those
 // that come later reach the second process.
-func TestLeavingEmptiesTheQueue(t *testing.T) {
+func TestStopListeningEmptiesAcceptQueue(t *testing.T) {
 	listener, err := listen(context.Background(), "127.0.0.1:0", true)
 	if err != nil {
 		t.Fatal(err)
 	}
 	address := listener.Addr().String()
-	first := newClients(testConfig(t, listAnswer(1, "ready"), nil), listener, noUpstreams)
+	first := newClients(testConfig(t, listAnswer(1, "ready"), nil), listener, noUpstreamConns)
 	for range 5 {
 		c := dialTCP(t, address)
 		if _, err := io.WriteString(c, "x"); err != nil {
@@ -224,11 +224,11 @@
 }
 
 // Beside a second process each keeps to its part: idle connections above it are closed.
-func TestSharesShrinkAndGrow(t *testing.T) {
+func TestLimitsOfTwoProcesses(t *testing.T) {
 	cfg := testConfig(t, listAnswer(1, "ready"), func(file, _ map[string]any) { file["console"] = "127.0.0.1:0" })
 	for n := 1; n <= 2; n++ {
-		room := cfg.clientConns(n)
-		if all := n * (max(room+room/6+cfg.upstreamConnLimit(n), cfg.allConns(n)) + cfg.ownFiles()); all > cfg.Sockets {
+		room := cfg.clientConnLimit(n)
+		if all := n * (max(room+room/6+cfg.upstreamConnLimit(n), cfg.totalConnLimit(n)) + cfg.reservedFiles()); all > cfg.Sockets {
 			t.Errorf("%d processes hold up to %d descriptors of %d", n, all, cfg.Sockets)
 		}
 	}
@@ -242,15 +242,15 @@
 	if u.open != 1 || len(u.idle[s.address]) != 1 {
 		t.Errorf("%d open, %d idle, want 1", u.open, len(u.idle[s.address]))
 	}
-	l := newClients(cfg, nil, noUpstreams)
+	l := newClients(cfg, nil, noUpstreamConns)
 	for range l.clientShare {
 		a, b := net.Pipe()
 		defer b.Close()
 		l.add(&clientConn{Conn: a})
 	}
-	l.setLimits(cfg.clientConns(2), cfg.clientConns(2))
-	if len(l.conns) != cfg.clientConns(2) {
-		t.Errorf("%d clients held, want %d", len(l.conns), cfg.clientConns(2))
+	l.setLimits(cfg.clientConnLimit(2), cfg.clientConnLimit(2))
+	if len(l.conns) != cfg.clientConnLimit(2) {
+		t.Errorf("%d clients held, want %d", len(l.conns), cfg.clientConnLimit(2))
 	}
 }
 
@@ -266,7 +266,7 @@
 
 // A process that starts again is ready and serves by the list that it has, whatever discovery does, and with a state
 // that is damaged.
-func TestReadyWhateverIsAway(t *testing.T) {
+func TestReadyWithoutDiscoveryOrState(t *testing.T) {
 	answers := map[string]func(net.Conn, stubRequest) bool{
 		"discovery silent": neverAnswer,
 		"discovery busy": func(c net.Conn, _ stubRequest) bool {
@@ -321,7 +321,7 @@
 
 // From the yes on a server that is taken out by hand has nothing new from either process of an upgrade: the other one heard of
 // it up to a quarter of a second later.
-func TestCallByHandBindsBothProcessesFromItsYes(t *testing.T) {
+func TestDisableServerBindsBothProcesses(t *testing.T) {
 	out, other := newStub(t, echo), newStub(t, echo)
 	shared := t.TempDir()
 	begin := func() *testSidecar {
--- a/internal/sidecar/momentary.go
+++ b/internal/sidecar/momentary.go
@@ -9,29 +9,29 @@
 )
 
 const (
-	momentaryTries = 20                   // of a call that fails for a moment, one behind the other
-	momentaryPause = 2 * time.Millisecond // between two of them
+	maxTransientRetries    = 20                   // of a call that fails for a moment, one behind the other
+	transientRetryInterval = 2 * time.Millisecond // between two of them
 )
 
 // isMomentary tells whether a call on a socket may well succeed when it is made again: a signal came, or the system had no
 // memory for it (recv(2), send(2)). It says nothing of the connection, which stands.
-func isMomentary(err error) bool {
+func isTransient(err error) bool {
 	return errors.Is(err, unix.EINTR) || errors.Is(err, unix.ENOMEM) || errors.Is(err, unix.ENOBUFS)
 }
 
 // retryMomentary makes a system call again that fails for a moment: at once where a signal came, else after a pause, so
 // that it may hold the caller up for momentaryTries pauses.
-func retryMomentary(call func() (int, error)) (n int, err error) {
+func retryTransient(call func() (int, error)) (n int, err error) {
 	for tries := 0; ; {
 		n, err = call()
 		switch {
 		case err == unix.EINTR:
 			continue
-		case !isMomentary(err) || tries == momentaryTries:
+		case !isTransient(err) || tries == maxTransientRetries:
 			return n, err
 		}
 		tries++
-		time.Sleep(momentaryPause)
+		time.Sleep(transientRetryInterval)
 	}
 }
 
@@ -51,10 +51,10 @@
 	for tries := 0; ; tries++ {
 		n, err := w.Write(p[done:])
 		done += n
-		if err == nil || !isMomentary(err) || tries == momentaryTries {
+		if err == nil || !isTransient(err) || tries == maxTransientRetries {
 			return done, err
 		}
-		time.Sleep(momentaryPause)
+		time.Sleep(transientRetryInterval)
 	}
 }
 
@@ -64,10 +64,10 @@
 func (r retryingReader) Read(p []byte) (n int, err error) {
 	for tries := 0; ; tries++ {
 		n, err = r.Reader.Read(p)
-		if n > 0 || err == nil || !isMomentary(err) || tries == momentaryTries {
+		if n > 0 || err == nil || !isTransient(err) || tries == maxTransientRetries {
 			return n, err
 		}
-		time.Sleep(momentaryPause)
+		time.Sleep(transientRetryInterval)
 	}
 }
 
@@ -85,7 +85,7 @@
 
 // presenceAt tells whether the other side of a connection has ended its sending, or all of it. Where poll fails the state
 // of the connection is read instead: an error is no sign that the client is there.
-func presenceAt(fd int) presence {
+func pollPresence(fd int) presence {
 	of := func(left bool) presence {
 		if left {
 			return clientGone
--- a/internal/sidecar/peers.go
+++ b/internal/sidecar/peers.go
@@ -23,10 +23,10 @@
 )
 
 const (
-	peersEvery   = 500 * time.Millisecond // how often the module is told of the fleet
-	peersKept    = 10 * time.Second       // and how often the state, where members have changed
-	sectionPeers = "members"              // of the state: a list of NAME/IP:port
-	memberFiles  = 14                     // descriptors: two listeners, streams of others, own ones
+	fleetUpdateInterval = 500 * time.Millisecond // how often the module is told of the fleet
+	membersSaveInterval = 10 * time.Second       // and how often the state, where members have changed
+	sectionMembers      = "members"              // of the state: a list of NAME/IP:port
+	membershipFiles     = 14                     // descriptors: two listeners, streams of others, own ones
 )
 
 // peers is this sidecar's part in its fleet: it ties membership to the module, the state and the console. Where the
@@ -44,7 +44,7 @@
 // newPeers reads what the configuration and the state say of the fleet.
 func newPeers(cfg *Config, path dataPlane, state *sharedState, counts *meter.Meter) (*peers, error) {
 	p := &peers{cfg: cfg, dataPlane: path, state: state, rulesBar: func() bool { return false }}
-	if !cfg.hasPeers() {
+	if !cfg.hasMembership() {
 		return p, nil
 	}
 	m := cfg.Fleet.Member
@@ -68,7 +68,7 @@
 	}
 	if state.store != nil {
 		c.Start = state.store.Number()
-		c.Known, _, _ = read[[]string](state.store, sectionPeers)
+		c.Known, _, _ = read[[]string](state.store, sectionMembers)
 	}
 	if p.group, err = member.New(c); err != nil && len(c.Known) > 0 {
 		slog.Warn("members not recalled", "reason", err)
@@ -79,7 +79,7 @@
 }
 
 // hasPeers says whether this sidecar takes part in a fleet.
-func (c *Config) hasPeers() bool { return c.Fleet != nil && c.Fleet.Member.Listen != "" }
+func (c *Config) hasMembership() bool { return c.Fleet != nil && c.Fleet.Member.Listen != "" }
 
 // digest is the same at all sidecars that are configured alike: all that is in the module's settings but who this one is.
 func (c *Config) digest() string {
@@ -120,7 +120,7 @@
 
 // follow tells the module who is there, and has the state keep by whom a later process can join.
 func (p *peers) syncFleet(ctx context.Context) {
-	tick := time.NewTicker(peersEvery)
+	tick := time.NewTicker(fleetUpdateInterval)
 	defer tick.Stop()
 	var keptAt time.Time
 	var kept []string
@@ -159,11 +159,11 @@
 			told = f
 		}
 		known := p.group.Known()
-		if p.state.store == nil || len(known) == 0 || slices.Equal(known, kept) || time.Since(keptAt) < peersKept {
+		if p.state.store == nil || len(known) == 0 || slices.Equal(known, kept) || time.Since(keptAt) < membersSaveInterval {
 			continue
 		}
 		raw, err := json.Marshal(known)
-		if err = errors.Join(err, p.state.store.Keep(sectionPeers, only, raw)); err != nil {
+		if err = errors.Join(err, p.state.store.Keep(sectionMembers, only, raw)); err != nil {
 			slog.Debug("members not kept", "reason", err) // whoever keeps the state tells of its trouble
 		}
 		kept, keptAt = known, time.Now()
@@ -182,7 +182,7 @@
 	}
 	f = balance.Fleet{Present: v.Present, Silent: v.Silent, Agreed: v.Agreed}
 	for _, m := range v.Members {
-		if p.cfg.Fleet.Spread.Share && sharer(m) {
+		if p.cfg.Fleet.Spread.Share && countsTraffic(m) {
 			zone, known := p.cfg.Zones[m.Zone]
 			if !known {
 				zone = -1
@@ -194,7 +194,7 @@
 }
 
 // sharer says whether a member's traffic counts.
-func sharer(m member.MemberInfo) bool {
+func countsTraffic(m member.MemberInfo) bool {
 	return m.State == member.Present && m.Phase != member.Draining && m.Traffic > 0
 }
 
@@ -219,7 +219,7 @@
 }
 
 // stat writes the figures of the fleet, where there is one.
-func (p *peers) stat(w io.Writer) {
+func (p *peers) writeStats(w io.Writer) {
 	if p.group == nil {
 		return
 	}
@@ -233,7 +233,7 @@
 	if p.cfg.Fleet.Spread.Share {
 		n := 0
 		for _, m := range v.Members {
-			if sharer(m) {
+			if countsTraffic(m) {
 				n++
 			}
 		}
@@ -242,7 +242,7 @@
 }
 
 // show writes who is there: a line on this process and its view, one with the columns' names, and one for each member.
-func (p *peers) show(w io.Writer) error {
+func (p *peers) writeMembers(w io.Writer) error {
 	if p.group == nil {
 		return errors.New("there is no membership: the fleet file has no member.listen")
 	}
--- a/internal/sidecar/peers_test.go
+++ b/internal/sidecar/peers_test.go
@@ -11,7 +11,7 @@
 
 // What the module is told of a view: members that are present and stay, by what they have told; nothing of it unless the fleet file
 // has spread.share, and nothing any more once this process is no member.
-func TestFleetAsToldToTheModule(t *testing.T) {
+func TestFleetUpdate(t *testing.T) {
 	seen := member.View{Standing: member.Member, Present: 5, Silent: 1, Agreed: true, Members: []member.MemberInfo{
 		{Name: "a", State: member.Present, Phase: member.Serving, Zone: "za", Index: 4, Traffic: 8},
 		{Name: "b", State: member.Present, Phase: member.Starved, Zone: "zb", Index: 0, Traffic: 0.5},
--- a/internal/sidecar/processlock.go
+++ b/internal/sidecar/processlock.go
@@ -10,9 +10,9 @@
 )
 
 const (
-	enterTries   = 50 // of the lock file: the system may fail for a moment
-	enterPause   = 10 * time.Millisecond
-	countTimeout = 50 * time.Millisecond // the end of a process waits no longer to hear of others
+	maxLockAttempts   = 50 // of the lock file: the system may fail for a moment
+	lockRetryInterval = 10 * time.Millisecond
+	countTimeout      = 50 * time.Millisecond // the end of a process waits no longer to hear of others
 
 	// The bytes of the lock file: one for each process, and one for whoever writes the state file.
 	maxProcesses = 4
@@ -27,24 +27,24 @@
 // enter takes the first byte of the lock file that no other process holds.
 func (h *sharedState) acquireProcessLock(path string) error {
 	var err error
-	for range enterTries {
-		if err = h.tryEnter(path); err == nil {
+	for range maxLockAttempts {
+		if err = h.tryProcessLock(path); err == nil {
 			return nil
 		}
-		time.Sleep(enterPause)
+		time.Sleep(lockRetryInterval)
 	}
 	return err
 }
 
 // tryEnter is one try of enter.
-func (h *sharedState) tryEnter(path string) error {
+func (h *sharedState) tryProcessLock(path string) error {
 	f, err := os.OpenFile(path, os.O_RDWR|os.O_CREATE, 0o600)
 	if err != nil {
 		return err
 	}
 	for h.lockIndex = range int64(maxProcesses) {
 		if err = fcntl(f, ofdSetLock, h.lockIndex, syscall.F_WRLCK); err == nil {
-			h.lock = f
+			h.lockFile = f
 			return nil
 		}
 	}
@@ -64,14 +64,14 @@
 
 // count tells how many processes run, this one included. One that the system does not tell of is held for what it was.
 func (h *sharedState) countProcesses() int {
-	h.counting.Lock() // and not mu: the store counts under a lock of its own
-	defer h.counting.Unlock()
+	h.countMu.Lock() // and not mu: the store counts under a lock of its own
+	defer h.countMu.Unlock()
 	n := 1
-	for at := int64(0); h.lock != nil && at < maxProcesses; at++ {
+	for at := int64(0); h.lockFile != nil && at < maxProcesses; at++ {
 		if at == h.lockIndex {
 			continue
 		}
-		err := fcntl(h.lock, ofdGetLock, at, syscall.F_WRLCK)
+		err := fcntl(h.lockFile, ofdGetLock, at, syscall.F_WRLCK)
 		switch {
 		case err == nil:
 			h.otherProcesses[at] = false
@@ -82,7 +82,7 @@
 			n++
 		}
 	}
-	h.counted.Store(int64(n))
+	h.lastCount.Store(int64(n))
 	return n
 }
 
@@ -94,6 +94,6 @@
 	case n := <-counted:
 		return n
 	case <-time.After(limit):
-		return max(1, int(h.counted.Load()))
+		return max(1, int(h.lastCount.Load()))
 	}
 }
--- a/internal/sidecar/room.go
+++ b/internal/sidecar/room.go
@@ -8,7 +8,7 @@
 )
 
 // silentTime is how long a connection may be silent, or idle, before it makes room ahead of others that are needed more.
-const silentTime = 250 * time.Millisecond
+const silentGrace = 250 * time.Millisecond
 
 // share takes the application's share of the descriptors as the room, and what it may hold together with upstreams.
 func (l *clients) setLimits(room, all int) {
@@ -16,7 +16,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.clientShare, l.maxTotal = room, all
-	for len(l.conns) > l.softLimit(upstreams) && l.shedOne(closedRoomPartial) {
+	for len(l.conns) > l.softLimit(upstreams) && l.shedOne(closedShedPartial) {
 	}
 }
 
@@ -31,7 +31,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for len(l.conns)+upstreams >= l.maxTotal {
-		if !l.shedOne(closedRoomPartial) {
+		if !l.shedOne(closedShedPartial) {
 			return false
 		}
 	}
@@ -50,7 +50,7 @@
 	upstreams := l.upstreams()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if len(l.conns) >= l.softLimit(upstreams) && !l.shedOne(closedRoomPartial) && len(l.conns) >= l.clientShare+l.clientShare/6 {
+	if len(l.conns) >= l.softLimit(upstreams) && !l.shedOne(closedShedPartial) && len(l.conns) >= l.clientShare+l.clientShare/6 {
 		l.rejected++
 		l.countClose(closedNoRoom)
 		return false
@@ -67,29 +67,29 @@
 // connected, and if a close crosses a request on an idle connection, that is sent again; a half request is refused, as
 // the rest of it may be on its way. It returns false if none can go. The caller holds the lock.
 func (l *clients) shedOne(last closeReason) bool {
-	var first [closeReasons]*clientConn
-	var longest [closeReasons]time.Duration
+	var first [closeReasonCount]*clientConn
+	var longest [closeReasonCount]time.Duration
 	now := time.Now()
 	for c := range l.conns {
-		kind, waited, ok := c.roomKind(now, l.clock.now())
+		kind, waited, ok := c.shedKind(now, l.clock.now())
 		if ok && kind <= last && (first[kind] == nil || waited > longest[kind]) {
 			first[kind], longest[kind] = c, waited
 		}
 	}
-	for kind := closedRoomSilent; kind <= last; kind++ {
+	for kind := closedShedSilent; kind <= last; kind++ {
 		c := first[kind]
 		if c == nil {
 			continue
 		}
-		if kind == closedRoomPartial && c.hasUnread() { // asked of the one alone: the kernel's answer takes its time
-			c.spoken = true
+		if kind == closedShedPartial && c.hasUnread() { // asked of the one alone: the kernel's answer takes its time
+			c.dataSeen = true
 			return l.shedOne(last)
 		}
-		if !c.closeUnlessServing(kind == closedRoomPartial) { // its request has come just now
+		if !c.closeUnlessServing(kind == closedShedPartial) { // its request has come just now
 			return l.shedOne(last)
 		}
 		delete(l.conns, c)
-		l.shed[kind-closedRoomSilent]++
+		l.shedCounts[kind-closedShedSilent]++
 		l.countClose(kind)
 		return true
 	}
@@ -98,20 +98,20 @@
 
 // roomKind tells as what a connection may make room, and for how long it has been that; ok: it may. The caller holds
 // the lock of the clients.
-func (c *clientConn) roomKind(now time.Time, clock time.Duration) (kind closeReason, waited time.Duration, ok bool) {
+func (c *clientConn) shedKind(now time.Time, clock time.Duration) (kind closeReason, waited time.Duration, ok bool) {
 	waited = now.Sub(c.since)
 	begun, whole := c.requestProgress()
 	switch {
 	case c.hadRequest && c.state != http.StateIdle, whole:
 		return 0, 0, false
 	case begun:
-		return closedRoomPartial, clock - time.Duration(c.spoke.Load()), true
-	case waited <= silentTime:
-		return closedRoomPartial, waited, !c.spoken
+		return closedShedPartial, clock - time.Duration(c.lastRead.Load()), true
+	case waited <= silentGrace:
+		return closedShedPartial, waited, !c.dataSeen
 	case c.hadRequest:
-		return closedRoomIdle, waited, true
+		return closedShedIdle, waited, true
 	}
-	return closedRoomSilent, waited, true
+	return closedShedSilent, waited, true
 }
 
 // unread tells whether bytes have come that nobody has read so far.
--- a/internal/sidecar/rules.go
+++ b/internal/sidecar/rules.go
@@ -15,7 +15,7 @@
 	"arrowgw/internal/rules"
 )
 
-const dutyRules = "rules"
+const rulesDuty = "rules"
 
 // ruleSets is this sidecar's part in its fleet's rules. Where the fleet file has no rules.file there is none.
 type ruleSets struct {
@@ -36,11 +36,11 @@
 	}
 	s.path = cfg.Fleet.Rules.File
 	against := rules.Settings{Forms: forms, Tenants: cfg.Tenants, Zones: cfg.Zones, Server: serverID, Config: cfg.Policy}
-	keep := keeper{state.store}
+	keep := storeKeeper{state.store}
 	s.node = rules.New(rules.Config{
 		Name: cfg.Name, Start: state.store.Number(), Keep: keep, Damaged: len(state.store.Damage().Files) > 0, Wire: p.group,
 		Voters:  &dutyVoters{group: work.group, fence: duty.Fence{Keep: keep}},
-		Members: p.forRules,
+		Members: p.rulesMembers,
 		Read:    func(text []byte) (*rules.Set, error) { return rules.Read(text, against) },
 		Force:   path.rules,
 	})
@@ -49,7 +49,7 @@
 }
 
 // forRules are the members that a push asks: all that may serve.
-func (p *peers) forRules() (all []rules.Member) {
+func (p *peers) rulesMembers() (all []rules.Member) {
 	for _, m := range p.group.View().Members {
 		if m.State == member.Present || m.State == member.Silent {
 			all = append(all, rules.Member{Peer: rules.Peer{Name: m.Name, Start: m.Start}, Silent: m.State == member.Silent})
@@ -65,13 +65,13 @@
 }
 
 // Holds implements rules.Voters.
-func (v *dutyVoters) Holds() (uint64, bool) { return v.group.Holds(dutyRules) }
+func (v *dutyVoters) Holds() (uint64, bool) { return v.group.Holds(rulesDuty) }
 
 // Holder implements rules.Voters.
 func (v *dutyVoters) Holder() (string, error) {
 	t, err := v.group.Table()
 	for _, h := range t.Holdings {
-		if h.Duty == dutyRules {
+		if h.Duty == rulesDuty {
 			return h.Holder, err
 		}
 	}
@@ -80,13 +80,13 @@
 
 // Entered implements rules.Voters.
 func (v *dutyVoters) Entered() (rules.Floor, error) {
-	e, err := v.group.Entered(dutyRules)
+	e, err := v.group.Entered(rulesDuty)
 	return rules.Floor{Version: e.Version, Digest: e.Digest, Token: e.Token}, err
 }
 
 // Enter implements rules.Voters.
 func (v *dutyVoters) Enter(f rules.Floor) (refused, err error) {
-	err = v.group.Enter(dutyRules, f.Token, f.Version, f.Digest)
+	err = v.group.Enter(rulesDuty, f.Token, f.Version, f.Digest)
 	if errors.Is(err, duty.ErrNotEntered) {
 		return err, nil
 	}
@@ -94,7 +94,7 @@
 }
 
 // Fence implements rules.Voters.
-func (v *dutyVoters) Fence(token uint64) (bool, error) { return v.fence.Pass(dutyRules, token) }
+func (v *dutyVoters) Fence(token uint64) (bool, error) { return v.fence.Pass(rulesDuty, token) }
 
 // begin puts the floor's set in force; the loop runs, and no request has come.
 func (s *ruleSets) start(ctx context.Context) error {
@@ -143,7 +143,7 @@
 }
 
 // stat writes the figures of rules, where there are any.
-func (s *ruleSets) stat(w io.Writer) {
+func (s *ruleSets) writeStats(w io.Writer) {
 	if s.node == nil {
 		return
 	}
@@ -155,7 +155,7 @@
 }
 
 // show writes what is in force, and why a push was refused.
-func (s *ruleSets) show(w io.Writer) error {
+func (s *ruleSets) writeRules(w io.Writer) error {
 	if s.node == nil {
 		return errors.New("there are no rule sets: the fleet file has no rules.file")
 	}
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -11,15 +11,15 @@
 )
 
 const (
-	lingerTime   = 500 * time.Millisecond // new connections go on coming for so long after a stop is asked for
-	leaveTimeout = time.Second            // the end waits no longer for duties to be passed on
-	lookEvery    = 5 * time.Millisecond   // how often it is seen whether all connections are closed
+	stopListenDelay   = 500 * time.Millisecond // new connections go on coming for so long after a stop is asked for
+	leaveTimeout      = time.Second            // the end waits no longer for duties to be passed on
+	closePollInterval = 5 * time.Millisecond   // how often it is seen whether all connections are closed
 
 	// The platform may kill a process once the longest deadline and 0.7 s have passed behind the signal. Final answers
 	// are due well before, as the process may be held up for 0.15 s; only then it ends by itself.
 	answerMargin    = 500 * time.Millisecond // behind the longest deadline all answers are due,
 	exitMargin      = 640 * time.Millisecond // and the process ends
-	lastLook        = 40 * time.Millisecond  // it waits so much longer for what came in the last moment
+	finalWait       = 40 * time.Millisecond  // it waits so much longer for what came in the last moment
 	maxStopDeadline = 3 * time.Second        // a longer deadline counts as this
 )
 
@@ -73,24 +73,24 @@
 func (p *parts) setProcessCount(n int) {
 	limitMemory(p.cfg.MemoryMB, n)
 	p.upstreams.share(p.cfg.upstreamConnLimit(n))
-	p.clients.setLimits(p.cfg.clientConns(n), p.cfg.allConns(n))
+	p.clients.setLimits(p.cfg.clientConnLimit(n), p.cfg.totalConnLimit(n))
 	p.loop.share(n)
 }
 
 // console is the operators' door to the parts.
 func (p *parts) console() *console {
 	return &console{
-		ready: p.front.isUp, writeRules: p.control.ruleSets.show, setServer: p.loop.server, confirmState: p.control.state.confirm,
-		writeMembers: p.control.peers.show, writeDuties: p.control.duties.show, moveDuty: p.control.duties.moveDuty, stat: p.stat,
+		ready: p.front.isUp, writeRules: p.control.ruleSets.writeRules, setServer: p.loop.server, confirmState: p.control.state.confirm,
+		writeMembers: p.control.peers.writeMembers, writeDuties: p.control.duties.writeDuties, moveDuty: p.control.duties.moveDuty, writeStats: p.writeStats,
 	}
 }
 
 // stat writes all figures.
-func (p *parts) stat(w io.Writer) {
-	p.front.stat(w)
-	p.loop.trace.stat(w)
-	guardStat(w, p.loop.guard)
-	p.control.stat(w)
+func (p *parts) writeStats(w io.Writer) {
+	p.front.writeStats(w)
+	p.loop.trace.writeStats(w)
+	writeGuardStats(w, p.loop.guard)
+	p.control.writeStats(w)
 	fmt.Fprintln(w, "EOF")
 }
 
@@ -122,7 +122,7 @@
 	p.loop.guard.Start()
 	p.front.ready.Store(true)
 	p.control.run(running)
-	go p.control.followReloads(running, cfg.path, reload) // also in a stop, for what is held
+	go p.control.handleReloads(running, cfg.path, reload) // also in a stop, for what is held
 	if door != nil {
 		go p.console().serve(running, door)
 		slog.Info("console", "listen", door.Addr())
@@ -149,7 +149,7 @@
 		waitAtMost(left, leaveTimeout) // the others find out by themselves
 		p.control.peers.leave()
 	}()
-	return p.front.drain(served, p.cfg.Longest, replaced)
+	return p.front.drain(served, p.cfg.MaxDeadline, replaced)
 }
 
 // waitAtMost waits until a channel is closed, but no longer than a limit.
@@ -197,7 +197,7 @@
 	} else {
 		f.clients.startClosing()
 	}
-	time.Sleep(min(lingerTime, time.Until(end)))
+	time.Sleep(min(stopListenDelay, time.Until(end)))
 	if replaced {
 		f.clients.startClosing()
 	} else {
@@ -208,10 +208,10 @@
 	case <-time.After(time.Until(end)):
 	}
 	f.clients.waitClosed(end)
-	f.clients.endIdle(true)
-	f.clients.waitClosed(end.Add(lastLook))
+	f.clients.closeIdle(true)
+	f.clients.waitClosed(end.Add(finalWait))
 	for f.streams.now.Load() > 0 { // an answer that its server goes on with is owed whole; one that stands still ends by itself
-		time.Sleep(lookEvery)
+		time.Sleep(closePollInterval)
 	}
 	f.loop.guard.Stop()
 	slog.Info("stopped", "held", f.openRequests.Load())
--- a/internal/sidecar/size_test.go
+++ b/internal/sidecar/size_test.go
@@ -40,7 +40,7 @@
 }
 
 // grown is by how much the heap grows by what make returns.
-func grown(make func() any) float64 {
+func heapGrowth(make func() any) float64 {
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
@@ -56,7 +56,7 @@
 	for _, n := range listSizes {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			raw := wholeList(b, n)
-			kept := grown(func() any {
+			kept := heapGrowth(func() any {
 				l, err := parseListing(raw, nil)
 				if err != nil || len(l.servers) != n {
 					b.Fatal(len(l.servers), err)
@@ -75,18 +75,20 @@
 }
 
 // still is a host that does nothing but note where requests go.
-type still struct{ sent int }
+type countingHost struct{ sent int }
 
-func (s *still) Send(balance.RequestID, balance.ServerID, time.Duration, time.Duration) { s.sent++ }
-func (*still) Refuse(balance.RequestID, time.Duration, balance.Reason)                  {}
-func (*still) Fail(balance.RequestID, balance.Reason)                                   {}
-func (*still) Cancel(balance.RequestID, int)                                            {}
-func (*still) Withdraw(balance.RequestID, int)                                          {}
-func (*still) Wake(time.Duration)                                                       {}
-func (*still) Close(balance.ServerID)                                                   {}
-func (*still) Probe(balance.ServerID)                                                   {}
-func (*still) WatchList()                                                               {}
-func (*still) Log(string)                                                               {}
+func (s *countingHost) Send(balance.RequestID, balance.ServerID, time.Duration, time.Duration) {
+	s.sent++
+}
+func (*countingHost) Refuse(balance.RequestID, time.Duration, balance.Reason) {}
+func (*countingHost) Fail(balance.RequestID, balance.Reason)                  {}
+func (*countingHost) Cancel(balance.RequestID, int)                           {}
+func (*countingHost) Withdraw(balance.RequestID, int)                         {}
+func (*countingHost) Wake(time.Duration)                                      {}
+func (*countingHost) Close(balance.ServerID)                                  {}
+func (*countingHost) Probe(balance.ServerID)                                  {}
+func (*countingHost) WatchList()                                              {}
+func (*countingHost) Log(string)                                              {}
 
 // BenchmarkModuleBySize has the module take a whole list, one change of it, and requests at the planned rate.
 func BenchmarkModuleBySize(b *testing.B) {
@@ -99,8 +101,8 @@
 		if err != nil {
 			b.Fatal(err)
 		}
-		begin := func() (*policy.Balancer, *still) {
-			host := new(still)
+		begin := func() (*policy.Balancer, *countingHost) {
+			host := new(countingHost)
 			m, err := policy.New(cfg, 1, host)
 			if err != nil {
 				b.Fatal(err)
@@ -110,7 +112,7 @@
 			return m, host
 		}
 		b.Run(fmt.Sprintf("%d/list", n), func(b *testing.B) {
-			kept := grown(func() any { m, _ := begin(); return m })
+			kept := heapGrowth(func() any { m, _ := begin(); return m })
 			m, _ := begin()
 			for b.Loop() {
 				m.List(0, balance.ListFull, l.servers)
--- a/internal/sidecar/trace.go
+++ b/internal/sidecar/trace.go
@@ -21,16 +21,16 @@
 const (
 	closedClientLeft    closeReason = iota // its client had closed it, or the sending side of it
 	closedNoRoom                           // accepted when there was no room for it
-	closedRoomSilent                       // made room: it had never sent anything
-	closedRoomIdle                         // made room: it stood idle between requests
-	closedRoomPartial                      // made room: part of a first request had come
+	closedShedSilent                       // made room: it had never sent anything
+	closedShedIdle                         // made room: it stood idle between requests
+	closedShedPartial                      // made room: part of a first request had come
 	closedServerBroke                      // a long answer under way was cut off by its server
 	closedClientStalled                    // a long answer under way was not read by its client
 	closedStopping                         // the process stops, and no request was open on it
-	closeReasons
+	closeReasonCount
 )
 
-var closeNames = [closeReasons]string{
+var closeNames = [closeReasonCount]string{
 	"client_left", "no_room", "room_silent", "room_idle", "room_partial", "server_broke", "client_stalled", "stopping",
 }
 
@@ -38,26 +38,26 @@
 func (r closeReason) String() string { return closeNames[r] }
 
 const (
-	tracedPerSecond = 10 // lines of the log that tell of single requests; past that they are counted only
-	tracedAtOnce    = 50
+	maxLogLinesPerSecond = 10 // lines of the log that tell of single requests; past that they are counted only
+	maxLogBurst          = 50
 )
 
 // trace tells the log and the counters what becomes of each request, by its id. Ordinary steps are at level debug;
 // requests that end with no answer are at level info, at a bounded rate. Its methods are safe for concurrent use.
 type trace struct {
-	limiter    *rate.Limiter
-	unlogged   atomic.Uint64 // lines left out by the limiter
-	closes     [closeReasons]atomic.Uint64
-	refusals   []atomic.Uint64 // by balance.Reason
-	failures   []atomic.Uint64 // by balance.Reason
-	retryAfter []atomic.Uint64 // further attempts, by the balance.Ending of the one before
+	limiter  *rate.Limiter
+	unlogged atomic.Uint64 // lines left out by the limiter
+	closes   [closeReasonCount]atomic.Uint64
+	refusals []atomic.Uint64 // by balance.Reason
+	failures []atomic.Uint64 // by balance.Reason
+	retries  []atomic.Uint64 // further attempts, by the balance.Ending of the one before
 }
 
 func newTrace() *trace {
 	return &trace{
-		limiter:  rate.NewLimiter(tracedPerSecond, tracedAtOnce),
+		limiter:  rate.NewLimiter(maxLogLinesPerSecond, maxLogBurst),
 		refusals: make([]atomic.Uint64, len(balance.Reasons())), failures: make([]atomic.Uint64, len(balance.Reasons())),
-		retryAfter: make([]atomic.Uint64, balance.NotSent+1),
+		retries: make([]atomic.Uint64, balance.NotSent+1),
 	}
 }
 
@@ -74,7 +74,7 @@
 func (t *trace) countClose(why closeReason) { t.closes[why].Add(1) }
 
 // unanswered counts and logs the end of a request that had no whole answer.
-func (t *trace) unanswered(id string, why closeReason, age time.Duration) {
+func (t *trace) logUnanswered(id string, why closeReason, age time.Duration) {
 	t.countClose(why)
 	if !t.limiter.Allow() {
 		t.unlogged.Add(1)
@@ -97,22 +97,22 @@
 
 // attempt logs an attempt, and counts it by the ending of the one before where there was one.
 func (t *trace) logAttempt(id string, number int, before balance.Ending, address string, timeout time.Duration) {
-	if number > 0 && before >= 0 && int(before) < len(t.retryAfter) {
-		t.retryAfter[before].Add(1)
+	if number > 0 && before >= 0 && int(before) < len(t.retries) {
+		t.retries[before].Add(1)
 	}
 	t.logStep("attempt", id, slog.Int("number", number), slog.String("address", address), slog.Duration("timeout", timeout))
 }
 
 // stat writes the counters among the figures of the console.
-func (t *trace) stat(w io.Writer) {
-	for reason := range closeReasons {
+func (t *trace) writeStats(w io.Writer) {
+	for reason := range closeReasonCount {
 		fmt.Fprintf(w, "app.closed.%s=%d\n", reason, t.closes[reason].Load())
 	}
 	for _, reason := range balance.Reasons() {
 		fmt.Fprintf(w, "app.refused.%s=%d\napp.failed.%s=%d\n", reason, t.refusals[reason].Load(), reason, t.failures[reason].Load())
 	}
-	for ending := range t.retryAfter {
-		fmt.Fprintf(w, "app.retried.%s=%d\n", balance.Ending(ending), t.retryAfter[ending].Load())
+	for ending := range t.retries {
+		fmt.Fprintf(w, "app.retried.%s=%d\n", balance.Ending(ending), t.retries[ending].Load())
 	}
 }
 
@@ -124,15 +124,15 @@
 			counts[kind+"."+name] = n
 		}
 	}
-	for reason := range closeReasons {
+	for reason := range closeReasonCount {
 		add("closed", reason.String(), t.closes[reason].Load())
 	}
 	for _, reason := range balance.Reasons() {
 		add("refused", reason.String(), t.refusals[reason].Load())
 		add("failed", reason.String(), t.failures[reason].Load())
 	}
-	for ending := range t.retryAfter {
-		add("retried", balance.Ending(ending).String(), t.retryAfter[ending].Load())
+	for ending := range t.retries {
+		add("retried", balance.Ending(ending).String(), t.retries[ending].Load())
 	}
 	add("log", "unlogged", t.unlogged.Load())
 	return counts
@@ -140,13 +140,13 @@
 
 // logViolation logs a breach of an invariant.
 func logViolation(v guard.Violation) {
-	slog.Error("invariant violated", "rule", v.Rule.String(), "id", v.RequestID, "what", v.Detail)
+	slog.Error("invariant violated", "rule", v.Invariant.String(), "id", v.RequestID, "what", v.Detail)
 }
 
 // guardStat writes a guard's counters among the figures of the console.
-func guardStat(w io.Writer, g *guard.Guard) {
+func writeGuardStats(w io.Writer, g *guard.Guard) {
 	for _, n := range g.Counts() {
-		fmt.Fprintf(w, "app.violations.%s=%d\napp.denied.%s=%d\n", n.Rule, n.Violations, n.Rule, n.Denied)
+		fmt.Fprintf(w, "app.violations.%s=%d\napp.denied.%s=%d\n", n.Invariant, n.Violations, n.Invariant, n.Denied)
 	}
 }
 
@@ -155,10 +155,10 @@
 	counts := make(map[string]uint64)
 	for _, n := range g.Counts() {
 		if n.Violations > 0 {
-			counts["violations."+n.Rule.String()] = n.Violations
+			counts["violations."+n.Invariant.String()] = n.Violations
 		}
 		if n.Denied > 0 {
-			counts["denied."+n.Rule.String()] = n.Denied
+			counts["denied."+n.Invariant.String()] = n.Denied
 		}
 	}
 	return counts
