--- a/internal/conf/conf.go
+++ b/internal/conf/conf.go
@@ -1,15 +1,15 @@
-// Package conf reads TOML files into structs, strictly: an unknown key, a value of the wrong type and one out of its
-// bounds are errors that name the file, the line and the key, and nothing of such a file is used. What a file leaves
-// out takes its default. A struct's tags say all that there is to say of a key, so that the reader, the
-// effective configuration and the page that lists the keys can't differ:
+// Package conf reads TOML files into structs, strictly: an unknown key, a value of the wrong type and a value out of
+// bounds are errors that name the file, the line and the key, and such a file is rejected as a whole. A key that the file
+// omits has its default. The tags of a struct are the only description of its keys, so that the reader, the effective
+// configuration and the page that lists the keys can't differ:
 //
 //	toml     the key
-//	default  its value where the file has none; none stands for the zero value
+//	default  the value if the file has none; without this tag the zero value
 //	min, max the bounds of a number or a Duration, both inclusive
-//	oneof    the words that are allowed, by spaces
-//	need     "yes" where the file must have it
-//	unit     of a number
-//	help     what it does, in a few words
+//	oneof    the allowed words, separated by spaces
+//	need     "yes" if the key is required
+//	unit     the unit of a number
+//	help     a short description
 package conf
 
 import (
@@ -29,13 +29,13 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
-// fileLimit is the size of a file in bytes at most; far above any real one.
+// maxFileSize is the maximum size of a file in bytes; far above any real one.
 const maxFileSize = 1 << 20
 
-// Duration is a time that is written as "250ms" or "1m30s".
+// Duration is a time.Duration that is written as "250ms" or "1m30s".
 type Duration time.Duration
 
-// UnmarshalText reads what MarshalText writes.
+// UnmarshalText implements encoding.TextUnmarshaler.
 func (d *Duration) UnmarshalText(text []byte) error {
 	v, err := time.ParseDuration(string(text))
 	if err != nil {
@@ -45,12 +45,13 @@
 	return nil
 }
 
-// MarshalText writes a time as Go does.
+// MarshalText implements encoding.TextMarshaler. The format is that of time.Duration.String.
 func (d Duration) MarshalText() ([]byte, error) { return []byte(time.Duration(d).String()), nil }
 
+// String returns the duration in the format of time.Duration.String.
 func (d Duration) String() string { return time.Duration(d).String() }
 
-// D is the time as the standard library has it.
+// Std returns d as a time.Duration.
 func (d Duration) Std() time.Duration { return time.Duration(d) }
 
 // Read reads the file at path into the struct that into points to.
@@ -70,7 +71,7 @@
 	return Parse(path, raw, into)
 }
 
-// Parse is Read for what a file holds; name stands for the file in errors.
+// Parse is Read for the content of a file; errors give name as the file's.
 func Parse(name string, raw []byte, into any) error {
 	d := toml.NewDecoder(bytes.NewReader(raw)).DisallowUnknownFields()
 	if err := d.Decode(into); err != nil {
@@ -85,11 +86,11 @@
 	return errors.Join(c.errs...)
 }
 
-// Lines tells on which line each key of a file stands, for whoever finds more wrong with one than Parse does. An entry of an array of
-// tables is a[0], a[1] and so on.
+// KeyLines returns the line number of each key of a file, for callers that check more than Parse does. An entry of an array
+// of tables a is a[0], a[1] and so on.
 func KeyLines(raw []byte) (map[string]int, error) { return keyLines(raw) }
 
-// explain names the file, the line and the key that the library's error is about.
+// explain converts an error of the TOML library to one that names the file, the line and the key.
 func explain(name string, err error) error {
 	var unknown *toml.StrictMissingError
 	if errors.As(err, &unknown) {
@@ -113,12 +114,12 @@
 	return fmt.Errorf("%s: %w", name, err)
 }
 
-// linesOf tells on which line each key stands; an entry of an array of tables is a[0], a[1] and so on.
+// keyLines implements KeyLines.
 func keyLines(raw []byte) (map[string]int, error) {
 	var p unstable.Parser
 	p.Reset(raw)
 	lines, arrays, table := make(map[string]int), make(map[string]int), ""
-	at, on := 0, 1 // a place, and its line: the library would count from the start for each key
+	at, on := 0, 1 // the last offset, and its line; the library would count from the start for each key
 	lineAt := func(offset int) int {
 		if offset < at {
 			at, on = 0, 1
@@ -157,6 +158,7 @@
 	return lines, p.Error()
 }
 
+// joinPath appends key to a dotted path.
 func joinPath(path, key string) string {
 	if path == "" {
 		return key
@@ -164,14 +166,14 @@
 	return path + "." + key
 }
 
-// checker fills in defaults and collects what is out of bounds.
+// checker sets defaults and collects errors about missing keys and values out of bounds.
 type checker struct {
 	name  string
 	lines map[string]int
 	errs  []error
 }
 
-// line is where a key stands, or the nearest table above it that the file has.
+// line returns the line number of a key, or of the nearest enclosing table that the file has.
 func (c *checker) line(path string) int {
 	for ; path != ""; path = path[:max(0, strings.LastIndexByte(path, '.'))] {
 		if n := c.lines[path]; n > 0 {
@@ -181,10 +183,12 @@
 	return 1
 }
 
+// addError adds an error about the key at path.
 func (c *checker) addError(path, format string, args ...any) {
 	c.errs = append(c.errs, fmt.Errorf("%s:%d: key %q %s", c.name, c.line(path), path, fmt.Sprintf(format, args...)))
 }
 
+// walk checks the value v at path, and all values in it; f is the struct field with v's tags.
 func (c *checker) walk(path string, v reflect.Value, f reflect.StructField) {
 	switch v.Kind() {
 	case reflect.Struct:
@@ -192,7 +196,7 @@
 			f := v.Type().Field(i)
 			if key := f.Tag.Get("toml"); key != "" && key != "-" {
 				c.walk(joinPath(path, key), v.Field(i), f)
-			} else if f.Anonymous { // its keys are the outer one's
+			} else if f.Anonymous { // the keys of an embedded struct are those of the outer one
 				c.walk(path, v.Field(i), f)
 			}
 		}
@@ -215,7 +219,7 @@
 	c.checkBounds(path, v, f.Tag)
 }
 
-// set gives a field the value that a tag has as text. A tag that can't be read is a mistake in the program.
+// setDefault sets v to the default that a tag gives as text. It panics if the tag is invalid.
 func setDefault(v reflect.Value, text string) {
 	if text == "" {
 		return
@@ -243,7 +247,7 @@
 
 var durationType = reflect.TypeFor[Duration]()
 
-// number reads a tag as a number of its field's type.
+// parseNumber parses a bound or default as a number of type t; a Duration is in nanoseconds.
 func parseNumber(t reflect.Type, text string) (float64, error) {
 	if t == durationType {
 		d, err := time.ParseDuration(text)
@@ -252,6 +256,7 @@
 	return strconv.ParseFloat(text, 64)
 }
 
+// checkBounds checks the value v at path against the tags oneof, min and max. It panics if a tag is invalid.
 func (c *checker) checkBounds(path string, v reflect.Value, tag reflect.StructTag) {
 	if words := strings.Fields(tag.Get("oneof")); len(words) > 0 {
 		given := []string{}
@@ -282,24 +287,25 @@
 	if errLow != nil || errHigh != nil {
 		panic(fmt.Sprintf("conf: bounds of %s: %v", path, errors.Join(errLow, errHigh)))
 	}
-	if least != "" && !(at >= low) || most != "" && !(at <= high) { // a NaN is neither
+	if least != "" && !(at >= low) || most != "" && !(at <= high) { // written so that NaN is out of bounds
 		c.addError(path, "is %v: %s to %s is allowed", v.Interface(), least, cmp.Or(most, "any"))
 	}
 }
 
-// Write writes a struct as the file that would give it: the effective configuration.
+// Write writes a struct as TOML, from which Read would read the same struct.
 func Write(w io.Writer, v any) error {
 	e := toml.NewEncoder(w)
 	e.SetIndentTables(false)
 	return e.Encode(v)
 }
 
-// Key describes one key, for the page that lists them.
+// Key describes a key, for the page that lists them.
 type Key struct{ Path, Kind, Default, Bounds, Help string }
 
-// Keys lists the keys of a struct, in its own order.
+// Keys returns the keys of a struct, in the order of its fields.
 func Keys(v any) []Key { return listKeys("", reflect.TypeOf(v), reflect.StructField{}) }
 
+// listKeys returns the keys of type t at path; f is the struct field with t's tags.
 func listKeys(path string, t reflect.Type, f reflect.StructField) (all []Key) {
 	kind := map[reflect.Kind]string{
 		reflect.Int: "whole number", reflect.Float64: "number", reflect.String: "text", reflect.Bool: "true or false",
--- a/internal/conf/conf_test.go
+++ b/internal/conf/conf_test.go
@@ -40,11 +40,11 @@
 	}
 	var again sample
 	if err := Parse("written", []byte(b.String()), &again); err != nil || again.Part[1].For != s.Part[1].For {
-		t.Errorf("what is written reads as %+v, error %v:\n%s", again, err, &b)
+		t.Errorf("the written file reads as %+v, error %v:\n%s", again, err, &b)
 	}
 }
 
-// Each mistake is an error that names the line and the key.
+// Each mistake in a file is an error that names the line and the key.
 func TestMistakesNameLineAndKey(t *testing.T) {
 	for _, c := range []struct{ text, want string }{
 		{"name='x'\nshaer=1", `f:2: unknown key "shaer"`},
@@ -77,7 +77,7 @@
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		var s sample
 		if err := Parse("f", raw, &s); err == nil && (s.Name == "" && !strings.Contains(string(raw), "name")) {
-			t.Errorf("a file with no name was taken")
+			t.Errorf("a file without a name was accepted")
 		}
 	})
 }
--- a/internal/guard/guard.go
+++ b/internal/guard/guard.go
@@ -1,9 +1,10 @@
-// Package guard holds the invariants of a request's life in one place: each start, send, repeat, answer and close of a
-// sidecar passes through a Guard. It permits or denies what is about to be done, and counts as a violation what has been
-// done and should not have been. It has no sockets and no clock: the program tells it what happens, and when.
+// Package guard checks the invariants of a request's life in one place: each admission, attempt, retry, answer and close of
+// a sidecar is reported to a Guard. The Guard permits or denies what is about to be done, and counts as a violation what
+// has been done against an invariant. It has no sockets and no clock: its callers tell it what happens and when. Times are
+// those of the caller's clock.
 //
-// A denial is an ordinary crossing, such as a client that leaves while its attempt connects. A violation is a fault of
-// this program, or of a machine that stood still.
+// A denial is the result of an ordinary race, such as a client that disconnects while its attempt connects. A violation
+// is a fault of this program, or the effect of a machine that stalled.
 package guard
 
 import (
@@ -16,19 +17,19 @@
 	"arrowgw/internal/balance"
 )
 
-// Rule is an invariant.
+// Invariant is a condition that the handling of requests must satisfy.
 type Invariant int
 
 // The invariants.
 const (
-	Started       Invariant = iota // nothing is taken before the sidecar is ready, and no id twice
-	SentWhileOpen                  // nothing is sent for a request that has ended, or whose client has left
-	SentInTime                     // nor behind its deadline
-	RepeatAllowed                  // a request that may have run is sent again only as its class allows; beside an attempt only if it is safe
-	AnsweredOnce                   // one final answer
-	AnsweredSoon                   // at AnswerSlack behind the deadline at the latest
-	ClosedAfter                    // a client that waits is not closed on without an answer
-	SentToListed                   // nothing is sent to a server that was told draining or gone longer than the grace ago
+	Started       Invariant = iota // no request is admitted before the sidecar is ready, and none twice
+	SentWhileOpen                  // nothing is sent for a request that has ended or whose client has left
+	SentInTime                     // nothing is sent after a request's deadline
+	RepeatAllowed                  // a request that may have run is sent again only if its class allows it, and in parallel only if it is safe
+	AnsweredOnce                   // a request has at most one final answer
+	AnsweredSoon                   // a final answer is given at most AnswerSlack after the deadline
+	ClosedAfter                    // the connection of a waiting client is not closed without an answer
+	SentToListed                   // nothing is sent to a server that has been listed as draining or gone for longer than the drain grace
 	invariantCount
 )
 
@@ -36,107 +37,107 @@
 	"started", "sent_while_open", "sent_in_time", "repeat_allowed", "answered_once", "answered_soon", "closed_after", "sent_to_listed",
 }
 
-// String returns the rule's name in the log and among the figures.
+// String returns the invariant's name in the log and in metrics.
 func (r Invariant) String() string { return invariantNames[r] }
 
 const (
-	// LeftSlack is how long behind a client's leaving an attempt may begin (the operators' terms): 0.1 s, and 0.15 s for a
-	// machine that holds the process up between its look and its write.
+	// ClientLeftSlack is how long after its client has left an attempt may begin without a violation: 0.1 s that operators
+	// allow, and 0.15 s for a stall of the process between its check and its write.
 	ClientLeftSlack = 250 * time.Millisecond
-	// AnswerSlack is how long behind its deadline a final answer may come (the operators' terms).
+	// AnswerSlack is how long after the deadline operators allow a final answer to be given.
 	AnswerSlack = 500 * time.Millisecond
-	// GraceSlack is how much longer than the grace a send may take (the operators' terms, for sockets).
+	// DrainGraceSlack is how long after the drain grace operators allow an attempt to begin.
 	DrainGraceSlack = 50 * time.Millisecond
-	// outKept bounds how long it is remembered that a server is gone: nothing is on its way there any more.
+	// goneRetention is how long a server is remembered as gone. After that no attempt can be on its way to it.
 	goneRetention = time.Minute
-	// clearedIn is how often in that time those are forgotten that have been kept for so long.
+	// sweepsPerRetention is how often per goneRetention expired entries are removed.
 	sweepsPerRetention = 10
 )
 
-// Denied says which rule does not permit what was asked for.
+// DeniedError is the error of an operation that an invariant does not permit.
 type DeniedError struct{ Invariant Invariant }
 
 func (d DeniedError) Error() string { return "not permitted: " + d.Invariant.String() }
 
-// Violation is one breach of an invariant.
+// Violation is one violation of an invariant.
 type Violation struct {
 	Invariant Invariant
-	RequestID string // the request's X-Request-ID
+	RequestID string // X-Request-ID of the request; empty if unknown
 	Detail    string // what happened
 }
 
-// Request is what a Guard knows of a request from its start.
+// Request describes a request when it is admitted.
 type Request struct {
 	RequestID   string // X-Request-ID
 	Deadline    time.Duration
 	Effect      balance.Effect
-	Window      time.Duration // keyed only: how long repeats are dropped, from the first send on
-	BodyPending bool          // its body still comes: its time begins later
+	Window      time.Duration // keyed requests only: how long after the first attempt servers drop repeats
+	BodyPending bool          // its body is still arriving, and its deadline is not set yet
 }
 
-// entry is a request in the table. It stays until it has ended and none of its attempts is out.
+// requestState is the state of an admitted request. It is kept until the request and all of its attempts have ended.
 type requestState struct {
 	Request
-	attemptsInFlight int           // attempts with no end yet
-	firstRun         time.Duration // when the first attempt that may have run was sent
-	mayHaveRun       bool          // there is one
+	attemptsInFlight int           // attempts that have not ended
+	firstRun         time.Duration // when the first attempt was sent that may have run
+	mayHaveRun       bool          // an attempt may have run
 	answered         bool
-	noAnswerDue      bool // the program has no answer for it any more: it has given one, or knows that its client has left
-	clientLeft       bool // its client has closed its connection, or the sending side of it
+	noAnswerDue      bool // no further answer will be given: one has been, or the client has left
+	clientLeft       bool // the client has closed its connection or the sending side of it
 	clientLeftAt     time.Duration
-	handlerEnded     bool // its handler has ended
+	handlerEnded     bool // its handler has returned
 }
 
-// outage is what was told of a server that is not ready. One that drains is kept as long as it is listed.
+// notReadyServer is a server that is listed as draining or gone. A draining one is kept as long as it is listed.
 type notReadyServer struct {
 	since time.Duration
 	gone  bool
 }
 
-// Guard checks the invariants of all requests of a process. Its methods are safe for concurrent use.
+// Guard checks the invariants for all requests of a process. Its methods are safe for concurrent use.
 type Guard struct {
 	report     func(Violation)
-	drainGrace time.Duration // a server may be sent to for so long after it was told draining or gone; 0: for ever
+	drainGrace time.Duration // how long a server may be sent to after it was listed as draining or gone; 0: for ever
 	ready      atomic.Bool
 	violations [invariantCount]atomic.Uint64
 	denials    [invariantCount]atomic.Uint64
 
 	mu       sync.Mutex
 	requests map[balance.RequestID]*requestState
-	notReady map[string]notReadyServer // servers that were told draining or gone, by address
+	notReady map[string]notReadyServer // servers that are listed as draining or gone, by address
 
-	lastSweep time.Duration // when those of long ago were forgotten last
+	lastSweep time.Duration // when expired entries of notReady were last removed
 }
 
-// New makes a Guard. report hears of each violation, and must not call back. grace is how long a server may still be sent
-// to after it was told draining or gone; 0: for ever.
-func New(report func(Violation), grace time.Duration) *Guard {
-	return &Guard{report: report, drainGrace: grace, requests: make(map[balance.RequestID]*requestState), notReady: make(map[string]notReadyServer)}
+// New returns a Guard. It calls report for each violation; report must not call the Guard. drainGrace is how long a server
+// may still be sent to after it was listed as draining or gone; 0 means for ever.
+func New(report func(Violation), drainGrace time.Duration) *Guard {
+	return &Guard{report: report, drainGrace: drainGrace, requests: make(map[balance.RequestID]*requestState), notReady: make(map[string]notReadyServer)}
 }
 
-// Start takes that the sidecar is ready: requests may be taken from now on.
+// Start records that the sidecar is ready to admit requests.
 func (g *Guard) Start() { g.ready.Store(true) }
 
-// Take enters a request.
+// Admit records a new request.
 func (g *Guard) Admit(id balance.RequestID, r Request) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.requests[id] != nil || !g.ready.Load() {
-		g.reportViolation(Started, r.RequestID, "taken before the sidecar was ready, or twice")
+		g.reportViolation(Started, r.RequestID, "admitted before the sidecar was ready, or twice")
 	}
 	g.requests[id] = &requestState{Request: r}
 }
 
-// BodyEnded takes that a request's body has come: its time begins.
+// BodyEnded records that a request's body has arrived whole, and sets the deadline, which depends on that moment.
 func (g *Guard) BodyEnded(id balance.RequestID, deadline time.Duration) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if e := g.requests[id]; e != nil {
-		e.BodyPending, e.Deadline = false, deadline
+	if s := g.requests[id]; s != nil {
+		s.BodyPending, s.Deadline = false, deadline
 	}
 }
 
-// Listed takes what the server at an address is told to be. What is told twice counts from the first time on.
+// SetServerState records the listed state of the server at an address. A state that is repeated counts from the first time.
 func (g *Guard) SetServerState(now time.Duration, address string, state balance.State) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -156,36 +157,37 @@
 	g.notReady[address] = o
 }
 
-// Send asks whether an attempt at the server at an address may be begun, a first or a further one. Each that may has an End.
+// PermitSend returns nil if an attempt, the first or a retry, may be started at the server at an address. The caller has to
+// call AttemptEnded for each permitted attempt.
 func (g *Guard) PermitSend(now time.Duration, id balance.RequestID, address string) error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	e := g.requests[id]
-	if rule, denied := e.sendDenied(now, g.ready.Load()); denied {
-		return g.deny(rule)
+	s := g.requests[id]
+	if invariant, denied := s.sendDenied(now, g.ready.Load()); denied {
+		return g.deny(invariant)
 	}
-	if e.Effect != balance.Safe && e.attemptsInFlight > 0 || e.mayHaveRun && !e.mayRepeat(now) {
-		g.reportViolation(RepeatAllowed, e.RequestID, "a repeat was asked for that its class does not allow")
+	if s.Effect != balance.Safe && s.attemptsInFlight > 0 || s.mayHaveRun && !s.mayRepeat(now) {
+		g.reportViolation(RepeatAllowed, s.RequestID, "a retry was started that its class does not allow")
 		return g.deny(RepeatAllowed)
 	}
 	if g.notReadyFor(now, address) > g.drainGrace {
-		g.reportViolation(SentToListed, e.RequestID, "an attempt was asked for at a server that drains or is gone")
+		g.reportViolation(SentToListed, s.RequestID, "an attempt was started at a server that is draining or gone")
 		return g.deny(SentToListed)
 	}
-	e.attemptsInFlight++
+	s.attemptsInFlight++
 	return nil
 }
 
-// Write asks whether the first byte of an attempt may go out to an address now.
+// PermitWrite returns nil if the first byte of an attempt may be written to an address now.
 func (g *Guard) PermitWrite(now time.Duration, id balance.RequestID, address string) error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	e := g.requests[id]
-	rule, denied := e.sendDenied(now, true)
+	s := g.requests[id]
+	invariant, denied := s.sendDenied(now, true)
 	switch {
 	case denied:
-		return g.deny(rule)
-	case e.mayHaveRun && !e.mayRepeat(now):
+		return g.deny(invariant)
+	case s.mayHaveRun && !s.mayRepeat(now):
 		return g.deny(RepeatAllowed)
 	case g.notReadyFor(now, address) > g.drainGrace:
 		return g.deny(SentToListed)
@@ -193,165 +195,169 @@
 	return nil
 }
 
-// outFor is how long ago the server at an address was told draining or gone; 0: it is ready, or nothing limits sends.
+// notReadyFor returns how long the server at an address has been listed as draining or gone; 0 if it is ready or there is no
+// drain grace.
 func (g *Guard) notReadyFor(now time.Duration, address string) time.Duration {
-	o, out := g.notReady[address]
-	if !out || g.drainGrace == 0 {
+	o, found := g.notReady[address]
+	if !found || g.drainGrace == 0 {
 		return 0
 	}
 	return now - o.since
 }
 
-// denies says which rule keeps anything from being sent for a request.
-func (e *requestState) sendDenied(now time.Duration, ready bool) (Invariant, bool) {
+// sendDenied returns the invariant, if any, that forbids sending anything for a request. ready is whether the sidecar is
+// ready. s may be nil.
+func (s *requestState) sendDenied(now time.Duration, ready bool) (Invariant, bool) {
 	switch {
 	case !ready:
 		return Started, true
-	case e == nil || e.answered || e.clientLeft || e.handlerEnded:
+	case s == nil || s.answered || s.clientLeft || s.handlerEnded:
 		return SentWhileOpen, true
-	case !e.BodyPending && now >= e.Deadline:
+	case !s.BodyPending && now >= s.Deadline:
 		return SentInTime, true
 	}
 	return 0, false
 }
 
-// mayRepeat says whether a request that may have run may be sent once more.
-func (e *requestState) mayRepeat(now time.Duration) bool {
-	return e.Effect == balance.Safe || e.Effect == balance.Keyed && now < e.firstRun+e.Window
+// mayRepeat reports whether a request that may have run can be sent again.
+func (s *requestState) mayRepeat(now time.Duration) bool {
+	return s.Effect == balance.Safe || s.Effect == balance.Keyed && now < s.firstRun+s.Window
 }
 
-// Written takes that the last byte of an attempt has gone out to an address, which was begun at a moment.
+// AttemptWritten records that the last byte of an attempt, whose write began at began, has been written to an address.
 func (g *Guard) AttemptWritten(began, now time.Duration, id balance.RequestID, address string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	e := g.requests[id]
+	s := g.requests[id]
 	switch {
-	case e == nil:
-		g.reportViolation(SentWhileOpen, "", "an attempt was written for a request that is not held")
-	case e.clientLeft && began > e.clientLeftAt+ClientLeftSlack:
-		g.reportViolation(SentWhileOpen, e.RequestID, fmt.Sprintf("an attempt was begun %v behind its client's leaving", began-e.clientLeftAt))
-	case e.mayHaveRun && !e.mayRepeat(now):
-		g.reportViolation(RepeatAllowed, e.RequestID, "a repeat went out that its class does not allow any more")
+	case s == nil:
+		g.reportViolation(SentWhileOpen, "", "an attempt was written for an unknown request")
+	case s.clientLeft && began > s.clientLeftAt+ClientLeftSlack:
+		g.reportViolation(SentWhileOpen, s.RequestID, fmt.Sprintf("an attempt began %v after its client left", began-s.clientLeftAt))
+	case s.mayHaveRun && !s.mayRepeat(now):
+		g.reportViolation(RepeatAllowed, s.RequestID, "a retry was written that its class no longer allows")
 	}
-	if name := requestIDOf(e); g.notReadyFor(began, address) > g.drainGrace+DrainGraceSlack {
-		g.reportViolation(SentToListed, name, fmt.Sprintf("an attempt was begun at %s %v after that was told draining or gone", address, g.notReadyFor(began, address)))
+	if requestID := requestIDOf(s); g.notReadyFor(began, address) > g.drainGrace+DrainGraceSlack {
+		g.reportViolation(SentToListed, requestID, fmt.Sprintf("an attempt at %s began %v after the server was listed as draining or gone", address, g.notReadyFor(began, address)))
 	}
 }
 
-// nameOf is the X-Request-ID of an entry, if there is one.
-func requestIDOf(e *requestState) string {
-	if e == nil {
+// requestIDOf returns the X-Request-ID of a request, or "" for nil.
+func requestIDOf(s *requestState) string {
+	if s == nil {
 		return ""
 	}
-	return e.RequestID
+	return s.RequestID
 }
 
-// End takes how an attempt ended that Send had permitted, begun at sent.
+// AttemptEnded records how an attempt ended that PermitSend permitted at time sent.
 func (g *Guard) AttemptEnded(sent time.Duration, id balance.RequestID, ending balance.Ending) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	e := g.requests[id]
-	if e == nil {
+	s := g.requests[id]
+	if s == nil {
 		return
 	}
-	e.attemptsInFlight--
+	s.attemptsInFlight--
 	never := ending == balance.TurnedAway || ending == balance.NoConnection || ending == balance.NotSent
-	if !never && !e.mayHaveRun {
-		e.mayHaveRun, e.firstRun = true, sent
+	if !never && !s.mayHaveRun {
+		s.mayHaveRun, s.firstRun = true, sent
 	}
-	g.forgetIfEnded(id, e)
+	g.forgetIfEnded(id, s)
 }
 
-// Left takes that a request's client has closed its connection.
+// ClientLeft records that a request's client has closed its connection.
 func (g *Guard) ClientLeft(now time.Duration, id balance.RequestID) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if e := g.requests[id]; e != nil && !e.clientLeft {
-		e.clientLeft, e.clientLeftAt = true, now
+	if s := g.requests[id]; s != nil && !s.clientLeft {
+		s.clientLeft, s.clientLeftAt = true, now
 	}
 }
 
-// Answer asks whether a request may be given its final answer now.
+// PermitAnswer returns nil if a request may be given its final answer now.
 func (g *Guard) PermitAnswer(now time.Duration, id balance.RequestID) error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	e := g.requests[id]
+	s := g.requests[id]
 	switch {
-	case e == nil || e.answered:
-		g.reportViolation(AnsweredOnce, requestIDOf(e), "a second final answer, or one to a request that is not held")
+	case s == nil || s.answered:
+		g.reportViolation(AnsweredOnce, requestIDOf(s), "a second final answer, or one to an unknown request")
 		return g.deny(AnsweredOnce)
-	case e.handlerEnded: // its handler has gone with the client, and word of that is on its way
-		e.noAnswerDue = true
-		g.forgetIfEnded(id, e)
+	case s.handlerEnded: // the handler has returned as the client left, and the caller does not know yet
+		s.noAnswerDue = true
+		g.forgetIfEnded(id, s)
 		return g.deny(ClosedAfter)
-	case !e.BodyPending && !e.clientLeft && now > e.Deadline+AnswerSlack:
-		g.reportViolation(AnsweredSoon, e.RequestID, fmt.Sprintf("answered %v behind its deadline", now-e.Deadline))
+	case !s.BodyPending && !s.clientLeft && now > s.Deadline+AnswerSlack:
+		g.reportViolation(AnsweredSoon, s.RequestID, fmt.Sprintf("answered %v after its deadline", now-s.Deadline))
 	}
-	e.answered, e.noAnswerDue = true, true
+	s.answered, s.noAnswerDue = true, true
 	return nil
 }
 
-// Settle takes that a request gets no answer, as its client has left.
+// AnswerDropped records that a request gets no answer, because its client has left.
 func (g *Guard) AnswerDropped(id balance.RequestID) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if e := g.requests[id]; e != nil {
-		e.noAnswerDue = true
-		g.forgetIfEnded(id, e)
+	if s := g.requests[id]; s != nil {
+		s.noAnswerDue = true
+		g.forgetIfEnded(id, s)
 	}
 }
 
-// Close takes that a request's handler ends. broken says that the request has no whole answer by the fault of somebody
-// else than this process: of its client, or of a server in an answer under way.
+// HandlerEnded records that a request's handler returns. broken means that the request has no complete answer through a
+// fault outside this process: of its client, or of a server during a streamed answer.
 func (g *Guard) HandlerEnded(now time.Duration, id balance.RequestID, broken bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	e := g.requests[id]
-	if e == nil {
+	s := g.requests[id]
+	if s == nil {
 		return
 	}
-	if !e.answered && !e.clientLeft && !broken {
-		g.reportViolation(ClosedAfter, e.RequestID, "closed with no answer while its client waits")
+	if !s.answered && !s.clientLeft && !broken {
+		g.reportViolation(ClosedAfter, s.RequestID, "closed without an answer while its client waits")
 	}
-	e.handlerEnded = true
-	g.forgetIfEnded(id, e)
+	s.handlerEnded = true
+	g.forgetIfEnded(id, s)
 }
 
-// Stop takes that the process ends: whoever waits now is lost.
+// Stop records that the process exits. A client that is still waiting is a violation.
 func (g *Guard) Stop() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	for _, e := range g.requests {
-		if !e.clientLeft && !e.handlerEnded {
-			g.reportViolation(ClosedAfter, e.RequestID, "held when the process ended")
+	for _, s := range g.requests {
+		if !s.clientLeft && !s.handlerEnded {
+			g.reportViolation(ClosedAfter, s.RequestID, "still open when the process exited")
 		}
 	}
 }
 
-// forget drops a request that has ended. The caller holds the lock.
-func (g *Guard) forgetIfEnded(id balance.RequestID, e *requestState) {
-	if e.handlerEnded && e.noAnswerDue && e.attemptsInFlight <= 0 {
+// forgetIfEnded removes a request that has ended together with all of its attempts. The caller holds the lock.
+func (g *Guard) forgetIfEnded(id balance.RequestID, s *requestState) {
+	if s.handlerEnded && s.noAnswerDue && s.attemptsInFlight <= 0 {
 		delete(g.requests, id)
 	}
 }
 
-func (g *Guard) deny(rule Invariant) error {
-	g.denials[rule].Add(1)
-	return DeniedError{rule}
+// deny counts a denial and returns its error.
+func (g *Guard) deny(invariant Invariant) error {
+	g.denials[invariant].Add(1)
+	return DeniedError{invariant}
 }
 
-func (g *Guard) reportViolation(rule Invariant, name, text string) {
-	g.violations[rule].Add(1)
-	g.report(Violation{rule, name, text})
+// reportViolation counts and reports a violation.
+func (g *Guard) reportViolation(invariant Invariant, requestID, detail string) {
+	g.violations[invariant].Add(1)
+	g.report(Violation{invariant, requestID, detail})
 }
 
-// Count is how often a rule was violated, and how often it denied something.
+// InvariantCount is how often an invariant was violated, and how often it denied an operation.
 type InvariantCount struct {
 	Invariant          Invariant
 	Violations, Denied uint64
 }
 
-// Counts lists the counts of all rules.
+// Counts returns the counts of all invariants.
 func (g *Guard) Counts() []InvariantCount {
 	all := make([]InvariantCount, invariantCount)
 	for i := range all {
--- a/internal/guard/guard_test.go
+++ b/internal/guard/guard_test.go
@@ -11,13 +11,13 @@
 
 const ms = time.Millisecond
 
-// The server of the tests, and how long it may be sent to after it was told draining.
+// The server of the tests, and the drain grace.
 const (
 	server = "10.0.0.1:80"
 	grace  = 100 * ms
 )
 
-// life is a guard with one request taken, and what it reports.
+// recordingGuard is a Guard with one admitted request, and the violations it has reported.
 type recordingGuard struct {
 	*Guard
 	reported []Violation
@@ -31,15 +31,15 @@
 	return l
 }
 
-// Each way of breaking an invariant is denied or reported, by its rule; an ordinary life is neither.
+// Each way of violating an invariant is denied or reported under that invariant; an ordinary request causes neither.
 func TestInvariants(t *testing.T) {
 	ordinary := Request{RequestID: "q1", Deadline: 1000 * ms, Effect: balance.Unsafe}
 	keyed := Request{RequestID: "q1", Deadline: 1000 * ms, Effect: balance.Keyed, Window: 300 * ms}
 	for name, c := range map[string]struct {
 		request  Request
-		live     func(l *recordingGuard) error // and what it was denied at last
-		denied   Invariant                     // -1: nothing
-		violated Invariant                     // -1: none
+		live     func(l *recordingGuard) error // returns the error of the last operation
+		denied   Invariant                     // -1: nothing was denied
+		violated Invariant                     // -1: nothing was violated
 	}{
 		"an ordinary life": {ordinary, func(l *recordingGuard) error {
 			err := errors.Join(l.PermitSend(1*ms, 1, server), l.PermitWrite(2*ms, 1, server))
@@ -88,7 +88,7 @@
 		}, -1, -1},
 		"a send behind a drain's grace": {ordinary, func(l *recordingGuard) error {
 			l.SetServerState(1*ms, server, balance.Draining)
-			l.SetServerState(50*ms, server, balance.Draining) // said again, it counts from the first time on
+			l.SetServerState(50*ms, server, balance.Draining) // repeated: counts from the first time
 			return l.PermitSend(102*ms, 1, server)
 		}, SentToListed, SentToListed},
 		"a write behind a drain's grace": {ordinary, func(l *recordingGuard) error {
@@ -164,32 +164,32 @@
 	}
 }
 
-// A request that has ended, with all its attempts, is forgotten.
+// A request is removed once it and all of its attempts have ended.
 func TestEndedRequestsAreForgotten(t *testing.T) {
 	l := guardWithRequest(Request{RequestID: "q1", Deadline: time.Second})
 	_ = l.PermitSend(1*ms, 1, server)
 	_ = l.PermitAnswer(2*ms, 1)
 	l.HandlerEnded(2*ms, 1, false)
 	if len(l.requests) != 1 {
-		t.Error("a request with an attempt out is forgotten")
+		t.Error("a request with an attempt in flight was removed")
 	}
 	l.AttemptEnded(1*ms, 1, balance.Cancelled)
 	if len(l.requests) != 0 {
-		t.Error("a request that has ended is still held")
+		t.Error("a request that has ended was not removed")
 	}
 	l.Admit(2, Request{RequestID: "q2", Deadline: time.Second})
 	l.ClientLeft(1*ms, 2)
 	l.HandlerEnded(1*ms, 2, false)
 	if len(l.requests) != 1 {
-		t.Error("a request is forgotten that the program may still answer")
+		t.Error("a request that may still be answered was removed")
 	}
 	l.AnswerDropped(2)
 	if len(l.requests) != 0 {
-		t.Error("a request whose client has left is still held")
+		t.Error("a request whose client has left was not removed")
 	}
 }
 
-// Servers that went long ago are forgotten, and one that drains is not.
+// Servers that have been gone for long are removed; a draining one is not.
 func TestServersAreForgotten(t *testing.T) {
 	l := guardWithRequest(Request{RequestID: "q1", Deadline: time.Hour})
 	l.SetServerState(0, server, balance.Draining)
@@ -197,14 +197,14 @@
 		l.SetServerState(time.Duration(i)*goneRetention/10, fmt.Sprint(i), balance.Gone)
 	}
 	if err := l.PermitSend(10*goneRetention, 1, server); err != (DeniedError{SentToListed}) {
-		t.Errorf("a server that has drained for long may be sent to: %v", err)
+		t.Errorf("an attempt at a server that has been draining for long was not denied: %v", err)
 	}
 	if len(l.notReady) > sweepsPerRetention+3 {
-		t.Errorf("%d servers are remembered that were told gone, want those of the last minute", len(l.notReady))
+		t.Errorf("%d servers are remembered, want only those that went in the last minute", len(l.notReady))
 	}
 }
 
-// Nothing is taken before the sidecar is ready.
+// No request is admitted before the sidecar is ready.
 func TestNotReady(t *testing.T) {
 	l := new(recordingGuard)
 	l.Guard = New(func(v Violation) { l.reported = append(l.reported, v) }, grace)
--- a/internal/listener/conn.go
+++ b/internal/listener/conn.go
@@ -15,32 +15,32 @@
 )
 
 const (
-	registerTimeout       = time.Second // a connection's registration is tried for so long
+	registerTimeout       = time.Second // how long the registration of a connection with the network poller is retried
 	registerRetryInterval = 2 * time.Millisecond
 )
 
-// noDeadline clears a deadline.
+// noDeadline removes a deadline.
 var noDeadline time.Time
 
-// options are what a test may have go wrong.
+// options are replaced by tests that simulate failures.
 type options struct {
-	register        func(*os.File) error // tells whether the network poller has taken a file
-	registerTimeout time.Duration        // for a connection's registration
+	register        func(*os.File) error // returns nil if the file is registered with the network poller
+	registerTimeout time.Duration        // for the registration of a connection
 }
 
 func defaultOptions() options { return options{checkRegistered, registerTimeout} }
 
-// Conn is an accepted connection. It owns its descriptor from the start. The network poller may refuse that at first: then
-// whoever first sets a deadline, reads or writes waits until it has taken a copy, for registerTime at most.
+// Conn is an accepted connection. It owns its descriptor from the start. If the network poller has refused the descriptor,
+// the first read, write or setting of a deadline retries the registration with a duplicate of it, for up to registerTimeout.
 type Conn struct {
 	local, remote net.Addr
 	options       options
 	socket        atomic.Pointer[socket]
-	registered    atomic.Bool // by the network poller
+	registered    atomic.Bool // with the network poller
 
-	mu          sync.Mutex // held by each try to have it taken, and by the close
+	mu          sync.Mutex // held during each attempt to register, and during Close
 	closed      bool
-	registerErr error // it was not taken in time; guarded by registering
+	registerErr error // set once the registration has timed out; guarded by registerMu
 
 	registerMu sync.Mutex
 }
@@ -55,23 +55,23 @@
 	file := os.NewFile(uintptr(fd), "client")
 	raw, err := file.SyscallConn()
 	if err != nil {
-		panic(err) // it fails for no file at all
+		panic(err) // can't happen for a new file
 	}
 	return &socket{file, raw}
 }
 
-// newConn takes a descriptor over, which does not block.
+// newConn returns a Conn for a non-blocking descriptor, which it owns from then on.
 func newConn(fd int, local, remote net.Addr, o options) *Conn {
 	c := &Conn{local: local, remote: remote, options: o}
-	_ = unix.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1) // it mostly has it from its listener
+	_ = unix.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1) // usually inherited from the listener
 	s := newSocket(fd)
 	c.socket.Store(s)
 	c.registered.Store(o.register(s.File) == nil)
 	return c
 }
 
-// register returns once the network poller has taken the connection. An error says that it has not in time, or that the
-// connection is closed.
+// register returns nil once the connection is registered with the network poller. It fails if that takes longer than the
+// timeout, or if the connection is closed.
 func (c *Conn) register() error {
 	if c.registered.Load() {
 		return nil
@@ -90,7 +90,8 @@
 	return c.registerErr
 }
 
-// tryRegister has the network poller take a copy of the descriptor in place of it: one that it refused is never asked of it again.
+// tryRegister duplicates the descriptor, registers the duplicate and replaces the descriptor by it. The runtime does not
+// register the same os.File twice.
 func (c *Conn) tryRegister() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -115,11 +116,11 @@
 	}
 	c.socket.Store(s)
 	c.registered.Store(true)
-	_ = old.Close() // the copy stands
+	_ = old.Close() // the duplicate keeps the connection open
 	return nil
 }
 
-// Read waits for bytes, and returns io.EOF where the other side has ended its sending.
+// Read waits for data. It returns io.EOF if the other side has closed its sending side.
 func (c *Conn) Read(p []byte) (int, error) {
 	if err := c.register(); err != nil {
 		return 0, err
@@ -127,7 +128,8 @@
 	return c.socket.Load().Read(p)
 }
 
-// Write writes all of p, or fails. On a connection that the network poller has not taken it writes what the system takes at once.
+// Write writes all of p or fails. On a connection that could not be registered it writes only what the system accepts
+// without blocking.
 func (c *Conn) Write(p []byte) (int, error) {
 	if err := c.register(); errors.Is(err, net.ErrClosed) {
 		return 0, err
@@ -135,7 +137,7 @@
 	return c.socket.Load().Write(p)
 }
 
-// Close closes the connection. Whoever reads or writes is woken.
+// Close closes the connection. Blocked reads and writes return.
 func (c *Conn) Close() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -146,28 +148,28 @@
 	return c.socket.Load().Close()
 }
 
-// CloseWrite ends the sending.
+// CloseWrite closes the sending side of the connection.
 func (c *Conn) CloseWrite() error {
 	var failed error
 	err := rawConn{c}.Control(func(fd uintptr) { failed = os.NewSyscallError("shutdown", unix.Shutdown(int(fd), unix.SHUT_WR)) })
 	return errors.Join(err, failed)
 }
 
-// LocalAddr is where its listener listens.
+// LocalAddr returns the address of the listener.
 func (c *Conn) LocalAddr() net.Addr { return c.local }
 
-// RemoteAddr is the other side's address.
+// RemoteAddr returns the address of the other side.
 func (c *Conn) RemoteAddr() net.Addr { return c.remote }
 
-// SetDeadline sets until when reads and writes wait.
+// SetDeadline implements net.Conn.
 func (c *Conn) SetDeadline(t time.Time) error { return c.setDeadline((*os.File).SetDeadline, t) }
 
-// SetReadDeadline sets until when reads wait.
+// SetReadDeadline implements net.Conn.
 func (c *Conn) SetReadDeadline(t time.Time) error {
 	return c.setDeadline((*os.File).SetReadDeadline, t)
 }
 
-// SetWriteDeadline sets until when writes wait.
+// SetWriteDeadline implements net.Conn.
 func (c *Conn) SetWriteDeadline(t time.Time) error {
 	return c.setDeadline((*os.File).SetWriteDeadline, t)
 }
@@ -179,21 +181,22 @@
 	return deadline(c.socket.Load().File, t)
 }
 
-// SyscallConn gives access to the connection's socket, whichever its descriptor is by then.
+// SyscallConn implements syscall.Conn. The result always refers to the current descriptor, which changes when a
+// registration is retried.
 func (c *Conn) SyscallConn() (syscall.RawConn, error) { return rawConn{c}, nil }
 
-// rawConn is a connection's socket as syscall.RawConn has it.
+// rawConn implements syscall.RawConn for a Conn.
 type rawConn struct{ c *Conn }
 
-// Control calls f with the descriptor. It does not wait for the network poller. An error says that the connection is closed.
+// Control calls f with the descriptor. It does not wait for the registration, and fails only if the connection is closed.
 func (r rawConn) Control(f func(fd uintptr)) error {
-	r.c.mu.Lock() // a copy takes the descriptor's place under it
+	r.c.mu.Lock() // tryRegister replaces the descriptor with this lock held
 	raw := r.c.socket.Load().raw
 	r.c.mu.Unlock()
 	return raw.Control(f)
 }
 
-// Read calls f until it returns true, and waits for bytes in between.
+// Read calls f until it returns true, and waits for data between the calls.
 func (r rawConn) Read(f func(fd uintptr) bool) error {
 	if err := r.c.register(); err != nil {
 		return err
@@ -201,7 +204,7 @@
 	return r.c.socket.Load().raw.Read(f)
 }
 
-// Write calls f until it returns true, and waits for room in between.
+// Write calls f until it returns true, and waits for buffer space between the calls.
 func (r rawConn) Write(f func(fd uintptr) bool) error {
 	if err := r.c.register(); err != nil {
 		return err
--- a/internal/listener/listener.go
+++ b/internal/listener/listener.go
@@ -1,9 +1,9 @@
 //go:build linux
 
-// Package listener accepts TCP connections, and keeps those that the system can't wait on at first.
+// Package listener accepts TCP connections, and keeps those that can't be registered with the network poller at first.
 //
-// Package net closes an accepted connection where its registration with the network poller fails (epoll_ctl(2): ENOMEM,
-// ENOSPC), so that its client is reset. Here such a connection stays open: its registration is tried again as it is used.
+// Package net closes an accepted connection if its registration with the network poller fails (epoll_ctl(2): ENOMEM,
+// ENOSPC), which resets the client. Here such a connection stays open, and its registration is retried when it is used.
 package listener
 
 import (
@@ -19,10 +19,10 @@
 	"golang.org/x/sys/unix"
 )
 
-// looks is how often the system is asked whether connections wait, where it would not tell.
+// pollAttempts is how often poll is tried to find out whether connections wait.
 const pollAttempts = 3
 
-// ErrUnregistered says that the system could not set up a wait for a socket. It may pass.
+// ErrUnregistered is returned if a socket could not be registered with the network poller. It may be transient.
 var ErrUnregistered = errors.New("the network poller has not taken the socket")
 
 // Listener is a TCP listener. Its methods are safe for concurrent use.
@@ -33,14 +33,14 @@
 	options options
 
 	mu     sync.Mutex
-	queued []*Conn // taken by Finish, for Accept
+	queued []*Conn // accepted by Shutdown, to be returned by Accept
 
-	shutdownMu sync.Mutex // held by Finish
+	shutdownMu sync.Mutex // held by Shutdown
 	shutDown   bool
 }
 
-// Listen opens a listener at an address, as net.ListenConfig does. With shared, others may listen there too (SO_REUSEPORT).
-// Connections inherit TCP_NODELAY from it.
+// Listen opens a listener at a TCP address. With shared, other processes can listen at the same address (SO_REUSEPORT).
+// Accepted connections inherit TCP_NODELAY.
 func Listen(ctx context.Context, address string, shared bool) (*Listener, error) {
 	config := net.ListenConfig{KeepAlive: -1, Control: func(_, _ string, c syscall.RawConn) error {
 		var failed error
@@ -60,7 +60,8 @@
 	return newListener(inner.(*net.TCPListener))
 }
 
-// of makes a listener of package net's, which may be closed behind it. Package net lets nobody else wait on its own descriptor.
+// newListener makes a Listener with a duplicate of inner's descriptor; the caller may close inner. A duplicate is needed, as
+// package net does not let others wait on its own descriptor.
 func newListener(inner *net.TCPListener) (*Listener, error) {
 	file, err := inner.File()
 	if err != nil {
@@ -77,7 +78,7 @@
 	return &Listener{file: file, raw: raw, address: inner.Addr(), options: defaultOptions()}, nil
 }
 
-// registered is nil where the network poller has taken a file.
+// checkRegistered returns nil if file is registered with the network poller: only then it accepts a deadline.
 func checkRegistered(file *os.File) error {
 	if file.SetReadDeadline(noDeadline) != nil {
 		return ErrUnregistered
@@ -85,8 +86,8 @@
 	return nil
 }
 
-// Accept waits for the next connection. Behind the end of listening it returns those that had come by then, and fails with
-// net.ErrClosed; any other error is the system's, and may pass.
+// Accept waits for the next connection. After Shutdown it returns the connections that Shutdown has accepted, and then
+// net.ErrClosed. Any other error comes from the system and may be transient.
 func (l *Listener) Accept() (net.Conn, error) {
 	for {
 		if c := l.nextQueued(); c != nil {
@@ -99,8 +100,8 @@
 			return failed != unix.EAGAIN
 		})
 		switch {
-		case errors.Is(err, os.ErrDeadlineExceeded): // woken by Finish
-			_ = l.file.SetReadDeadline(noDeadline) // fails only on a closed one
+		case errors.Is(err, os.ErrDeadlineExceeded): // woken by Shutdown
+			_ = l.file.SetReadDeadline(noDeadline) // fails only on a closed listener
 		case err != nil:
 			return l.queuedOrClosed()
 		case failed == nil:
@@ -113,7 +114,7 @@
 	}
 }
 
-// nextQueued returns a connection that Finish has taken; nil: there is none.
+// nextQueued returns the next connection that Shutdown has accepted, or nil.
 func (l *Listener) nextQueued() *Conn {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -125,10 +126,10 @@
 	return c
 }
 
-// accept takes a connection that waits; EAGAIN: none does.
+// accept accepts a waiting connection. It returns EAGAIN if there is none.
 func (l *Listener) accept(fd int) (*Conn, error) {
 	for {
-		// Package unix would ask the new socket for its protocol, and close it where that fails.
+		// unix.Accept4 would query the protocol of the new socket, and close the socket if that fails.
 		socket, remote, err := syscall.Accept4(fd, unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC)
 		switch err {
 		case nil:
@@ -140,7 +141,7 @@
 	}
 }
 
-// lastQueued is what Accept returns behind the end of listening.
+// queuedOrClosed returns the result of Accept after the end of listening: the next queued connection or net.ErrClosed.
 func (l *Listener) queuedOrClosed() (net.Conn, error) {
 	if c := l.nextQueued(); c != nil {
 		return c, nil
@@ -148,26 +149,27 @@
 	return nil, net.ErrClosed
 }
 
-// isFinished tells whether Finish has ended listening. It waits for one that is under way.
+// isShutDown reports whether Shutdown has ended listening. It waits for a call of Shutdown in progress.
 func (l *Listener) isShutDown() bool {
 	l.shutdownMu.Lock()
 	defer l.shutdownMu.Unlock()
 	return l.shutDown
 }
 
-// Finish takes all connections that wait, for Accept to return, and ends listening. The last look for one and the end are two
-// system calls in a row, as nothing else keeps the kernel from choosing this listener meanwhile. Where it fails, the
-// listener still listens, and Accept returns at once what could be taken.
+// Shutdown accepts all waiting connections, for Accept to return, and ends listening. The last accept and the shutdown are
+// consecutive system calls, as the kernel may assign further connections to this listener between them. If Shutdown fails,
+// the listener still listens, and Accept returns the connections that have been accepted.
 func (l *Listener) Shutdown() error {
 	l.shutdownMu.Lock()
 	defer l.shutdownMu.Unlock()
 	var failed error
 	err := l.raw.Control(func(fd uintptr) { failed = l.shutdown(int(fd)) })
 	l.shutDown = err == nil && failed == nil
-	_ = l.file.SetReadDeadline(time.Unix(1, 0)) // wakes Accept; it fails only on a closed one
+	_ = l.file.SetReadDeadline(time.Unix(1, 0)) // wakes Accept; fails only on a closed listener
 	return errors.Join(err, failed)
 }
 
+// shutdown accepts all waiting connections and shuts down the listening socket fd.
 func (l *Listener) shutdown(fd int) error {
 	for {
 		c, err := l.accept(fd)
@@ -182,13 +184,13 @@
 		l.mu.Unlock()
 	}
 	err := unix.Shutdown(fd, unix.SHUT_RD)
-	if err == unix.ENOTCONN { // where a listener knows no shutdown the close behind it does
+	if err == unix.ENOTCONN { // shutdown is not supported on a listener here; closing it has the same effect
 		return nil
 	}
 	return os.NewSyscallError("shutdown", err)
 }
 
-// Waiting tells whether connections are known to have come that Accept has not returned.
+// HasPending reports whether connections are known to have arrived that Accept has not returned.
 func (l *Listener) HasPending() bool {
 	l.mu.Lock()
 	queued := len(l.queued)
@@ -197,7 +199,7 @@
 		return true
 	}
 	ready := 0
-	_ = l.raw.Control(func(fd uintptr) { // it fails only on a closed one
+	_ = l.raw.Control(func(fd uintptr) { // fails only on a closed listener
 		for range pollAttempts {
 			var err error
 			p := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLIN}}
@@ -209,7 +211,7 @@
 	return ready > 0
 }
 
-// Close ends listening. What still waits to be accepted is reset.
+// Close closes the listener. Connections that still wait to be accepted are reset.
 func (l *Listener) Close() error {
 	err := l.file.Close()
 	if errors.Is(err, os.ErrClosed) {
@@ -218,13 +220,13 @@
 	return err
 }
 
-// Addr is where it listens.
+// Addr returns the address of the listener.
 func (l *Listener) Addr() net.Addr { return l.address }
 
-// SyscallConn gives access to the listener's socket.
+// SyscallConn implements syscall.Conn.
 func (l *Listener) SyscallConn() (syscall.RawConn, error) { return l.raw, nil }
 
-// addressOf is a peer's address, of either version of IP.
+// tcpAddr converts an IPv4 or IPv6 socket address.
 func tcpAddr(address syscall.Sockaddr) net.Addr {
 	switch at := address.(type) {
 	case *syscall.SockaddrInet4:
--- a/internal/listener/listener_test.go
+++ b/internal/listener/listener_test.go
@@ -13,10 +13,10 @@
 	"time"
 )
 
-// patience bounds every wait for what is to happen.
+// testTimeout limits every wait in tests.
 const testTimeout = 20 * time.Second
 
-// opened is a listener with options, and its address.
+// listen opens a Listener with the given options, and returns it and its address.
 func listen(t *testing.T, o options) (*Listener, string) {
 	t.Helper()
 	l, err := Listen(context.Background(), "127.0.0.1:0", true)
@@ -35,11 +35,12 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { c.Close() })
-	_ = c.SetDeadline(time.Now().Add(testTimeout)) // fails only on a closed one
+	_ = c.SetDeadline(time.Now().Add(testTimeout)) // fails only on a closed connection
 	return c
 }
 
-// A connection that the network poller refuses at first is read and written once it takes it, also where a read was begun before.
+// A connection whose registration with the network poller fails at first can be read and written once it succeeds, also by a
+// read that began before.
 func TestRegistrationIsRetried(t *testing.T) {
 	var refusals atomic.Int64
 	refusals.Store(5)
@@ -79,11 +80,12 @@
 		t.Fatal(err)
 	}
 	if _, err := near.Read(make([]byte, 1)); !errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Errorf("a read behind its deadline failed with %v", err)
+		t.Errorf("a read after its deadline failed with %v", err)
 	}
 }
 
-// A connection that the network poller never takes fails its reads in time, and still can be written to and closed.
+// If a connection can't be registered with the network poller, its reads fail after the timeout, and it can still be
+// written to and closed.
 func TestConnectionIsNeverRegistered(t *testing.T) {
 	l, address := listen(t, options{registerTimeout: 20 * time.Millisecond, register: func(*os.File) error { return ErrUnregistered }})
 	far := dialTCP(t, address)
@@ -107,7 +109,7 @@
 	}
 }
 
-// The close of a connection ends the wait for the network poller to take it.
+// Closing a connection ends a read's wait for its registration.
 func TestCloseEndsRegistration(t *testing.T) {
 	asked := make(chan struct{}, 1)
 	l, address := listen(t, options{registerTimeout: time.Hour, register: func(*os.File) error {
@@ -136,11 +138,11 @@
 			t.Errorf("the read failed with %v, want %v", err, net.ErrClosed)
 		}
 	case <-time.After(testTimeout):
-		t.Fatal("the read goes on")
+		t.Fatal("the read did not return")
 	}
 }
 
-// Whoever waits in Accept as listening ends has all connections that had come, and then the end.
+// A blocked Accept returns all connections that had arrived at Shutdown, and then net.ErrClosed.
 func TestAcceptAfterShutdown(t *testing.T) {
 	l, address := listen(t, defaultOptions())
 	accepted := make(chan error, 10)
@@ -174,7 +176,7 @@
 				return
 			}
 		case <-end:
-			t.Fatal("Accept goes on behind the end of listening")
+			t.Fatal("Accept did not fail after the end of listening")
 		}
 	}
 }
--- a/internal/sidecar/accept.go
+++ b/internal/sidecar/accept.go
@@ -13,20 +13,20 @@
 )
 
 const (
-	acceptRetryInterval = 5 * time.Millisecond // before accept is tried again after a failure
-	listenTimeout       = 5 * time.Second      // a listener is tried for so long at the start of the process
-	listenRetryInterval = 50 * time.Millisecond
+	acceptRetryInterval = 5 * time.Millisecond  // pause before accept is retried after a failure
+	listenTimeout       = 5 * time.Second       // for opening a listener at the start of the process
+	listenRetryInterval = 50 * time.Millisecond // pause between attempts to listen or to read the configuration
 )
 
-// clientListener is where clients connect: package listener's, or a test's.
+// clientListener is the listener that clients connect to: a listener.Listener, or a fake in tests.
 type clientListener interface {
 	net.Listener
-	Shutdown() error  // takes what waits, for Accept to return, and ends listening; an error says that it has not ended
-	HasPending() bool // whether connections have come that Accept has not returned
+	Shutdown() error  // stops listening; Accept still returns the connections that wait. After an error it still listens.
+	HasPending() bool // reports whether connections wait to be accepted
 }
 
-// listen opens a listener, and tries for a while: the system may lack a buffer, or the address, for a moment only. With
-// shared a second process may listen beside this one: an upgrade starts it before this one ends.
+// listen opens a listener. For listenTimeout it retries errors of the system, which may lack a buffer or the address only
+// briefly. With shared a second process can listen at the same address, as in an upgrade.
 func listen(ctx context.Context, address string, shared bool) (*listener.Listener, error) {
 	for end := time.Now().Add(listenTimeout); ; {
 		l, err := listener.Listen(ctx, address, shared)
@@ -42,18 +42,19 @@
 	}
 }
 
-// mayListenLater tells whether it was the system that failed: that may pass. An address that can't be parsed does not.
+// isTransientListenError reports whether a failure to listen is worth a retry: errors of the system are, an address that
+// can't be parsed is not.
 func isTransientListenError(err error) bool {
 	return isSystemError(err) || errors.Is(err, listener.ErrUnregistered)
 }
 
-// isSystemError tells whether a system call failed.
+// isSystemError reports whether err comes from a system call.
 func isSystemError(err error) bool {
 	var errno syscall.Errno
 	return errors.As(err, &errno)
 }
 
-// Accept returns the next connection that there is room for.
+// Accept returns the next connection that there is room for. It closes the others, with a refusal if one can be reserved.
 func (l *clients) Accept() (net.Conn, error) {
 	for {
 		c, err := l.acceptRetrying()
@@ -61,7 +62,7 @@
 			return nil, err
 		}
 		raw, err := c.(syscall.Conn).SyscallConn()
-		if err != nil { // it is closed
+		if err != nil { // closed
 			continue
 		}
 		k := &clientConn{Conn: c, raw: raw, clients: l, queuedSince: l.acceptFailingSince()}
@@ -69,15 +70,15 @@
 			return k, nil
 		}
 		if l.reserveRefusal() {
-			go k.refuseAndClose() // a request may be on its way, or have come
+			go k.refuseAndClose() // a request may be on its way or have arrived
 		} else {
 			c.Close()
 		}
 	}
 }
 
-// accept returns the next connection. Whatever the system says passes, but for the end of listening: net/http would end
-// the service at most errors, and wait twice as long each time at others, up to a second.
+// acceptRetrying returns the next connection. It retries every error except the end of listening: net/http's Serve would
+// return on most errors, and on others back off for up to a second.
 func (l *clients) acceptRetrying() (net.Conn, error) {
 	for {
 		c, err := l.clientListener.Accept()
@@ -95,7 +96,8 @@
 	}
 }
 
-// failingSince tells since when a connection that is accepted now may have waited because accept failed; 0: it has not.
+// acceptFailingSince returns when the failure of accept began that a connection accepted now may have waited for; 0 if it
+// has not waited.
 func (l *clients) acceptFailingSince() time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -104,21 +106,21 @@
 	return since
 }
 
-// lookAtQueue ends the time for which accept has failed where nobody waits for it any more. The caller holds the lock.
+// resetAcceptFailure ends the period in which accept fails if no connection waits any more. The caller holds the lock.
 func (l *clients) resetAcceptFailure() {
 	if l.failingSince > 0 && !l.HasPending() {
 		l.failingSince = 0
 	}
 }
 
-// scarce are the errors of accept that pass once something is closed.
+// resourceErrors are the errors of accept that mean a lack of descriptors or memory, which closing a connection relieves.
 var resourceErrors = []syscall.Errno{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM}
 
-// acceptFailed counts a failure, and where descriptors or memory are scarce closes a connection that nobody misses. One
-// that has come just now stays, and one with part of a request: what they are to bring is on its way.
+// handleAcceptError counts and logs a failure of accept. If descriptors or memory are short, it closes a silent or idle
+// connection, but none that has just arrived or has part of a request, as the rest of the request is on its way.
 func (l *clients) handleAcceptError(err error) {
 	var errno syscall.Errno
-	errors.As(err, &errno) // else it is 0
+	errors.As(err, &errno) // stays 0 for other errors
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.acceptFailures++
@@ -136,9 +138,9 @@
 	}
 }
 
-// leave stops listening, for a second process that listens here too. Connections that have come but were not accepted
-// yet would be reset with the listener: Accept returns them first. Where that fails it is tried until end, as nobody else
-// can accept them.
+// stopListening closes the listener, so that new connections go to a second process that listens at the same address.
+// Connections that wait to be accepted would be reset with the listener, so Accept returns them first. If that fails,
+// stopListening retries until end, as no other process can accept them.
 func (l *clients) stopListening(end time.Time) error {
 	l.mu.Lock()
 	l.stopping = true
@@ -151,7 +153,7 @@
 		l.handleAcceptError(err)
 		time.Sleep(acceptRetryInterval)
 	}
-	if closed := l.Close(); !errors.Is(closed, net.ErrClosed) { // the server does so too, as Accept fails
+	if closed := l.Close(); !errors.Is(closed, net.ErrClosed) { // the HTTP server closes it too once Accept fails
 		err = errors.Join(err, closed)
 	}
 	return err
--- a/internal/sidecar/byhand.go
+++ b/internal/sidecar/byhand.go
@@ -17,62 +17,63 @@
 
 const (
 	legacyVersion     = 1
-	maxLegacyFileSize = 1 << 20                // bytes of a state file; far above any real one
-	maxOperatorCalls  = 4096                   // servers in it
-	enableRetention   = time.Minute            // a call back is kept so long: a second process must know who is cold
-	writeLockTimeout  = 300 * time.Millisecond // the other process writes for no longer than this
+	maxLegacyFileSize = 1 << 20                // bytes of the legacy file; far above any real one
+	maxOperatorCalls  = 4096                   // servers with an operator call
+	enableRetention   = time.Minute            // how long an enable call is kept, so that a second process knows that the server is cold
+	writeLockTimeout  = 300 * time.Millisecond // the other process holds the lock for less than this
 )
 
-// handed is a server that is out by hand, or was until lately.
+// operatorCall is the last operator call on a server: one that is administratively disabled, or was until recently.
 type operatorCall struct {
 	Out  bool  `json:"out"`
-	AtMs int64 `json:"atMs"` // Unix time of the call
+	AtMs int64 `json:"atMs"` // Unix time of the call in milliseconds
 }
 
-// backSeen is when a call back was first seen by this process.
+// enableSeen is when this process first saw an enable call.
 type enableSeen struct {
-	atMs int64     // of the call, which tells it from others
-	at   time.Time // with the monotonic clock
+	atMs int64     // Unix time of the call in milliseconds, which identifies it
+	at   time.Time // by the monotonic clock
 }
 
-// stateFile is the form of the file for older programs, which pass over the sum.
+// legacyFile is the content of the file that programs from before the state store read and write. They ignore the sum.
 type legacyFile struct {
 	Version int                     `json:"version"`
 	Servers map[string]operatorCall `json:"servers"`
-	Sum     *uint32                 `json:"sum,omitempty"` // of the servers; nil: an older program wrote it
+	Sum     *uint32                 `json:"sum,omitempty"` // checksum of the servers; nil: an older program wrote the file
 }
 
-// sum is the checksum of a file's servers.
+// checksum returns the CRC-32C of the servers in JSON.
 func (s *legacyFile) checksum() uint32 {
 	raw, err := json.Marshal(s.Servers)
 	if err != nil {
-		panic(err) // of plain fields
+		panic(err) // can't happen: all fields are plain
 	}
 	return crc32.Checksum(raw, crc32.MakeTable(crc32.Castagnoli))
 }
 
-// adopt takes over what older programs have left, or a second copy of the calls where the state itself was damaged.
+// importLegacy merges the legacy file into the state if an older program wrote it, or if the state is new or damaged and
+// the file is a second copy of the calls.
 func (h *sharedState) importLegacy() {
 	servers, old, err := h.readLegacy()
-	bare := h.store.Fresh() || len(h.store.Damage().Files) > 0
+	incomplete := h.store.Fresh() || len(h.store.Damage().Files) > 0
 	switch {
 	case err != nil:
 		slog.Error("state not read", "error", err)
-		if bare {
+		if incomplete {
 			h.mu.Lock()
 			h.legacyDamage = 1
 			h.mu.Unlock()
 		}
-	case old || bare:
+	case old || incomplete:
 		h.mergeCalls(servers)
 	}
 }
 
-// take enters calls that are younger than what the state has of their servers.
+// mergeCalls stores the calls that are later than the state's calls on the same servers.
 func (h *sharedState) mergeCalls(servers map[string]operatorCall) {
 	known := h.inForce()
 	for instance, c := range servers {
-		if was, ok := known[instance]; ok && was.AtMs >= c.AtMs {
+		if stored, ok := known[instance]; ok && stored.AtMs >= c.AtMs {
 			continue
 		}
 		if err := h.storeCall(instance, c); err != nil {
@@ -81,12 +82,12 @@
 	}
 }
 
-// older reads the file for older programs. old says that one of them wrote it. With no error and no servers there is
-// nothing new.
+// readLegacy reads the legacy file; old reports whether an older program wrote it. It returns no servers and no error if the
+// file is missing or has not changed since it was last read.
 func (h *sharedState) readLegacy() (servers map[string]operatorCall, old bool, err error) {
 	info, err := os.Stat(h.legacyPath)
 	if errors.Is(err, fs.ErrNotExist) {
-		return nil, false, nil // no call was made so far
+		return nil, false, nil // no call has been made yet
 	}
 	if err != nil {
 		return nil, false, err
@@ -94,7 +95,7 @@
 	if h.legacyInfo != nil && os.SameFile(info, h.legacyInfo) && info.ModTime().Equal(h.legacyInfo.ModTime()) {
 		return nil, false, nil
 	}
-	h.legacyInfo = info // told once, if it can't be used
+	h.legacyInfo = info // so that an invalid file is reported only once
 	f, err := os.Open(h.legacyPath)
 	if err != nil {
 		return nil, false, err
@@ -106,7 +107,7 @@
 	}
 	var s legacyFile
 	d := json.NewDecoder(bytes.NewReader(raw))
-	d.DisallowUnknownFields() // a key with a flipped bit is no key of an older form
+	d.DisallowUnknownFields() // no older program writes other keys, so one is a sign of damage
 	if err := d.Decode(&s); err != nil {
 		return nil, false, fmt.Errorf("%s is damaged: %w", h.legacyPath, err)
 	}
@@ -119,12 +120,12 @@
 	return s.Servers, s.Sum == nil, nil
 }
 
-// save enters a call, on top of those that the other process has entered, and returns once it is durable.
+// persistCall stores a call made at time now, after those that the other process has stored, and returns once it is durable.
 func (h *sharedState) persistCall(instance string, out bool, now time.Time) error {
 	h.saveMu.Lock()
 	defer h.saveMu.Unlock()
 	if h.lockFile != nil {
-		for tries := 0; ; tries++ { // the other process writes only for moments
+		for tries := 0; ; tries++ { // the other process holds the lock only briefly
 			err := fcntl(h.lockFile, ofdSetLock, writerByte, syscall.F_WRLCK)
 			if err == nil {
 				break
@@ -141,13 +142,13 @@
 		return err
 	}
 	h.dropOldEnables(now)
-	if err := h.writeLegacy(); err != nil { // only a program from before the state would miss it
+	if err := h.writeLegacy(); err != nil { // only an older program would miss it
 		slog.Warn("state not kept", "reason", err)
 	}
 	return nil
 }
 
-// enterCall makes a call durable. Said again, it keeps the moment at which it was said first.
+// storeCall makes a call durable. A repeated call keeps the time of the first.
 func (h *sharedState) storeCall(instance string, c operatorCall) error {
 	known := h.inForce()
 	old, ok := known[instance]
@@ -161,7 +162,7 @@
 		return errors.New("there is no folder to keep it in (TMPDIR)")
 	}
 	if ok && old.Out == c.Out || !ok && !c.Out {
-		return h.store.Sync() // it may not have been kept the first time
+		return h.store.Sync() // the first call may not have become durable
 	}
 	if len(known) >= maxOperatorCalls {
 		return errors.New("too many servers are out by hand to keep one more")
@@ -173,7 +174,7 @@
 	return h.store.Put(sectionCalls, instance, raw)
 }
 
-// seeBacks notes since when this process has seen each call back.
+// noteEnables records when this process first saw each enable call.
 func (h *sharedState) noteEnables(now time.Time) {
 	seen := make(map[string]enableSeen)
 	for instance, c := range h.inForce() {
@@ -188,18 +189,18 @@
 	h.enables = seen
 }
 
-// forget drops calls back that everybody knows of by now. How long one has been there is time of this process's own: the wall
-// clock may have been stepped since the call.
+// dropOldEnables deletes enable calls that this process has known for longer than enableRetention. Their age is measured
+// from when this process first saw them, as the wall clock may have been stepped since the call.
 func (h *sharedState) dropOldEnables(now time.Time) {
 	h.noteEnables(now)
 	for instance, seen := range h.enables {
 		if h.store != nil && now.Sub(seen.at) > enableRetention {
-			_ = h.store.Delete(sectionCalls, instance) // or it stays for longer
+			_ = h.store.Delete(sectionCalls, instance) // after an error it is kept for longer
 		}
 	}
 }
 
-// write replaces the file for older programs as a whole.
+// writeLegacy replaces the legacy file with the calls in force.
 func (h *sharedState) writeLegacy() error {
 	if h.legacyPath == "" {
 		return nil
@@ -211,7 +212,7 @@
 	if err != nil {
 		return err
 	}
-	next := fmt.Sprintf("%s.%d", h.legacyPath, h.lockIndex) // a killed process leaves one such file at most
+	next := fmt.Sprintf("%s.%d", h.legacyPath, h.lockIndex) // at most one such file remains per process that is killed
 	if err := os.WriteFile(next, raw, 0o600); err != nil {
 		return errors.Join(err, os.Remove(next))
 	}
@@ -222,7 +223,7 @@
 	return err
 }
 
-// follow takes in what the other process has kept, of this program or of an older one.
+// followOthers reads what the other process of this sidecar has stored, whether it runs this program or an older one.
 func (h *sharedState) followOthers() {
 	if h.store == nil {
 		return
@@ -239,7 +240,7 @@
 	}
 }
 
-// known returns the calls in force, those of the other process included.
+// currentCalls returns the operator calls in force by server instance, those made at the other process included.
 func (h *sharedState) currentCalls() map[string]operatorCall {
 	h.saveMu.Lock()
 	defer h.saveMu.Unlock()
@@ -250,20 +251,20 @@
 	return h.inForce()
 }
 
-// followLate takes over the calls by hand of a folder that did not answer in time, once it does; those that were made at this
-// process meanwhile are newer. Nothing else of it counts until the next start.
+// followLateState passes to calls the operator calls of a state folder that did not answer at the start, once it does.
+// Calls made at this process in the meantime take precedence. The rest of that state is not used until the next start.
 func (h *sharedState) followLateState(ctx context.Context, calls func(map[string]operatorCall)) {
 	if h.lateState == nil {
 		return
 	}
 	select {
 	case late := <-h.lateState:
-		owed := late.currentCalls()
+		lateCalls := late.currentCalls()
 		for instance := range h.currentCalls() {
-			delete(owed, instance)
+			delete(lateCalls, instance)
 		}
-		slog.Warn("state came late", "calls", len(owed))
-		calls(owed)
+		slog.Warn("state came late", "calls", len(lateCalls))
+		calls(lateCalls)
 	case <-ctx.Done():
 	}
 }
--- a/internal/sidecar/calledoff_test.go
+++ b/internal/sidecar/calledoff_test.go
@@ -11,10 +11,11 @@
 	"time"
 )
 
-// crossing bounds how long a crossing is held open, so that the other side may run into it.
+// crossingTimeout is how long the loop is blocked for the other side of a race to act.
 const crossingTimeout = 300 * time.Millisecond
 
-// callOff calls a request's first attempt off, and holds the loop until happened or crossing is over.
+// cancelFirstAttempt cancels the first attempt of each request, and blocks the loop until happened returns true or
+// crossingTimeout has passed.
 func (f *front) cancelFirstAttempt(t *testing.T, happened func() bool) {
 	t.Helper()
 	err := f.loop.do(context.Background(), func(time.Duration) {
@@ -29,8 +30,8 @@
 	}
 }
 
-// A request whose body has gone out whole keeps its final answer as its attempt is called off: that interrupted the reads of
-// its connection, which was taken for its client's leaving.
+// A request whose attempt is cancelled after its body has been sent whole still gets its final answer. The cancellation
+// interrupted the reads of the client's connection, and that was mistaken for the client's disconnecting.
 func TestCancelledUploadIsAnswered(t *testing.T) {
 	s := newStub(t, func(net.Conn, stubRequest) bool { select {} })
 	f, side, serve := assembled(t, s.address, nil)
@@ -42,19 +43,20 @@
 	}
 	wait(t, "the request", s.requests)
 	f.cancelFirstAttempt(t, func() bool { return f.openRequests.Load() == 0 })
-	_ = c.SetReadDeadline(time.Now().Add(testTimeout)) // fails only on a closed one
+	_ = c.SetReadDeadline(time.Now().Add(testTimeout)) // fails only on a closed connection
 	if res, err := http.ReadResponse(bufio.NewReader(c), nil); err != nil || res.StatusCode < 500 {
 		t.Errorf("it was answered %v, error %v, want a failure or a refusal", res, err)
 	}
 }
 
-// An answer that begins as its attempt is called off is no answer: its connection is closed, so that the client saw it break off.
+// A streamed answer that begins just as its attempt is cancelled is not passed on. As the cancellation has closed its
+// connection, the client would see an answer that is cut short.
 func TestCancelledStreamIsNoAnswer(t *testing.T) {
 	begin := make(chan struct{})
 	s := newStub(t, func(c net.Conn, r stubRequest) bool {
 		<-begin
 		_, _ = fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\nthe first bytes", 2*bodyHeld)
-		_, _ = io.Copy(io.Discard, c) // until it is called off
+		_, _ = io.Copy(io.Discard, c) // until it is cancelled
 		return false
 	})
 	f, side, serve := assembled(t, s.address, nil)
@@ -68,7 +70,7 @@
 		close(begin)
 		for end := time.Now().Add(testTimeout); len(f.loop.events) == 0 && time.Now().Before(end); time.Sleep(time.Millisecond) {
 		}
-		for id := range f.loop.requests { // the answer's beginning waits behind this
+		for id := range f.loop.requests { // the event of the answer's beginning is queued after this one
 			f.loop.Cancel(id, 0)
 		}
 	})
--- a/internal/sidecar/clients.go
+++ b/internal/sidecar/clients.go
@@ -16,115 +16,120 @@
 )
 
 const (
-	lingerTimeout  = 250 * time.Millisecond // what comes behind a last answer is read for so long,
-	maxLingerBytes = 256 << 10              // or so many bytes of it
+	lingerTimeout  = 250 * time.Millisecond // how long data that follows a final answer is read before the close
+	maxLingerBytes = 256 << 10              // bytes of such data that are read
 )
 
-// clients is the listener that the application connects to. Anyone may connect, so it holds only so many
-// connections; past that, one with no open request makes room. Such connections may also take the descriptors that
-// upstreams have no use for now, and are closed when that changes.
+// clients is the listener that the application connects to. Anyone may connect, so the number of connections is limited:
+// above the limit a connection without an open request is closed to make room. Connections without open requests may use
+// the descriptors that upstream connections do not need at the moment, and are closed when upstreams need them.
 type clients struct {
 	clientListener
 	clock      clock
-	upstreams  func() int // connections to upstreams now
+	upstreams  func() int // returns the number of open upstream connections
 	countClose func(closeReason)
-	readFD     func(fd int, p []byte) (int, error) // the system call
+	readFD     func(fd int, p []byte) (int, error) // the read system call; replaced in tests
 
 	mu           sync.Mutex
-	clientShare  int           // connections with open requests at most
-	maxTotal     int           // and connections of any kind, those to upstreams included
-	stopping     bool          // another process takes those that come from now on, or this one ends
-	failingSince time.Duration // since when accept has failed while connections may have waited; 0: it has not
+	clientShare  int           // limit of connections with open requests
+	maxTotal     int           // limit of all connections, those to upstreams included
+	stopping     bool          // each connection closes with its next answer, as the process stops
+	failingSince time.Duration // when accept began to fail, until no connection waits any more; 0: it does not fail
 	conns        map[*clientConn]struct{}
-	peak         int    // the most at once, since the last count
-	shedCounts   [3]int // closed to make room: silent, idle, with half a request
-	rejected     int    // refused at once, as there was none
-	exhausted    int    // not accepted, as there was no descriptor or memory
+	peak         int    // maximum number of connections since the last call of counters
+	shedCounts   [3]int // connections closed to make room: silent, idle, with a partial request
+	rejected     int    // connections refused for lack of room
+	exhausted    int    // failures of accept for lack of descriptors or memory
 
-	acceptFailures  int       // of accept, for whatever reason
-	failureLoggedAt time.Time // when the last of them was logged
+	acceptFailures  int       // all failures of accept
+	failureLoggedAt time.Time // when a failure of accept was last logged
 
-	pendingRefusals atomic.Int64 // connections that are being closed with a refusal
+	pendingRefusals atomic.Int64 // connections being closed with a refusal, at most maxPendingRefusals
 }
 
-// clientConn is a connection of the application, or of whoever else connects. net/http drops
-// Content-Length beside Transfer-Encoding and reads the rest of that length as further requests:
-// requests that stood inside a body, which nobody sent. It does not tell a handler, so the
-// heads are checked on the way to it.
+// clientConn is a connection of the application or of another client.
 //
-// Whether a connection stands idle is known here alone: net/http calls one idle until it has parsed the next request's
-// head, and so closes some, at a stop, whose request has been read and then goes out though nobody can be answered.
+// It checks the framing of request heads before net/http sees them. If a head has both Content-Length and
+// Transfer-Encoding, net/http ignores Content-Length without telling the handler, and would parse the rest of the body as
+// further requests that no client sent (request smuggling).
+//
+// It also tracks whether the connection is idle. net/http calls a connection idle until it has parsed the next request's
+// head; at a stop it would close connections whose request has been read, and that request would still be sent although
+// its answer can't be delivered.
 type clientConn struct {
 	net.Conn
 	raw     syscall.RawConn
 	clients *clients
 
-	mu               sync.Mutex // held by each look for bytes, so that none are read of one that was found idle and is ended
+	mu               sync.Mutex // held during each read, as none may happen once the connection is found idle
 	framing          framing
 	framingErr       error
-	requestBegun     bool          // bytes of a request have come that has had no answer yet
-	readsEnded       bool          // nothing more is read
-	serverClosed     bool          // its server has closed it
-	closeWithRefusal bool          // it is closed with a refusal, as part of a request has come; it has reserved that
-	queuedSince      time.Duration // since when what has come on it may have waited to be accepted; 0: no longer than it was looked for
+	requestBegun     bool          // bytes have been read of a request that has no answer yet
+	readsEnded       bool          // no further reads are allowed
+	serverClosed     bool          // net/http has closed the connection
+	closeWithRefusal bool          // part of a request may have arrived; the refusal is reserved
+	queuedSince      time.Duration // earliest arrival of data that waited while accept failed; 0: the data did not wait
 	refuseOnce       sync.Once
 
-	lastRead atomic.Int64 // when the last of its bytes came, by the clients' clock
+	lastRead atomic.Int64 // when the last bytes arrived, by the clients' clock
 
-	since      time.Time // when it was accepted, or went idle; what follows is guarded by clients.mu
-	hadRequest bool      // a whole request has come on it
-	dataSeen   bool      // bytes were seen that its goroutine had not read by then
+	since      time.Time // when it was accepted or became idle; this and the following fields are guarded by clients.mu
+	hadRequest bool      // a whole request has arrived on it
+	dataSeen   bool      // received bytes were found that its goroutine had not read yet
 	state      http.ConnState
 }
 
-// newClients makes the application's listener, with room for all that one process may hold.
+// newClients wraps l with the connection limits of a single process. upstreams returns the number of upstream connections.
 func newClients(cfg *Config, l clientListener, upstreams func() int) *clients {
 	k := &clients{clientListener: l, clock: newClock(), upstreams: upstreams, countClose: func(closeReason) {}, readFD: syscall.Read, conns: make(map[*clientConn]struct{})}
 	k.setLimits(cfg.clientConnLimit(1), cfg.totalConnLimit(1))
 	return k
 }
 
-// at tells whether bytes of a request have come that has had no answer, and whether they are a whole one.
+// requestProgress reports whether bytes have been read of a request that has no answer yet, and whether the request has
+// been read whole.
 func (c *clientConn) requestProgress() (begun, whole bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.requestBegun, c.requestBegun && c.framing.atBoundary()
 }
 
-// end closes a connection that no request is open on, or half of one if that is to go too. A request that comes in
-// this moment is either left unread, so that its client sends it again, or read before: then end returns false, and
-// it is served. Half a request is refused, as its rest may have been sent by now.
-func (c *clientConn) closeUnlessServing(half bool) bool {
+// closeUnlessServing closes the connection if no request is open on it, and with partial also if a request has been read
+// in part. It reports whether it did. A request that arrives at the same moment is either left unread, so that its client
+// sends it again, or has been read before; then closeUnlessServing returns false and the request is served. A partial
+// request is refused, as the rest of it may have been sent by now.
+func (c *clientConn) closeUnlessServing(partial bool) bool {
 	c.mu.Lock()
-	c.readsEnded = c.readsEnded || c.serverClosed || !c.requestBegun || half && !c.framing.atBoundary()
+	c.readsEnded = c.readsEnded || c.serverClosed || !c.requestBegun || partial && !c.framing.atBoundary()
 	ended := c.readsEnded
-	if ended && c.requestBegun && !c.closeWithRefusal && !c.serverClosed { // a closed one would keep its place for good
+	if ended && c.requestBegun && !c.closeWithRefusal && !c.serverClosed { // a closed connection would never release its reservation
 		c.closeWithRefusal = c.clients.reserveRefusal()
 	}
 	refused := c.closeWithRefusal
 	c.mu.Unlock()
-	switch { // with no lock held: it waits for a look under way
+	switch { // without the lock: the calls below wait for a read in progress
 	case !ended:
-	case refused: // its own goroutine, which waits for the rest, refuses and closes
-		_ = c.Conn.SetReadDeadline(time.Unix(1, 0)) // fails only on a closed one
+	case refused: // wakes its own goroutine, which waits for the rest, to send the refusal and close
+		_ = c.Conn.SetReadDeadline(time.Unix(1, 0)) // fails only on a closed connection
 	default:
 		c.Conn.Close()
 	}
 	return ended
 }
 
-// endIdle ends the connections that stand idle between requests, and from half on all that hold no whole one.
-func (l *clients) closeIdle(half bool) {
+// closeIdle closes the connections that are idle between requests, and with partial also those on which no whole request
+// has arrived yet.
+func (l *clients) closeIdle(partial bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for c := range l.conns {
-		if (c.state == http.StateIdle || half && !c.hadRequest) && c.closeUnlessServing(half) {
+		if (c.state == http.StateIdle || partial && !c.hadRequest) && c.closeUnlessServing(partial) {
 			l.countClose(closedStopping)
 		}
 	}
 }
 
-// stop has every answer from now on end its connection, and those end that stand idle between requests.
+// startClosing makes each connection close with its next answer, and closes the idle ones now.
 func (l *clients) startClosing() {
 	l.mu.Lock()
 	l.stopping = true
@@ -132,7 +137,7 @@
 	l.closeIdle(false)
 }
 
-// open is how many connections there are.
+// count returns the number of open connections.
 func (l *clients) count() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -146,7 +151,7 @@
 	}
 }
 
-// stateOf follows what the server makes of a connection.
+// connStateChanged is the http.Server's ConnState hook.
 func (l *clients) connStateChanged(c net.Conn, s http.ConnState) {
 	k := c.(*clientConn)
 	l.mu.Lock()
@@ -158,7 +163,7 @@
 		k.mu.Lock()
 		k.requestBegun = !k.framing.atBoundary()
 		k.mu.Unlock()
-		if l.stopping { // its answer was under way before it could say so
+		if l.stopping { // its last answer was written without Connection: close
 			if k.closeUnlessServing(false) {
 				l.countClose(closedStopping)
 			}
@@ -168,14 +173,16 @@
 	}
 }
 
+// connKey is the context key of a request's *clientConn.
 type connKey struct{}
 
-// with makes a connection known to the handlers of its requests.
+// connContext is the http.Server's ConnContext hook. It makes the connection available to handlers.
 func (l *clients) connContext(ctx context.Context, c net.Conn) context.Context {
 	return context.WithValue(ctx, connKey{}, c)
 }
 
-// waited tells how long the head of the connection's first request has taken; of later ones only the body counts.
+// firstHeadTime returns how long the client has taken to send the head of the connection's first request. For later
+// requests it returns 0, as the idle time between requests must not count.
 func (l *clients) firstHeadTime(ctx context.Context) time.Duration {
 	k := ctx.Value(connKey{}).(*clientConn)
 	l.mu.Lock()
@@ -186,28 +193,28 @@
 	return time.Since(k.since)
 }
 
-// took notes that a whole request has come on the connection of ctx: it no longer makes room for
-// others. It returns false where it has done so just now.
+// requestReceived records that a whole request has arrived on the connection of ctx, so that the connection is not closed
+// to make room. It returns false if the connection has been closed for that already.
 func (l *clients) requestReceived(ctx context.Context) bool {
 	k := ctx.Value(connKey{}).(*clientConn)
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if _, held := l.conns[k]; !held {
+	if _, open := l.conns[k]; !open {
 		return false
 	}
 	k.hadRequest = true
 	return true
 }
 
-// came tells how long ago the last bytes came on ctx's connection: a request that was sent behind another lies in its
-// server's buffer while that one is answered, and its client's time runs.
+// sinceLastRead returns how long ago the last bytes arrived on the connection of ctx. A pipelined request waits in
+// net/http's buffer while the one before is answered, and its client's timeout runs meanwhile.
 func (l *clients) sinceLastRead(ctx context.Context) time.Duration {
 	return l.clock.now() - time.Duration(ctx.Value(connKey{}).(*clientConn).lastRead.Load())
 }
 
-// presenceOf tells whether the client of ctx's connection has closed it, or its sending side. net/http hears of that as it
-// reads, and reads no further than one byte behind a request, nor into a body that waits to be sent on: so the kernel
-// is asked, which knows of the end whatever is still to be read before it.
+// queryPresence reports whether the client of ctx's connection has closed it or its sending side. It asks the kernel, which
+// knows of the close whatever is still unread before it: net/http notices a close only by reading, and reads at most one
+// byte beyond a request and nothing of a body that waits to be forwarded.
 func (l *clients) queryPresence(ctx context.Context) presence {
 	c, ok := ctx.Value(connKey{}).(*clientConn).Conn.(syscall.Conn)
 	if !ok {
@@ -219,20 +226,21 @@
 	}
 	found := clientUnknown
 	if raw.Control(func(fd uintptr) { found = pollPresence(int(fd)) }) != nil {
-		return clientGone // this side has closed it
+		return clientGone // closed on this side
 	}
 	return found
 }
 
-// crowded tells whether so many open requests are more than there is room for, and whether this process leaves.
-func (l *clients) overLimit(open int64) (full, leaving bool) {
+// overLimit reports whether open, a number of open requests, is more than the clients' share of connections, and whether
+// the process is stopping.
+func (l *clients) overLimit(open int64) (full, stopping bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return open > int64(l.clientShare), l.stopping
 }
 
-// counters are for the log: the connections by what they are at, and the most that there were since
-// the last call. Active ones above the requests held are still sending, or have stopped halfway.
+// counters returns counts for the log: connections by state, the maximum since the last call, and connections closed or
+// refused for lack of room. More active connections than open requests means that some are still sending a request.
 func (l *clients) counters() map[string]int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -244,29 +252,30 @@
 	return counts
 }
 
-// Read holds back the end of a head that must not be served, and fails from there on: the server
-// then answers 400 and closes the connection.
+// Read withholds the end of a request head whose framing is ambiguous, and fails from there on: the HTTP server then
+// answers 400 and closes the connection.
 func (c *clientConn) Read(p []byte) (n int, err error) {
-	waited := c.raw.Read(func(fd uintptr) bool {
-		// No lock is held between two tries: whoever makes room waits for a look, and not for the system to have memory.
+	waitErr := c.raw.Read(func(fd uintptr) bool {
+		// No lock is held between retries: code that makes room then waits for one read and not for the system to have memory.
 		n, err = retryTransient(func() (int, error) { return c.readOnce(int(fd), p) })
 		if errno, failed := err.(syscall.Errno); failed && errno != syscall.EAGAIN {
 			err = &net.OpError{Op: "read", Net: "tcp", Err: errno}
 		}
 		return err != syscall.EAGAIN
 	})
-	if errors.Is(waited, listener.ErrUnregistered) { // nobody can wait for its request, which may have come
+	if errors.Is(waitErr, listener.ErrUnregistered) { // a request may have arrived, but can't be waited for
 		c.mu.Lock()
 		c.closeWithRefusal = c.closeWithRefusal || c.clients.reserveRefusal()
 		c.mu.Unlock()
 	}
-	if waited != nil { // until its deadline, or it was closed
-		return 0, &net.OpError{Op: "read", Net: "tcp", Err: waited} // by which the server knows not to answer
+	if waitErr != nil { // the deadline has passed, or the connection is closed
+		return 0, &net.OpError{Op: "read", Net: "tcp", Err: waitErr} // on a net.OpError the HTTP server does not answer
 	}
 	return n, err
 }
 
-// lookOnce takes the bytes that have come, if any may be read. Where the system call fails its error is returned as it is.
+// readOnce reads the bytes that have arrived, unless reads have ended or the framing is broken. An error of the system call
+// is returned unwrapped.
 func (c *clientConn) readOnce(fd int, p []byte) (int, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -274,14 +283,14 @@
 	case c.readsEnded:
 		return 0, &net.OpError{Op: "read", Net: "tcp", Err: net.ErrClosed}
 	case c.framingErr != nil && len(p) == 1:
-		return 0, syscall.EAGAIN // net/http looks for an end while a request is open: that has its answer first
+		return 0, syscall.EAGAIN // net/http's one-byte read that detects a close: the open request gets its answer first
 	case c.framingErr != nil:
 		return 0, c.framingErr
 	}
 	return c.readLocked(fd, p)
 }
 
-// look takes the bytes that have come. The caller holds the lock.
+// readLocked reads the bytes that have arrived and advances the framing. The caller holds the lock.
 func (c *clientConn) readLocked(fd int, p []byte) (int, error) {
 	n, err := c.clients.readFD(fd, p)
 	if err == syscall.EAGAIN {
@@ -296,24 +305,24 @@
 	c.requestBegun = true
 	c.lastRead.Store(int64(cmp.Or(c.queuedSince, c.clients.clock.now())))
 	c.queuedSince = 0
-	if good, bad := c.framing.advance(p[:n]); bad != nil {
-		if c.framingErr = bad; good == 0 && len(p) == 1 {
+	if valid, framingErr := c.framing.advance(p[:n]); framingErr != nil {
+		if c.framingErr = framingErr; valid == 0 && len(p) == 1 {
 			return 0, syscall.EAGAIN
 		}
-		if good == 0 {
-			return 0, bad
+		if valid == 0 {
+			return 0, framingErr
 		}
-		return good, nil
+		return valid, nil
 	}
 	return n, nil
 }
 
-// Write passes over failures that the system has for a moment: an answer is owed whole.
+// Write writes all of p. It retries transient failures of the system, so that answers are not cut short.
 func (c *clientConn) Write(p []byte) (int, error) { return writeRetrying(c.Conn, p) }
 
-// Close ends a connection behind its last answer. Where bytes are left unread, that would be a reset, which can take the answer
-// with it: then the sending ends first, and they are read on for a while. On one that stands idle nothing is read: what
-// crosses its end has to come again.
+// Close closes the connection after its last answer. Closing with unread data would send a reset, which can destroy the
+// answer in transit: in that case the sending side is closed first and the data is read for a while. On an idle connection
+// nothing is read, so that the client sends again a request that crosses the close.
 func (c *clientConn) Close() error {
 	c.mu.Lock()
 	answered, refused := c.requestBegun && !c.readsEnded, c.closeWithRefusal
@@ -329,22 +338,23 @@
 	return c.Conn.Close()
 }
 
-// discard reads what has come, up to a buffer, and tells how much that was.
+// discardAvailable reads up to one buffer of the data that has arrived, and returns its length in bytes.
 func (c *clientConn) discardAvailable() (n int) {
 	if c.raw == nil {
 		return 0
 	}
 	var rest [4 << 10]byte
-	_ = c.raw.Control(func(fd uintptr) { // fails only on a closed one
+	_ = c.raw.Control(func(fd uintptr) { // fails only on a closed connection
 		n, _ = retryTransient(func() (int, error) { return syscall.Read(int(fd), rest[:]) })
 	})
 	return n
 }
 
-// writeCloser is a connection whose sending can be ended by itself.
+// writeCloser is a connection whose sending side can be closed alone.
 type writeCloser interface{ CloseWrite() error }
 
-// linger ends the sending, and reads what still comes for a while, or what has come where nobody can wait for more.
+// linger closes the sending side and then reads what the client still sends, for lingerTimeout or maxLingerBytes. If no
+// deadline can be set, it reads only what has arrived.
 func (c *clientConn) linger() {
 	sending, ok := c.Conn.(writeCloser)
 	if !ok || sending.CloseWrite() != nil {
@@ -364,14 +374,14 @@
 	}
 }
 
-// refusal is the answer to a request of which nobody knows whether it is on its way. Trying again is harmless.
+// refusalResponse is sent on a connection that is closed while a request may be on its way. The client may retry safely.
 const refusalResponse = "HTTP/1.1 503 Service Unavailable\r\nRetry-After: 0.5\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
 
-// refusingMost is how many connections may be closed with a refusal at once: each has a descriptor for up to restTime,
-// and until its goroutine has its turn. Others are closed at once.
+// maxPendingRefusals limits how many connections are closed with a refusal at the same time, as each keeps its descriptor
+// for up to lingerTimeout after its goroutine is scheduled. Further connections are closed without a refusal.
 const maxPendingRefusals = 8
 
-// reserveRefusal takes one of the places for connections that are closed with a refusal, if there is one left.
+// reserveRefusal reserves one of the maxPendingRefusals refusals. It returns false if all are in use.
 func (l *clients) reserveRefusal() bool {
 	if l == nil {
 		return false
@@ -383,11 +393,12 @@
 	return true
 }
 
-// closeRefused closes a connection with a refusal that has been reserved, for what may have come on it or still comes.
+// refuseAndClose sends refusalResponse, which must have been reserved, reads what the client still sends and closes the
+// connection.
 func (c *clientConn) refuseAndClose() {
 	defer c.clients.pendingRefusals.Add(-1)
 	defer c.Conn.Close()
-	_ = c.Conn.SetWriteDeadline(time.Now().Add(lingerTimeout)) // fails only on a closed one, as the next does
+	_ = c.Conn.SetWriteDeadline(time.Now().Add(lingerTimeout)) // fails only on a closed connection, as the write then does
 	if _, err := io.WriteString(c.Conn, refusalResponse); err == nil {
 		c.linger()
 	}
--- a/internal/sidecar/clients_test.go
+++ b/internal/sidecar/clients_test.go
@@ -25,14 +25,14 @@
 	"arrowgw/internal/listener"
 )
 
-// Connections make room in the order of how little they are needed, and those with an open request do not.
+// Connections are closed to make room in the order of how little they are needed; those with an open request are not.
 func TestShedOrder(t *testing.T) {
 	l := newClients(testConfig(t, listAnswer(1, "ready"), nil), nil, noUpstreamConns)
 	names := make(map[*clientConn]string)
 	for _, c := range []struct {
 		name  string
 		age   time.Duration
-		spoke time.Duration // ago; 0: never
+		spoke time.Duration // time since its last bytes; 0: it has sent nothing
 		known bool
 		state http.ConnState
 	}{
@@ -58,7 +58,7 @@
 			k.lastRead.Store(time.Now().Add(-c.spoke).UnixNano())
 		}
 		if k.requestBegun = c.spoke > 0 && !strings.HasPrefix(c.name, "idle"); k.requestBegun && !strings.HasSuffix(c.name, "read") {
-			_, _ = k.framing.advance([]byte("POST")) // a good beginning
+			_, _ = k.framing.advance([]byte("POST")) // a valid beginning of a request
 		}
 		names[k] = c.name
 	}
@@ -73,11 +73,11 @@
 	}
 	want := []string{"silent", "idle", "idle, newer", "half a next request", "half a request", "slow, goes on", "just come"}
 	if !slices.Equal(order, want) {
-		t.Errorf("room is made by %q, want %q", order, want)
+		t.Errorf("closed in the order %q, want %q", order, want)
 	}
 }
 
-// Clients may take the descriptors that upstreams leave, and give them back once upstreams want them.
+// Clients use the descriptors that upstreams leave free, and release them when upstreams need them.
 func TestClientsUseFreeUpstreamDescriptors(t *testing.T) {
 	cfg := testConfig(t, listAnswer(1, "ready"), nil)
 	upstreams := 10
@@ -106,25 +106,27 @@
 		}
 	}
 	if l.makeRoomForUpstream(cfg.totalConnLimit(1)) {
-		t.Error("connections with open requests made room")
+		t.Error("a connection with an open request was closed")
 	}
 }
 
-// With limits cut by half too, what clients, upstreams, operators and the process itself may hold fits.
+// The connections of clients, upstreams and operators and the process's own descriptors stay within the limit, also if the
+// limit is halved.
 func TestDescriptorBudget(t *testing.T) {
 	for _, sockets := range []float64{96, 128, 192, 1024} {
 		cfg := testConfig(t, listAnswer(1, "ready"), func(file, _ map[string]any) {
 			file["console"] = "127.0.0.1:0"
 			file["limits"].(map[string]any)["sockets"] = sockets
 		})
-		const process = 10 // standard streams, poller and its wake-up, listeners, lock, discovery twice
+		const process = 10 // standard streams, poller and its wake-up, listeners, lock, two connections to discovery
 		if all := cfg.totalConnLimit(1) + maxConsoleConns + process; all > cfg.Sockets {
 			t.Errorf("%d descriptors may be held of %d", all, cfg.Sockets)
 		}
 	}
 }
 
-// Bytes that come as a connection is ended are either read, and it goes on, or it is closed and nothing is read of it.
+// Data that arrives as a connection is being closed is either read, and the connection stays open, or the connection is
+// closed and nothing is read.
 func TestBytesCrossTheEnd(t *testing.T) {
 	listener, err := listen(context.Background(), "127.0.0.1:0", true)
 	if err != nil {
@@ -164,7 +166,7 @@
 	t.Logf("%d read, %d ended", read, ended)
 }
 
-// without is a listener that has no descriptor to accept with until some moment.
+// failingListener is a listener whose Accept fails with failure until some moment.
 type failingListener struct {
 	clientListener
 	failure error
@@ -179,10 +181,11 @@
 	if time.Now().Before(l.until) {
 		return nil, &net.OpError{Op: "accept", Net: "tcp", Err: os.NewSyscallError("accept4", l.failure)}
 	}
-	return nil, net.ErrClosed // whatever comes next
+	return nil, net.ErrClosed // ends the test's wait
 }
 
-// Where no descriptor is left to accept with, idle connections make room, and it is tried again soon, but not without a pause.
+// If accept fails for lack of descriptors or memory, idle connections are closed, and accept is retried soon but not in a
+// busy loop.
 func TestAcceptWithoutDescriptors(t *testing.T) {
 	for _, failure := range resourceErrors {
 		synctest.Test(t, func(t *testing.T) {
@@ -193,19 +196,20 @@
 			if !l.add(&clientConn{Conn: near}) {
 				t.Fatal("no room")
 			}
-			time.Sleep(time.Second) // it is silent
+			time.Sleep(time.Second) // the connection sends nothing
 			_, err := l.acceptRetrying()
 			if late := time.Since(none.until); !errors.Is(err, net.ErrClosed) || late < 0 || late > 10*time.Millisecond || none.calls > 1000 {
 				t.Errorf("%v: error %v %v behind the last failure, %d calls", failure, err, late, none.calls)
 			}
 			if len(l.conns) > 0 {
-				t.Error("the silent connection made no room")
+				t.Error("the silent connection was not closed")
 			}
 		})
 	}
 }
 
-// TestMain is also a sidecar, in a process of its own with as many descriptors as its configuration says.
+// TestMain runs the tests, or, if SIDECAR_TEST_CONFIG is set, a sidecar in this process, with its descriptors limited as
+// the configuration says.
 func TestMain(m *testing.M) {
 	path := os.Getenv("SIDECAR_TEST_CONFIG")
 	if path == "" {
@@ -222,8 +226,8 @@
 	os.Exit(1)
 }
 
-// While a crowd of idle clients takes all descriptors that there are, and discovery is down, requests are served, the
-// console answers, discovery's first word behind the outage is heard and kept on disk, and no call of the system lacks a descriptor.
+// While idle clients use all available descriptors and discovery is down, requests are served, the console answers, the
+// first list after the outage is received and saved to disk, and no system call fails for lack of descriptors.
 func TestIdleClientsDuringDiscoveryOutage(t *testing.T) {
 	const sockets = 96
 	s := newStub(t, echo)
@@ -278,7 +282,7 @@
 		}
 	}()
 	defer func() {
-		_ = child.Process.Kill() // fails only if it has ended
+		_ = child.Process.Kill() // fails only if the process has exited
 		<-read
 		_ = child.Wait()
 	}()
@@ -295,7 +299,7 @@
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
 	for i := range 2 * sockets {
-		go func() { // comes again whenever it is closed
+		go func() { // connects again whenever it is closed
 			for ; ctx.Err() == nil; time.Sleep(5 * time.Millisecond) {
 				c, err := net.Dial("tcp", strings.TrimPrefix(side.url, "http://"))
 				if err != nil {
@@ -320,7 +324,7 @@
 		t.Helper()
 		for end := time.Now().Add(testTimeout); time.Now().Before(end); time.Sleep(time.Millisecond) {
 			res, err := (&http.Transport{DisableKeepAlives: true}).RoundTrip(side.newRequest(t, "POST", "/entry", "1", "X-Request-ID", id))
-			if err != nil { // a new connection may be shut unread
+			if err != nil { // a new connection may be closed unread
 				continue
 			}
 			res.Body.Close()
@@ -360,8 +364,8 @@
 	}
 }
 
-// A malformed request behind a good one, cut where net/http looks for its client's end by reading one byte, takes no
-// answer from the good one: that read sees nothing, and the next fails.
+// A malformed pipelined request does not cost the request before it its answer. net/http detects a close by reading one
+// byte; if that read would hit the end of the malformed head, it must return nothing, and only the next read fails.
 func TestMalformedPipelinedRequest(t *testing.T) {
 	inner, err := listen(context.Background(), "127.0.0.1:0", true)
 	if err != nil {
@@ -391,19 +395,20 @@
 	if _, err := io.WriteString(far, "\n"); err != nil {
 		t.Fatal(err)
 	}
-	for range 2 { // as the byte comes, and behind it
+	for range 2 { // as the byte arrives, and after it
 		_ = near.SetReadDeadline(time.Now().Add(50 * time.Millisecond))
 		if n, err := near.Read(make([]byte, 1)); n != 0 || !errors.Is(err, os.ErrDeadlineExceeded) {
-			t.Fatalf("the look for an end read %d bytes, error %v", n, err)
+			t.Fatalf("the one-byte read returned %d bytes, error %v", n, err)
 		}
 	}
 	_ = near.SetReadDeadline(time.Time{})
 	if n, err := near.Read(buffer); n != 0 || !errors.Is(err, errFraming) {
-		t.Errorf("read %d bytes, error %v, want that the framing is told", n, err)
+		t.Errorf("read %d bytes, error %v, want %v", n, err, errFraming)
 	}
 }
 
-// However many half requests make room before any of their goroutines has its turn, only few descriptors wait for that.
+// However many partial requests are closed to make room before their goroutines are scheduled, only maxPendingRefusals
+// connections stay open for a refusal.
 func TestRefusedConnectionsAreBounded(t *testing.T) {
 	l := newBusyClients(t)
 	var ends []net.Conn
@@ -414,7 +419,7 @@
 		if !l.add(k) {
 			t.Fatal("no room")
 		}
-		k.requestBegun, k.framing.inHead = true, true // half a head has come, and nobody reads on
+		k.requestBegun, k.framing.inHead = true, true // part of a head has arrived, and no goroutine reads on
 		ends = append(ends, far)
 	}
 	open := 0
@@ -429,7 +434,7 @@
 	}
 }
 
-// countedConn is a connection's raw side that counts how often the kernel is asked by it.
+// countingRawConn is a raw connection that counts system calls through Control.
 type countingRawConn struct {
 	syscall.RawConn
 	asked *int
@@ -440,7 +445,7 @@
 	return nil
 }
 
-// However full the table, making room for one connection asks the kernel of one.
+// Making room for a connection makes a system call for at most one other connection, however many there are.
 func TestMakingRoomQueriesOneSocket(t *testing.T) {
 	l, asked := newBusyClients(t), 0
 	for n := range 4 * l.clientShare {
@@ -458,8 +463,7 @@
 	}
 }
 
-// A connection that its server is closing already takes no place among those that are closed with a refusal: nobody
-// would give the place back.
+// A connection that net/http is closing already reserves no refusal, as the reservation would never be released.
 func TestClosingConnectionReservesNoRefusal(t *testing.T) {
 	l := newClients(testConfig(t, listAnswer(1, "ready"), nil), nil, noUpstreamConns)
 	near, far := net.Pipe()
@@ -469,17 +473,18 @@
 		t.Fatal("no room")
 	}
 	k.requestBegun = true
-	_, _ = k.framing.advance([]byte("POST")) // a good beginning
+	_, _ = k.framing.advance([]byte("POST")) // a valid beginning of a request
 	if err := k.Close(); err != nil {
 		t.Fatal(err)
 	}
-	k.closeUnlessServing(true) // to make room: it is held until its server reports that it is closed
+	k.closeUnlessServing(true) // to make room: the connection is kept until the server reports that it is closed
 	if n := l.pendingRefusals.Load(); n != 0 {
-		t.Errorf("%d places are taken, want none", n)
+		t.Errorf("%d refusals are reserved, want none", n)
 	}
 }
 
-// Whoever makes room for others does not wait for a connection whose looks fail for lack of memory: the lock was held over all of them.
+// Closing a connection to make room does not wait while its reads fail for lack of memory. It did when the lock was held
+// during all retries of a read.
 func TestMakingRoomDoesNotWaitForMemory(t *testing.T) {
 	inner, err := listen(context.Background(), "127.0.0.1:0", true)
 	if err != nil {
@@ -507,17 +512,18 @@
 	}()
 	wait(t, "the first look", first)
 	if !near.(*clientConn).closeUnlessServing(false) {
-		t.Error("it makes no room")
+		t.Error("the connection was not closed")
 	}
 	if n := looks.Load(); n > maxTransientRetries/2 {
-		t.Errorf("the end waited for %d looks", n)
+		t.Errorf("the close waited for %d reads", n)
 	}
 	if err := wait(t, "the end of its read", read); !errors.Is(err, net.ErrClosed) {
 		t.Errorf("its read ended with %v, want %v", err, net.ErrClosed)
 	}
 }
 
-// A connection that has come and that the system can't wait on for as long as it is tried is refused, and its request with it.
+// A connection that can't be registered with the network poller in time is closed with a refusal, as a request may have
+// arrived on it.
 func TestUnregisteredConnectionIsRefused(t *testing.T) {
 	inner, err := listen(context.Background(), "127.0.0.1:0", true)
 	if err != nil {
@@ -544,11 +550,11 @@
 		t.Errorf("the client read %v, error %v, want 503", res, err)
 	}
 	if n := l.pendingRefusals.Load(); n != 0 {
-		t.Errorf("%d places of refusals are taken, want none", n)
+		t.Errorf("%d refusals are reserved, want none", n)
 	}
 }
 
-// unregistering is a listener whose connections the network poller never takes.
+// unregisteredListener is a listener whose connections are never registered with the network poller.
 type unregisteredListener struct{ clientListener }
 
 func (l *unregisteredListener) Accept() (net.Conn, error) {
--- a/internal/sidecar/clock.go
+++ b/internal/sidecar/clock.go
@@ -2,18 +2,18 @@
 
 import "time"
 
-// clock tells the time since the Unix epoch, so that it can be set against discovery's start times.
-// It runs on the monotonic clock from its start on: it never goes back, whatever is done to the
-// machine's date.
+// clock gives the time since the Unix epoch, which can be compared with the start times that discovery lists. After its
+// creation it follows the monotonic clock: it never goes back, even if the machine's date is changed.
 type clock struct{ start time.Time }
 
 func newClock() clock { return clock{time.Now()} }
 
+// now returns the current time since the Unix epoch.
 func (c clock) now() time.Duration {
 	return time.Duration(c.start.UnixNano()) + time.Since(c.start)
 }
 
-// at is the moment d of this clock as a time for deadlines on connections.
+// toTime converts a time of this clock to a time.Time, for deadlines on connections.
 func (c clock) toTime(d time.Duration) time.Time {
 	return c.start.Add(d - time.Duration(c.start.UnixNano()))
 }
--- a/internal/sidecar/config.go
+++ b/internal/sidecar/config.go
@@ -1,5 +1,5 @@
-// Package sidecar puts the decision module on real sockets: it takes an application's requests, asks
-// the module where each should go, and carries that out. It decides nothing itself.
+// Package sidecar runs the decision module (package policy) on real sockets: it receives an application's requests, asks
+// the module where to send each, and carries that out. It makes no routing decisions itself.
 package sidecar
 
 import (
@@ -24,51 +24,51 @@
 	"arrowgw/internal/wire"
 )
 
-// readConfigTime is how long a start tries to read its configuration where the system fails.
+// readConfigTimeout is how long a starting process retries to read its configuration after errors of the system.
 const readConfigTimeout = 5 * time.Second
 
-// Config is what a sidecar is told at its start.
+// Config is the configuration of a sidecar.
 type Config struct {
 	Name      string
-	Listen    string // where the application connects
+	Listen    string // address for the application's connections
 	Discovery string // address of discovery
-	Console   string // where operators connect; empty: nowhere
-	FleetPath string // the fleet file; empty: there is none
+	Console   string // address of the operators' console; empty: no console
+	FleetPath string // path of the fleet file; empty: none
 	Seed      uint64
 
-	SharedDir string // folder that a second process has too, in an upgrade; empty: none
+	SharedDir string // folder for stored state, which the second process of an upgrade shares; empty: none
 
-	MemoryMB int // the process is killed above this; 0: no limit is known
-	Sockets  int // descriptors it may hold
+	MemoryMB int // memory limit above which the process is killed; 0: unknown
+	Sockets  int // limit of open file descriptors
 
 	Policy            balance.Config
-	Classes           map[string]int // class by name
-	Tenants           map[string]int // tenant by name; empty where there are none
-	Zones             map[string]int // zone by name
-	LoadReportFields  []string       // names of a load report's fields, in the order of Columns
+	Classes           map[string]int // index of each class by name
+	Tenants           map[string]int // index of each tenant by name; empty if there are no tenants
+	Zones             map[string]int // index of each zone by name
+	LoadReportFields  []string       // names of a load report's fields, in the order of LoadReportColumns
 	LoadReportColumns wire.Columns
 
-	MaxOpenRequests     int           // requests held at once
-	UpstreamIdleTimeout time.Duration // an upstream closes connections that stood idle so long
+	MaxOpenRequests     int           // maximum number of open requests; 0: no limit
+	UpstreamIdleTimeout time.Duration // idle time after which an upstream closes a connection
 	DialTimeout         time.Duration
-	MaxDeadline         time.Duration // the longest deadline of any class
-	DrainGrace          time.Duration // nothing is sent to a server so long after it is told to drain; 0: not known
+	MaxDeadline         time.Duration // longest deadline of any class
+	DrainGrace          time.Duration // time after which a server listed as draining must not be sent anything; 0: unknown
 
-	KnownServers listing // the servers as last known
+	KnownServers listing // the server list to start with
 
-	State       store.Options // its size, and in tests its disk
-	Fleet       *fleet.File   // of the parts that join sidecars; nil: this one stands alone
-	UnknownKeys []string      // keys of the file that mean nothing to this program
+	State       store.Options // options of the state store
+	Fleet       *fleet.File   // settings of the fleet; nil: the sidecar is not part of one
+	UnknownKeys []string      // keys of the file that this program does not know
 
-	path string // the file that this was read from; empty in tests
+	path string // file that the configuration was read from; empty in tests
 }
 
-// ReadConfig reads the file that EDGE_CONFIG names. What the environment says in EDGE_NAME,
-// EDGE_LISTEN, EDGE_DISCOVERY, EDGE_CONSOLE and EDGE_FLEET stands in for what the file leaves out.
+// ReadConfig reads the configuration file at path, which the caller takes from EDGE_CONFIG. The environment variables
+// EDGE_NAME, EDGE_LISTEN, EDGE_DISCOVERY, EDGE_CONSOLE and EDGE_FLEET give the values that the file omits.
 func ReadConfig(path string) (*Config, error) { return readConfig(path, os.Getenv) }
 
-// ReadConfigAtStart reads a configuration, and tries for a moment where the system fails. A file that is not there, or
-// may not be read, or can't be used, is an error at once.
+// ReadConfigAtStart is ReadConfig, but retries errors of the system for readConfigTimeout. A file that is missing,
+// unreadable by its permissions or invalid is an error at once.
 func ReadConfigAtStart(ctx context.Context, path string) (*Config, error) {
 	for end := time.Now().Add(readConfigTimeout); ; {
 		cfg, err := ReadConfig(path)
@@ -84,6 +84,7 @@
 	}
 }
 
+// readConfig reads the configuration file at path and the fleet file that it names; env looks up environment variables.
 func readConfig(path string, env func(string) string) (*Config, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -103,6 +104,7 @@
 	return c, nil
 }
 
+// parseConfig parses and checks a configuration file's content; env looks up environment variables.
 func parseConfig(raw []byte, env func(string) string) (*Config, error) {
 	var file struct {
 		Name, Listen, Discovery, Console, Fleet, Seed string
@@ -116,18 +118,18 @@
 	if err := json.Unmarshal(raw, &file); err != nil {
 		return nil, fmt.Errorf("EDGE_CONFIG: %w", err)
 	}
-	given := func(value, variable string) string {
+	orEnv := func(value, variable string) string {
 		if value == "" {
 			return env(variable)
 		}
 		return value
 	}
 	c := &Config{
-		Name:      given(file.Name, "EDGE_NAME"),
-		Listen:    given(file.Listen, "EDGE_LISTEN"),
-		Discovery: given(file.Discovery, "EDGE_DISCOVERY"),
-		Console:   given(file.Console, "EDGE_CONSOLE"),
-		FleetPath: given(file.Fleet, "EDGE_FLEET"),
+		Name:      orEnv(file.Name, "EDGE_NAME"),
+		Listen:    orEnv(file.Listen, "EDGE_LISTEN"),
+		Discovery: orEnv(file.Discovery, "EDGE_DISCOVERY"),
+		Console:   orEnv(file.Console, "EDGE_CONSOLE"),
+		FleetPath: orEnv(file.Fleet, "EDGE_FLEET"),
 		SharedDir: env("TMPDIR"),
 		MemoryMB:  int(file.Limits.MemoryMB),
 		Sockets:   int(file.Limits.Sockets),
@@ -166,12 +168,12 @@
 	return c, nil
 }
 
-// unknownKeys lists the keys at the top of a file that this program has no use for. The platform may add some, so
-// they are no error.
+// unknownKeys returns the top-level keys of a file that this program does not know, sorted. They are not an error, as the
+// platform may add keys.
 func unknownKeys(raw []byte) (unknown []string) {
 	known := []string{"name", "listen", "discovery", "console", "fleet", "seed", "limits", "known", "settings"}
 	var keys map[string]json.RawMessage
-	_ = json.Unmarshal(raw, &keys) // it has been read once already
+	_ = json.Unmarshal(raw, &keys) // can't fail: raw has been parsed before
 	for key := range keys {
 		if !slices.ContainsFunc(known, func(k string) bool { return strings.EqualFold(k, key) }) {
 			unknown = append(unknown, key)
@@ -181,7 +183,7 @@
 	return unknown
 }
 
-// Effective is the configuration in force, as Describe tells it.
+// Effective is the configuration in force, as Describe returns it and the check command prints it.
 type Effective struct {
 	Name      string   `toml:"name"`
 	Listen    string   `toml:"listen"`
@@ -198,19 +200,19 @@
 	Known     int      `toml:"known_servers"`
 }
 
-// Describe tells the configuration in force, for people.
+// Describe returns the configuration in force for display.
 func (c *Config) Describe() Effective {
-	byPlace := func(places map[string]int) []string {
-		return slices.SortedFunc(maps.Keys(places), func(a, b string) int { return cmp.Compare(places[a], places[b]) })
+	byIndex := func(indexes map[string]int) []string {
+		return slices.SortedFunc(maps.Keys(indexes), func(a, b string) int { return cmp.Compare(indexes[a], indexes[b]) })
 	}
 	return Effective{
 		Name: c.Name, Listen: c.Listen, Discovery: c.Discovery, Console: c.Console, Fleet: c.FleetPath,
 		MemoryMB: c.MemoryMB, Sockets: c.Sockets, Balancers: c.Policy.Balancers, Index: c.Policy.Index,
-		Classes: byPlace(c.Classes), Tenants: byPlace(c.Tenants), Zones: byPlace(c.Zones), Known: len(c.KnownServers.servers),
+		Classes: byIndex(c.Classes), Tenants: byIndex(c.Tenants), Zones: byIndex(c.Zones), Known: len(c.KnownServers.servers),
 	}
 }
 
-// take reads the settings: the module's own, and what the sidecar needs besides.
+// applySettings sets the fields that come from the settings: the module's configuration, and what the sidecar itself uses.
 func (c *Config) applySettings(s *wire.Settings) error {
 	var err error
 	if c.Policy, err = s.Config(); err != nil {
@@ -249,27 +251,30 @@
 	return nil
 }
 
-// ownFiles are the descriptors set aside before clients and upstreams divide the rest: the process's own
-// (standard streams, poller, listener, lock, discovery at two addresses, the state's file and the next) and, where there is a console, its listener's
-// and its callers'; membership's, where there is one. Clients may take all that upstreams leave, so that no more is free than is set aside.
+// reservedFiles returns the number of descriptors that are set aside before client and upstream connections divide the
+// rest. They are for the process itself (standard streams, poller, listener, lock file, discovery at two addresses, the
+// state file and its successor), for the console's listener and callers, and for membership. They have to suffice, as
+// clients may use every descriptor that upstreams leave free.
 func (c *Config) reservedFiles() int {
-	own := 12
+	reserved := 12
 	if c.Console != "" {
-		own += maxConsoleConns + 2
+		reserved += maxConsoleConns + 2
 	}
 	if c.hasMembership() {
-		own += membershipFiles
+		reserved += membershipFiles
 	}
-	return min(own, c.Sockets/4)
+	return min(reserved, c.Sockets/4)
 }
 
-// clientConns and upstreamConns divide the descriptors of one of n processes: half for upstreams, most of the
-// rest for the application's connections, and a reserve for what is being closed and for the process itself.
+// clientConnLimit returns the clients' share of connections in one of n processes: three eighths of the descriptors. Half
+// are for upstream connections, and an eighth is a reserve for connections that are being closed and for the process.
 func (c *Config) clientConnLimit(n int) int { return c.connBudget(n) * 3 / 8 }
 
+// upstreamConnLimit returns the limit of upstream connections in one of n processes.
 func (c *Config) upstreamConnLimit(n int) int { return c.connBudget(n) / 2 }
 
-// allConns is how many connections of both kinds one of n processes may hold.
+// totalConnLimit returns the limit of client and upstream connections together in one of n processes.
 func (c *Config) totalConnLimit(n int) int { return c.connBudget(n) * 15 / 16 }
 
+// connBudget returns the number of descriptors that one of n processes has for connections.
 func (c *Config) connBudget(n int) int { return max(c.Sockets/n-c.reservedFiles(), 8) }
--- a/internal/sidecar/config_test.go
+++ b/internal/sidecar/config_test.go
@@ -21,7 +21,7 @@
 	}
 }
 
-// A config that can't be used is told in one line that names the field.
+// The error of an invalid configuration is one line that names the field.
 func TestUnusableConfig(t *testing.T) {
 	const settings = `{"balancers":1,"caps":{"most_tries":3,"conn_idle_ms":30000,"dial_timeout_ms":250},"classes":[{"name":"a","aim_ms":5,"hard_limit_ms":9}]}`
 	const usable = `{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"1f","settings":` + settings + `}`
--- a/internal/sidecar/console.go
+++ b/internal/sidecar/console.go
@@ -16,36 +16,36 @@
 )
 
 const (
-	maxConsoleConns  = 12                     // callers at once; past that the one silent longest makes room
-	callReadTimeout  = 2 * time.Second        // a caller may take so long over its line
-	callReplyTimeout = 500 * time.Millisecond // and so long to take its answer; it is owed that within 1 s
-	maxCallLine      = 256                    // bytes of a line
-	maxCallDrain     = 64 << 10               // bytes read behind an unusable line, so that its answer is not lost to a reset
+	maxConsoleConns  = 12                     // callers whose line has not arrived; above this the one that waits longest is closed
+	callReadTimeout  = 2 * time.Second        // for a caller to send its line
+	callReplyTimeout = 500 * time.Millisecond // for a caller to read its answer, which is due within 1 s
+	maxCallLine      = 256                    // maximum length of a line in bytes
+	maxCallDrain     = 64 << 10               // bytes read after an unusable line, so that a reset does not destroy the answer
 )
 
-// console is the operators' door: one line to a connection, one answer, and a close. It stands apart from
-// the clients' side, so that neither load there nor silent callers here keep an answer back.
+// console serves operators: each connection sends one line, receives one answer and is closed. It has a listener and
+// limits of its own, so that neither client load nor callers that send nothing delay an answer.
 type console struct {
-	ready        func() bool
-	writeStats   func(io.Writer)
-	setServer    func(ctx context.Context, id string, out bool) error // takes a server out by hand, or brings it back
-	writeDuties  func(io.Writer) error                                // who of the fleet has which duty
-	moveDuty     func(words []string) error                           // passes a duty on
-	writeRules   func(io.Writer) error                                // which rule set is in force, and who refused one
-	writeMembers func(io.Writer) error                                // who of the fleet is there
-	confirmState func() error                                         // takes an operator's word that a damaged state has the right servers out
+	ready        func() bool                                          // reports whether the sidecar serves
+	writeStats   func(io.Writer)                                      // writes the figures
+	setServer    func(ctx context.Context, id string, out bool) error // administratively disables a server, or enables it again
+	writeDuties  func(io.Writer) error                                // writes which member holds which duty
+	moveDuty     func(words []string) error                           // moves a duty to another member
+	writeRules   func(io.Writer) error                                // writes which rule set is in force, and who refused one
+	writeMembers func(io.Writer) error                                // writes the members of the fleet
+	confirmState func() error                                         // confirms that the right servers are disabled after damage to the state
 
 	mu      sync.Mutex
-	waiting []net.Conn // callers whose line has not come, the one that waits longest first
+	waiting []net.Conn // callers whose line has not arrived, in the order of their connecting
 	callers sync.WaitGroup
 }
 
-// serve answers callers until ctx ends. It returns once the last of them has its answer.
+// serve answers callers until ctx ends, and returns once all of them have been answered.
 func (c *console) serve(ctx context.Context, l net.Listener) {
 	stop := context.AfterFunc(ctx, func() { l.Close() })
 	defer stop()
 	defer c.callers.Wait()
-	var logged time.Time // when the last failure was
+	var logged time.Time // when a failure was last logged
 	for {
 		conn, err := l.Accept()
 		switch {
@@ -54,7 +54,7 @@
 			c.callers.Go(func() { c.handle(ctx, conn) })
 		case ctx.Err() != nil || errors.Is(err, net.ErrClosed):
 			return
-		default: // no descriptor is free, say: that passes
+		default: // for example no free descriptor; transient
 			if now := time.Now(); now.Sub(logged) >= time.Second {
 				logged = now
 				slog.Error("console failed", "error", err)
@@ -67,7 +67,7 @@
 	}
 }
 
-// enter counts a caller in, if need be at the cost of the one that has been silent longest.
+// addWaiting adds a caller to those whose line has not arrived. Above maxConsoleConns it closes the one that waits longest.
 func (c *console) addWaiting(conn net.Conn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -78,7 +78,7 @@
 	c.waiting = append(c.waiting, conn)
 }
 
-// spoke takes that a caller's line has come, or never will: it makes room for nobody any more.
+// removeWaiting removes a caller once its line has arrived or failed to, so that it is not closed to make room.
 func (c *console) removeWaiting(conn net.Conn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -90,20 +90,20 @@
 	}
 }
 
-// answer hears one caller out.
+// handle reads one caller's line, carries out the call and sends the answer.
 func (c *console) handle(ctx context.Context, conn net.Conn) {
 	defer conn.Close()
-	// Deadlines and writes fail only on a connection that is gone: nobody is left to tell.
+	// Deadlines and writes fail only on a closed connection, which nobody reads any more.
 	_ = conn.SetDeadline(time.Now().Add(callReadTimeout))
 	line, err := bufio.NewReaderSize(conn, maxCallLine).ReadSlice('\n')
 	c.removeWaiting(conn)
 	_ = conn.SetDeadline(time.Now().Add(callReplyTimeout))
 	if err != nil {
-		why := "400 the line has no end\n"
+		answer := "400 the line has no end\n"
 		if errors.Is(err, bufio.ErrBufferFull) {
-			why = "400 the line is too long\n"
+			answer = "400 the line is too long\n"
 		}
-		_, _ = io.WriteString(conn, why)
+		_, _ = io.WriteString(conn, answer)
 		if sending, ok := conn.(writeCloser); ok && sending.CloseWrite() == nil {
 			_, _ = io.CopyN(io.Discard, conn, maxCallDrain)
 		}
@@ -111,20 +111,20 @@
 	}
 	w := bufio.NewWriter(conn)
 	c.execute(ctx, w, strings.Fields(string(line)))
-	_ = conn.SetDeadline(time.Now().Add(callReplyTimeout)) // the call itself may have waited for a disk
+	_ = conn.SetDeadline(time.Now().Add(callReplyTimeout)) // the call may have waited for a disk
 	_ = w.Flush()
 }
 
-// call carries out one call.
+// execute carries out a call, which consists of words, and writes its answer.
 func (c *console) execute(ctx context.Context, w io.Writer, words []string) {
 	name := strings.Join(words[:min(len(words), 1)], "")
-	wanted := map[string]int{"ready": 1, "show-stat": 1, "confirm-state": 1, "show-members": 1, "show-duties": 1, "show-rules": 1, "move-duty": 2, "disable-server": 2, "enable-server": 2}[name]
+	wordCount := map[string]int{"ready": 1, "show-stat": 1, "confirm-state": 1, "show-members": 1, "show-duties": 1, "show-rules": 1, "move-duty": 2, "disable-server": 2, "enable-server": 2}[name]
 	var err error
 	switch {
-	case wanted == 0:
+	case wordCount == 0:
 		err = errors.New("unknown call; there are ready, show-stat, show-members, show-duties, show-rules, move-duty NAME [MEMBER], disable-server ID, enable-server ID and confirm-state")
-	case len(words) != wanted && !(name == "move-duty" && len(words) == 3):
-		err = fmt.Errorf("%s takes %d words after it", name, wanted-1)
+	case len(words) != wordCount && !(name == "move-duty" && len(words) == 3):
+		err = fmt.Errorf("%s takes %d words after it", name, wordCount-1)
 	case name == "show-stat":
 		c.writeStats(w)
 		return
@@ -142,7 +142,7 @@
 	case name == "disable-server" || name == "enable-server":
 		err = c.setServer(ctx, words[1], name == "disable-server")
 	}
-	if kept := (errNotKept{}); errors.As(err, &kept) {
+	if notDurable := (errNotKept{}); errors.As(err, &notDurable) {
 		fmt.Fprintf(w, "202 %v\n", err)
 		return
 	}
@@ -153,8 +153,8 @@
 	fmt.Fprintln(w, "200 yes")
 }
 
-// stat writes the figures, for operators and what watches the sidecar for them. Requests are counted where
-// they are answered, attempts where they are written; what only the loop knows is at most membersEvery old.
+// writeStats writes the figures of requests, servers and state, for operators and their monitoring. Requests are counted
+// when they are answered, attempts when they are written; the loop's counts of servers are at most membersEvery old.
 func (f *front) writeStats(w io.Writer) {
 	for _, name := range slices.Sorted(maps.Keys(f.cfg.Classes)) {
 		ended := &f.tallies[f.cfg.Classes[name]]
@@ -166,7 +166,7 @@
 		}
 	}
 	members := f.loop.members.Load()
-	// A long body that still comes belongs to no request taken.
+	// A request whose body is still arriving is not pending.
 	fmt.Fprintf(w, "app.upstream_requests=%d\napp.pending=%d\napp.members=%d\napp.members_unavailable=%d\napp.state_damaged=%d\napp.state_bytes=%d\n",
 		f.loop.upstream.written.Load(), f.openRequests.Load()-f.pendingUploads.Load(), members.listed, members.unavailable,
 		f.loop.handover.damaged(), f.loop.handover.bytes())
--- a/internal/sidecar/console_test.go
+++ b/internal/sidecar/console_test.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// reach opens a connection to the console.
+// dialConsole opens a connection to the console.
 func (s *testSidecar) dialConsole(t *testing.T) net.Conn {
 	t.Helper()
 	c, err := net.DialTimeout("tcp", s.consoleAddress, testTimeout)
@@ -23,7 +23,7 @@
 	return c
 }
 
-// call has one line answered by the console.
+// callConsole sends a line to the console and returns its answer.
 func (s *testSidecar) callConsole(t *testing.T, line string) string {
 	t.Helper()
 	c := s.dialConsole(t)
@@ -37,7 +37,7 @@
 	return string(answer)
 }
 
-// figures asks for the figures until they are as wanted.
+// waitForStats calls show-stat until the figures are as wanted; their names are given without "app.".
 func (s *testSidecar) waitForStats(t *testing.T, wanted map[string]string) {
 	t.Helper()
 	var off string
@@ -94,7 +94,7 @@
 	}
 }
 
-// Callers that say nothing keep nobody from an answer, and hold no more connections than are set aside.
+// Callers that send nothing do not keep others from an answer, and have at most maxConsoleConns connections.
 func TestSilentCallersMakeRoom(t *testing.T) {
 	side := startSidecar(t, nil, newStub(t, echo).address)
 	var silent []net.Conn
@@ -108,12 +108,12 @@
 	}
 	for _, c := range silent[:maxConsoleConns] {
 		if got, _ := io.ReadAll(c); len(got) > 0 {
-			t.Fatalf("the longest silent: %q, want a close before their time is up", got)
+			t.Fatalf("the caller that waits longest: %q, want a close before its timeout", got)
 		}
 	}
 }
 
-// Each way that a request can end is counted once, and nothing stays pending.
+// Each ending of a request is counted once, and no request stays pending.
 func TestStatsByOutcome(t *testing.T) {
 	held := make(chan struct{})
 	s := newStub(t, func(c net.Conn, r stubRequest) bool {
@@ -136,7 +136,7 @@
 		body, timeout string
 		status        int
 	}{{"err", "20000m", http.StatusBadGateway}, {"break", "20000m", http.StatusBadGateway}, {"hold", "150m", http.StatusGatewayTimeout}} {
-		sendRequest(t, side.newRequest(t, "POST", "/entry", "fine")) // keeps the server from its rest
+		sendRequest(t, side.newRequest(t, "POST", "/entry", "fine")) // keeps the server from being ejected
 		if res, _ := sendRequest(t, side.newRequest(t, "POST", "/entry", c.body, "X-Timeout", c.timeout)); res.StatusCode != c.status {
 			t.Fatalf("%s: %s", c.body, res.Status)
 		}
@@ -157,13 +157,13 @@
 	side.waitForStats(t, map[string]string{"pending": "0", entry + "completed": "3"})
 }
 
-// A server is unavailable while it is out by hand, while the module rests it, and once while both hold.
+// A server counts as unavailable while it is administratively disabled or ejected by the module, and once if both hold.
 func TestUnavailableServersInStats(t *testing.T) {
 	fine, bad := newStub(t, echo), newStub(t, func(c net.Conn, _ stubRequest) bool {
 		_, err := io.WriteString(c, "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n")
 		return err == nil
 	})
-	// So many balancers that a server rests for long.
+	// With this many balancers a server is ejected for long.
 	side := startSidecar(t, func(_, settings map[string]any) { settings["balancers"] = 400.0 }, fine.address, bad.address)
 	unavailable := func(n string) {
 		t.Helper()
@@ -172,7 +172,7 @@
 	unavailable("0")
 	side.callConsole(t, "disable-server s-0\n")
 	unavailable("1")
-	for range 4 { // the one that errs is left
+	for range 4 { // only the failing server is left
 		sendRequest(t, side.newRequest(t, "POST", "/entry", "1"))
 	}
 	unavailable("2")
@@ -184,7 +184,7 @@
 	unavailable("0")
 }
 
-// The console says no once the process is stopping, and yes while clients that connect are served.
+// The console answers that the sidecar is not ready once the process is stopping, and that it is ready before.
 func TestNotReadyDuringStop(t *testing.T) {
 	release := make(chan struct{})
 	s := newStub(t, func(c net.Conn, r stubRequest) bool {
@@ -200,10 +200,10 @@
 	if got := side.callConsole(t, "ready\n"); !strings.HasPrefix(got, "200 ") {
 		t.Fatalf("ready: %q", got)
 	}
-	side.stop() // it ends once the request has its answer
+	side.stop() // the process exits once the request is answered
 	for end := time.Now().Add(testTimeout); !strings.HasPrefix(side.callConsole(t, "ready\n"), "400 "); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("it is ready while it is stopping")
+			t.Fatal("ready while stopping")
 		}
 	}
 	close(release)
--- a/internal/sidecar/control.go
+++ b/internal/sidecar/control.go
@@ -14,7 +14,8 @@
 	"arrowgw/internal/rules"
 )
 
-// requests is what control tells the path of requests, and asks it. Its loop is that; in a hollow process there is none.
+// dataPlane is the part of a sidecar that carries requests, as the control plane sees it. It is the loop in a sidecar, and
+// absent in a hollow one.
 type dataPlane interface {
 	list(listing)
 	listFailed()
@@ -24,8 +25,8 @@
 	learned(context.Context) (balance.Learned, error)
 }
 
-// control are the parts of a sidecar that are not on the path of a request: its state, the list of servers, and what joins
-// it to its fleet.
+// control is the control plane of a sidecar: its stored state, the server list, and its part in the fleet (membership,
+// duties and rule sets).
 type control struct {
 	cfg       *Config
 	dataPlane dataPlane
@@ -37,12 +38,13 @@
 	meter     *meter.Meter
 }
 
-// newControl reads what the configuration and the state say, and sets cfg.Known to the list that counts. Nothing runs before begin.
-func newControl(cfg *Config, c clock, path dataPlane) (k *control, err error) {
-	k = &control{cfg: cfg, dataPlane: path, meter: new(meter.Meter), state: openSharedState(cfg.SharedDir, cfg.Name, cfg.State)}
+// newControl creates the control plane from the configuration and the stored state, and sets cfg.KnownServers to the server
+// list to start with. It starts no goroutine that outlives it.
+func newControl(cfg *Config, c clock, plane dataPlane) (k *control, err error) {
+	k = &control{cfg: cfg, dataPlane: plane, meter: new(meter.Meter), state: openSharedState(cfg.SharedDir, cfg.Name, cfg.State)}
 	versions := k.state.versions(cfg, c.now())
 	cfg.KnownServers = versions.list()
-	k.discovery = newDiscovery(cfg, path.list, path.listFailed)
+	k.discovery = newDiscovery(cfg, plane.list, plane.listFailed)
 	k.discovery.versions, k.discovery.now, k.discovery.keep = versions, c.now, k.state.keepList
 	dial := k.discovery.dial
 	k.discovery.dial = func(ctx context.Context, network, address string) (net.Conn, error) {
@@ -52,39 +54,40 @@
 		}
 		return k.meter.Conn(conn, meter.Discovery, true), nil
 	}
-	if k.peers, err = newPeers(cfg, path, k.state, k.meter); err != nil {
+	if k.peers, err = newPeers(cfg, plane, k.state, k.meter); err != nil {
 		return nil, err
 	}
 	if k.duties, err = newDuties(cfg, k.peers, k.state); err != nil {
 		return nil, err
 	}
-	k.ruleSets, err = newRuleSets(cfg, k.peers, k.duties, path, k.state)
+	k.ruleSets, err = newRuleSets(cfg, k.peers, k.duties, plane, k.state)
 	return k, err
 }
 
-// begin follows the sidecar's other processes and the list, and puts the rule set in force that is on the floor, before the
-// first request. share hears how many processes there are. kept is closed once all is kept, after ctx has ended.
-func (k *control) start(ctx context.Context, kept chan<- struct{}, share func(n int)) error {
+// start starts to follow the server list and the sidecar's other processes, and puts the floor's rule set in force, which
+// has to happen before the first request. It passes the number of processes to setProcessCount, and again whenever it changes.
+// saved is closed when, after ctx has ended, the state is saved.
+func (k *control) start(ctx context.Context, saved chan<- struct{}, setProcessCount func(n int)) error {
 	n := k.state.countProcesses()
-	share(n)
-	var beside []byte
-	go k.state.watchProcesses(ctx, n, share, func(handed map[string]operatorCall) {
-		k.dataPlane.calls(ctx, handed)
-		kept, list, raw, news := k.state.beside(beside, k.cfg.Zones)
-		if beside = raw; news {
+	setProcessCount(n)
+	var lastRaw []byte
+	go k.state.watchProcesses(ctx, n, setProcessCount, func(calls map[string]operatorCall) {
+		k.dataPlane.calls(ctx, calls)
+		kept, list, raw, changed := k.state.beside(lastRaw, k.cfg.Zones)
+		if lastRaw = raw; changed {
 			k.discovery.beside(kept, list)
 		}
 	})
-	go k.state.followLateState(ctx, func(owed map[string]operatorCall) { k.dataPlane.calls(ctx, owed) })
+	go k.state.followLateState(ctx, func(calls map[string]operatorCall) { k.dataPlane.calls(ctx, calls) })
 	go func() {
-		defer close(kept)
+		defer close(saved)
 		k.state.keep(ctx, k.dataPlane.learned)
 	}()
 	go k.discovery.run(ctx)
 	return k.ruleSets.start(ctx)
 }
 
-// run takes part in the fleet until ctx ends.
+// run starts the sidecar's part in the fleet, which lasts until ctx ends.
 func (k *control) run(ctx context.Context) {
 	k.peers.run(ctx)
 	k.duties.run(ctx)
@@ -92,11 +95,11 @@
 }
 
 const (
-	reloadTimeout       = 3 * time.Second // a configuration that can't be used is read again for so long: it may just be being written
+	reloadTimeout       = 3 * time.Second // how long an invalid configuration is read again, as it may be in the course of being written
 	reloadRetryInterval = 50 * time.Millisecond
 )
 
-// followReloads acts on each signal to read the configuration again, until ctx ends.
+// handleReloads reloads the rule set and the configuration at path on each signal, until ctx ends.
 func (k *control) handleReloads(ctx context.Context, path string, signals <-chan os.Signal) {
 	for {
 		select {
@@ -109,16 +112,16 @@
 	}
 }
 
-// reconfigure reads the configuration again and goes to where it has discovery now. Nothing else in it may change under a
-// running sidecar. One that can't be used leaves everything as it is, and is tried again for a while, until ctx ends.
+// reloadConfig reads the configuration again and applies its address of discovery; no other setting of a running sidecar
+// can change. An invalid configuration changes nothing and is read again for reloadTimeout or until ctx ends.
 func (k *control) reloadConfig(ctx context.Context, path string) {
-	for end, told := time.Now().Add(reloadTimeout), false; ; told = true {
+	for end, logged := time.Now().Add(reloadTimeout), false; ; logged = true {
 		cfg, err := ReadConfig(path)
 		if err == nil {
 			k.discovery.move(cfg.Discovery)
 			return
 		}
-		if !told {
+		if !logged {
 			slog.Error("configuration kept", "error", err)
 		}
 		if time.Now().After(end) {
@@ -132,7 +135,7 @@
 	}
 }
 
-// stat writes the figures of control.
+// writeStats writes the figures of the control plane.
 func (k *control) writeStats(w io.Writer) {
 	k.peers.writeStats(w)
 	k.duties.writeStats(w)
--- a/internal/sidecar/duties.go
+++ b/internal/sidecar/duties.go
@@ -16,12 +16,13 @@
 )
 
 const (
-	standingPollInterval = 50 * time.Millisecond // how often a process looks whether it has its address by now
+	standingPollInterval = 50 * time.Millisecond // how often a process checks whether it has the sidecar's address
 	reportInterval       = 10 * time.Second
 	reportDuty           = "report"
 )
 
-// duties is this sidecar's part in its fleet's duties. Where the fleet file has no duty.voters there is none.
+// duties is this sidecar's part in the duties of its fleet. If the fleet file has no duty.voters, group is nil and the
+// methods do nothing.
 type duties struct {
 	group  *duty.Group
 	peers  *peers
@@ -30,19 +31,19 @@
 	done   chan struct{}
 }
 
-// newDuties reads what the configuration says of duties.
+// newDuties creates the sidecar's part in duties from the configuration and the stored state.
 func newDuties(cfg *Config, p *peers, state *sharedState) (*duties, error) {
 	d := &duties{peers: p, state: state, done: make(chan struct{})}
 	if p.group == nil || len(cfg.Fleet.Duty.Voters) == 0 {
 		return d, nil
 	}
 	if state.store == nil {
-		return nil, errors.New("duty.voters needs a folder for what outlives the process (TMPDIR)")
+		return nil, errors.New("duty.voters needs a folder for persistent state (TMPDIR)")
 	}
 	c := duty.Config{
 		Name: cfg.Name, Start: state.store.Number(), Voters: cfg.Fleet.Duty.Voters, Lease: cfg.Fleet.Duty.Lease.Std(),
 		Wire: p.group, Keep: storeKeeper{state.store}, Lost: len(state.store.Damage().Files) > 0, Candidates: d.candidates,
-		Begin: func(string, uint64) {}, End: func(string) {}, // whoever acts asks before
+		Begin: func(string, uint64) {}, End: func(string) {}, // the code that acts on a duty asks whether it is held
 	}
 	if cfg.Fleet.Duty.Report {
 		c.Duties = append(c.Duties, duty.Duty{Name: reportDuty})
@@ -55,7 +56,7 @@
 	return d, err
 }
 
-// keeper is the state as duties want it.
+// storeKeeper adapts the state store to duty.Keeper.
 type storeKeeper struct{ *store.Store }
 
 // Get implements duty.Keeper.
@@ -73,7 +74,7 @@
 	return all
 }
 
-// candidates are the members that are fit to hold duties.
+// candidates returns the members that may be given duties.
 func (d *duties) candidates() (all []duty.Candidate) {
 	for _, m := range d.peers.group.View().Members {
 		if m.State == member.Present && m.Phase == member.Serving && !m.Suspected {
@@ -83,8 +84,8 @@
 	return all
 }
 
-// run takes part until ctx ends or leave is called: from when this process has the sidecar's address among its peers, so that
-// never two processes are one voter.
+// run starts the sidecar's part in duties, which lasts until ctx ends or release is called. It begins once this process has
+// the sidecar's address in the membership, so that two processes never act as the same voter.
 func (d *duties) run(ctx context.Context) {
 	ctx, d.cancel = context.WithCancel(ctx)
 	if d.group == nil {
@@ -100,7 +101,7 @@
 				return
 			}
 		}
-		if _, err := d.state.store.Follow(); err != nil { // what the process before this one has written last
+		if _, err := d.state.store.Follow(); err != nil { // reads what the predecessor wrote last
 			slog.Error("duties", "error", err)
 			return
 		}
@@ -109,13 +110,13 @@
 	go d.runReport(ctx)
 }
 
-// leave gives up what this process holds, and returns once others may have it.
+// release gives up the duties that this process holds, and returns once other members can be given them.
 func (d *duties) release() {
 	d.cancel()
 	<-d.done
 }
 
-// report is the duty of that name.
+// runReport carries out the duty "report": while this process holds it, it logs the state of the fleet periodically.
 func (d *duties) runReport(ctx context.Context) {
 	tick := time.NewTicker(reportInterval)
 	defer tick.Stop()
@@ -140,7 +141,7 @@
 	}
 }
 
-// stat writes the tokens of the duties that this process holds now.
+// writeStats writes the fencing token of each duty that this process holds, and 0 for the others.
 func (d *duties) writeStats(w io.Writer) {
 	if d.group == nil {
 		return
@@ -151,7 +152,7 @@
 	}
 }
 
-// show writes who holds what, as the leader of the voters has it.
+// writeDuties writes the holder of each duty, as the leader of the voters reports it.
 func (d *duties) writeDuties(w io.Writer) error {
 	if d.group == nil {
 		return errNoDuties
@@ -172,7 +173,7 @@
 
 var errNoDuties = errors.New("there are no duties: the fleet file has no duty.voters")
 
-// move has a duty passed on, to a member if there is one named.
+// moveDuty moves a duty to another member. words are the duty's name and, optionally, the member's.
 func (d *duties) moveDuty(words []string) error {
 	switch {
 	case d.group == nil:
--- a/internal/sidecar/framing.go
+++ b/internal/sidecar/framing.go
@@ -7,29 +7,30 @@
 	"strings"
 )
 
-// lineKept is how much of a head's line is looked at: enough for the names and values that frame a body.
+// maxLineKept is how many bytes of a header line are examined: enough for the headers that frame a body.
 const maxLineKept = 128
 
 var errFraming = errors.New("the request frames its body in more than one way")
 
-// framing follows the requests on a connection: their heads, and the bodies whose length they tell.
+// framing tracks the request boundaries on a connection: heads, and bodies with a Content-Length.
 type framing struct {
-	line             []byte // the line of a head under way, as far as it is looked at
-	inHead           bool   // the head's first line is over
-	contentLengths   int    // Content-Length lines in the head
-	contentLength    uint64 // what the last of them says
-	transferEncoding bool   // the head has Transfer-Encoding
-	bodyLeft         uint64 // bytes of a body still to come
-	unfollowed       bool   // nothing more is followed: the server closes after this request
+	line             []byte // the current header line, up to maxLineKept bytes
+	inHead           bool   // the request line has been read, and the head has not ended
+	contentLengths   int    // number of Content-Length lines in the head
+	contentLength    uint64 // value of the last Content-Length line, in bytes
+	transferEncoding bool   // the head has a Transfer-Encoding line
+	bodyLeft         uint64 // bytes of the body that are still to come
+	unfollowed       bool   // the boundary of this request is not tracked; the server closes the connection after it
 }
 
-// between tells whether what has come ends with a request's last byte, as far as it is followed.
+// atBoundary reports whether the bytes so far end with the last byte of a request. It returns false once a body is not
+// tracked.
 func (f *framing) atBoundary() bool {
 	return len(f.line) == 0 && !f.inHead && f.bodyLeft == 0 && !f.unfollowed
 }
 
-// follow takes the next bytes. Where a head frames its body in two ways, or with a length that is
-// none, it returns how many bytes come before that head's end, and an error.
+// advance processes the next bytes. If a head frames its body in more than one way or its Content-Length is malformed,
+// advance returns an error and the number of bytes before the newline of the line at which it was found.
 func (f *framing) advance(p []byte) (int, error) {
 	for at := 0; at < len(p) && !f.unfollowed; {
 		if f.bodyLeft > 0 {
@@ -52,10 +53,10 @@
 	return len(p), nil
 }
 
-// take reads one line of a head; an empty one ends it.
+// processLine processes one line of a head. An empty line ends the head.
 func (f *framing) processLine(line string) error {
 	switch {
-	case !f.inHead: // a blank line before a request is passed over, as net/http does at times
+	case !f.inHead: // a blank line before the request line is skipped, as net/http does in some cases
 		f.inHead = line != ""
 		return nil
 	case line != "":
--- a/internal/sidecar/framing_test.go
+++ b/internal/sidecar/framing_test.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// dial opens a connection to the sidecar that the test writes to as it likes.
+// dial opens a raw connection to the sidecar.
 func (s *testSidecar) dial(t *testing.T) net.Conn {
 	t.Helper()
 	c, err := net.Dial("tcp", strings.TrimPrefix(s.url, "http://"))
@@ -25,14 +25,14 @@
 	return c
 }
 
-// head is a usable request of class entry as far as its framing, which follows.
+// requestHead returns the head of a valid request of class entry; framing are its headers that frame the body.
 func requestHead(id, framing string) string {
 	return "POST /entry HTTP/1.1\r\nHost: service.internal\r\nX-Request-ID: " + id +
 		"\r\nX-Priority-Class: entry\r\nX-Tenant-Id: north\r\nX-Timeout: 20000m\r\n" + framing + "\r\n\r\n"
 }
 
-// A request that stands inside the body of another, by one of two ways to read that body, does not
-// reach an upstream, and neither does the one around it.
+// If a request's body can be read in two ways, and contains another request by one of them, neither request reaches an
+// upstream.
 func TestNoRequestSmuggling(t *testing.T) {
 	inside := requestHead("inside", "Content-Length: 0")
 	length := fmt.Sprintf("Content-Length: %d", len("0\r\n\r\n")+len(inside))
@@ -52,7 +52,7 @@
 			s := newStub(t, echo)
 			side := startSidecar(t, nil, s.address)
 			c := side.dial(t)
-			// A good one first: a kept connection is checked as well.
+			// A valid request first: a connection in use is checked as well.
 			if _, err := io.WriteString(c, requestHead("good", "Content-Length: 2")+"hi"); err != nil {
 				t.Fatal(err)
 			}
@@ -65,25 +65,25 @@
 				t.Fatal(err)
 			}
 			before := ""
-			if name == "blank line before" { // which net/http passes over behind a POST
+			if name == "blank line before" { // which net/http skips after a POST
 				before = "\r\n"
 			}
 			if _, err := io.WriteString(c, before+requestHead("around", framing)+"0\r\n\r\n"+inside); err != nil {
 				t.Fatal(err)
 			}
-			answers, _ := io.ReadAll(r) // a reset behind the answer is as good as a close
+			answers, _ := io.ReadAll(r) // a reset after the answer counts as a close
 			if !strings.HasPrefix(string(answers), "HTTP/1.1 400 ") || strings.Count(string(answers), "HTTP/1.1 ") != 1 {
 				t.Errorf("answered %q, want one 400", answers)
 			}
 			if wait(t, "the good request", s.requests); len(s.requests) > 0 {
-				t.Errorf("the upstream had %s too", (<-s.requests).Header.Get("X-Request-ID"))
+				t.Errorf("the upstream received %s too", (<-s.requests).Header.Get("X-Request-ID"))
 			}
 		})
 	}
 }
 
-// Chunks alone are good framing. What comes behind them on the connection is not served, as it is
-// not followed; the same goes for HTTP/1.0, to which chunks mean nothing.
+// A body that is only chunked is valid. What follows it on the connection is not served, as its framing is not tracked.
+// The same holds for HTTP/1.0, which does not define chunks.
 func TestConnectionClosesAfterChunkedRequest(t *testing.T) {
 	for name, c := range map[string]struct{ request, body string }{
 		"chunked":         {requestHead("1", "Transfer-Encoding: chunked") + "2\r\nhi\r\n0\r\n\r\n", "hi"},
@@ -107,7 +107,7 @@
 	}
 }
 
-// However the bytes come in, bodies pass for what they are: their text is no head.
+// Bodies are not parsed as heads, in whatever pieces the bytes arrive.
 func TestFramingFollowsBodies(t *testing.T) {
 	body := "Content-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n"
 	good := requestHead("1", fmt.Sprintf("Content-Length: %d", len(body))) + body
--- a/internal/sidecar/front.go
+++ b/internal/sidecar/front.go
@@ -20,41 +20,42 @@
 )
 
 const (
-	headTimeout          = 2500 * time.Millisecond // a client may take this long over a head; one that connects is owed an end in 3 s
-	writeTimeout         = 2 * time.Second         // and this long to take its answer
-	clientIdleTimeout    = 2250 * time.Millisecond // a connection may stand idle for so long; it is safe to close after 2 s
-	presencePollInterval = 100 * time.Millisecond  // how often it is looked whether a client that waits is still there
+	headTimeout          = 2500 * time.Millisecond // for a request's head; an inactive connection must be closed within 3 s
+	writeTimeout         = 2 * time.Second         // for the client to read its answer
+	clientIdleTimeout    = 2250 * time.Millisecond // for an idle connection; closing one is safe after 2 s
+	presencePollInterval = 100 * time.Millisecond  // how often a waiting client is checked for having disconnected
 	maxHeaderBytes       = 32 << 10
-	maxTimeout           = time.Hour // figures above this mean the same to everyone
+	maxTimeout           = time.Hour // longer client timeouts are treated as this
 )
 
-// front is the application's side.
+// front is the HTTP handler for the application's requests. It validates each request, passes it to the loop and
+// returns the answer to the client.
 type front struct {
 	cfg            *Config
 	clock          clock
 	loop           *loop
 	clients        *clients
-	openRequests   atomic.Int64 // requests with no answer yet
-	pendingUploads atomic.Int64 // and of these, those whose last byte is still to come: they are not taken yet
-	tallies        []tally      // those that had theirs, by class
-	streams        struct {     // answers passed on as they come, for the log
-		begun  atomic.Int64
-		now    atomic.Int64 // under way
-		broken atomic.Int64 // by their server, or cut off as it stood still
-		still  atomic.Int64 // cut off as the client did
-	}
-	ready      atomic.Bool // no stop was asked for
+	openRequests   atomic.Int64 // requests that have no final answer yet
+	pendingUploads atomic.Int64 // open requests whose body is still arriving; not counted as pending
+	tallies        []tally      // answered requests, by class
+	streams        struct {     // answers that are streamed to the client, for the log
+		started atomic.Int64
+		active  atomic.Int64 // in progress
+		broken  atomic.Int64 // cut short by their server, or because it stalled
+		stalled atomic.Int64 // cut off because the client stalled
+	}
+	ready      atomic.Bool // set once serving, cleared when a stop begins
 	stopLimits atomic.Pointer[stopLimits]
-	rulesAllow func() bool // rules allow it
+	rulesAllow func() bool // reports whether the rule set in force permits serving
 }
 
-// up is what GET /up tells.
+// isUp reports whether the sidecar serves requests, which is what GET /up answers.
 func (f *front) isUp() bool { return f.ready.Load() && f.rulesAllow() }
 
-// tally counts the requests of a class by their answer.
+// tally counts the answered requests of a class by kind of answer.
 type tally struct{ completed, rejected, failed atomic.Uint64 }
 
-// count takes that a request was answered.
+// count records that a request was answered with status.
 func (t *tally) count(status int) {
 	switch status {
 	case http.StatusOK:
@@ -66,28 +67,31 @@
 	}
 }
 
+// newFront returns a front that is not ready yet. The rules permit serving until rulesAllow is replaced.
 func newFront(cfg *Config, c clock, l *loop, k *clients) *front {
 	return &front{cfg: cfg, clock: c, loop: l, clients: k, rulesAllow: func() bool { return true }, tallies: make([]tally, len(cfg.Policy.Classes))}
 }
 
-// server is the HTTP server that serves the application.
+// server returns the HTTP server for the application's connections.
 func (f *front) server() *http.Server {
 	return &http.Server{
 		Handler: f, ReadHeaderTimeout: headTimeout, WriteTimeout: writeTimeout, IdleTimeout: clientIdleTimeout, MaxHeaderBytes: maxHeaderBytes,
-		DisableGeneralOptionsHandler: true, // it would answer OPTIONS * with 200: nobody is owed that here
+		DisableGeneralOptionsHandler: true, // net/http would answer OPTIONS * with 200; it has to be rejected here
 		ConnState:                    f.clients.connStateChanged, ConnContext: f.clients.connContext,
 	}
 }
 
-// counters are for the log.
+// counters returns the counts of connections, open requests and streams for the log.
 func (f *front) counters() map[string]int {
 	counts := f.clients.counters()
 	counts["held"], counts["uploads"] = int(f.openRequests.Load()), int(f.pendingUploads.Load())
-	counts["streams"], counts["broken"] = int(f.streams.begun.Load()), int(f.streams.broken.Load())
-	counts["still"] = int(f.streams.still.Load())
+	counts["streams"], counts["broken"] = int(f.streams.started.Load()), int(f.streams.broken.Load())
+	counts["still"] = int(f.streams.stalled.Load())
 	return counts
 }
 
+// ServeHTTP implements http.Handler. It answers GET /up itself and rejects requests that are malformed or whose body
+// does not arrive.
 func (f *front) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path == "/up" && r.Method == http.MethodGet {
 		if !f.isUp() {
@@ -95,19 +99,19 @@
 		}
 		return
 	}
-	if r.ContentLength != 0 { // until receive knows better: a body that nobody reads holds no connection
-		_ = http.NewResponseController(w).SetReadDeadline(time.Now().Add(bodyStill)) // fails only on a closed one
+	if r.ContentLength != 0 { // until readBody sets its own: a body that is never read must not hold the connection
+		_ = http.NewResponseController(w).SetReadDeadline(time.Now().Add(bodyStill)) // fails only on a closed connection
 	}
 	if len(r.TransferEncoding) > 0 || !r.ProtoAtLeast(1, 1) {
-		// What follows such a body is not checked (see framing), and HTTP/1.0 knows no chunks.
+		// Data after a chunked body is not checked (see framing), and HTTP/1.0 does not define chunks.
 		w.Header().Set("Connection", "close")
 	}
-	q, left, err := f.parseRequest(r)
+	q, timeout, err := f.parseRequest(r)
 	if err != nil {
 		writeRejection(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	m := &message{id: r.Header.Get("X-Request-ID"), method: r.Method, url: r.URL, host: r.Host, header: endToEndHeaders(r.Header), length: r.ContentLength, left: left}
+	m := &message{id: r.Header.Get("X-Request-ID"), method: r.Method, url: r.URL, host: r.Host, header: endToEndHeaders(r.Header), length: r.ContentLength, left: timeout}
 	if err := f.readBody(w, r, m); err != nil {
 		f.rejectBody(w, err)
 		return
@@ -115,25 +119,26 @@
 	f.serveRequest(w, r, q, m)
 }
 
-// take takes a request on that has come, or whose held part has, and answers it.
+// serveRequest answers a request that has arrived, or of which the buffered part of the body has. It refuses the request
+// without an attempt where connections or open requests exceed their limit or the rules bar serving.
 func (f *front) serveRequest(w http.ResponseWriter, r *http.Request, q balance.Request, m *message) {
-	arrived := f.clock.now() // the client's time began with the last byte; that of a longer body's is still to come
+	arrived := f.clock.now() // the client's timeout began with its last byte; for a longer body that byte is still to come
 	if m.rest == nil {
 		arrived -= max(0, f.clients.sinceLastRead(r.Context()))
 	}
 	m.left = f.stopLimits.Load().bound(arrived, m.left)
-	if !f.clients.requestReceived(r.Context()) { // its connection has made room for others, and closes with a refusal
+	if !f.clients.requestReceived(r.Context()) { // its connection was shed for others, and closes with a refusal
 		f.loop.trace.logUnanswered(m.id, closedShedPartial, f.clock.now()-arrived)
 		panic(http.ErrAbortHandler)
 	}
 	defer f.openRequests.Add(-1)
-	held := f.openRequests.Add(1)
-	full, leaving := f.clients.overLimit(held)
-	if full || leaving { // descriptors run out, or another process serves here: this one ends with its answer
+	open := f.openRequests.Add(1)
+	full, stopping := f.clients.overLimit(open)
+	if full || stopping { // descriptors run out or the process stops: the connection ends with its answer
 		w.Header().Set("Connection", "close")
 	}
-	barred := !f.rulesAllow() // by rules, which were not those of before
-	if full && !leaving || barred || f.cfg.MaxOpenRequests > 0 && held > int64(f.cfg.MaxOpenRequests) {
+	barred := !f.rulesAllow() // the rule set may have changed since the request arrived
+	if full && !stopping || barred || f.cfg.MaxOpenRequests > 0 && open > int64(f.cfg.MaxOpenRequests) {
 		f.reply(w, r, q.Class, answer{status: http.StatusServiceUnavailable, pause: f.retryAfter()}, m.rest)
 		return
 	}
@@ -143,23 +148,23 @@
 		defer m.rest.whole()
 	}
 	m.presence = func() presence { return f.clients.queryPresence(r.Context()) }
-	if m.presence() == clientGone { // while the request waited to be read
+	if m.presence() == clientGone { // the client left while the request waited to be read
 		f.abortConnection(m, arrived)
 	}
-	f.loop.trace.logStep("request taken", m.id, slog.Duration("left", m.left), slog.Int64("held", held))
+	f.loop.trace.logStep("request taken", m.id, slog.Duration("left", m.left), slog.Int64("held", open))
 	f.awaitAnswer(w, r, q, m, arrived)
 }
 
-// await asks for a request's answer, and passes it on. Where the client leaves before, or breaks its body off, the
-// request ends.
+// awaitAnswer hands a request to the loop and sends its answer to the client. The request ends early if the client
+// disconnects or does not send its whole body.
 func (f *front) awaitAnswer(w http.ResponseWriter, r *http.Request, q balance.Request, m *message, arrived time.Duration) {
-	reply, broken := make(chan answer, 1), (chan error)(nil)
+	reply, bodyErr := make(chan answer, 1), (chan error)(nil)
 	if m.rest != nil {
-		broken = m.rest.failed
+		bodyErr = m.rest.failed
 	}
-	id, look := f.loop.ask(q, m, arrived+m.left, reply), time.NewTicker(presencePollInterval)
-	defer look.Stop()
-	incomplete := false // its client has not sent all of it
+	id, presencePoll := f.loop.ask(q, m, arrived+m.left, reply), time.NewTicker(presencePollInterval)
+	defer presencePoll.Stop()
+	incomplete := false // the client has not sent the whole body
 	defer func() { f.loop.guard.HandlerEnded(f.clock.now(), id, incomplete) }()
 	ctx := r.Context()
 	for cancelled := ctx.Done(); ; {
@@ -167,21 +172,21 @@
 		case a := <-reply:
 			f.reply(w, r, q.Class, a, m.rest)
 			return
-		case err := <-broken:
+		case err := <-bodyErr:
 			incomplete = true
 			f.loop.gone(id)
 			m.rest.stop()
 			f.rejectBody(w, err)
 			return
-		case <-look.C:
-		case <-cancelled: // net/http's word for any read that fails, also one that was interrupted
+		case <-presencePoll.C:
+		case <-cancelled: // net/http cancels the context on any failed read, also on an interrupted one
 			cancelled = nil
 		}
 		if f.clients.queryPresence(ctx) != clientGone {
 			continue
 		}
 		f.loop.guard.ClientLeft(f.clock.now(), id)
-		f.loop.gone(id) // the client has closed its connection
+		f.loop.gone(id) // the client has disconnected
 		if m.rest != nil {
 			m.rest.stop()
 		}
@@ -189,13 +194,14 @@
 	}
 }
 
-// abandon closes the connection of a client that has left, with no answer: net/http's way to do that is a panic.
+// abortConnection closes the connection of a client that has left, without an answer. net/http provides
+// panic(http.ErrAbortHandler) for that.
 func (f *front) abortConnection(m *message, arrived time.Duration) {
 	f.loop.trace.logUnanswered(m.id, closedClientLeft, f.clock.now()-arrived)
 	panic(http.ErrAbortHandler)
 }
 
-// receive reads a request's body into m: whole, or as far as it is held.
+// readBody reads a request's body into m: all of it, or the part that is buffered, with m.rest for the remainder.
 func (f *front) readBody(w http.ResponseWriter, r *http.Request, m *message) error {
 	if r.ContentLength > bodyMost {
 		return errTooLong
@@ -219,25 +225,26 @@
 	return nil
 }
 
-// rejectBody answers a request whose body has not come, and ends the connection.
+// rejectBody answers a request whose body has not arrived whole: 413 if it is too long, 408 after a timeout, else 400.
+// It ends the connection.
 func (f *front) rejectBody(w http.ResponseWriter, err error) {
 	status := http.StatusBadRequest
-	var late net.Error
+	var netErr net.Error
 	switch {
 	case errors.Is(err, errTooLong):
 		status = http.StatusRequestEntityTooLarge
-	case errors.As(err, &late) && late.Timeout():
+	case errors.As(err, &netErr) && netErr.Timeout():
 		status = http.StatusRequestTimeout
 	}
 	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(writeTimeout)) // fails only on a closed connection
 	writeRejection(w, "body: "+err.Error(), status)
 }
 
-// reply passes a final answer on. Its request's body may not have come to its end by then.
+// reply sends a final answer to the client. The request's body may not have arrived whole by then.
 func (f *front) reply(w http.ResponseWriter, r *http.Request, class int, a answer, rest *upload) {
-	out := http.NewResponseController(w)
-	_ = out.SetWriteDeadline(time.Now().Add(writeTimeout)) // fails only on a closed connection, as this and the next do
-	if _, leaving := f.clients.overLimit(0); leaving {     // since the request came
+	controller := http.NewResponseController(w)
+	_ = controller.SetWriteDeadline(time.Now().Add(writeTimeout)) // fails only on a closed connection, as this and the next do
+	if _, stopping := f.clients.overLimit(0); stopping {          // a stop may have begun since the request arrived
 		w.Header().Set("Connection", "close")
 	}
 	switch {
@@ -245,26 +252,26 @@
 		f.sendStream(w, r, class, a)
 	case rest != nil && !rest.ended.Load():
 		rest.stop()
-		_ = out.EnableFullDuplex()            // or the answer would wait for the rest of the body
+		_ = controller.EnableFullDuplex()     // else the answer would wait for the rest of the body
 		w.Header().Set("Connection", "close") // net/http may still read on when it takes the next request
 		f.sendAnswer(w, class, a)
-		_ = out.Flush()
+		_ = controller.Flush()
 		rest.drain()
 	default:
 		f.sendAnswer(w, class, a)
 	}
 }
 
-// pass sends an answer on as it comes from its server, and is where such a one is counted. A client that gets no
-// end must see that.
+// sendStream sends an answer to the client as it arrives from its server, and counts it. If the answer is cut short, the
+// connection is aborted so that the client notices.
 func (f *front) sendStream(w http.ResponseWriter, r *http.Request, class int, a answer) {
 	a.setHeaders(w)
 	if n := a.stream.length(); n >= 0 {
 		w.Header().Set("Content-Length", strconv.FormatInt(n, 10))
 	}
-	f.streams.begun.Add(1)
-	f.streams.now.Add(1)
-	defer f.streams.now.Add(-1)
+	f.streams.started.Add(1)
+	f.streams.active.Add(1)
+	defer f.streams.active.Add(-1)
 	began, why := f.clock.now(), closedClientLeft
 	if err := a.stream.copyTo(r.Context(), w); err != nil {
 		switch {
@@ -272,7 +279,7 @@
 			f.streams.broken.Add(1)
 			why = closedServerBroke
 		case errors.Is(err, os.ErrDeadlineExceeded):
-			f.streams.still.Add(1)
+			f.streams.stalled.Add(1)
 			why = closedClientStalled
 		}
 		f.loop.trace.logUnanswered(r.Header.Get("X-Request-ID"), why, f.clock.now()-began)
@@ -283,13 +290,13 @@
 	f.tallies[class].count(http.StatusOK)
 }
 
-// read takes what a request says of itself. What is missing or malformed is an error, whose text
-// is for the client.
-func (f *front) parseRequest(r *http.Request) (q balance.Request, left time.Duration, err error) {
+// parseRequest reads a request's headers into q, and the client's X-Timeout into timeout. A missing or malformed header is an
+// error, whose text is sent to the client.
+func (f *front) parseRequest(r *http.Request) (q balance.Request, timeout time.Duration, err error) {
 	h := r.Header
 	for _, name := range []string{"X-Request-Id", "X-Priority-Class", "X-Tenant-Id", "X-Timeout", "Idempotency-Key"} {
-		if len(h[name]) > 1 { // who reads it next may take the other one
-			return q, 0, errors.New(name + " is there twice")
+		if len(h[name]) > 1 { // another reader might use the second value
+			return q, 0, errors.New(name + " occurs more than once")
 		}
 	}
 	if h.Get("X-Request-ID") == "" {
@@ -301,17 +308,17 @@
 		return q, 0, errors.New("X-Priority-Class names no class")
 	}
 	if first, _, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, "/"), "/"); first != name {
-		return q, 0, errors.New("the path is of another class than X-Priority-Class")
+		return q, 0, errors.New("the path names another class than X-Priority-Class")
 	}
 	method := http.MethodPost
 	if f.cfg.Policy.Classes[q.Class].Effect == balance.Safe {
 		method = http.MethodGet
 	}
 	if r.Method != method {
-		return q, 0, errors.New("the method is not that of the class")
+		return q, 0, errors.New("the method does not match the class")
 	}
 	if method == http.MethodGet && r.ContentLength != 0 {
-		return q, 0, errors.New("a request of the class has no body")
+		return q, 0, errors.New("a request of this class must not have a body")
 	}
 	if f.cfg.Policy.Classes[q.Class].Effect == balance.Keyed && h.Get("Idempotency-Key") == "" {
 		return q, 0, errors.New("Idempotency-Key is missing")
@@ -321,7 +328,7 @@
 			return q, 0, errors.New("X-Tenant-Id names no tenant")
 		}
 	}
-	if left, ok = parseTimeout(h.Get("X-Timeout")); !ok {
+	if timeout, ok = parseTimeout(h.Get("X-Timeout")); !ok {
 		return q, 0, errors.New("X-Timeout is missing or malformed")
 	}
 	if cost := h.Get("X-Cost"); cost != "" {
@@ -331,14 +338,15 @@
 	}
 	if key := h.Get("X-Route-Key"); key != "" {
 		sum := fnv.New64a()
-		_, _ = io.WriteString(sum, key) // a hash takes everything
+		_, _ = io.WriteString(sum, key) // a hash never fails
 		q.Key = sum.Sum64()
 	}
 	q.Repeat = h.Get("X-Retried") == "1"
-	return q, left, nil
+	return q, timeout, nil
 }
 
-// duration reads a number with the unit m (milliseconds) or u (microseconds).
+// parseTimeout parses a decimal number with the unit m (milliseconds) or u (microseconds). Values above maxTimeout are
+// cut to it.
 func parseTimeout(text string) (time.Duration, bool) {
 	unit := time.Millisecond
 	number, ok := strings.CutSuffix(text, "m")
@@ -356,19 +364,19 @@
 	return time.Duration(min(n*float64(unit), float64(maxTimeout))), true
 }
 
-// answer sends a request's final answer, and is the one place that counts it.
+// sendAnswer writes a request's final answer that is not streamed, and counts it.
 func (f *front) sendAnswer(w http.ResponseWriter, class int, a answer) {
 	f.tallies[class].count(a.status)
 	a.write(w)
 }
 
-// write sends the final answer to the client.
+// write writes the final answer to the client.
 func (a answer) write(w http.ResponseWriter) {
 	switch a.status {
 	case http.StatusOK:
 		a.setHeaders(w)
 		w.Header().Set("Content-Length", strconv.Itoa(len(a.body)))
-		_, _ = w.Write(a.body) // it fails if the client has gone: nobody is left to tell
+		_, _ = w.Write(a.body) // fails only if the client has disconnected
 	case http.StatusServiceUnavailable:
 		writeRefusal(w, a.pause)
 	default:
@@ -377,39 +385,40 @@
 	}
 }
 
-// head sets the headers of a served answer, but for its length.
+// setHeaders sets the headers of a served answer except Content-Length.
 func (a answer) setHeaders(w http.ResponseWriter) {
 	for name, values := range endToEndHeaders(a.header) {
 		w.Header()[name] = values
 	}
 	if a.header["Content-Type"] == nil {
-		w.Header()["Content-Type"] = nil // not to be guessed
+		w.Header()["Content-Type"] = nil // keeps net/http from guessing it
 	}
 }
 
-// pause is the advice with the front's own refusals: no longer than clients heed, and spread, as they come in crowds.
+// retryAfter returns the Retry-After time for refusals that the front makes itself. It is random, because such refusals
+// come in bursts, and at most what clients honour.
 func (f *front) retryAfter() time.Duration {
-	most := min(time.Second, f.cfg.Policy.MaxRetryAfter)
-	return most/2 + rand.N(most/2+1)
+	longest := min(time.Second, f.cfg.Policy.MaxRetryAfter)
+	return longest/2 + rand.N(longest/2+1)
 }
 
-// refuse answers that trying again is harmless, best after the pause.
+// writeRefusal answers 503, which tells the client that a retry is safe, with Retry-After if pause is above 0.
 func writeRefusal(w http.ResponseWriter, pause time.Duration) {
 	if pause > 0 {
 		w.Header().Set("Retry-After", strconv.FormatFloat(pause.Seconds(), 'f', 3, 64))
 	}
-	w.Header().Set("Content-Length", "0") // else it has no end before its handler's
+	w.Header().Set("Content-Length", "0") // else the answer would end only when its handler returns
 	w.WriteHeader(http.StatusServiceUnavailable)
 }
 
-// reject answers what is no proper request, at once, and ends the connection: the application does
-// not send such, and whoever does may send more of it, leave its body out or stay.
-func writeRejection(w http.ResponseWriter, why string, status int) {
+// writeRejection answers a malformed request and ends the connection. The application does not send such requests, and
+// another client may continue with more of them, omit the body or stay connected.
+func writeRejection(w http.ResponseWriter, reason string, status int) {
 	w.Header().Set("Connection", "close")
-	http.Error(w, why, status)
+	http.Error(w, reason, status)
 }
 
-// endToEnd copies the headers that are meant for the other end, not for this connection.
+// endToEndHeaders returns a copy of from without the hop-by-hop headers.
 func endToEndHeaders(from http.Header) http.Header {
 	to := make(http.Header, len(from)+2)
 	for name, values := range from {
@@ -427,7 +436,7 @@
 		delete(to, name)
 	}
 	if to["User-Agent"] == nil {
-		to["User-Agent"] = nil // none was given, so none is made up
+		to["User-Agent"] = nil // keeps net/http from adding its own
 	}
 	return to
 }
--- a/internal/sidecar/front_test.go
+++ b/internal/sidecar/front_test.go
@@ -41,7 +41,7 @@
 	}
 }
 
-// What rules bar is refused with a time to come back, and no attempt is made.
+// Requests that the rules bar are refused with Retry-After, and no attempt is made.
 func TestRulesBarServing(t *testing.T) {
 	s := newStub(t, echo)
 	f, side, serve := assembled(t, s.address, nil)
@@ -58,11 +58,11 @@
 		t.Errorf("GET /up: %s", res.Status)
 	}
 	if len(s.requests) > 0 {
-		t.Error("the server had a request that was barred")
+		t.Error("the server received a barred request")
 	}
 }
 
-// Bad input has a plain answer and no attempt.
+// Malformed requests are answered with an error, without an attempt.
 func TestBadInput(t *testing.T) {
 	s := newStub(t, echo)
 	side := startSidecar(t, nil, s.address)
@@ -121,7 +121,7 @@
 	if _, err := io.WriteString(many, strings.Repeat(requestHead("", "Content-Length: 0"), 3)); err != nil {
 		t.Fatal(err)
 	}
-	if answers, _ := io.ReadAll(many); strings.Count(string(answers), "HTTP/1.1 ") != 1 { // a reset behind it is as good as a close
+	if answers, _ := io.ReadAll(many); strings.Count(string(answers), "HTTP/1.1 ") != 1 { // a reset after it counts as a close
 		t.Errorf("three without an id: %q, want one answer and a close", answers)
 	}
 	if res, body := sendRequest(t, side.newRequest(t, "POST", "/entry", strings.Repeat("x", bodyHeld))); res.StatusCode != 200 || body != "done r1" {
@@ -132,7 +132,8 @@
 	}
 }
 
-// Whoever sends without end, or in pieces, is answered with an error or closed, and nothing of it is sent on whole.
+// A client that sends without end or in small pieces is answered with an error or its connection is closed, and no request
+// reaches the upstream.
 func TestFloods(t *testing.T) {
 	s := newStub(t, echo)
 	side := startSidecar(t, nil, s.address)
@@ -199,7 +200,7 @@
 	}
 }
 
-// An unsafe request that may have run has failed; nobody sends it again.
+// An unsafe request that may have run fails and is not sent again.
 func TestUnsafeRequestIsNotRetried(t *testing.T) {
 	s := newStub(t, func(c net.Conn, _ stubRequest) bool {
 		_, err := fmt.Fprint(c, "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n")
@@ -214,9 +215,9 @@
 	}
 }
 
-// A refusal says when to come back, in decimal seconds.
+// A refusal has Retry-After in decimal seconds.
 func TestRetryAfterOfRefusals(t *testing.T) {
-	side := startSidecar(t, nil) // no servers: requests wait for one, as long as that is worth it or the queue has room
+	side := startSidecar(t, nil) // no servers: requests are queued as long as that is useful and the queue has room
 	const requests = 50
 	type got struct {
 		res *http.Response
@@ -246,14 +247,14 @@
 
 func noUpstreamConns() int { return 0 }
 
-// busyClients has no more than the application's share, as upstreams use theirs.
+// newBusyClients returns clients that can't exceed their share of connections, as upstreams use all of theirs.
 func newBusyClients(t *testing.T) *clients {
 	cfg := testConfig(t, listAnswer(1, "ready"), nil)
 	return newClients(cfg, nil, func() int { return cfg.upstreamConnLimit(1) })
 }
 
-// Connections that no request has come on make room, the first of them first, so that the
-// application keeps its own however many strangers connect.
+// Connections on which no request has arrived are closed to make room, oldest first, so that the application keeps its
+// connections however many other clients connect.
 func TestSilentConnectionsMakeRoom(t *testing.T) {
 	l := newBusyClients(t)
 	connect := func() (*clientConn, net.Conn) {
@@ -268,7 +269,7 @@
 	}
 	known, _ := connect()
 	if !l.requestReceived(l.connContext(context.Background(), known)) {
-		t.Fatal("the known connection is not held")
+		t.Fatal("the connection with a request is closed")
 	}
 	var strangers []*clientConn
 	var ends []net.Conn
@@ -279,15 +280,15 @@
 	shed := 2*l.clientShare + 1
 	for i, far := range ends[:shed] {
 		if _, err := far.Read(make([]byte, 1)); err != io.EOF {
-			t.Errorf("stranger %d: error %v, want its connection closed", i, err)
+			t.Errorf("silent connection %d: error %v, want it closed", i, err)
 		}
 	}
 	if l.requestReceived(l.connContext(context.Background(), strangers[0])) {
-		t.Error("a request is taken on a connection that was closed")
+		t.Error("a request was accepted on a closed connection")
 	}
 	for _, k := range append(strangers[shed:], known) {
 		if !l.requestReceived(l.connContext(context.Background(), k)) {
-			t.Error("one of the last, or the known one, is not held")
+			t.Error("one of the last connections, or the one with a request, is closed")
 		}
 	}
 	if len(l.conns) != l.clientShare || l.shedCounts[2] != shed {
@@ -295,8 +296,8 @@
 	}
 }
 
-// Where each connection has a request open, the next ones are refused and closed, so that upstreams
-// stay within reach; past the reserve they are closed at once.
+// If every connection has an open request, further ones are refused and closed, so that descriptors remain for upstream
+// connections; above the reserve they are closed at once.
 func TestConnectionLimit(t *testing.T) {
 	release := make(chan struct{})
 	s := newStub(t, func(c net.Conn, r stubRequest) bool {
@@ -310,7 +311,7 @@
 		settings["orgs"].([]any)[0].(map[string]any)["quota_per_s"] = 10000.0 // slots for all
 	}, s.address)
 	var held []*bufio.Reader
-	for range (32 - 32/4) * 3 / 8 { // a quarter is the process's own
+	for range (32 - 32/4) * 3 / 8 { // a quarter is reserved for the process
 		c := side.dial(t)
 		if _, err := io.WriteString(c, requestHead("held", "Content-Length: 0")); err != nil {
 			t.Fatal(err)
@@ -318,7 +319,7 @@
 		wait(t, "the request", s.requests)
 		held = append(held, bufio.NewReader(c))
 	}
-	for range 3 { // each closes with its refusal and leaves its room to the next
+	for range 3 { // each closes with its refusal, which makes room for the next
 		res, _ := sendRequest(t, side.newRequest(t, "POST", "/entry", "1", "X-Request-ID", "over"))
 		if res.StatusCode != http.StatusServiceUnavailable || !res.Close || len(s.requests) > 0 {
 			t.Errorf("%s, to be closed %v, %d attempts, want 503, closed and none", res.Status, res.Close, len(s.requests))
@@ -333,7 +334,7 @@
 	}
 }
 
-// The listener holds no more connections than its most.
+// The listener never has more connections than its limit.
 func TestConnectionsAreBounded(t *testing.T) {
 	l := newBusyClients(t)
 	var all []*clientConn
@@ -342,7 +343,7 @@
 		t.Cleanup(func() { near.Close(); far.Close() })
 		k := &clientConn{Conn: near}
 		if l.add(k) && !l.requestReceived(l.connContext(context.Background(), k)) {
-			t.Fatal("a connection that has just come in is not held")
+			t.Fatal("a new connection is closed")
 		}
 		all = append(all, k)
 	}
@@ -357,8 +358,8 @@
 	}
 }
 
-// Among upstreams that fail in every way, each request has one answer, and none of the unsafe
-// class reaches an upstream twice unless the first one said that it never ran.
+// With upstreams that fail in various ways, each request has one answer, and an unsafe request runs at most once: it is
+// sent again only if the first server said that it was not processed.
 func TestAmongFailingUpstreams(t *testing.T) {
 	var mu sync.Mutex
 	ran := make(map[string]int)
@@ -423,7 +424,7 @@
 	}
 }
 
-// Over caps.max_open requests are refused without an attempt.
+// Open requests above caps.max_open are refused without an attempt.
 func TestOpenRequestLimit(t *testing.T) {
 	s := newStub(t, neverAnswer)
 	side := startSidecar(t, func(_, settings map[string]any) {
@@ -444,10 +445,10 @@
 	}
 }
 
-// A client that closes its connection calls its request off, as far as the upstream.
+// If a client closes its connection, its request is cancelled and the attempt's upstream connection closed.
 func TestClientCloses(t *testing.T) {
 	s := newStub(t, neverAnswer)
-	side := startSidecar(t, func(_, settings map[string]any) { // no time-out may end the attempt before the test does
+	side := startSidecar(t, func(_, settings map[string]any) { // so that no timeout ends the attempt before the test does
 		look := settings["classes"].([]any)[2].(map[string]any)
 		look["aim_ms"], look["hard_limit_ms"] = 10*testTimeout.Milliseconds(), 20*testTimeout.Milliseconds()
 	}, s.address)
@@ -460,8 +461,8 @@
 	wait(t, "the attempt's connection to close", s.closed)
 }
 
-// After SIGTERM what is held is answered, new connections are served for a while, all of them
-// close, and the sidecar ends by itself. http.Server.Shutdown alone would refuse the newcomers.
+// After a stop begins, open requests are answered, new connections are served for a while, all connections close, and the
+// sidecar exits by itself. http.Server.Shutdown alone would refuse the new connections.
 func TestGracefulStop(t *testing.T) {
 	release := make(chan struct{})
 	s := newStub(t, func(c net.Conn, r stubRequest) bool {
@@ -501,8 +502,8 @@
 	}
 }
 
-// A request that comes on a connection in the very moment in which it is to be closed, as half of its head has been
-// read, is served, and the connection ends with its answer; one that stands idle ends at once.
+// A request of which part of the head has been read when a stop begins is served, and its connection closes with the
+// answer; an idle connection closes at once.
 func TestStopCrossesRequests(t *testing.T) {
 	for name, first := range map[string]string{"kept": "GET /up HTTP/1.1\r\nHost: service.internal\r\n\r\n", "new": ""} {
 		t.Run(name, func(t *testing.T) {
@@ -549,7 +550,8 @@
 	}
 }
 
-// waitRead waits until the other side has read all that was written on a connection, by what the kernel tells of its end.
+// waitUntilRead waits until the other side, which is on this machine, has read everything written to c. It reads the queue
+// lengths from /proc/net/tcp.
 func waitUntilRead(t *testing.T, c net.Conn) {
 	t.Helper()
 	port := func(a net.Addr) string { return fmt.Sprintf("0100007F:%04X", a.(*net.TCPAddr).Port) }
@@ -563,10 +565,10 @@
 			return
 		}
 	}
-	t.Fatal("it is not read")
+	t.Fatal("the data was not read")
 }
 
-// The time of a request that was sent behind another counts from when it came, not from when that one was answered.
+// The timeout of a pipelined request counts from its arrival, not from the answer to the request before it.
 func TestTimeoutOfPipelinedRequest(t *testing.T) {
 	held := make(chan struct{})
 	s := newStub(t, func(c net.Conn, r stubRequest) bool {
@@ -578,7 +580,7 @@
 	side := startSidecar(t, nil, s.address)
 	c := side.dial(t)
 	both := requestHead("1", "Content-Length: 0") + requestHead("2", "Content-Length: 0")
-	if _, err := io.WriteString(c, strings.ReplaceAll(both, "20000m", "5000m")); err != nil { // less than the aim
+	if _, err := io.WriteString(c, strings.ReplaceAll(both, "20000m", "5000m")); err != nil { // shorter than the aim
 		t.Fatal(err)
 	}
 	wait(t, "the first", s.requests)
@@ -588,11 +590,11 @@
 	close(held)
 	told, _ := parseTimeout(wait(t, "the second", s.requests).Header.Get("X-Timeout"))
 	if most := 5*time.Second - waited; told > most {
-		t.Errorf("its attempt tells %v, want %v at most", told, most)
+		t.Errorf("the timeout of its attempt is %v, want at most %v", told, most)
 	}
 }
 
-// A request that comes late behind a stop's signal has no longer than there is until the end.
+// The time of a request that arrives late in a stop is limited to the time until answers are due.
 func TestTimeoutDuringStop(t *testing.T) {
 	for name, c := range map[string]struct {
 		stop          *stopLimits
@@ -609,7 +611,7 @@
 	}
 }
 
-// Bytes left unread behind a last answer do not reset its connection.
+// Unread data after the last request does not cause a reset that destroys the answer.
 func TestCloseOverUnreadBytes(t *testing.T) {
 	s := newStub(t, echo)
 	side := startSidecar(t, nil, s.address)
@@ -622,11 +624,11 @@
 	}
 }
 
-// Whoever connects and sends nothing, or stops halfway through a head or a body, is answered or
-// closed; the connection is not held for longer than a request may take.
+// A client that sends nothing, or only part of a head or a body, is answered with an error or its connection is closed
+// within the time that a request may take.
 func TestSilentPeersAreClosed(t *testing.T) {
 	if s := newFront(testConfig(t, listAnswer(1, "ready"), nil), newClock(), nil, nil).server(); s.ReadHeaderTimeout <= 0 || s.ReadHeaderTimeout >= 3*time.Second {
-		t.Errorf("a head may take %v to come in; peers are owed an end within 3 s", s.ReadHeaderTimeout)
+		t.Errorf("the timeout of a request head is %v; inactive connections must be closed within 3 s", s.ReadHeaderTimeout)
 	}
 	for name, text := range map[string]string{
 		"nothing":          "",
@@ -655,7 +657,7 @@
 	}
 }
 
-// The time to send a request in does not bound the wait for its answer.
+// The read timeout of a request does not limit the wait for its answer.
 func TestReadTimeoutDoesNotBoundAnswer(t *testing.T) {
 	release := make(chan struct{})
 	s := newStub(t, func(c net.Conn, r stubRequest) bool {
@@ -669,7 +671,7 @@
 	}
 	wait(t, "the request", s.requests)
 	silentPeer := side.dial(t)
-	if _, err := io.ReadAll(silentPeer); err != nil { // the time to read is over: one that came later is closed
+	if _, err := io.ReadAll(silentPeer); err != nil { // the read timeout has passed: a connection opened later is closed
 		t.Fatal(err)
 	}
 	close(release)
@@ -680,7 +682,7 @@
 	res.Body.Close()
 }
 
-// A connection that nothing more comes on is closed, and leaves its descriptor to others.
+// An idle connection is closed, which frees its descriptor.
 func TestIdleClientsAreClosed(t *testing.T) {
 	side := startSidecar(t, nil)
 	c := side.dial(t)
