--- a/internal/conf/conf.go
+++ b/internal/conf/conf.go
@@ -39,7 +39,7 @@
 func (d *Duration) UnmarshalText(text []byte) error {
 	v, err := time.ParseDuration(string(text))
 	if err != nil {
-		return fmt.Errorf("%q is no time such as \"250ms\"", text)
+		return fmt.Errorf("%q is not a duration such as \"250ms\"", text)
 	}
 	*d = Duration(v)
 	return nil
@@ -71,11 +71,11 @@
 	return Parse(path, raw, into)
 }
 
-// Parse is Read for the content of a file; errors give name as the file's.
+// Parse is Read for the content of a file; name stands for the file in errors.
 func Parse(name string, raw []byte, into any) error {
 	d := toml.NewDecoder(bytes.NewReader(raw)).DisallowUnknownFields()
 	if err := d.Decode(into); err != nil {
-		return explain(name, err)
+		return describeError(name, err)
 	}
 	lines, err := keyLines(raw)
 	if err != nil {
@@ -90,8 +90,8 @@
 // of tables a is a[0], a[1] and so on.
 func KeyLines(raw []byte) (map[string]int, error) { return keyLines(raw) }
 
-// explain converts an error of the TOML library to one that names the file, the line and the key.
-func explain(name string, err error) error {
+// describeError converts an error of the TOML library to one that names the file, the line and the key.
+func describeError(name string, err error) error {
 	var unknown *toml.StrictMissingError
 	if errors.As(err, &unknown) {
 		var all []error
@@ -119,14 +119,14 @@
 	var p unstable.Parser
 	p.Reset(raw)
 	lines, arrays, table := make(map[string]int), make(map[string]int), ""
-	at, on := 0, 1 // the last offset, and its line; the library would count from the start for each key
+	lastOffset, lastLine := 0, 1 // continues from the last lookup; the library counts from the start each time
 	lineAt := func(offset int) int {
-		if offset < at {
-			at, on = 0, 1
+		if offset < lastOffset {
+			lastOffset, lastLine = 0, 1
 		}
-		on += bytes.Count(raw[at:offset], []byte{'\n'})
-		at = offset
-		return on
+		lastLine += bytes.Count(raw[lastOffset:offset], []byte{'\n'})
+		lastOffset = offset
+		return lastLine
 	}
 	for p.NextExpression() {
 		e := p.Expression()
@@ -272,23 +272,23 @@
 			}
 		}
 	}
-	var at float64
+	var value float64
 	switch v.Kind() {
 	case reflect.Int, reflect.Int64:
-		at = float64(v.Int())
+		value = float64(v.Int())
 	case reflect.Float64:
-		at = v.Float()
+		value = v.Float()
 	default:
 		return
 	}
-	least, most := tag.Get("min"), tag.Get("max")
-	low, errLow := parseNumber(v.Type(), cmp.Or(least, "0"))
-	high, errHigh := parseNumber(v.Type(), cmp.Or(most, "0"))
+	minText, maxText := tag.Get("min"), tag.Get("max")
+	low, errLow := parseNumber(v.Type(), cmp.Or(minText, "0"))
+	high, errHigh := parseNumber(v.Type(), cmp.Or(maxText, "0"))
 	if errLow != nil || errHigh != nil {
 		panic(fmt.Sprintf("conf: bounds of %s: %v", path, errors.Join(errLow, errHigh)))
 	}
-	if least != "" && !(at >= low) || most != "" && !(at <= high) { // written so that NaN is out of bounds
-		c.addError(path, "is %v: %s to %s is allowed", v.Interface(), least, cmp.Or(most, "any"))
+	if minText != "" && !(value >= low) || maxText != "" && !(value <= high) { // written so that NaN is out of bounds
+		c.addError(path, "is %v: %s to %s is allowed", v.Interface(), minText, cmp.Or(maxText, "any"))
 	}
 }
 
@@ -328,8 +328,8 @@
 		kind += ", " + unit
 	}
 	k := Key{Path: path, Kind: kind, Default: f.Tag.Get("default"), Help: f.Tag.Get("help")}
-	if least, most := f.Tag.Get("min"), f.Tag.Get("max"); least+most != "" {
-		k.Bounds = least + " to " + cmp.Or(most, "any")
+	if minText, maxText := f.Tag.Get("min"), f.Tag.Get("max"); minText+maxText != "" {
+		k.Bounds = minText + " to " + cmp.Or(maxText, "any")
 	}
 	if words := f.Tag.Get("oneof"); words != "" {
 		k.Bounds = strings.Join(strings.Fields(words), ", ")
--- a/internal/guard/guard_test.go
+++ b/internal/guard/guard_test.go
@@ -37,11 +37,11 @@
 	keyed := Request{RequestID: "q1", Deadline: 1000 * ms, Effect: balance.Keyed, Window: 300 * ms}
 	for name, c := range map[string]struct {
 		request  Request
-		live     func(l *recordingGuard) error // returns the error of the last operation
+		run      func(l *recordingGuard) error // returns the error of the last operation
 		denied   Invariant                     // -1: nothing was denied
 		violated Invariant                     // -1: nothing was violated
 	}{
-		"an ordinary life": {ordinary, func(l *recordingGuard) error {
+		"an ordinary request": {ordinary, func(l *recordingGuard) error {
 			err := errors.Join(l.PermitSend(1*ms, 1, server), l.PermitWrite(2*ms, 1, server))
 			l.AttemptWritten(2*ms, 2*ms, 1, server)
 			l.AttemptEnded(1*ms, 1, balance.Served)
@@ -50,53 +50,53 @@
 			l.Stop()
 			return err
 		}, -1, -1},
-		"a repeat that never ran": {ordinary, func(l *recordingGuard) error {
+		"a retry of an attempt that never ran": {ordinary, func(l *recordingGuard) error {
 			err := l.PermitSend(1*ms, 1, server)
 			l.AttemptEnded(1*ms, 1, balance.TurnedAway)
 			return errors.Join(err, l.PermitSend(2*ms, 1, server))
 		}, -1, -1},
-		"a repeat that may have run": {ordinary, func(l *recordingGuard) error {
+		"a retry of an attempt that may have run": {ordinary, func(l *recordingGuard) error {
 			_ = l.PermitSend(1*ms, 1, server)
 			l.AttemptEnded(1*ms, 1, balance.Broken)
 			return l.PermitSend(2*ms, 1, server)
 		}, RepeatAllowed, RepeatAllowed},
-		"a keyed repeat within its window": {keyed, func(l *recordingGuard) error {
+		"a keyed retry within its window": {keyed, func(l *recordingGuard) error {
 			_ = l.PermitSend(1*ms, 1, server)
 			l.AttemptEnded(1*ms, 1, balance.Broken)
 			return l.PermitSend(300*ms, 1, server)
 		}, -1, -1},
-		"a keyed repeat behind its window": {keyed, func(l *recordingGuard) error {
+		"a keyed retry after its window": {keyed, func(l *recordingGuard) error {
 			_ = l.PermitSend(1*ms, 1, server)
 			l.AttemptEnded(1*ms, 1, balance.Broken)
 			return l.PermitSend(301*ms, 1, server)
 		}, RepeatAllowed, RepeatAllowed},
-		"a keyed repeat whose window ends as it connects": {keyed, func(l *recordingGuard) error {
+		"a keyed retry whose window ends as it connects": {keyed, func(l *recordingGuard) error {
 			_ = l.PermitSend(1*ms, 1, server)
 			l.AttemptEnded(1*ms, 1, balance.Broken)
 			_ = l.PermitSend(300*ms, 1, server)
 			return l.PermitWrite(301*ms, 1, server)
 		}, RepeatAllowed, -1},
-		"a keyed repeat that goes out behind its window": {keyed, func(l *recordingGuard) error {
+		"a keyed retry that goes out after its window": {keyed, func(l *recordingGuard) error {
 			_ = l.PermitSend(1*ms, 1, server)
 			l.AttemptEnded(1*ms, 1, balance.Broken)
 			l.AttemptWritten(300*ms, 301*ms, 1, server)
 			return nil
 		}, -1, RepeatAllowed},
-		"a send within a drain's grace": {ordinary, func(l *recordingGuard) error {
+		"a send within the drain grace": {ordinary, func(l *recordingGuard) error {
 			l.SetServerState(1*ms, server, balance.Draining)
 			return l.PermitSend(101*ms, 1, server)
 		}, -1, -1},
-		"a send behind a drain's grace": {ordinary, func(l *recordingGuard) error {
+		"a send after the drain grace": {ordinary, func(l *recordingGuard) error {
 			l.SetServerState(1*ms, server, balance.Draining)
 			l.SetServerState(50*ms, server, balance.Draining) // repeated: counts from the first time
 			return l.PermitSend(102*ms, 1, server)
 		}, SentToListed, SentToListed},
-		"a write behind a drain's grace": {ordinary, func(l *recordingGuard) error {
+		"a write after the drain grace": {ordinary, func(l *recordingGuard) error {
 			_ = l.PermitSend(1*ms, 1, server)
 			l.SetServerState(1*ms, server, balance.Draining)
 			return l.PermitWrite(102*ms, 1, server)
 		}, SentToListed, -1},
-		"written behind a drain's grace": {ordinary, func(l *recordingGuard) error {
+		"written after the drain grace": {ordinary, func(l *recordingGuard) error {
 			_ = l.PermitSend(1*ms, 1, server)
 			l.SetServerState(1*ms, server, balance.Draining)
 			l.AttemptWritten(152*ms, 153*ms, 1, server)
@@ -111,42 +111,42 @@
 			_ = l.PermitSend(1*ms, 1, server)
 			return l.PermitSend(2*ms, 1, server)
 		}, RepeatAllowed, RepeatAllowed},
-		"a send behind the deadline": {ordinary, func(l *recordingGuard) error { return l.PermitSend(1000*ms, 1, server) }, SentInTime, -1},
-		"a write behind the deadline": {ordinary, func(l *recordingGuard) error {
+		"a send after the deadline": {ordinary, func(l *recordingGuard) error { return l.PermitSend(1000*ms, 1, server) }, SentInTime, -1},
+		"a write after the deadline": {ordinary, func(l *recordingGuard) error {
 			_ = l.PermitSend(1*ms, 1, server)
 			return l.PermitWrite(1000*ms, 1, server)
 		}, SentInTime, -1},
-		"a write while the body comes": {Request{RequestID: "q1", BodyPending: true}, func(l *recordingGuard) error { return l.PermitWrite(1000*ms, 1, server) }, -1, -1},
-		"a write behind the answer":    {ordinary, func(l *recordingGuard) error { _ = l.PermitAnswer(1*ms, 1); return l.PermitWrite(2*ms, 1, server) }, SentWhileOpen, -1},
-		"a write behind the leaving":   {ordinary, func(l *recordingGuard) error { l.ClientLeft(1*ms, 1); return l.PermitWrite(2*ms, 1, server) }, SentWhileOpen, -1},
-		"written just behind the leaving": {ordinary, func(l *recordingGuard) error {
+		"a write while the body arrives": {Request{RequestID: "q1", BodyPending: true}, func(l *recordingGuard) error { return l.PermitWrite(1000*ms, 1, server) }, -1, -1},
+		"a write after the answer":       {ordinary, func(l *recordingGuard) error { _ = l.PermitAnswer(1*ms, 1); return l.PermitWrite(2*ms, 1, server) }, SentWhileOpen, -1},
+		"a write after the client left":  {ordinary, func(l *recordingGuard) error { l.ClientLeft(1*ms, 1); return l.PermitWrite(2*ms, 1, server) }, SentWhileOpen, -1},
+		"written just after the client left": {ordinary, func(l *recordingGuard) error {
 			l.ClientLeft(1*ms, 1)
 			l.AttemptWritten(251*ms, 252*ms, 1, server)
 			return nil
 		}, -1, -1},
-		"written long behind the leaving": {ordinary, func(l *recordingGuard) error {
+		"written long after the client left": {ordinary, func(l *recordingGuard) error {
 			l.ClientLeft(1*ms, 1)
 			l.AttemptWritten(252*ms, 253*ms, 1, server)
 			return nil
 		}, -1, SentWhileOpen},
-		"written for nobody": {ordinary, func(l *recordingGuard) error { l.AttemptWritten(1*ms, 1*ms, 2, server); return nil }, -1, SentWhileOpen},
-		"two answers":        {ordinary, func(l *recordingGuard) error { _ = l.PermitAnswer(1*ms, 1); return l.PermitAnswer(2*ms, 1) }, AnsweredOnce, AnsweredOnce},
-		"an answer that crosses the leaving": {ordinary, func(l *recordingGuard) error {
+		"written for an unknown request": {ordinary, func(l *recordingGuard) error { l.AttemptWritten(1*ms, 1*ms, 2, server); return nil }, -1, SentWhileOpen},
+		"two answers":                    {ordinary, func(l *recordingGuard) error { _ = l.PermitAnswer(1*ms, 1); return l.PermitAnswer(2*ms, 1) }, AnsweredOnce, AnsweredOnce},
+		"an answer that crosses the client's leaving": {ordinary, func(l *recordingGuard) error {
 			l.ClientLeft(1*ms, 1)
 			l.HandlerEnded(2*ms, 1, false)
 			return l.PermitAnswer(3*ms, 1)
 		}, ClosedAfter, -1},
-		"an answer just in time":         {ordinary, func(l *recordingGuard) error { return l.PermitAnswer(1500*ms, 1) }, -1, -1},
-		"an answer too late":             {ordinary, func(l *recordingGuard) error { return l.PermitAnswer(1501*ms, 1) }, -1, AnsweredSoon},
-		"closed with no answer":          {ordinary, func(l *recordingGuard) error { l.HandlerEnded(1*ms, 1, false); return nil }, -1, ClosedAfter},
-		"closed by the client":           {ordinary, func(l *recordingGuard) error { l.ClientLeft(1*ms, 1); l.HandlerEnded(1*ms, 1, false); return nil }, -1, -1},
-		"closed as its answer broke off": {ordinary, func(l *recordingGuard) error { l.HandlerEnded(1*ms, 1, true); return nil }, -1, -1},
-		"held at the end":                {ordinary, func(l *recordingGuard) error { l.Stop(); return nil }, -1, ClosedAfter},
-		"taken twice":                    {ordinary, func(l *recordingGuard) error { l.Admit(1, ordinary); return nil }, -1, Started},
+		"an answer just in time":             {ordinary, func(l *recordingGuard) error { return l.PermitAnswer(1500*ms, 1) }, -1, -1},
+		"an answer too late":                 {ordinary, func(l *recordingGuard) error { return l.PermitAnswer(1501*ms, 1) }, -1, AnsweredSoon},
+		"closed with no answer":              {ordinary, func(l *recordingGuard) error { l.HandlerEnded(1*ms, 1, false); return nil }, -1, ClosedAfter},
+		"closed by the client":               {ordinary, func(l *recordingGuard) error { l.ClientLeft(1*ms, 1); l.HandlerEnded(1*ms, 1, false); return nil }, -1, -1},
+		"closed as its answer was cut short": {ordinary, func(l *recordingGuard) error { l.HandlerEnded(1*ms, 1, true); return nil }, -1, -1},
+		"open at the end":                    {ordinary, func(l *recordingGuard) error { l.Stop(); return nil }, -1, ClosedAfter},
+		"admitted twice":                     {ordinary, func(l *recordingGuard) error { l.Admit(1, ordinary); return nil }, -1, Started},
 	} {
 		t.Run(name, func(t *testing.T) {
 			l := guardWithRequest(c.request)
-			err := c.live(l)
+			err := c.run(l)
 			var denied DeniedError
 			if got := errors.As(err, &denied); got != (c.denied >= 0) || got && denied.Invariant != c.denied {
 				t.Errorf("denied: %v, want rule %d", err, c.denied)
--- a/internal/listener/conn.go
+++ b/internal/listener/conn.go
@@ -28,6 +28,7 @@
 	registerTimeout time.Duration        // for the registration of a connection
 }
 
+// defaultOptions returns the options outside tests.
 func defaultOptions() options { return options{checkRegistered, registerTimeout} }
 
 // Conn is an accepted connection. It owns its descriptor from the start. If the network poller has refused the descriptor,
@@ -45,12 +46,13 @@
 	registerMu sync.Mutex
 }
 
-// socket owns a descriptor.
+// socket owns a socket's descriptor.
 type socket struct {
 	*os.File
 	raw syscall.RawConn
 }
 
+// newSocket returns a socket that owns the descriptor fd.
 func newSocket(fd int) *socket {
 	file := os.NewFile(uintptr(fd), "client")
 	raw, err := file.SyscallConn()
@@ -174,6 +176,7 @@
 	return c.setDeadline((*os.File).SetWriteDeadline, t)
 }
 
+// setDeadline registers the connection if necessary and calls deadline with its file and t.
 func (c *Conn) setDeadline(deadline func(*os.File, time.Time) error, t time.Time) error {
 	if err := c.register(); err != nil {
 		return err
--- a/internal/listener/listener.go
+++ b/internal/listener/listener.go
@@ -23,7 +23,7 @@
 const pollAttempts = 3
 
 // ErrUnregistered is returned if a socket could not be registered with the network poller. It may be transient.
-var ErrUnregistered = errors.New("the network poller has not taken the socket")
+var ErrUnregistered = errors.New("the socket is not registered with the network poller")
 
 // Listener is a TCP listener. Its methods are safe for concurrent use.
 type Listener struct {
--- a/internal/sidecar/clients_test.go
+++ b/internal/sidecar/clients_test.go
@@ -39,13 +39,13 @@
 		{"open request", time.Hour, time.Hour, true, http.StateActive},
 		{"first request read", time.Hour, time.Hour, false, http.StateNew},
 		{"next request read", time.Hour, time.Hour, true, http.StateIdle},
-		{"half a next request", 1500 * time.Millisecond, 1500 * time.Millisecond, true, http.StateIdle},
-		{"slow, goes on", 2 * time.Second, 50 * time.Millisecond, false, http.StateNew},
-		{"half a request", time.Second, time.Second, false, http.StateActive},
+		{"partial next request", 1500 * time.Millisecond, 1500 * time.Millisecond, true, http.StateIdle},
+		{"slow, still sending", 2 * time.Second, 50 * time.Millisecond, false, http.StateNew},
+		{"partial request", time.Second, time.Second, false, http.StateActive},
 		{"idle, newer", time.Second, time.Second, true, http.StateIdle},
 		{"idle", 2 * time.Second, time.Second, true, http.StateIdle},
 		{"silent", time.Second, 0, false, http.StateNew},
-		{"just come", 0, 0, false, http.StateNew},
+		{"just accepted", 0, 0, false, http.StateNew},
 	} {
 		near, far := net.Pipe()
 		t.Cleanup(func() { near.Close(); far.Close() })
@@ -71,7 +71,7 @@
 			}
 		}
 	}
-	want := []string{"silent", "idle", "idle, newer", "half a next request", "half a request", "slow, goes on", "just come"}
+	want := []string{"silent", "idle", "idle, newer", "partial next request", "partial request", "slow, still sending", "just accepted"}
 	if !slices.Equal(order, want) {
 		t.Errorf("closed in the order %q, want %q", order, want)
 	}
@@ -93,11 +93,11 @@
 		all = append(all, k)
 	}
 	if n := len(l.conns); n <= l.clientShare || n+upstreams > cfg.totalConnLimit(1) {
-		t.Errorf("%d held beside %d upstreams, want more than %d and %d together at most", n, upstreams, l.clientShare, cfg.totalConnLimit(1))
+		t.Errorf("%d held with %d upstreams, want more than %d, and at most %d together", n, upstreams, l.clientShare, cfg.totalConnLimit(1))
 	}
 	for ; upstreams < cfg.upstreamConnLimit(1); upstreams++ {
 		if !l.makeRoomForUpstream(upstreams) || len(l.conns)+upstreams >= cfg.totalConnLimit(1) {
-			t.Fatalf("%d held beside %d upstreams and one to come", len(l.conns), upstreams)
+			t.Fatalf("%d held with %d upstreams and one more to come", len(l.conns), upstreams)
 		}
 	}
 	for _, k := range all {
@@ -199,7 +199,7 @@
 			time.Sleep(time.Second) // the connection sends nothing
 			_, err := l.acceptRetrying()
 			if late := time.Since(none.until); !errors.Is(err, net.ErrClosed) || late < 0 || late > 10*time.Millisecond || none.calls > 1000 {
-				t.Errorf("%v: error %v %v behind the last failure, %d calls", failure, err, late, none.calls)
+				t.Errorf("%v: error %v %v after the last failure, %d calls", failure, err, late, none.calls)
 			}
 			if len(l.conns) > 0 {
 				t.Error("the silent connection was not closed")
@@ -268,7 +268,7 @@
 	if err := child.Start(); err != nil {
 		t.Fatal(err)
 	}
-	listens, scarcity := make(chan string, 10), make(chan string, 1000)
+	listens, shortages := make(chan string, 10), make(chan string, 1000)
 	read := make(chan struct{})
 	go func() {
 		defer close(read)
@@ -277,7 +277,7 @@
 				listens <- m[1]
 			}
 			if strings.Contains(in.Text(), "too many open files") {
-				scarcity <- in.Text()
+				shortages <- in.Text()
 			}
 		}
 	}()
@@ -295,7 +295,7 @@
 		}
 		return len(all)
 	}
-	crowd := make(chan struct{}, 1)
+	reconnects := make(chan struct{}, 1)
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
 	for i := range 2 * sockets {
@@ -313,13 +313,13 @@
 				off()
 				c.Close()
 				select {
-				case crowd <- struct{}{}:
+				case reconnects <- struct{}{}:
 				default:
 				}
 			}
 		}()
 	}
-	wait(t, "one of the crowd to be closed", crowd)
+	wait(t, "an idle client to be closed", reconnects)
 	served := func(id string, at *stub) {
 		t.Helper()
 		for end := time.Now().Add(testTimeout); time.Now().Before(end); time.Sleep(time.Millisecond) {
@@ -329,23 +329,23 @@
 			}
 			res.Body.Close()
 			if res.StatusCode == http.StatusOK && len(at.requests) > 0 {
-				wait(t, "it", at.requests)
+				wait(t, "the request at its server", at.requests)
 				return
 			}
 		}
 		t.Fatalf("request %s was not served", id)
 	}
-	most := 0
+	maxHeld := 0
 	for i := range 20 {
 		served(fmt.Sprint(i), s)
-		most = max(most, held())
+		maxHeld = max(maxHeld, held())
 	}
 	if got := side.callConsole(t, "show-stat\n"); !strings.Contains(got, "app.members=1\n") {
 		t.Errorf("figures %q, want one member", got)
 	}
 	up.Store(true)
 	served("later", later)
-	eventually(t, "it to be kept", func() bool {
+	eventually(t, "the list to be saved", func() bool {
 		found := false
 		_ = filepath.WalkDir(state, func(path string, e os.DirEntry, err error) error {
 			if text, err := os.ReadFile(path); err == nil && strings.Contains(string(text), "s-later") {
@@ -355,12 +355,12 @@
 		})
 		return found
 	})
-	if len(scarcity) > 0 {
-		t.Errorf("%d lines such as %q", len(scarcity), <-scarcity)
+	if len(shortages) > 0 {
+		t.Errorf("%d lines such as %q", len(shortages), <-shortages)
 	}
-	t.Logf("%d descriptors of %d at most", most, sockets)
-	if most > sockets {
-		t.Errorf("%d descriptors of %d", most, sockets)
+	t.Logf("%d descriptors of %d at most", maxHeld, sockets)
+	if maxHeld > sockets {
+		t.Errorf("%d descriptors of %d", maxHeld, sockets)
 	}
 }
 
@@ -492,10 +492,10 @@
 	}
 	l := newClients(testConfig(t, listAnswer(1, "ready"), nil), inner, noUpstreamConns)
 	defer l.Close()
-	var looks atomic.Int64
+	var reads atomic.Int64
 	first := make(chan struct{})
 	l.readFD = func(int, []byte) (int, error) {
-		if looks.Add(1) == 1 {
+		if reads.Add(1) == 1 {
 			close(first)
 		}
 		return 0, syscall.ENOMEM
@@ -510,14 +510,14 @@
 		_, err := near.Read(make([]byte, 10))
 		read <- err
 	}()
-	wait(t, "the first look", first)
+	wait(t, "the first read", first)
 	if !near.(*clientConn).closeUnlessServing(false) {
 		t.Error("the connection was not closed")
 	}
-	if n := looks.Load(); n > maxTransientRetries/2 {
+	if n := reads.Load(); n > maxTransientRetries/2 {
 		t.Errorf("the close waited for %d reads", n)
 	}
-	if err := wait(t, "the end of its read", read); !errors.Is(err, net.ErrClosed) {
+	if err := wait(t, "its read to end", read); !errors.Is(err, net.ErrClosed) {
 		t.Errorf("its read ended with %v, want %v", err, net.ErrClosed)
 	}
 }
--- a/internal/sidecar/framing_test.go
+++ b/internal/sidecar/framing_test.go
@@ -122,7 +122,7 @@
 			passed, failed, rest = passed+n, err != nil, rest[len(part):]
 		}
 		if end := len(good + bad); !failed || passed < len(good) || passed >= end {
-			t.Errorf("in pieces of %d: failed %v after %d bytes, want behind %d and before %d", size, failed, passed, len(good), end)
+			t.Errorf("in pieces of %d: failed %v after %d bytes, want after %d and before %d", size, failed, passed, len(good), end)
 		}
 	}
 }
--- a/internal/sidecar/front_test.go
+++ b/internal/sidecar/front_test.go
@@ -83,9 +83,9 @@
 		"unknown tenant":    {400, side.newRequest(t, "GET", "/look", "", "X-Tenant-Id", "east")},
 		"no time":           {400, side.newRequest(t, "GET", "/look", "", "X-Timeout", "")},
 		"time of no unit":   {400, side.newRequest(t, "GET", "/look", "", "X-Timeout", "480")},
-		"time that is none": {400, side.newRequest(t, "GET", "/look", "", "X-Timeout", "NaNm")},
+		"time is no number": {400, side.newRequest(t, "GET", "/look", "", "X-Timeout", "NaNm")},
 		"time below 0":      {400, side.newRequest(t, "GET", "/look", "", "X-Timeout", "-5m")},
-		"time is up":        {503, side.newRequest(t, "GET", "/look", "", "X-Timeout", "0m")},
+		"no time left":      {503, side.newRequest(t, "GET", "/look", "", "X-Timeout", "0m")},
 		"bad cost":          {400, side.newRequest(t, "GET", "/look", "", "X-Cost", "cheap")},
 		"safe with a body":  {400, side.newRequest(t, "GET", "/look", "1")},
 		"two ids":           {400, twice("X-Request-Id")},
@@ -142,15 +142,15 @@
 		begin, more string
 		times       int
 	}{
-		"a line without end":      {"GET /", strings.Repeat("x", 4096), 256},
-		"headers without end":     {"GET /look HTTP/1.1\r\nHost: service.internal\r\n", strings.Repeat("X-A: b\r\n", 512), 256},
-		"blank lines without end": {"", strings.Repeat("\r\n", 2048), 256},
-		"60 MB announced":         {requestHead("1", "Content-Length: 60000000"), string(long(60000)), 1000},
-		"60 MB in chunks":         {requestHead("1", "Transfer-Encoding: chunked"), chunk, 960},
-		"60 MB for nobody":        {"POST /nothing HTTP/1.1\r\nHost: service.internal\r\nContent-Length: 60000000\r\n\r\n", string(long(60000)), 1000},
-		"a chunk without end":     {requestHead("1", "Transfer-Encoding: chunked") + "fffffffffffffff\r\n", string(long(1 << 16)), 960},
-		"a chunk of no size":      {requestHead("1", "Transfer-Encoding: chunked") + "g\r\n", "x", 1},
-		"a bad one in pieces":     {"", strings.Replace(requestHead("1", "Content-Length: 0"), "X-Timeout", "X-Time", 1), 0},
+		"a line without end":               {"GET /", strings.Repeat("x", 4096), 256},
+		"headers without end":              {"GET /look HTTP/1.1\r\nHost: service.internal\r\n", strings.Repeat("X-A: b\r\n", 512), 256},
+		"blank lines without end":          {"", strings.Repeat("\r\n", 2048), 256},
+		"60 MB announced":                  {requestHead("1", "Content-Length: 60000000"), string(long(60000)), 1000},
+		"60 MB in chunks":                  {requestHead("1", "Transfer-Encoding: chunked"), chunk, 960},
+		"60 MB for an unknown class":       {"POST /nothing HTTP/1.1\r\nHost: service.internal\r\nContent-Length: 60000000\r\n\r\n", string(long(60000)), 1000},
+		"a chunk without end":              {requestHead("1", "Transfer-Encoding: chunked") + "fffffffffffffff\r\n", string(long(1 << 16)), 960},
+		"a chunk without a size":           {requestHead("1", "Transfer-Encoding: chunked") + "g\r\n", "x", 1},
+		"a malformed request byte by byte": {"", strings.Replace(requestHead("1", "Content-Length: 0"), "X-Timeout", "X-Time", 1), 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -267,15 +267,15 @@
 		}
 		return k, far
 	}
-	known, _ := connect()
-	if !l.requestReceived(l.connContext(context.Background(), known)) {
+	used, _ := connect()
+	if !l.requestReceived(l.connContext(context.Background(), used)) {
 		t.Fatal("the connection with a request is closed")
 	}
-	var strangers []*clientConn
+	var silent []*clientConn
 	var ends []net.Conn
 	for range 3 * l.clientShare {
 		k, far := connect()
-		strangers, ends = append(strangers, k), append(ends, far)
+		silent, ends = append(silent, k), append(ends, far)
 	}
 	shed := 2*l.clientShare + 1
 	for i, far := range ends[:shed] {
@@ -283,10 +283,10 @@
 			t.Errorf("silent connection %d: error %v, want it closed", i, err)
 		}
 	}
-	if l.requestReceived(l.connContext(context.Background(), strangers[0])) {
+	if l.requestReceived(l.connContext(context.Background(), silent[0])) {
 		t.Error("a request was accepted on a closed connection")
 	}
-	for _, k := range append(strangers[shed:], known) {
+	for _, k := range append(silent[shed:], used) {
 		if !l.requestReceived(l.connContext(context.Background(), k)) {
 			t.Error("one of the last connections, or the one with a request, is closed")
 		}
@@ -588,9 +588,9 @@
 	const waited = 30 * time.Millisecond
 	time.Sleep(waited)
 	close(held)
-	told, _ := parseTimeout(wait(t, "the second", s.requests).Header.Get("X-Timeout"))
-	if most := 5*time.Second - waited; told > most {
-		t.Errorf("the timeout of its attempt is %v, want at most %v", told, most)
+	timeout, _ := parseTimeout(wait(t, "the second", s.requests).Header.Get("X-Timeout"))
+	if limit := 5*time.Second - waited; timeout > limit {
+		t.Errorf("the timeout of its attempt is %v, want at most %v", timeout, limit)
 	}
 }
 
--- a/internal/sidecar/peers_test.go
+++ b/internal/sidecar/peers_test.go
@@ -30,14 +30,14 @@
 		want   balance.Fleet
 		ok     bool
 	}{
-		"off":                        {false, func(*member.View) {}, balance.Fleet{}, bare, true},
-		"on":                         {true, func(*member.View) {}, balance.Fleet{}, all, true},
-		"starved":                    {true, func(v *member.View) { v.Starved = true }, all, balance.Fleet{}, false},
-		"alone so far":               {true, func(v *member.View) { v.Standing = member.Alone }, balance.Fleet{}, balance.Fleet{}, false},
-		"its name is another's":      {true, func(v *member.View) { v.Standing = member.Conflict }, all, none, true},
-		"and that has been told":     {true, func(v *member.View) { v.Standing = member.Conflict }, none, balance.Fleet{}, false},
-		"a later process came":       {true, func(v *member.View) { v.Standing = member.Replaced }, all, none, true},
-		"off, its name is another's": {false, func(v *member.View) { v.Standing = member.Conflict }, bare, balance.Fleet{}, false},
+		"off":                                {false, func(*member.View) {}, balance.Fleet{}, bare, true},
+		"on":                                 {true, func(*member.View) {}, balance.Fleet{}, all, true},
+		"starved":                            {true, func(v *member.View) { v.Starved = true }, all, balance.Fleet{}, false},
+		"not joined yet":                     {true, func(v *member.View) { v.Standing = member.Alone }, balance.Fleet{}, balance.Fleet{}, false},
+		"name taken by another process":      {true, func(v *member.View) { v.Standing = member.Conflict }, all, none, true},
+		"name taken, already passed on":      {true, func(v *member.View) { v.Standing = member.Conflict }, none, balance.Fleet{}, false},
+		"replaced by a later process":        {true, func(v *member.View) { v.Standing = member.Replaced }, all, none, true},
+		"off, name taken by another process": {false, func(v *member.View) { v.Standing = member.Conflict }, bare, balance.Fleet{}, false},
 	} {
 		cfg := &Config{Fleet: &fleet.File{Spread: fleet.Spread{Share: c.share}}, Zones: map[string]int{"za": 0, "zb": 1}}
 		v := seen
--- a/internal/sidecar/size_test.go
+++ b/internal/sidecar/size_test.go
@@ -41,11 +41,11 @@
 }
 
 // heapGrowth returns how many bytes of heap the result of build occupies.
-func heapGrowth(make func() any) float64 {
+func heapGrowth(build func() any) float64 {
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
-	kept := make()
+	kept := build()
 	runtime.GC()
 	runtime.ReadMemStats(&after)
 	runtime.KeepAlive(kept)
