--- a/internal/conf/conf.go
+++ b/internal/conf/conf.go
@@ -1,7 +1,7 @@
 // Package conf reads TOML files into structs, strictly: an unknown key, a value of the wrong type and a value out of
-// bounds are errors that name the file, the line and the key, and such a file is rejected as a whole. A key that the file
-// omits has its default. The tags of a struct are the only description of its keys, so that the reader, the effective
-// configuration and the page that lists the keys can't differ:
+// bounds are errors that name the file, the line and the key, and such a file is rejected as a whole. A key that the
+// file omits has its default. The tags of a struct are the only description of its keys, so that the reader, the
+// effective configuration and the page that lists the keys can't differ:
 //
 //	toml     the key
 //	default  the value if the file has none; without this tag the zero value
@@ -86,8 +86,8 @@
 	return errors.Join(c.errs...)
 }
 
-// KeyLines returns the line number of each key of a file, for callers that check more than Parse does. An entry of an array
-// of tables a is a[0], a[1] and so on.
+// KeyLines returns the line number of each key of a file, for callers that check more than Parse does. An entry of an
+// array of tables a is a[0], a[1] and so on.
 func KeyLines(raw []byte) (map[string]int, error) { return keyLines(raw) }
 
 // describeError converts an error of the TOML library to one that names the file, the line and the key.
--- a/internal/conf/conf_test.go
+++ b/internal/conf/conf_test.go
@@ -6,6 +6,7 @@
 	"time"
 )
 
+// sample has a field of each kind that tags describe.
 type sample struct {
 	Name  string   `toml:"name" need:"yes"`
 	Wait  Duration `toml:"wait" default:"250ms" min:"1ms" max:"1m"`
@@ -24,6 +25,7 @@
 	Size int      `toml:"size" min:"0" max:"5"`
 }
 
+// Given values and defaults are read, and what Write writes can be read again.
 func TestDefaultsAndValues(t *testing.T) {
 	var s sample
 	err := Parse("f", []byte("name='x'\nshare=0.25\n[[part]]\nkind='a'\n[[part]]\nkind='b'\nfor='2s'\n[routes]\nn1='1:2'\n"), &s)
@@ -72,6 +74,7 @@
 	}
 }
 
+// Parse does not panic, and accepts no file without the required key.
 func FuzzParse(f *testing.F) {
 	f.Add([]byte("name='x'\n[[part]]\nkind='a'\n[routes]\na.b='c'\n\"q u\"=''\n"))
 	f.Fuzz(func(t *testing.T, raw []byte) {
--- a/internal/guard/guard.go
+++ b/internal/guard/guard.go
@@ -1,7 +1,7 @@
-// Package guard checks the invariants of a request's life in one place: each admission, attempt, retry, answer and close of
-// a sidecar is reported to a Guard. The Guard permits or denies what is about to be done, and counts as a violation what
-// has been done against an invariant. It has no sockets and no clock: its callers tell it what happens and when. Times are
-// those of the caller's clock.
+// Package guard checks the invariants of a request's life in one place: each admission, attempt, retry, answer and
+// close of a sidecar is reported to a Guard. The Guard permits or denies what is about to be done, and counts as a
+// violation what has been done against an invariant. It has no sockets and no clock: its callers tell it what happens
+// and when. Times are those of the caller's clock.
 //
 // A denial is the result of an ordinary race, such as a client that disconnects while its attempt connects. A violation
 // is a fault of this program, or the effect of a machine that stalled.
@@ -41,8 +41,8 @@
 func (r Invariant) String() string { return invariantNames[r] }
 
 const (
-	// ClientLeftSlack is how long after its client has left an attempt may begin without a violation: 0.1 s that operators
-	// allow, and 0.15 s for a stall of the process between its check and its write.
+	// ClientLeftSlack is how long after its client has left an attempt may begin without a violation: 0.1 s that
+	// operators allow, and 0.15 s for a stall of the process between its check and its write.
 	ClientLeftSlack = 250 * time.Millisecond
 	// AnswerSlack is how long after the deadline operators allow a final answer to be given.
 	AnswerSlack = 500 * time.Millisecond
@@ -57,6 +57,7 @@
 // DeniedError is the error of an operation that an invariant does not permit.
 type DeniedError struct{ Invariant Invariant }
 
+// Error implements error.
 func (d DeniedError) Error() string { return "not permitted: " + d.Invariant.String() }
 
 // Violation is one violation of an invariant.
@@ -109,8 +110,8 @@
 	lastSweep time.Duration // when expired entries of notReady were last removed
 }
 
-// New returns a Guard. It calls report for each violation; report must not call the Guard. drainGrace is how long a server
-// may still be sent to after it was listed as draining or gone; 0 means for ever.
+// New returns a Guard. It calls report for each violation; report must not call the Guard. drainGrace is how long a
+// server may still be sent to after it was listed as draining or gone; 0 means for ever.
 func New(report func(Violation), drainGrace time.Duration) *Guard {
 	return &Guard{report: report, drainGrace: drainGrace, requests: make(map[balance.RequestID]*requestState), notReady: make(map[string]notReadyServer)}
 }
@@ -128,7 +129,8 @@
 	g.requests[id] = &requestState{Request: r}
 }
 
-// BodyEnded records that a request's body has arrived whole, and sets the deadline, which depends on that moment.
+// BodyEnded records that the last byte of a request's body has been sent on, and sets the request's deadline, which
+// counts from then.
 func (g *Guard) BodyEnded(id balance.RequestID, deadline time.Duration) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -137,7 +139,8 @@
 	}
 }
 
-// SetServerState records the listed state of the server at an address. A state that is repeated counts from the first time.
+// SetServerState records the listed state of the server at an address. A state that is repeated counts from the first
+// time.
 func (g *Guard) SetServerState(now time.Duration, address string, state balance.State) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -157,8 +160,8 @@
 	g.notReady[address] = o
 }
 
-// PermitSend returns nil if an attempt, the first or a retry, may be started at the server at an address. The caller has to
-// call AttemptEnded for each permitted attempt.
+// PermitSend returns nil if an attempt, the first or a retry, may be started at the server at an address. The caller
+// has to call AttemptEnded for each permitted attempt.
 func (g *Guard) PermitSend(now time.Duration, id balance.RequestID, address string) error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -195,8 +198,8 @@
 	return nil
 }
 
-// notReadyFor returns how long the server at an address has been listed as draining or gone; 0 if it is ready or there is no
-// drain grace.
+// notReadyFor returns how long the server at an address has been listed as draining or gone; 0 if it is ready or
+// there is no drain grace.
 func (g *Guard) notReadyFor(now time.Duration, address string) time.Duration {
 	o, found := g.notReady[address]
 	if !found || g.drainGrace == 0 {
@@ -205,8 +208,8 @@
 	return now - o.since
 }
 
-// sendDenied returns the invariant, if any, that forbids sending anything for a request. ready is whether the sidecar is
-// ready. s may be nil.
+// sendDenied returns the invariant, if any, that forbids sending anything for a request. ready is whether the sidecar
+// is ready. s may be nil.
 func (s *requestState) sendDenied(now time.Duration, ready bool) (Invariant, bool) {
 	switch {
 	case !ready:
--- a/internal/guard/guard_test.go
+++ b/internal/guard/guard_test.go
@@ -23,6 +23,7 @@
 	reported []Violation
 }
 
+// guardWithRequest returns a Guard that is ready and has admitted r as request 1.
 func guardWithRequest(r Request) *recordingGuard {
 	l := new(recordingGuard)
 	l.Guard = New(func(v Violation) { l.reported = append(l.reported, v) }, grace)
--- a/internal/listener/conn.go
+++ b/internal/listener/conn.go
@@ -31,8 +31,9 @@
 // defaultOptions returns the options outside tests.
 func defaultOptions() options { return options{checkRegistered, registerTimeout} }
 
-// Conn is an accepted connection. It owns its descriptor from the start. If the network poller has refused the descriptor,
-// the first read, write or setting of a deadline retries the registration with a duplicate of it, for up to registerTimeout.
+// Conn is an accepted connection. It owns its descriptor from the start. If the network poller has refused the
+// descriptor, the first read, write or setting of a deadline retries the registration with a duplicate of it, for up
+// to registerTimeout.
 type Conn struct {
 	local, remote net.Addr
 	options       options
@@ -72,8 +73,8 @@
 	return c
 }
 
-// register returns nil once the connection is registered with the network poller. It fails if that takes longer than the
-// timeout, or if the connection is closed.
+// register returns nil once the connection is registered with the network poller. It fails if that takes longer than
+// the timeout, or if the connection is closed.
 func (c *Conn) register() error {
 	if c.registered.Load() {
 		return nil
@@ -92,8 +93,8 @@
 	return c.registerErr
 }
 
-// tryRegister duplicates the descriptor, registers the duplicate and replaces the descriptor by it. The runtime does not
-// register the same os.File twice.
+// tryRegister duplicates the descriptor, registers the duplicate and replaces the descriptor by it. The runtime does
+// not register the same os.File twice.
 func (c *Conn) tryRegister() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -191,7 +192,8 @@
 // rawConn implements syscall.RawConn for a Conn.
 type rawConn struct{ c *Conn }
 
-// Control calls f with the descriptor. It does not wait for the registration, and fails only if the connection is closed.
+// Control calls f with the descriptor. It does not wait for the registration, and fails only if the connection is
+// closed.
 func (r rawConn) Control(f func(fd uintptr)) error {
 	r.c.mu.Lock() // tryRegister replaces the descriptor with this lock held
 	raw := r.c.socket.Load().raw
--- a/internal/listener/listener.go
+++ b/internal/listener/listener.go
@@ -60,8 +60,8 @@
 	return newListener(inner.(*net.TCPListener))
 }
 
-// newListener makes a Listener with a duplicate of inner's descriptor; the caller may close inner. A duplicate is needed, as
-// package net does not let others wait on its own descriptor.
+// newListener makes a Listener with a duplicate of inner's descriptor; the caller may close inner. A duplicate is
+// needed, as package net does not let others wait on its own descriptor.
 func newListener(inner *net.TCPListener) (*Listener, error) {
 	file, err := inner.File()
 	if err != nil {
@@ -156,9 +156,9 @@
 	return l.shutDown
 }
 
-// Shutdown accepts all waiting connections, for Accept to return, and ends listening. The last accept and the shutdown are
-// consecutive system calls, as the kernel may assign further connections to this listener between them. If Shutdown fails,
-// the listener still listens, and Accept returns the connections that have been accepted.
+// Shutdown accepts all waiting connections, for Accept to return, and ends listening. The last accept and the
+// shutdown are consecutive system calls, as the kernel may assign a connection to this listener until the shutdown.
+// If Shutdown fails, the listener still listens, and Accept returns the connections that have been accepted.
 func (l *Listener) Shutdown() error {
 	l.shutdownMu.Lock()
 	defer l.shutdownMu.Unlock()
--- a/internal/listener/listener_test.go
+++ b/internal/listener/listener_test.go
@@ -28,6 +28,7 @@
 	return l, l.Addr().String()
 }
 
+// dialTCP opens a connection to address with testTimeout as its deadline.
 func dialTCP(t *testing.T, address string) net.Conn {
 	t.Helper()
 	c, err := net.Dial("tcp", address)
@@ -39,8 +40,8 @@
 	return c
 }
 
-// A connection whose registration with the network poller fails at first can be read and written once it succeeds, also by a
-// read that began before.
+// A connection whose registration with the network poller fails at first can be read and written once it succeeds,
+// also by a read that began before.
 func TestRegistrationIsRetried(t *testing.T) {
 	var refusals atomic.Int64
 	refusals.Store(5)
--- a/internal/sidecar/accept.go
+++ b/internal/sidecar/accept.go
@@ -25,8 +25,8 @@
 	HasPending() bool // reports whether connections wait to be accepted
 }
 
-// listen opens a listener. For listenTimeout it retries errors of the system, which may lack a buffer or the address only
-// briefly. With shared a second process can listen at the same address, as in an upgrade.
+// listen opens a listener. For listenTimeout it retries errors of the system, which may lack a buffer or the address
+// only briefly. With shared a second process can listen at the same address, as in an upgrade.
 func listen(ctx context.Context, address string, shared bool) (*listener.Listener, error) {
 	for end := time.Now().Add(listenTimeout); ; {
 		l, err := listener.Listen(ctx, address, shared)
@@ -42,8 +42,8 @@
 	}
 }
 
-// isTransientListenError reports whether a failure to listen is worth a retry: errors of the system are, an address that
-// can't be parsed is not.
+// isTransientListenError reports whether a failure to listen is worth a retry: errors of the system are, an address
+// that can't be parsed is not.
 func isTransientListenError(err error) bool {
 	return isSystemError(err) || errors.Is(err, listener.ErrUnregistered)
 }
@@ -54,7 +54,8 @@
 	return errors.As(err, &errno)
 }
 
-// Accept returns the next connection that there is room for. It closes the others, with a refusal if one can be reserved.
+// Accept returns the next connection that there is room for. It closes the others, with a refusal if one can be
+// reserved.
 func (l *clients) Accept() (net.Conn, error) {
 	for {
 		c, err := l.acceptRetrying()
@@ -77,8 +78,8 @@
 	}
 }
 
-// acceptRetrying returns the next connection. It retries every error except the end of listening: net/http's Serve would
-// return on most errors, and on others back off for up to a second.
+// acceptRetrying returns the next connection. It retries every error except the end of listening: net/http's Serve
+// would return on most errors, and on others back off for up to a second.
 func (l *clients) acceptRetrying() (net.Conn, error) {
 	for {
 		c, err := l.clientListener.Accept()
@@ -96,8 +97,8 @@
 	}
 }
 
-// acceptFailingSince returns when the failure of accept began that a connection accepted now may have waited for; 0 if it
-// has not waited.
+// acceptFailingSince returns when the failure of accept began that a connection accepted now may have waited for; 0
+// if it has not waited.
 func (l *clients) acceptFailingSince() time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -113,7 +114,8 @@
 	}
 }
 
-// resourceErrors are the errors of accept that mean a lack of descriptors or memory, which closing a connection relieves.
+// resourceErrors are the errors of accept that mean a lack of descriptors or memory, which closing a connection
+// relieves.
 var resourceErrors = []syscall.Errno{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM}
 
 // handleAcceptError counts and logs a failure of accept. If descriptors or memory are short, it closes a silent or idle
--- a/internal/sidecar/byhand.go
+++ b/internal/sidecar/byhand.go
@@ -51,8 +51,8 @@
 	return crc32.Checksum(raw, crc32.MakeTable(crc32.Castagnoli))
 }
 
-// importLegacy merges the legacy file into the state if an older program wrote it, or if the state is new or damaged and
-// the file is a second copy of the calls.
+// importLegacy merges the legacy file into the state if an older program wrote it, or if the state is new or damaged
+// and the file is a second copy of the calls.
 func (h *sharedState) importLegacy() {
 	servers, old, err := h.readLegacy()
 	incomplete := h.store.Fresh() || len(h.store.Damage().Files) > 0
@@ -82,8 +82,8 @@
 	}
 }
 
-// readLegacy reads the legacy file; old reports whether an older program wrote it. It returns no servers and no error if the
-// file is missing or has not changed since it was last read.
+// readLegacy reads the legacy file; old reports whether an older program wrote it. It returns no servers and no error
+// if the file is missing or has not changed since it was last read.
 func (h *sharedState) readLegacy() (servers map[string]operatorCall, old bool, err error) {
 	info, err := os.Stat(h.legacyPath)
 	if errors.Is(err, fs.ErrNotExist) {
@@ -120,7 +120,8 @@
 	return s.Servers, s.Sum == nil, nil
 }
 
-// persistCall stores a call made at time now, after those that the other process has stored, and returns once it is durable.
+// persistCall stores a call made at time now, after those that the other process has stored, and returns once it is
+// durable.
 func (h *sharedState) persistCall(instance string, out bool, now time.Time) error {
 	h.saveMu.Lock()
 	defer h.saveMu.Unlock()
@@ -189,8 +190,8 @@
 	h.enables = seen
 }
 
-// dropOldEnables deletes enable calls that this process has known for longer than enableRetention. Their age is measured
-// from when this process first saw them, as the wall clock may have been stepped since the call.
+// dropOldEnables deletes enable calls that this process has known for longer than enableRetention. Their age is
+// measured from when this process first saw them, as the wall clock may have been stepped since the call.
 func (h *sharedState) dropOldEnables(now time.Time) {
 	h.noteEnables(now)
 	for instance, seen := range h.enables {
--- a/internal/sidecar/clients.go
+++ b/internal/sidecar/clients.go
@@ -20,9 +20,10 @@
 	maxLingerBytes = 256 << 10              // bytes of such data that are read
 )
 
-// clients is the listener that the application connects to. Anyone may connect, so the number of connections is limited:
-// above the limit a connection without an open request is closed to make room. Connections without open requests may use
-// the descriptors that upstream connections do not need at the moment, and are closed when upstreams need them.
+// clients is the listener that the application connects to. Anyone may connect, so the number of connections is
+// limited: above the limit a connection without an open request is closed to make room. Connections without open
+// requests may use the descriptors that upstream connections do not need at the moment, and are closed when upstreams
+// need them.
 type clients struct {
 	clientListener
 	clock      clock
@@ -50,12 +51,12 @@
 // clientConn is a connection of the application or of another client.
 //
 // It checks the framing of request heads before net/http sees them. If a head has both Content-Length and
-// Transfer-Encoding, net/http ignores Content-Length without telling the handler, and would parse the rest of the body as
-// further requests that no client sent (request smuggling).
+// Transfer-Encoding, net/http ignores Content-Length without telling the handler, and would parse the rest of the
+// body as further requests that no client sent (request smuggling).
 //
-// It also tracks whether the connection is idle. net/http calls a connection idle until it has parsed the next request's
-// head; at a stop it would close connections whose request has been read, and that request would still be sent although
-// its answer can't be delivered.
+// It also tracks whether the connection is idle. net/http calls a connection idle until it has parsed the next
+// request's head; at a stop it would close connections whose request has been read, and that request would still be
+// sent although its answer can't be delivered.
 type clientConn struct {
 	net.Conn
 	raw     syscall.RawConn
@@ -79,7 +80,8 @@
 	state      http.ConnState
 }
 
-// newClients wraps l with the connection limits of a single process. upstreams returns the number of upstream connections.
+// newClients wraps l with the connection limits of a single process. upstreams returns the number of upstream
+// connections.
 func newClients(cfg *Config, l clientListener, upstreams func() int) *clients {
 	k := &clients{clientListener: l, clock: newClock(), upstreams: upstreams, countClose: func(closeReason) {}, readFD: syscall.Read, conns: make(map[*clientConn]struct{})}
 	k.setLimits(cfg.clientConnLimit(1), cfg.totalConnLimit(1))
@@ -94,10 +96,10 @@
 	return c.requestBegun, c.requestBegun && c.framing.atBoundary()
 }
 
-// closeUnlessServing closes the connection if no request is open on it, and with partial also if a request has been read
-// in part. It reports whether it did. A request that arrives at the same moment is either left unread, so that its client
-// sends it again, or has been read before; then closeUnlessServing returns false and the request is served. A partial
-// request is refused, as the rest of it may have been sent by now.
+// closeUnlessServing closes the connection if no request is open on it, and with partial also if a request has been
+// read in part. It reports whether it did. A request that arrives at the same moment is either left unread, so that
+// its client sends it again, or has been read before; then closeUnlessServing returns false and the request is
+// served. A partial request is refused, as the rest of it may have been sent by now.
 func (c *clientConn) closeUnlessServing(partial bool) bool {
 	c.mu.Lock()
 	c.readsEnded = c.readsEnded || c.serverClosed || !c.requestBegun || partial && !c.framing.atBoundary()
@@ -117,8 +119,8 @@
 	return ended
 }
 
-// closeIdle closes the connections that are idle between requests, and with partial also those on which no whole request
-// has arrived yet.
+// closeIdle closes the connections that are idle between requests, and with partial also those on which no whole
+// request has arrived yet.
 func (l *clients) closeIdle(partial bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -193,8 +195,8 @@
 	return time.Since(k.since)
 }
 
-// requestReceived records that a whole request has arrived on the connection of ctx, so that the connection is not closed
-// to make room. It returns false if the connection has been closed for that already.
+// requestReceived records that a whole request has arrived on the connection of ctx, so that the connection is not
+// closed to make room. It returns false if the connection has been closed for that already.
 func (l *clients) requestReceived(ctx context.Context) bool {
 	k := ctx.Value(connKey{}).(*clientConn)
 	l.mu.Lock()
@@ -212,9 +214,9 @@
 	return l.clock.now() - time.Duration(ctx.Value(connKey{}).(*clientConn).lastRead.Load())
 }
 
-// queryPresence reports whether the client of ctx's connection has closed it or its sending side. It asks the kernel, which
-// knows of the close whatever is still unread before it: net/http notices a close only by reading, and reads at most one
-// byte beyond a request and nothing of a body that waits to be forwarded.
+// queryPresence reports whether the client of ctx's connection has closed it or its sending side. It asks the kernel,
+// which knows of the close whatever is still unread before it: net/http notices a close only by reading, and reads at
+// most one byte beyond a request and nothing of a body that waits to be forwarded.
 func (l *clients) queryPresence(ctx context.Context) presence {
 	c, ok := ctx.Value(connKey{}).(*clientConn).Conn.(syscall.Conn)
 	if !ok {
@@ -231,8 +233,8 @@
 	return found
 }
 
-// overLimit reports whether open, a number of open requests, is more than the clients' share of connections, and whether
-// the process is stopping.
+// overLimit reports whether open, a number of open requests, is more than the clients' share of connections, and
+// whether the process is stopping.
 func (l *clients) overLimit(open int64) (full, stopping bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -256,7 +258,8 @@
 // answers 400 and closes the connection.
 func (c *clientConn) Read(p []byte) (n int, err error) {
 	waitErr := c.raw.Read(func(fd uintptr) bool {
-		// No lock is held between retries: code that makes room then waits for one read and not for the system to have memory.
+		// No lock is held between retries: code that makes room then waits for one read and not for the system to
+		// have memory.
 		n, err = retryTransient(func() (int, error) { return c.readOnce(int(fd), p) })
 		if errno, failed := err.(syscall.Errno); failed && errno != syscall.EAGAIN {
 			err = &net.OpError{Op: "read", Net: "tcp", Err: errno}
@@ -274,8 +277,8 @@
 	return n, err
 }
 
-// readOnce reads the bytes that have arrived, unless reads have ended or the framing is broken. An error of the system call
-// is returned unwrapped.
+// readOnce reads the bytes that have arrived, unless reads have ended or the framing is broken. An error of the
+// system call is returned unwrapped.
 func (c *clientConn) readOnce(fd int, p []byte) (int, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -320,9 +323,9 @@
 // Write writes all of p. It retries transient failures of the system, so that answers are not cut short.
 func (c *clientConn) Write(p []byte) (int, error) { return writeRetrying(c.Conn, p) }
 
-// Close closes the connection after its last answer. Closing with unread data would send a reset, which can destroy the
-// answer in transit: in that case the sending side is closed first and the data is read for a while. On an idle connection
-// nothing is read, so that the client sends again a request that crosses the close.
+// Close closes the connection after its last answer. Closing with unread data would send a reset, which can destroy
+// the answer in transit: in that case the sending side is closed first and the data is read for a while. On an idle
+// connection nothing is read, so that the client sends again a request that crosses the close.
 func (c *clientConn) Close() error {
 	c.mu.Lock()
 	answered, refused := c.requestBegun && !c.readsEnded, c.closeWithRefusal
@@ -374,11 +377,13 @@
 	}
 }
 
-// refusalResponse is sent on a connection that is closed while a request may be on its way. The client may retry safely.
+// refusalResponse is sent on a connection that is closed while a request may be on its way. The client may retry
+// safely.
 const refusalResponse = "HTTP/1.1 503 Service Unavailable\r\nRetry-After: 0.5\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
 
-// maxPendingRefusals limits how many connections are closed with a refusal at the same time, as each keeps its descriptor
-// for up to lingerTimeout after its goroutine is scheduled. Further connections are closed without a refusal.
+// maxPendingRefusals limits how many connections are closed with a refusal at the same time, as each keeps its
+// descriptor for up to lingerTimeout after its goroutine is scheduled. Further connections are closed without a
+// refusal.
 const maxPendingRefusals = 8
 
 // reserveRefusal reserves one of the maxPendingRefusals refusals. It returns false if all are in use.
--- a/internal/sidecar/clients_test.go
+++ b/internal/sidecar/clients_test.go
@@ -110,8 +110,8 @@
 	}
 }
 
-// The connections of clients, upstreams and operators and the process's own descriptors stay within the limit, also if the
-// limit is halved.
+// The connections of clients, upstreams and operators and the process's own descriptors stay within the limit, also
+// if the limit is halved.
 func TestDescriptorBudget(t *testing.T) {
 	for _, sockets := range []float64{96, 128, 192, 1024} {
 		cfg := testConfig(t, listAnswer(1, "ready"), func(file, _ map[string]any) {
@@ -174,8 +174,10 @@
 	calls   int
 }
 
+// HasPending implements clientListener.
 func (l *failingListener) HasPending() bool { return false }
 
+// Accept fails with failure until the time until, and then with net.ErrClosed.
 func (l *failingListener) Accept() (net.Conn, error) {
 	l.calls++
 	if time.Now().Before(l.until) {
@@ -184,8 +186,8 @@
 	return nil, net.ErrClosed // ends the test's wait
 }
 
-// If accept fails for lack of descriptors or memory, idle connections are closed, and accept is retried soon but not in a
-// busy loop.
+// If accept fails for lack of descriptors or memory, idle connections are closed, and accept is retried soon but not
+// in a busy loop.
 func TestAcceptWithoutDescriptors(t *testing.T) {
 	for _, failure := range resourceErrors {
 		synctest.Test(t, func(t *testing.T) {
@@ -208,8 +210,8 @@
 	}
 }
 
-// TestMain runs the tests, or, if SIDECAR_TEST_CONFIG is set, a sidecar in this process, with its descriptors limited as
-// the configuration says.
+// TestMain runs the tests, or, if SIDECAR_TEST_CONFIG is set, a sidecar in this process, with its descriptors limited
+// as the configuration says.
 func TestMain(m *testing.M) {
 	path := os.Getenv("SIDECAR_TEST_CONFIG")
 	if path == "" {
@@ -440,6 +442,7 @@
 	asked *int
 }
 
+// Control counts the call and does not call the function.
 func (c countingRawConn) Control(func(fd uintptr)) error {
 	*c.asked++
 	return nil
@@ -483,8 +486,8 @@
 	}
 }
 
-// Closing a connection to make room does not wait while its reads fail for lack of memory. It did when the lock was held
-// during all retries of a read.
+// Closing a connection to make room does not wait while its reads fail for lack of memory. It did when the lock was
+// held during all retries of a read.
 func TestMakingRoomDoesNotWaitForMemory(t *testing.T) {
 	inner, err := listen(context.Background(), "127.0.0.1:0", true)
 	if err != nil {
@@ -557,6 +560,7 @@
 // unregisteredListener is a listener whose connections are never registered with the network poller.
 type unregisteredListener struct{ clientListener }
 
+// Accept implements net.Listener.
 func (l *unregisteredListener) Accept() (net.Conn, error) {
 	c, err := l.clientListener.Accept()
 	if err != nil {
@@ -565,6 +569,7 @@
 	return &unregisteredConn{c.(*listener.Conn)}, nil
 }
 
+// unregisteredConn is a connection whose registration always fails.
 type unregisteredConn struct{ *listener.Conn }
 
 func (c *unregisteredConn) SetReadDeadline(time.Time) error { return listener.ErrUnregistered }
@@ -574,6 +579,7 @@
 	return unreadableRawConn{raw}, err
 }
 
+// unreadableRawConn is a raw connection whose reads fail with listener.ErrUnregistered.
 type unreadableRawConn struct{ syscall.RawConn }
 
 func (unreadableRawConn) Read(func(uintptr) bool) error { return listener.ErrUnregistered }
--- a/internal/sidecar/clock.go
+++ b/internal/sidecar/clock.go
@@ -6,6 +6,7 @@
 // creation it follows the monotonic clock: it never goes back, even if the machine's date is changed.
 type clock struct{ start time.Time }
 
+// newClock returns a clock that is set from the machine's date now.
 func newClock() clock { return clock{time.Now()} }
 
 // now returns the current time since the Unix epoch.
--- a/internal/sidecar/config.go
+++ b/internal/sidecar/config.go
@@ -1,5 +1,5 @@
-// Package sidecar runs the decision module (package policy) on real sockets: it receives an application's requests, asks
-// the module where to send each, and carries that out. It makes no routing decisions itself.
+// Package sidecar runs the decision module (package policy) on real sockets: it receives an application's requests,
+// asks the module where to send each, and carries that out. It makes no routing decisions itself.
 package sidecar
 
 import (
@@ -168,8 +168,8 @@
 	return c, nil
 }
 
-// unknownKeys returns the top-level keys of a file that this program does not know, sorted. They are not an error, as the
-// platform may add keys.
+// unknownKeys returns the top-level keys of a file that this program does not know, sorted. They are not an error, as
+// the platform may add keys.
 func unknownKeys(raw []byte) (unknown []string) {
 	known := []string{"name", "listen", "discovery", "console", "fleet", "seed", "limits", "known", "settings"}
 	var keys map[string]json.RawMessage
@@ -212,7 +212,8 @@
 	}
 }
 
-// applySettings sets the fields that come from the settings: the module's configuration, and what the sidecar itself uses.
+// applySettings sets the fields that come from the settings: the module's configuration, and what the sidecar itself
+// uses.
 func (c *Config) applySettings(s *wire.Settings) error {
 	var err error
 	if c.Policy, err = s.Config(); err != nil {
@@ -266,8 +267,9 @@
 	return min(reserved, c.Sockets/4)
 }
 
-// clientConnLimit returns the clients' share of connections in one of n processes: three eighths of the descriptors. Half
-// are for upstream connections, and an eighth is a reserve for connections that are being closed and for the process.
+// clientConnLimit returns the clients' share of connections in one of n processes: three eighths of the descriptors.
+// Half are for upstream connections, and an eighth is a reserve for connections that are being closed and for the
+// process.
 func (c *Config) clientConnLimit(n int) int { return c.connBudget(n) * 3 / 8 }
 
 // upstreamConnLimit returns the limit of upstream connections in one of n processes.
--- a/internal/sidecar/config_test.go
+++ b/internal/sidecar/config_test.go
@@ -8,6 +8,7 @@
 	"arrowgw/internal/balance"
 )
 
+// A valid configuration is parsed into the sidecar's and the decision module's settings.
 func TestConfig(t *testing.T) {
 	c := testConfig(t, listAnswer(41, "ready", "127.0.0.1:80"), nil)
 	if c.Seed != 0x8c1f30d27a5be964 || c.UpstreamIdleTimeout != 30*time.Second || c.MaxDeadline != 20*time.Second || c.KnownServers.version != 41 ||
--- a/internal/sidecar/console.go
+++ b/internal/sidecar/console.go
@@ -67,7 +67,8 @@
 	}
 }
 
-// addWaiting adds a caller to those whose line has not arrived. Above maxConsoleConns it closes the one that waits longest.
+// addWaiting adds a caller to those whose line has not arrived. Above maxConsoleConns it closes the one that waits
+// longest.
 func (c *console) addWaiting(conn net.Conn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -153,8 +154,9 @@
 	fmt.Fprintln(w, "200 yes")
 }
 
-// writeStats writes the figures of requests, servers and state, for operators and their monitoring. Requests are counted
-// when they are answered, attempts when they are written; the loop's counts of servers are at most membersEvery old.
+// writeStats writes the figures of requests, servers and state, for operators and their monitoring. Requests are
+// counted when they are answered, attempts when they are written; the loop's counts of servers are at most
+// membersEvery old.
 func (f *front) writeStats(w io.Writer) {
 	for _, name := range slices.Sorted(maps.Keys(f.cfg.Classes)) {
 		ended := &f.tallies[f.cfg.Classes[name]]
--- a/internal/sidecar/console_test.go
+++ b/internal/sidecar/console_test.go
@@ -60,6 +60,7 @@
 	t.Fatal("figures:", off)
 }
 
+// Each call, valid or not, is answered with one line that begins with its status, and show-stat ends with EOF.
 func TestConsoleCalls(t *testing.T) {
 	s := newStub(t, echo)
 	side := startSidecar(t, nil, s.address)
--- a/internal/sidecar/control.go
+++ b/internal/sidecar/control.go
@@ -14,8 +14,8 @@
 	"arrowgw/internal/rules"
 )
 
-// dataPlane is the part of a sidecar that carries requests, as the control plane sees it. It is the loop in a sidecar, and
-// absent in a hollow one.
+// dataPlane is the part of a sidecar that carries requests, as the control plane sees it. It is the loop in a
+// sidecar, and absent in a hollow one.
 type dataPlane interface {
 	list(listing)
 	listFailed()
@@ -38,8 +38,8 @@
 	meter     *meter.Meter
 }
 
-// newControl creates the control plane from the configuration and the stored state, and sets cfg.KnownServers to the server
-// list to start with. It starts no goroutine that outlives it.
+// newControl creates the control plane from the configuration and the stored state, and sets cfg.KnownServers to the
+// server list to start with. Nothing runs before start is called.
 func newControl(cfg *Config, c clock, plane dataPlane) (k *control, err error) {
 	k = &control{cfg: cfg, dataPlane: plane, meter: new(meter.Meter), state: openSharedState(cfg.SharedDir, cfg.Name, cfg.State)}
 	versions := k.state.versions(cfg, c.now())
@@ -64,9 +64,9 @@
 	return k, err
 }
 
-// start starts to follow the server list and the sidecar's other processes, and puts the floor's rule set in force, which
-// has to happen before the first request. It passes the number of processes to setProcessCount, and again whenever it changes.
-// saved is closed when, after ctx has ended, the state is saved.
+// start starts to follow the server list and the sidecar's other processes, and puts the floor's rule set in force,
+// which has to happen before the first request. It passes the number of processes to setProcessCount, and again
+// whenever it changes. saved is closed when, after ctx has ended, the state is saved.
 func (k *control) start(ctx context.Context, saved chan<- struct{}, setProcessCount func(n int)) error {
 	n := k.state.countProcesses()
 	setProcessCount(n)
@@ -112,8 +112,8 @@
 	}
 }
 
-// reloadConfig reads the configuration again and applies its address of discovery; no other setting of a running sidecar
-// can change. An invalid configuration changes nothing and is read again for reloadTimeout or until ctx ends.
+// reloadConfig reads the configuration again and applies its address of discovery; no other setting of a running
+// sidecar can change. An invalid configuration changes nothing and is read again for reloadTimeout or until ctx ends.
 func (k *control) reloadConfig(ctx context.Context, path string) {
 	for end, logged := time.Now().Add(reloadTimeout), false; ; logged = true {
 		cfg, err := ReadConfig(path)
--- a/internal/sidecar/duties.go
+++ b/internal/sidecar/duties.go
@@ -84,8 +84,8 @@
 	return all
 }
 
-// run starts the sidecar's part in duties, which lasts until ctx ends or release is called. It begins once this process has
-// the sidecar's address in the membership, so that two processes never act as the same voter.
+// run starts the sidecar's part in duties, which lasts until ctx ends or release is called. It begins once this
+// process has the sidecar's address in the membership, so that two processes never act as the same voter.
 func (d *duties) run(ctx context.Context) {
 	ctx, d.cancel = context.WithCancel(ctx)
 	if d.group == nil {
--- a/internal/sidecar/front.go
+++ b/internal/sidecar/front.go
@@ -119,8 +119,8 @@
 	f.serveRequest(w, r, q, m)
 }
 
-// serveRequest answers a request that has arrived, or of which the buffered part of the body has. It refuses the request
-// without an attempt where connections or open requests exceed their limit or the rules bar serving.
+// serveRequest answers a request that has arrived, or of which the buffered part of the body has. It refuses the
+// request without an attempt where connections or open requests exceed their limit or the rules bar serving.
 func (f *front) serveRequest(w http.ResponseWriter, r *http.Request, q balance.Request, m *message) {
 	arrived := f.clock.now() // the client's timeout began with its last byte; for a longer body that byte is still to come
 	if m.rest == nil {
@@ -262,8 +262,8 @@
 	}
 }
 
-// sendStream sends an answer to the client as it arrives from its server, and counts it. If the answer is cut short, the
-// connection is aborted so that the client notices.
+// sendStream sends an answer to the client as it arrives from its server, and counts it. If the answer is cut short,
+// the connection is aborted so that the client notices.
 func (f *front) sendStream(w http.ResponseWriter, r *http.Request, class int, a answer) {
 	a.setHeaders(w)
 	if n := a.stream.length(); n >= 0 {
@@ -290,8 +290,8 @@
 	f.tallies[class].count(http.StatusOK)
 }
 
-// parseRequest reads a request's headers into q, and the client's X-Timeout into timeout. A missing or malformed header is an
-// error, whose text is sent to the client.
+// parseRequest reads a request's headers into q, and the client's X-Timeout into timeout. A missing or malformed
+// header is an error, whose text is sent to the client.
 func (f *front) parseRequest(r *http.Request) (q balance.Request, timeout time.Duration, err error) {
 	h := r.Header
 	for _, name := range []string{"X-Request-Id", "X-Priority-Class", "X-Tenant-Id", "X-Timeout", "Idempotency-Key"} {
--- a/internal/sidecar/front_test.go
+++ b/internal/sidecar/front_test.go
@@ -16,6 +16,7 @@
 	"time"
 )
 
+// A request reaches its server unchanged except for hop-by-hop headers, and so does the answer to the client.
 func TestServed(t *testing.T) {
 	s := newStub(t, func(c net.Conn, r stubRequest) bool {
 		_, err := fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Type: text/hive\r\nX-Server-Load: TEXT inflight=1\r\n"+
@@ -132,8 +133,8 @@
 	}
 }
 
-// A client that sends without end or in small pieces is answered with an error or its connection is closed, and no request
-// reaches the upstream.
+// A client that sends without end or in small pieces is answered with an error or its connection is closed, and no
+// request reaches the upstream.
 func TestFloods(t *testing.T) {
 	s := newStub(t, echo)
 	side := startSidecar(t, nil, s.address)
@@ -184,7 +185,8 @@
 	}
 }
 
-func TestDuration(t *testing.T) {
+// Timeouts are decimal numbers with a unit; anything else is rejected.
+func TestParseTimeout(t *testing.T) {
 	for text, want := range map[string]time.Duration{
 		"480m": 480 * time.Millisecond, "250u": 250 * time.Microsecond, "0.5m": 500 * time.Microsecond, "0u": 0,
 		"99999999999999999999m": maxTimeout,
@@ -245,6 +247,7 @@
 	}
 }
 
+// noUpstreamConns is the number of upstream connections of clients that have none.
 func noUpstreamConns() int { return 0 }
 
 // newBusyClients returns clients that can't exceed their share of connections, as upstreams use all of theirs.
@@ -461,8 +464,8 @@
 	wait(t, "the attempt's connection to close", s.closed)
 }
 
-// After a stop begins, open requests are answered, new connections are served for a while, all connections close, and the
-// sidecar exits by itself. http.Server.Shutdown alone would refuse the new connections.
+// After a stop begins, open requests are answered, new connections are served for a while, all connections close, and
+// the sidecar exits by itself. http.Server.Shutdown alone would refuse the new connections.
 func TestGracefulStop(t *testing.T) {
 	release := make(chan struct{})
 	s := newStub(t, func(c net.Conn, r stubRequest) bool {
@@ -550,8 +553,8 @@
 	}
 }
 
-// waitUntilRead waits until the other side, which is on this machine, has read everything written to c. It reads the queue
-// lengths from /proc/net/tcp.
+// waitUntilRead waits until the other side, which is on this machine, has read everything written to c. It reads the
+// queue lengths from /proc/net/tcp.
 func waitUntilRead(t *testing.T, c net.Conn) {
 	t.Helper()
 	port := func(a net.Addr) string { return fmt.Sprintf("0100007F:%04X", a.(*net.TCPAddr).Port) }
--- a/internal/sidecar/handover.go
+++ b/internal/sidecar/handover.go
@@ -23,9 +23,9 @@
 	folderTimeout           = 4 * time.Second        // for the state folder to answer, as a start may take 6 s
 )
 
-// sharedState is what the processes of a sidecar share in the folder $TMPDIR: a lock file that shows which of them run, the
-// state store (docs/state.md), and the legacy file, through which programs from before the store exchange operator calls.
-// Without a $TMPDIR this process counts as the only one, and nothing is stored.
+// sharedState is what the processes of a sidecar share in the folder $TMPDIR: a lock file that shows which of them
+// run, the state store (docs/state.md), and the legacy file, through which programs from before the store exchange
+// operator calls. Without a $TMPDIR this process counts as the only one, and nothing is stored.
 //
 // The zero value is a sharedState without a folder.
 type sharedState struct {
@@ -53,8 +53,8 @@
 	legacyDamage int       // 1 if the state had to be read from the legacy file and that is damaged
 }
 
-// newSharedState registers this process among those of sidecar name and opens the state in dir. Missing or invalid state is
-// logged and does not prevent the start.
+// newSharedState registers this process among those of sidecar name and opens the state in dir. Missing or invalid
+// state is logged and does not prevent the start.
 func newSharedState(dir, name string) *sharedState {
 	return openSharedState(dir, name, store.Options{})
 }
@@ -110,8 +110,8 @@
 }
 
 // watchProcesses polls for other processes of this sidecar until ctx ends; n is their last known number. It passes a
-// changed number to changed. While there are two processes, once more after that, and when a folder that could not be read is
-// retried, it passes the operator calls in force to calls.
+// changed number to changed. While there are two processes, once more after that, and when a folder that could not be
+// read is retried, it passes the operator calls in force to calls.
 func (h *sharedState) watchProcesses(ctx context.Context, n int, changed func(n int), calls func(map[string]operatorCall)) {
 	if h.lockFile == nil {
 		return
@@ -140,7 +140,8 @@
 	}
 }
 
-// limitMemory sets the Go memory limit of one of n processes: an nth of half the limit above which the sidecar is killed.
+// limitMemory sets the Go memory limit of one of n processes: an nth of half the limit above which the sidecar is
+// killed.
 func limitMemory(megabytes, n int) {
 	if megabytes == 0 {
 		return
--- a/internal/sidecar/handover_test.go
+++ b/internal/sidecar/handover_test.go
@@ -17,7 +17,8 @@
 // exit releases the process's lock, as the kernel does when a process exits.
 func (h *sharedState) exit() { h.lockFile.Close() }
 
-// A second process is recognized by its lock, which ends with it. Files that a killed process leaves do not count as one.
+// A second process is recognized by its lock, which ends with it. Files that a killed process leaves do not count as
+// one.
 func TestProcessesAreCounted(t *testing.T) {
 	dir := t.TempDir()
 	counts := func(want int, all ...*sharedState) {
@@ -79,8 +80,8 @@
 	same(newSharedState(dir, "n0"), map[string]bool{"b": false, "c": true})
 }
 
-// An enable call is kept for enableRetention even if the wall clock is stepped by an hour after it. The step was counted as
-// time that has passed.
+// An enable call is kept for enableRetention even if the wall clock is stepped by an hour after it. The step was
+// counted as time that has passed.
 func TestSteppedClockKeepsEnableCalls(t *testing.T) {
 	for _, step := range []time.Duration{time.Hour, -time.Hour} {
 		h := newSharedState(t.TempDir(), "n0")
@@ -255,6 +256,7 @@
 	}
 }
 
+// dialTCP opens a connection to address that is closed at the end of the test.
 func dialTCP(t *testing.T, address string) net.Conn {
 	t.Helper()
 	c, err := net.Dial("tcp", address)
@@ -265,7 +267,8 @@
 	return c
 }
 
-// A restarted process is ready and serves by the server list that it has, even if discovery fails or the state is damaged.
+// A restarted process is ready and serves by the server list that it has, even if discovery fails or the state is
+// damaged.
 func TestReadyWithoutDiscoveryOrState(t *testing.T) {
 	answers := map[string]func(net.Conn, stubRequest) bool{
 		"discovery silent": neverAnswer,
@@ -319,8 +322,8 @@
 	}
 }
 
-// Once disable-server is answered, neither process of an upgrade sends the server new requests. The other process learned of
-// the call only up to 250 ms later.
+// Once disable-server is answered, neither process of an upgrade sends the server new requests. The other process
+// learned of the call only up to 250 ms later.
 func TestDisableServerBindsBothProcesses(t *testing.T) {
 	out, other := newStub(t, echo), newStub(t, echo)
 	shared := t.TempDir()
--- a/internal/sidecar/momentary.go
+++ b/internal/sidecar/momentary.go
@@ -60,6 +60,7 @@
 // retryingReader retries reads that fail transiently.
 type retryingReader struct{ io.Reader }
 
+// Read implements io.Reader. It makes at most maxTransientRetries retries.
 func (r retryingReader) Read(p []byte) (n int, err error) {
 	for tries := 0; ; tries++ {
 		n, err = r.Reader.Read(p)
@@ -82,8 +83,9 @@
 // pollAttempts is how often the system is asked for a client's presence, in each of two ways.
 const pollAttempts = 3
 
-// pollPresence reports whether the other side has closed the connection with descriptor fd, or its sending side. If poll
-// fails, the TCP state of the connection is read instead, as an error does not mean that the client is still there.
+// pollPresence reports whether the other side has closed the connection with descriptor fd, or its sending side. If
+// poll fails, the TCP state of the connection is read instead, as an error does not mean that the client is still
+// there.
 func pollPresence(fd int) presence {
 	of := func(left bool) presence {
 		if left {
--- a/internal/sidecar/peers.go
+++ b/internal/sidecar/peers.go
@@ -29,8 +29,8 @@
 	membershipFiles     = 14                     // descriptors for membership: two listeners, streams of peers, own streams
 )
 
-// peers is this sidecar's membership in its fleet. It connects package member to the decision module, the stored state and
-// the console. If the fleet file has no member.listen, group is nil and the methods do nothing.
+// peers is this sidecar's membership in its fleet. It connects package member to the decision module, the stored
+// state and the console. If the fleet file has no member.listen, group is nil and the methods do nothing.
 type peers struct {
 	group     *member.Group
 	cfg       *Config
@@ -119,8 +119,8 @@
 	go p.syncFleet(ctx)
 }
 
-// syncFleet passes changes of the fleet to the decision module, announces this sidecar's phase and traffic, and saves the
-// known members, through which a later process can join.
+// syncFleet passes changes of the fleet to the decision module, announces this sidecar's phase and traffic, and saves
+// the known members, through which a later process can join.
 func (p *peers) syncFleet(ctx context.Context) {
 	tick := time.NewTicker(fleetUpdateInterval)
 	defer tick.Stop()
@@ -172,10 +172,10 @@
 	}
 }
 
-// fleetUpdate returns the fleet as the decision module is to see it in view v; ok is false if nothing is to be passed on.
-// last is what was passed on before. The view of a process that stalled lately is outdated and not passed on. A process
-// that is no longer a member, because another one has its name, is not counted by the others: the traffic of the others is
-// removed from its fleet.
+// fleetUpdate returns the fleet as the decision module is to see it in view v; ok is false if nothing is to be passed
+// on. last is what was passed on before. The view of a process that stalled lately is outdated and not passed on. A
+// process that is no longer a member, because another one has its name, is not counted by the others: the traffic of
+// the others is removed from its fleet.
 func (p *peers) fleetUpdate(v member.View, last balance.Fleet) (f balance.Fleet, ok bool) {
 	switch {
 	case v.Standing != member.Member && len(last.Sharers) > 0:
@@ -245,7 +245,8 @@
 	}
 }
 
-// writeMembers writes a line on this process and its view, a line with the names of the columns, and a line for each member.
+// writeMembers writes a line on this process and its view, a line with the names of the columns, and a line for each
+// member.
 func (p *peers) writeMembers(w io.Writer) error {
 	if p.group == nil {
 		return errors.New("there is no membership: the fleet file has no member.listen")
--- a/internal/sidecar/peers_test.go
+++ b/internal/sidecar/peers_test.go
@@ -9,8 +9,8 @@
 	"arrowgw/internal/member"
 )
 
-// The fleet that is passed to the decision module lists the traffic of members that are present and not draining, but only
-// if the fleet file has spread.share, and no longer once this process is not a member.
+// The fleet that is passed to the decision module lists the traffic of members that are present and not draining, but
+// only if the fleet file has spread.share, and no longer once this process is not a member.
 func TestFleetUpdate(t *testing.T) {
 	seen := member.View{Standing: member.Member, Present: 5, Silent: 1, Agreed: true, Members: []member.MemberInfo{
 		{Name: "a", State: member.Present, Phase: member.Serving, Zone: "za", Index: 4, Traffic: 8},
--- a/internal/sidecar/processlock.go
+++ b/internal/sidecar/processlock.go
@@ -63,8 +63,8 @@
 	return err
 }
 
-// countProcesses returns how many processes of this sidecar run, this one included. If the system fails to report one, its
-// last known status counts.
+// countProcesses returns how many processes of this sidecar run, this one included. If the system fails to report
+// one, its last known status counts.
 func (h *sharedState) countProcesses() int {
 	h.countMu.Lock() // not mu: the store calls this with its own lock held
 	defer h.countMu.Unlock()
@@ -88,8 +88,8 @@
 	return n
 }
 
-// countProcessesWithin is countProcesses for callers that can't wait for a folder that hangs: after limit it returns the
-// last count.
+// countProcessesWithin is countProcesses for callers that can't wait for a folder that hangs: after limit it returns
+// the last count.
 func (h *sharedState) countProcessesWithin(limit time.Duration) int {
 	counted := make(chan int, 1)
 	go func() { counted <- h.countProcesses() }()
--- a/internal/sidecar/room.go
+++ b/internal/sidecar/room.go
@@ -7,12 +7,12 @@
 	"golang.org/x/sys/unix"
 )
 
-// silentGrace is how long after it was accepted or became idle a connection is kept as if part of a request had arrived,
-// as the application's next request may be on its way.
+// silentGrace is how long after it was accepted or became idle a connection is kept as if part of a request had
+// arrived, as the application's next request may be on its way.
 const silentGrace = 250 * time.Millisecond
 
-// setLimits sets the clients' share of connections and the limit of client and upstream connections together, and closes
-// connections above the new limit that have no open request.
+// setLimits sets the clients' share of connections and the limit of client and upstream connections together, and
+// closes connections above the new limit that have no open request.
 func (l *clients) setLimits(clientShare, maxTotal int) {
 	upstreams := l.upstreams()
 	l.mu.Lock()
@@ -22,15 +22,15 @@
 	}
 }
 
-// softLimit returns the number of connections above which one is closed for each that is added. It is the clients' share,
-// or what upstream connections leave free except for a reserve that they may need soon, whichever is more. The caller
-// holds the lock.
+// softLimit returns the number of connections above which one is closed for each that is added. It is the clients'
+// share, or what upstream connections leave free except for a reserve that they may need soon, whichever is more. The
+// caller holds the lock.
 func (l *clients) softLimit(upstreams int) int {
 	return max(l.clientShare, l.maxTotal-upstreams-l.clientShare/6)
 }
 
-// makeRoomForUpstream closes connections without an open request until one upstream connection can be added to the given
-// number of them. It returns false if that is not possible.
+// makeRoomForUpstream closes connections without an open request until one upstream connection can be added to the
+// given number of them. It returns false if that is not possible.
 func (l *clients) makeRoomForUpstream(upstreams int) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -68,8 +68,8 @@
 // shedOne closes the connection that is needed least: one that has sent nothing since it connected, else one that is
 // idle between requests, else one whose request has arrived in part; of each kind the one that has been silent for
 // longest. Kinds after last are not closed. This order costs the application least: it sends at once when it has
-// connected, and sends a request again if it crosses a close on an idle connection; a partial request is refused, as the
-// rest of it may be on its way. shedOne returns false if no connection can be closed. The caller holds the lock.
+// connected, and sends a request again if it crosses a close on an idle connection; a partial request is refused, as
+// the rest of it may be on its way. shedOne returns false if no connection can be closed. The caller holds the lock.
 func (l *clients) shedOne(last closeReason) bool {
 	var candidates [closeReasonCount]*clientConn
 	var longest [closeReasonCount]time.Duration
@@ -100,9 +100,9 @@
 	return false
 }
 
-// shedKind returns the kind under which a connection may be closed to make room, and how long it has been silent; ok is
-// false if it may not be closed. now and clockNow are the current time, the latter by the clients' clock. The caller holds
-// the lock of the clients.
+// shedKind returns the kind under which a connection may be closed to make room, and how long it has been silent; ok
+// is false if it may not be closed. now and clockNow are the current time, the latter by the clients' clock. The
+// caller holds the lock of the clients.
 func (c *clientConn) shedKind(now time.Time, clockNow time.Duration) (kind closeReason, waited time.Duration, ok bool) {
 	waited = now.Sub(c.since)
 	begun, whole := c.requestProgress()
--- a/internal/sidecar/rules.go
+++ b/internal/sidecar/rules.go
@@ -17,8 +17,8 @@
 
 const rulesDuty = "rules"
 
-// ruleSets is this sidecar's part in the rule sets of its fleet. If the fleet file has no rules.file, node is nil, requests
-// are served without rules and the methods do nothing.
+// ruleSets is this sidecar's part in the rule sets of its fleet. If the fleet file has no rules.file, node is nil,
+// requests are served without rules and the methods do nothing.
 type ruleSets struct {
 	node  *rules.Node
 	peers *peers
@@ -155,7 +155,8 @@
 	fmt.Fprintf(w, "app.rules_version=%d\napp.rules_floor=%d\napp.rules_barred=%d\n", st.InForce, st.Floor.Version, barred)
 }
 
-// writeRules writes which rule set is in force, why a push was refused, and which members support another form of rule set.
+// writeRules writes which rule set is in force, why a push was refused, and which members support another form of
+// rule set.
 func (s *ruleSets) writeRules(w io.Writer) error {
 	if s.node == nil {
 		return errors.New("there are no rule sets: the fleet file has no rules.file")
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -23,8 +23,8 @@
 	maxStopDeadline = 3 * time.Second        // longer deadlines count as this
 )
 
-// Run serves clients until ctx ends and then until all requests that have been received are answered. On each signal from
-// reload it reads the configuration again.
+// Run serves clients until ctx ends and then until all requests that have been received are answered. On each signal
+// from reload it reads the configuration again.
 func Run(ctx context.Context, cfg *Config, reload <-chan os.Signal) error {
 	var consoleListener net.Listener
 	var err error
@@ -47,7 +47,7 @@
 	front     *front
 }
 
-// newParts creates the components and connects them. It starts no goroutine.
+// newParts creates the components and connects them. Nothing runs yet.
 func newParts(cfg *Config) (*parts, error) {
 	c := newClock()
 	p := &parts{cfg: cfg, upstreams: newUpstream(cfg, c)}
@@ -95,8 +95,8 @@
 }
 
 // serve runs a sidecar until ctx ends and its open requests are answered. The console listens on consoleListener; nil
-// means no console. The clients' listener is opened last, so that a client that connects is served at once, however long
-// a disk or an address has delayed the start.
+// means no console. The clients' listener is opened last, so that a client that connects is served at once, however
+// long a disk or an address has delayed the start.
 func serve(ctx context.Context, cfg *Config, open func() (clientListener, error), consoleListener net.Listener, reload <-chan os.Signal) error {
 	if consoleListener != nil {
 		defer consoleListener.Close()
@@ -137,7 +137,8 @@
 	}
 }
 
-// shutdown ends the service after ctx of serve has ended, and hands this process's duties to other members of the fleet.
+// shutdown ends the service after ctx of serve has ended, and hands this process's duties to other members of the
+// fleet.
 func (p *parts) shutdown(served <-chan error) error {
 	replaced := p.loop.handover.countProcessesWithin(countTimeout) > 1
 	released := make(chan struct{})
@@ -160,8 +161,8 @@
 	}
 }
 
-// stopLimits bounds the time of requests during a stop: those that arrive from lateFrom on must be answered by answersDue.
-// Both are times of the process's clock.
+// stopLimits bounds the time of requests during a stop: those that arrive from lateFrom on must be answered by
+// answersDue. Both are times of the process's clock.
 type stopLimits struct{ lateFrom, answersDue time.Duration }
 
 // bound returns how much of left, the remaining time of a request that arrived at arrived, is usable: a request that
@@ -174,14 +175,15 @@
 	return max(0, min(left, s.answersDue-arrived))
 }
 
-// drain ends the service without losing a request. Clients still connect for a while and use their open connections, so
-// the listener stays open for stopListenDelay, and each connection closes with its next answer, or at once if it is idle.
-// A request that crosses the close of an idle connection is not read, and the client sends it again on a new one. If a
-// second process has taken over (replaced), new connections go there at once, and idle ones are closed after the delay. maxDeadline is the longest deadline of any
-// class, and served receives the result of the HTTP server's Serve.
+// drain ends the service without losing a request. Clients still connect for a while and use their open connections,
+// so the listener stays open for stopListenDelay, and each connection closes with its next answer, or at once if it
+// is idle. A request that crosses the close of an idle connection is not read, and the client sends it again on a new
+// one. If a second process has taken over (replaced), new connections go there at once, and idle ones are closed
+// after the delay. maxDeadline is the longest deadline of any class, and served receives the result of the HTTP
+// server's Serve.
 //
-// http.Server.Shutdown does not serve here: after it, a request on a connection that had none before is read and dropped,
-// and connections with a request count as idle.
+// http.Server.Shutdown does not serve here: after it, a request on a connection that had none before is read and
+// dropped, and connections with a request count as idle.
 func (f *front) drain(served <-chan error, maxDeadline time.Duration, replaced bool) error {
 	began, now := time.Now(), f.clock.now()
 	end := began.Add(maxDeadline + exitMargin)
--- a/internal/sidecar/size_test.go
+++ b/internal/sidecar/size_test.go
@@ -12,8 +12,8 @@
 	"arrowgw/policy"
 )
 
-// listSizes are the numbers of servers of one service, of a small fleet, and of the whole fleet at its planned size and at
-// twice that size.
+// listSizes are the numbers of servers of one service, of a small fleet, and of the whole fleet at its planned size
+// and at twice that size.
 var listSizes = []int{world.Planned.Sidecars / world.Planned.Services, 200, world.Planned.Sidecars, 2 * world.Planned.Sidecars}
 
 // wholeList returns a whole list in discovery's JSON.
@@ -52,7 +52,8 @@
 	return float64(after.HeapAlloc) - float64(before.HeapAlloc)
 }
 
-// BenchmarkWholeList measures the parsing of a whole list, the list's size, and the memory that its result takes per server.
+// BenchmarkWholeList measures the parsing of a whole list, the list's size, and the memory that its result takes per
+// server.
 func BenchmarkWholeList(b *testing.B) {
 	for _, n := range listSizes {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -78,6 +79,7 @@
 // countingHost is a policy host that only counts the attempts it is asked to send.
 type countingHost struct{ sent int }
 
+// Send implements balance.Host; the other methods do nothing.
 func (s *countingHost) Send(balance.RequestID, balance.ServerID, time.Duration, time.Duration) {
 	s.sent++
 }
@@ -91,8 +93,8 @@
 func (*countingHost) WatchList()                                              {}
 func (*countingHost) Log(string)                                              {}
 
-// BenchmarkModuleBySize measures how the decision module handles a whole list, a change of one server, and requests at the
-// planned rate.
+// BenchmarkModuleBySize measures how the decision module handles a whole list, a change of one server, and requests
+// at the planned rate.
 func BenchmarkModuleBySize(b *testing.B) {
 	cfg := balance.Config{
 		Balancers: world.Planned.Sidecars, MaxAttempts: 3, MaxRetryAfter: time.Second, ColdFrom: 0.2, ColdTime: 10 * time.Second, ColdMultiple: 4,
--- a/internal/sidecar/stub_test.go
+++ b/internal/sidecar/stub_test.go
@@ -35,6 +35,7 @@
 	closed   chan int // numbers of connections that the other side has closed or that broke
 }
 
+// newStub starts a stub on a loopback port that is closed at the end of the test.
 func newStub(t *testing.T, answer func(c net.Conn, r stubRequest) bool) *stub {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -55,6 +56,8 @@
 	return s
 }
 
+// serve reads requests from connection number n until it breaks or answer returns false. Requests with an
+// X-Request-ID go to s.requests.
 func (s *stub) serve(c net.Conn, n int, answer func(net.Conn, stubRequest) bool) {
 	defer c.Close()
 	r := bufio.NewReader(c)
--- a/internal/sidecar/trace.go
+++ b/internal/sidecar/trace.go
@@ -42,8 +42,9 @@
 	maxLogBurst          = 50
 )
 
-// trace logs and counts what happens to each request, identified by its X-Request-ID. Ordinary steps are logged at level
-// debug, requests that end without an answer at level info and at a limited rate. Its methods are safe for concurrent use.
+// trace logs and counts what happens to each request, identified by its X-Request-ID. Ordinary steps are logged at
+// level debug, requests that end without an answer at level info and at a limited rate. Its methods are safe for
+// concurrent use.
 type trace struct {
 	limiter  *rate.Limiter
 	unlogged atomic.Uint64 // lines that the limiter suppressed
@@ -53,6 +54,7 @@
 	retries  []atomic.Uint64 // retries, by the balance.Ending of the previous attempt
 }
 
+// newTrace returns a trace with all counters at 0.
 func newTrace() *trace {
 	return &trace{
 		limiter:  rate.NewLimiter(maxLogLinesPerSecond, maxLogBurst),
