--- a/internal/sidecar/calledoff_test.go
+++ b/internal/sidecar/calledoff_test.go
@@ -45,7 +45,7 @@
 	f.cancelFirstAttempt(t, func() bool { return f.openRequests.Load() == 0 })
 	_ = c.SetReadDeadline(time.Now().Add(testTimeout)) // fails only on a closed connection
 	if res, err := http.ReadResponse(bufio.NewReader(c), nil); err != nil || res.StatusCode < 500 {
-		t.Errorf("it was answered %v, error %v, want a failure or a refusal", res, err)
+		t.Errorf("answered %v, error %v, want a failure or a refusal", res, err)
 	}
 }
 
@@ -78,6 +78,6 @@
 		t.Fatal(err)
 	}
 	if res, err := http.ReadResponse(bufio.NewReader(c), nil); err != nil || res.StatusCode < 500 {
-		t.Errorf("it was answered %v, error %v, want a failure or a refusal", res, err)
+		t.Errorf("answered %v, error %v, want a failure or a refusal", res, err)
 	}
 }
--- a/internal/sidecar/clients_test.go
+++ b/internal/sidecar/clients_test.go
@@ -93,11 +93,11 @@
 		all = append(all, k)
 	}
 	if n := len(l.conns); n <= l.clientShare || n+upstreams > cfg.totalConnLimit(1) {
-		t.Errorf("%d held with %d upstreams, want more than %d, and at most %d together", n, upstreams, l.clientShare, cfg.totalConnLimit(1))
+		t.Errorf("%d clients with %d upstreams, want more than %d, and at most %d together", n, upstreams, l.clientShare, cfg.totalConnLimit(1))
 	}
 	for ; upstreams < cfg.upstreamConnLimit(1); upstreams++ {
 		if !l.makeRoomForUpstream(upstreams) || len(l.conns)+upstreams >= cfg.totalConnLimit(1) {
-			t.Fatalf("%d held with %d upstreams and one more to come", len(l.conns), upstreams)
+			t.Fatalf("%d clients with %d upstreams and one more to come", len(l.conns), upstreams)
 		}
 	}
 	for _, k := range all {
@@ -120,7 +120,7 @@
 		})
 		const process = 10 // standard streams, poller and its wake-up, listeners, lock, two connections to discovery
 		if all := cfg.totalConnLimit(1) + maxConsoleConns + process; all > cfg.Sockets {
-			t.Errorf("%d descriptors may be held of %d", all, cfg.Sockets)
+			t.Errorf("up to %d descriptors are used of %d", all, cfg.Sockets)
 		}
 	}
 }
@@ -134,36 +134,36 @@
 	}
 	l := newClients(testConfig(t, listAnswer(1, "ready"), nil), listener, noUpstreamConns)
 	defer l.Close()
-	var read, ended int
+	var readCount, closedCount int
 	for range 500 {
 		far := dialTCP(t, listener.Addr().String())
 		near, err := l.Accept()
 		if err != nil {
 			t.Fatal(err)
 		}
-		k, went, got := near.(*clientConn), make(chan bool), make(chan int)
+		k, closeResult, readResult := near.(*clientConn), make(chan bool), make(chan int)
 		go func() {
 			n, _ := k.Read(make([]byte, 10))
-			got <- n
+			readResult <- n
 		}()
-		go func() { went <- k.closeUnlessServing(false) }()
+		go func() { closeResult <- k.closeUnlessServing(false) }()
 		if _, err := far.Write([]byte("GET")); err != nil && !errors.Is(err, syscall.EPIPE) && !errors.Is(err, syscall.ECONNRESET) {
 			t.Fatal(err)
 		}
-		n, over := wait(t, "the read", got), wait(t, "the end", went)
-		if over == (n > 0) {
-			t.Fatalf("%d bytes read, ended %v", n, over)
+		n, closed := wait(t, "the read", readResult), wait(t, "the close", closeResult)
+		if closed == (n > 0) {
+			t.Fatalf("%d bytes read, closed %v", n, closed)
 		}
-		if over {
-			ended++
+		if closed {
+			closedCount++
 		} else {
-			read++
+			readCount++
 		}
 		far.Close()
 		near.Close()
 		l.connStateChanged(near, http.StateClosed)
 	}
-	t.Logf("%d read, %d ended", read, ended)
+	t.Logf("%d read, %d closed", readCount, closedCount)
 }
 
 // failingListener is a listener whose Accept fails with failure until some moment.
@@ -290,7 +290,7 @@
 	}()
 	side := &testSidecar{url: "http://" + wait(t, "its listener", listens), consoleAddress: wait(t, "its console", listens)}
 
-	held := func() int {
+	openFiles := func() int {
 		all, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", child.Process.Pid))
 		if err != nil {
 			t.Fatal(err)
@@ -337,10 +337,10 @@
 		}
 		t.Fatalf("request %s was not served", id)
 	}
-	maxHeld := 0
+	maxOpen := 0
 	for i := range 20 {
 		served(fmt.Sprint(i), s)
-		maxHeld = max(maxHeld, held())
+		maxOpen = max(maxOpen, openFiles())
 	}
 	if got := side.callConsole(t, "show-stat\n"); !strings.Contains(got, "app.members=1\n") {
 		t.Errorf("figures %q, want one member", got)
@@ -360,9 +360,9 @@
 	if len(shortages) > 0 {
 		t.Errorf("%d lines such as %q", len(shortages), <-shortages)
 	}
-	t.Logf("%d descriptors of %d at most", maxHeld, sockets)
-	if maxHeld > sockets {
-		t.Errorf("%d descriptors of %d", maxHeld, sockets)
+	t.Logf("%d descriptors of %d at most", maxOpen, sockets)
+	if maxOpen > sockets {
+		t.Errorf("%d descriptors of %d", maxOpen, sockets)
 	}
 }
 
--- a/internal/sidecar/console_test.go
+++ b/internal/sidecar/console_test.go
@@ -208,7 +208,7 @@
 		}
 	}
 	close(release)
-	if err := wait(t, "the end", side.ended); err != nil {
+	if err := wait(t, "the exit", side.ended); err != nil {
 		t.Error(err)
 	}
 }
--- a/internal/sidecar/framing_test.go
+++ b/internal/sidecar/framing_test.go
@@ -101,7 +101,7 @@
 				t.Errorf("answered %q, want one 200", answers)
 			}
 			if got := wait(t, "the request", s.requests); got.body != c.body || len(s.requests) > 0 {
-				t.Errorf("the upstream had %q and %d more requests, want %q alone", got.body, len(s.requests), c.body)
+				t.Errorf("the upstream received %q and %d more requests, want %q alone", got.body, len(s.requests), c.body)
 			}
 		})
 	}
--- a/internal/sidecar/front_test.go
+++ b/internal/sidecar/front_test.go
@@ -35,7 +35,7 @@
 	got := wait(t, "the request", s.requests)
 	if got.Method != "POST" || got.uri != "/reading/hive%2F7?scale=a%20b&x" || got.body != "41.5 kg" ||
 		got.Header.Get("X-Request-ID") != "r1" || got.Header.Get("Idempotency-Key") != "k1" {
-		t.Errorf("the upstream had %s %s %q, headers %v", got.Method, got.uri, got.body, got.Header)
+		t.Errorf("the upstream received %s %s %q, headers %v", got.Method, got.uri, got.body, got.Header)
 	}
 	if got.Header.Get("X-Hop") != "" || res.Header.Get("X-Server-Load") != "" {
 		t.Errorf("headers of one connection went on: %v, %v", got.Header, res.Header)
@@ -129,7 +129,7 @@
 		t.Errorf("longest body: %s %q", res.Status, body)
 	}
 	if len(s.requests) != 1 {
-		t.Errorf("the upstream had %d requests, want only the usable one", len(s.requests))
+		t.Errorf("the upstream received %d requests, want only the usable one", len(s.requests))
 	}
 }
 
@@ -179,7 +179,7 @@
 				t.Errorf("answered %.80q", text)
 			}
 			if len(s.requests) > 0 {
-				t.Error("the upstream had a whole request")
+				t.Error("the upstream received a whole request")
 			}
 		})
 	}
@@ -197,7 +197,7 @@
 	}
 	for _, text := range []string{"", "m", "480", "480s", "1e3m", "0x5m", "1_0m", "Infm", " 5m", "5 m", "1.2.3m", "-1m", "+1m"} {
 		if got, ok := parseTimeout(text); ok {
-			t.Errorf("%q was taken for %v", text, got)
+			t.Errorf("%q was parsed as %v", text, got)
 		}
 	}
 }
@@ -295,7 +295,7 @@
 		}
 	}
 	if len(l.conns) != l.clientShare || l.shedCounts[2] != shed {
-		t.Errorf("%d held, counters %v, want %d held and %d shed", len(l.conns), l.counters(), l.clientShare, shed)
+		t.Errorf("%d connections, counters %v, want %d connections and %d shed", len(l.conns), l.counters(), l.clientShare, shed)
 	}
 }
 
@@ -332,7 +332,7 @@
 	for _, r := range held {
 		res, err := http.ReadResponse(r, nil)
 		if err != nil || res.StatusCode != http.StatusOK {
-			t.Fatalf("a held request: %+v, error %v", res, err)
+			t.Fatalf("an open request: %+v, error %v", res, err)
 		}
 	}
 }
@@ -351,13 +351,13 @@
 		all = append(all, k)
 	}
 	if len(l.conns) != (l.clientShare+l.clientShare/6) || l.counters()["barred"] != (l.clientShare+l.clientShare/6) {
-		t.Errorf("%d held, counters %v, want %d held and as many barred", len(l.conns), l.counters(), (l.clientShare + l.clientShare/6))
+		t.Errorf("%d connections, counters %v, want %d connections and as many rejected", len(l.conns), l.counters(), (l.clientShare + l.clientShare/6))
 	}
 	for _, k := range all {
 		l.connStateChanged(k, http.StateClosed)
 	}
 	if len(l.conns) != 0 {
-		t.Errorf("%d held once all are closed", len(l.conns))
+		t.Errorf("%d connections once all are closed", len(l.conns))
 	}
 }
 
@@ -444,7 +444,7 @@
 		t.Errorf("%s, headers %v, want 503 and a pause of 0.4 to 0.8, the longest that clients heed", res.Status, res.Header)
 	}
 	if len(s.requests) > 0 {
-		t.Error("the second request had an attempt")
+		t.Error("an attempt was made for the second request")
 	}
 }
 
@@ -484,7 +484,7 @@
 	if err := side.newRequest(t, "GET", "/look", "", "X-Request-ID", "held").Write(conn); err != nil {
 		t.Fatal(err)
 	}
-	wait(t, "the held request", s.requests)
+	wait(t, "the open request", s.requests)
 	side.stop()
 	for { // until the stop has begun
 		if res, _ := sendRequest(t, side.newRequest(t, "GET", "/up", "")); res.StatusCode == http.StatusServiceUnavailable {
@@ -497,11 +497,11 @@
 	close(release)
 	res, err := http.ReadResponse(bufio.NewReader(conn), nil)
 	if err != nil || res.StatusCode != http.StatusOK || !res.Close {
-		t.Fatalf("the held request: %+v, error %v, want 200 and the connection closed", res, err)
+		t.Fatalf("the open request: %+v, error %v, want 200 and the connection closed", res, err)
 	}
 	res.Body.Close()
-	if err := wait(t, "the end", side.ended); err != nil {
-		t.Errorf("ended with %v", err)
+	if err := wait(t, "the exit", side.ended); err != nil {
+		t.Errorf("serve returned %v", err)
 	}
 }
 
@@ -546,8 +546,8 @@
 				t.Fatalf("%+v, error %v, want 200 and a close", res, err)
 			}
 			res.Body.Close()
-			if err := wait(t, "the end", side.ended); err != nil {
-				t.Errorf("ended with %v", err)
+			if err := wait(t, "the exit", side.ended); err != nil {
+				t.Errorf("serve returned %v", err)
 			}
 		})
 	}
@@ -654,7 +654,7 @@
 				t.Errorf("answered %q, error %v, want a close, or a 400 or 408 before it", answers, err)
 			}
 			if len(s.requests) > 0 {
-				t.Error("the upstream had a request")
+				t.Error("the upstream received a request")
 			}
 		})
 	}
--- a/internal/sidecar/handover_test.go
+++ b/internal/sidecar/handover_test.go
@@ -173,7 +173,7 @@
 	for !wait(t, "the call", out) {
 	}
 	next.exit()
-	if n := wait(t, "its end", numbers); n != 1 {
+	if n := wait(t, "its exit", numbers); n != 1 {
 		t.Fatalf("%d processes, want 1", n)
 	}
 }
@@ -252,7 +252,7 @@
 	}
 	l.setLimits(cfg.clientConnLimit(2), cfg.clientConnLimit(2))
 	if len(l.conns) != cfg.clientConnLimit(2) {
-		t.Errorf("%d clients held, want %d", len(l.conns), cfg.clientConnLimit(2))
+		t.Errorf("%d client connections, want %d", len(l.conns), cfg.clientConnLimit(2))
 	}
 }
 
