--- a/internal/sidecar/byhand.go
+++ b/internal/sidecar/byhand.go
@@ -25,7 +25,7 @@
 
 // operatorCall is the last operator call on a server: one that is administratively disabled, or was until recently.
 type operatorCall struct {
-	Out  bool  `json:"out"`
+	Out  bool  `json:"out"`  // whether the server is administratively disabled
 	AtMs int64 `json:"atMs"` // Unix time of the call in milliseconds
 }
 
@@ -122,7 +122,7 @@
 
 // persistCall stores a call made at time now, after those that the other process has stored, and returns once it is
 // durable.
-func (h *sharedState) persistCall(instance string, out bool, now time.Time) error {
+func (h *sharedState) persistCall(instance string, disabled bool, now time.Time) error {
 	h.saveMu.Lock()
 	defer h.saveMu.Unlock()
 	if h.lockFile != nil {
@@ -132,14 +132,14 @@
 				break
 			}
 			if time.Duration(tries)*time.Millisecond >= writeLockTimeout {
-				return errors.Join(fmt.Errorf("lock: %w", err), h.storeCall(instance, operatorCall{out, now.UnixMilli()}))
+				return errors.Join(fmt.Errorf("lock: %w", err), h.storeCall(instance, operatorCall{disabled, now.UnixMilli()}))
 			}
 			time.Sleep(time.Millisecond)
 		}
 		defer func() { _ = fcntl(h.lockFile, ofdSetLock, writerByte, syscall.F_UNLCK) }() // fails only on a closed file
 		h.followOthers()
 	}
-	if err := h.storeCall(instance, operatorCall{out, now.UnixMilli()}); err != nil {
+	if err := h.storeCall(instance, operatorCall{disabled, now.UnixMilli()}); err != nil {
 		return err
 	}
 	h.dropOldEnables(now)
--- a/internal/sidecar/console.go
+++ b/internal/sidecar/console.go
@@ -26,14 +26,14 @@
 // console serves operators: each connection sends one line, receives one answer and is closed. It has a listener and
 // limits of its own, so that neither client load nor callers that send nothing delay an answer.
 type console struct {
-	ready        func() bool                                          // reports whether the sidecar serves
-	writeStats   func(io.Writer)                                      // writes the figures
-	setServer    func(ctx context.Context, id string, out bool) error // administratively disables a server, or enables it again
-	writeDuties  func(io.Writer) error                                // writes which member holds which duty
-	moveDuty     func(words []string) error                           // moves a duty to another member
-	writeRules   func(io.Writer) error                                // writes which rule set is in force, and who refused one
-	writeMembers func(io.Writer) error                                // writes the members of the fleet
-	confirmState func() error                                         // confirms that the right servers are disabled after damage to the state
+	ready        func() bool                                               // reports whether the sidecar serves
+	writeStats   func(io.Writer)                                           // writes the figures
+	setServer    func(ctx context.Context, id string, disabled bool) error // administratively disables a server, or enables it again
+	writeDuties  func(io.Writer) error                                     // writes which member holds which duty
+	moveDuty     func(words []string) error                                // moves a duty to another member
+	writeRules   func(io.Writer) error                                     // writes which rule set is in force, and who refused one
+	writeMembers func(io.Writer) error                                     // writes the members of the fleet
+	confirmState func() error                                              // confirms that the right servers are disabled after damage to the state
 
 	mu      sync.Mutex
 	waiting []net.Conn // callers whose line has not arrived, in the order of their connecting
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -37,8 +37,8 @@
 	return serve(ctx, cfg, open, consoleListener, reload)
 }
 
-// parts are the components of a sidecar.
-type parts struct {
+// components are the parts of a sidecar.
+type components struct {
 	cfg       *Config
 	upstreams *upstream
 	loop      *loop
@@ -47,10 +47,10 @@
 	front     *front
 }
 
-// newParts creates the components and connects them. Nothing runs yet.
-func newParts(cfg *Config) (*parts, error) {
+// newComponents creates the components and connects them. Nothing runs yet.
+func newComponents(cfg *Config) (*components, error) {
 	c := newClock()
-	p := &parts{cfg: cfg, upstreams: newUpstream(cfg, c)}
+	p := &components{cfg: cfg, upstreams: newUpstream(cfg, c)}
 	var err error
 	if p.loop, err = newLoop(cfg, c, p.upstreams); err != nil {
 		return nil, err
@@ -70,7 +70,7 @@
 }
 
 // setProcessCount divides the sidecar's limits among n processes, and applies this one's part.
-func (p *parts) setProcessCount(n int) {
+func (p *components) setProcessCount(n int) {
 	limitMemory(p.cfg.MemoryMB, n)
 	p.upstreams.share(p.cfg.upstreamConnLimit(n))
 	p.clients.setLimits(p.cfg.clientConnLimit(n), p.cfg.totalConnLimit(n))
@@ -78,7 +78,7 @@
 }
 
 // console returns the operators' console for these components.
-func (p *parts) console() *console {
+func (p *components) console() *console {
 	return &console{
 		ready: p.front.isUp, writeRules: p.control.ruleSets.writeRules, setServer: p.loop.server, confirmState: p.control.state.confirm,
 		writeMembers: p.control.peers.writeMembers, writeDuties: p.control.duties.writeDuties, moveDuty: p.control.duties.moveDuty, writeStats: p.writeStats,
@@ -86,7 +86,7 @@
 }
 
 // writeStats writes the figures of all components, as show-stat answers them.
-func (p *parts) writeStats(w io.Writer) {
+func (p *components) writeStats(w io.Writer) {
 	p.front.writeStats(w)
 	p.loop.trace.writeStats(w)
 	writeGuardStats(w, p.loop.guard)
@@ -101,7 +101,7 @@
 	if consoleListener != nil {
 		defer consoleListener.Close()
 	}
-	p, err := newParts(cfg)
+	p, err := newComponents(cfg)
 	if err != nil {
 		return err
 	}
@@ -139,7 +139,7 @@
 
 // shutdown ends the service after ctx of serve has ended, and hands this process's duties to other members of the
 // fleet.
-func (p *parts) shutdown(served <-chan error) error {
+func (p *components) shutdown(served <-chan error) error {
 	replaced := p.loop.handover.countProcessesWithin(countTimeout) > 1
 	released := make(chan struct{})
 	go func() { // concurrently, so that open requests do not wait for it
