--- a/internal/guard/guard.go
+++ b/internal/guard/guard.go
@@ -71,7 +71,7 @@
 type Request struct {
 	RequestID   string // X-Request-ID
 	Deadline    time.Duration
-	Effect      balance.Effect
+	Effect      balance.Idempotency
 	Window      time.Duration // keyed requests only: how long after the first attempt servers drop repeats
 	BodyPending bool          // its body is still arriving, and its deadline is not set yet
 }
--- a/internal/sidecar/byhand.go
+++ b/internal/sidecar/byhand.go
@@ -55,7 +55,7 @@
 // and the file is a second copy of the calls.
 func (h *sharedState) importLegacy() {
 	servers, old, err := h.readLegacy()
-	incomplete := h.store.Fresh() || len(h.store.Damage().Files) > 0
+	incomplete := h.store.WasEmpty() || len(h.store.Damage().Findings) > 0
 	switch {
 	case err != nil:
 		slog.Error("state not read", "error", err)
@@ -71,7 +71,7 @@
 
 // mergeCalls stores the calls that are later than the state's calls on the same servers.
 func (h *sharedState) mergeCalls(servers map[string]operatorCall) {
-	known := h.inForce()
+	known := h.callsInForce()
 	for instance, c := range servers {
 		if stored, ok := known[instance]; ok && stored.AtMs >= c.AtMs {
 			continue
@@ -151,7 +151,7 @@
 
 // storeCall makes a call durable. A repeated call keeps the time of the first.
 func (h *sharedState) storeCall(instance string, c operatorCall) error {
-	known := h.inForce()
+	known := h.callsInForce()
 	old, ok := known[instance]
 	if h.store == nil {
 		if h.unsavedCalls == nil {
@@ -178,7 +178,7 @@
 // noteEnables records when this process first saw each enable call.
 func (h *sharedState) noteEnables(now time.Time) {
 	seen := make(map[string]enableSeen)
-	for instance, c := range h.inForce() {
+	for instance, c := range h.callsInForce() {
 		if c.Out {
 			continue
 		}
@@ -206,7 +206,7 @@
 	if h.legacyPath == "" {
 		return nil
 	}
-	s := legacyFile{Version: legacyVersion, Servers: h.inForce()}
+	s := legacyFile{Version: legacyVersion, Servers: h.callsInForce()}
 	sum := s.checksum()
 	s.Sum = &sum
 	raw, err := json.Marshal(s)
@@ -229,7 +229,7 @@
 	if h.store == nil {
 		return
 	}
-	if _, err := h.store.Follow(); err != nil {
+	if _, err := h.store.Refresh(); err != nil {
 		slog.Error("state not read", "error", err)
 	}
 	servers, old, err := h.readLegacy()
@@ -249,7 +249,7 @@
 		h.followOthers()
 	}
 	h.noteEnables(time.Now())
-	return h.inForce()
+	return h.callsInForce()
 }
 
 // followLateState passes to calls the operator calls of a state folder that did not answer at the start, once it does.
--- a/internal/sidecar/calledoff_test.go
+++ b/internal/sidecar/calledoff_test.go
@@ -18,7 +18,7 @@
 // crossingTimeout has passed.
 func (f *front) cancelFirstAttempt(t *testing.T, happened func() bool) {
 	t.Helper()
-	err := f.loop.do(context.Background(), func(time.Duration) {
+	err := f.loop.postAndWait(context.Background(), func(time.Duration) {
 		for id := range f.loop.requests {
 			f.loop.Cancel(id, 0)
 		}
@@ -34,10 +34,10 @@
 // interrupted the reads of the client's connection, and that was mistaken for the client's disconnecting.
 func TestCancelledUploadIsAnswered(t *testing.T) {
 	s := newStub(t, func(net.Conn, stubRequest) bool { select {} })
-	f, side, serve := assembled(t, s.address, nil)
+	f, side, serve := newTestFront(t, s.address, nil)
 	serve()
 	c := side.dial(t)
-	body := string(long(bodyHeld + 4<<10))
+	body := string(patternedBody(maxBufferedBody + 4<<10))
 	if _, err := io.WriteString(c, requestHead("1", fmt.Sprintf("Content-Length: %d", len(body)))+body); err != nil {
 		t.Fatal(err)
 	}
@@ -55,18 +55,18 @@
 	begin := make(chan struct{})
 	s := newStub(t, func(c net.Conn, r stubRequest) bool {
 		<-begin
-		_, _ = fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\nthe first bytes", 2*bodyHeld)
+		_, _ = fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\nthe first bytes", 2*maxBufferedBody)
 		_, _ = io.Copy(io.Discard, c) // until it is cancelled
 		return false
 	})
-	f, side, serve := assembled(t, s.address, nil)
+	f, side, serve := newTestFront(t, s.address, nil)
 	serve()
 	c := side.dial(t)
 	if _, err := io.WriteString(c, requestHead("1", "Content-Length: 0")); err != nil {
 		t.Fatal(err)
 	}
 	wait(t, "the request", s.requests)
-	err := f.loop.do(context.Background(), func(time.Duration) {
+	err := f.loop.postAndWait(context.Background(), func(time.Duration) {
 		close(begin)
 		for end := time.Now().Add(testTimeout); len(f.loop.events) == 0 && time.Now().Before(end); time.Sleep(time.Millisecond) {
 		}
--- a/internal/sidecar/console.go
+++ b/internal/sidecar/console.go
@@ -143,7 +143,7 @@
 	case name == "disable-server" || name == "enable-server":
 		err = c.setServer(ctx, words[1], name == "disable-server")
 	}
-	if notDurable := (errNotKept{}); errors.As(err, &notDurable) {
+	if notDurable := (errNotDurable{}); errors.As(err, &notDurable) {
 		fmt.Fprintf(w, "202 %v\n", err)
 		return
 	}
@@ -156,7 +156,7 @@
 
 // writeStats writes the figures of requests, servers and state, for operators and their monitoring. Requests are
 // counted when they are answered, attempts when they are written; the loop's counts of servers are at most
-// membersEvery old.
+// serverCountsInterval old.
 func (f *front) writeStats(w io.Writer) {
 	for _, name := range slices.Sorted(maps.Keys(f.cfg.Classes)) {
 		ended := &f.tallies[f.cfg.Classes[name]]
@@ -167,9 +167,9 @@
 			fmt.Fprintf(w, "app.downstream_requests.%s.%s=%d\n", name, figure.name, figure.value)
 		}
 	}
-	members := f.loop.members.Load()
+	members := f.loop.serverCounts.Load()
 	// A request whose body is still arriving is not pending.
 	fmt.Fprintf(w, "app.upstream_requests=%d\napp.pending=%d\napp.members=%d\napp.members_unavailable=%d\napp.state_damaged=%d\napp.state_bytes=%d\n",
-		f.loop.upstream.written.Load(), f.openRequests.Load()-f.pendingUploads.Load(), members.listed, members.unavailable,
-		f.loop.handover.damaged(), f.loop.handover.bytes())
+		f.loop.upstream.attemptsWritten.Load(), f.openRequests.Load()-f.pendingUploads.Load(), members.listed, members.unavailable,
+		f.loop.handover.damageCount(), f.loop.handover.stateSize())
 }
--- a/internal/sidecar/control.go
+++ b/internal/sidecar/control.go
@@ -17,12 +17,12 @@
 // dataPlane is the part of a sidecar that carries requests, as the control plane sees it. It is the loop in a
 // sidecar, and absent in a hollow one.
 type dataPlane interface {
-	list(listing)
-	listFailed()
-	fleet(context.Context, balance.Fleet) error
-	rules(context.Context, *rules.Set) error
-	calls(context.Context, map[string]operatorCall)
-	learned(context.Context) (balance.Learned, error)
+	applyListing(listing)
+	discoveryFailed()
+	updateFleet(context.Context, balance.Fleet) error
+	applyRules(context.Context, *rules.Set) error
+	applyOperatorCalls(context.Context, map[string]operatorCall)
+	learnedState(context.Context) (balance.Learned, error)
 }
 
 // control is the control plane of a sidecar: its stored state, the server list, and its part in the fleet (membership,
@@ -42,17 +42,17 @@
 // server list to start with. Nothing runs before start is called.
 func newControl(cfg *Config, c clock, plane dataPlane) (k *control, err error) {
 	k = &control{cfg: cfg, dataPlane: plane, meter: new(meter.Meter), state: openSharedState(cfg.SharedDir, cfg.Name, cfg.State)}
-	versions := k.state.versions(cfg, c.now())
-	cfg.KnownServers = versions.list()
-	k.discovery = newDiscovery(cfg, plane.list, plane.listFailed)
-	k.discovery.versions, k.discovery.now, k.discovery.keep = versions, c.now, k.state.keepList
+	versions := k.state.loadServerList(cfg, c.now())
+	cfg.KnownServers = versions.effectiveListing()
+	k.discovery = newDiscovery(cfg, plane.applyListing, plane.discoveryFailed)
+	k.discovery.list, k.discovery.now, k.discovery.saveList = versions, c.now, k.state.queueList
 	dial := k.discovery.dial
 	k.discovery.dial = func(ctx context.Context, network, address string) (net.Conn, error) {
 		conn, err := dial(ctx, network, address)
 		if err != nil {
 			return nil, err
 		}
-		return k.meter.Conn(conn, meter.Discovery, true), nil
+		return k.meter.WrapConn(conn, meter.Discovery, true), nil
 	}
 	if k.peers, err = newPeers(cfg, plane, k.state, k.meter); err != nil {
 		return nil, err
@@ -72,16 +72,16 @@
 	setProcessCount(n)
 	var lastRaw []byte
 	go k.state.watchProcesses(ctx, n, setProcessCount, func(calls map[string]operatorCall) {
-		k.dataPlane.calls(ctx, calls)
-		kept, list, raw, changed := k.state.beside(lastRaw, k.cfg.Zones)
+		k.dataPlane.applyOperatorCalls(ctx, calls)
+		kept, list, raw, changed := k.state.changedList(lastRaw, k.cfg.Zones)
 		if lastRaw = raw; changed {
-			k.discovery.beside(kept, list)
+			k.discovery.applyOtherProcessList(kept, list)
 		}
 	})
-	go k.state.followLateState(ctx, func(calls map[string]operatorCall) { k.dataPlane.calls(ctx, calls) })
+	go k.state.followLateState(ctx, func(calls map[string]operatorCall) { k.dataPlane.applyOperatorCalls(ctx, calls) })
 	go func() {
 		defer close(saved)
-		k.state.keep(ctx, k.dataPlane.learned)
+		k.state.persist(ctx, k.dataPlane.learnedState)
 	}()
 	go k.discovery.run(ctx)
 	return k.ruleSets.start(ctx)
@@ -118,7 +118,7 @@
 	for end, logged := time.Now().Add(reloadTimeout), false; ; logged = true {
 		cfg, err := ReadConfig(path)
 		if err == nil {
-			k.discovery.move(cfg.Discovery)
+			k.discovery.setAddress(cfg.Discovery)
 			return
 		}
 		if !logged {
@@ -144,7 +144,7 @@
 		return
 	}
 	t := k.meter.Traffic()
-	for i, name := range meter.Names {
+	for i, name := range meter.KindNames {
 		if t.In[i] == (meter.Count{}) && t.Out[i] == (meter.Count{}) {
 			continue
 		}
--- a/internal/sidecar/duties.go
+++ b/internal/sidecar/duties.go
@@ -41,9 +41,9 @@
 		return nil, errors.New("duty.voters needs a folder for persistent state (TMPDIR)")
 	}
 	c := duty.Config{
-		Name: cfg.Name, Start: state.store.Number(), Voters: cfg.Fleet.Duty.Voters, Lease: cfg.Fleet.Duty.Lease.Std(),
-		Wire: p.group, Keep: storeKeeper{state.store}, Lost: len(state.store.Damage().Files) > 0, Candidates: d.candidates,
-		Begin: func(string, uint64) {}, End: func(string) {}, // the code that acts on a duty asks whether it is held
+		Name: cfg.Name, Start: state.store.ProcessNumber(), Voters: cfg.Fleet.Duty.Voters, Lease: cfg.Fleet.Duty.Lease.Std(),
+		Transport: p.group, Storage: storeKeeper{state.store}, StorageDamaged: len(state.store.Damage().Findings) > 0, Candidates: d.candidates,
+		OnAcquired: func(string, uint64) {}, OnLost: func(string) {}, // the code that acts on a duty asks whether it is held
 	}
 	if cfg.Fleet.Duty.Report {
 		c.Duties = append(c.Duties, duty.Duty{Name: reportDuty})
@@ -59,13 +59,13 @@
 // storeKeeper adapts the state store to duty.Keeper.
 type storeKeeper struct{ *store.Store }
 
-// Get implements duty.Keeper.
+// Get implements duty.Storage.
 func (k storeKeeper) Get(section, key string) ([]byte, bool) {
 	e, ok := k.Store.Get(section, key)
 	return e.Value, ok
 }
 
-// All implements duty.Keeper.
+// All implements duty.Storage.
 func (k storeKeeper) All(section string) map[string][]byte {
 	all := make(map[string][]byte)
 	for key, e := range k.Store.All(section) {
@@ -101,7 +101,7 @@
 				return
 			}
 		}
-		if _, err := d.state.store.Follow(); err != nil { // reads what the predecessor wrote last
+		if _, err := d.state.store.Refresh(); err != nil { // reads what the predecessor wrote last
 			slog.Error("duties", "error", err)
 			return
 		}
@@ -135,7 +135,7 @@
 			}
 		}
 		if token, yes := d.group.Holds(reportDuty); yes {
-			slog.Info("fleet", "token", token, "present", v.Present, "silent", v.Silent, "views", v.Views, "agreed", v.Agreed,
+			slog.Info("fleet", "token", token, "present", v.Present, "silent", v.Silent, "views", v.DistinctViews, "agreed", v.Agreed,
 				"versions", len(versions), "phases", fmt.Sprint(phases))
 		}
 	}
@@ -146,7 +146,7 @@
 	if d.group == nil {
 		return
 	}
-	for _, name := range d.group.Names() {
+	for _, name := range d.group.DutyNames() {
 		token, _ := d.group.Holds(name)
 		fmt.Fprintf(w, "app.duty_token.%s=%d\n", name, token)
 	}
--- a/internal/sidecar/front.go
+++ b/internal/sidecar/front.go
@@ -100,7 +100,7 @@
 		return
 	}
 	if r.ContentLength != 0 { // until readBody sets its own: a body that is never read must not hold the connection
-		_ = http.NewResponseController(w).SetReadDeadline(time.Now().Add(bodyStill)) // fails only on a closed connection
+		_ = http.NewResponseController(w).SetReadDeadline(time.Now().Add(bodyStallTimeout)) // fails only on a closed connection
 	}
 	if len(r.TransferEncoding) > 0 || !r.ProtoAtLeast(1, 1) {
 		// Data after a chunked body is not checked (see framing), and HTTP/1.0 does not define chunks.
@@ -111,7 +111,7 @@
 		writeRejection(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	m := &message{id: r.Header.Get("X-Request-ID"), method: r.Method, url: r.URL, host: r.Host, header: endToEndHeaders(r.Header), length: r.ContentLength, left: timeout}
+	m := &outboundRequest{id: r.Header.Get("X-Request-ID"), method: r.Method, url: r.URL, host: r.Host, header: endToEndHeaders(r.Header), length: r.ContentLength, timeLeft: timeout}
 	if err := f.readBody(w, r, m); err != nil {
 		f.rejectBody(w, err)
 		return
@@ -121,12 +121,12 @@
 
 // serveRequest answers a request that has arrived, or of which the buffered part of the body has. It refuses the
 // request without an attempt where connections or open requests exceed their limit or the rules bar serving.
-func (f *front) serveRequest(w http.ResponseWriter, r *http.Request, q balance.Request, m *message) {
+func (f *front) serveRequest(w http.ResponseWriter, r *http.Request, q balance.Request, m *outboundRequest) {
 	arrived := f.clock.now() // the client's timeout began with its last byte; for a longer body that byte is still to come
-	if m.rest == nil {
+	if m.upload == nil {
 		arrived -= max(0, f.clients.sinceLastRead(r.Context()))
 	}
-	m.left = f.stopLimits.Load().bound(arrived, m.left)
+	m.timeLeft = f.stopLimits.Load().bound(arrived, m.timeLeft)
 	if !f.clients.requestReceived(r.Context()) { // its connection was shed for others, and closes with a refusal
 		f.loop.trace.logUnanswered(m.id, closedShedPartial, f.clock.now()-arrived)
 		panic(http.ErrAbortHandler)
@@ -139,30 +139,30 @@
 	}
 	barred := !f.rulesAllow() // the rule set may have changed since the request arrived
 	if full && !stopping || barred || f.cfg.MaxOpenRequests > 0 && open > int64(f.cfg.MaxOpenRequests) {
-		f.reply(w, r, q.Class, answer{status: http.StatusServiceUnavailable, pause: f.retryAfter()}, m.rest)
+		f.reply(w, r, q.Class, answer{status: http.StatusServiceUnavailable, retryAfter: f.retryAfter()}, m.upload)
 		return
 	}
-	if m.rest != nil {
+	if m.upload != nil {
 		f.pendingUploads.Add(1)
-		m.rest.whole = sync.OnceFunc(func() { f.pendingUploads.Add(-1) })
-		defer m.rest.whole()
+		m.upload.onSent = sync.OnceFunc(func() { f.pendingUploads.Add(-1) })
+		defer m.upload.onSent()
 	}
-	m.presence = func() presence { return f.clients.queryPresence(r.Context()) }
-	if m.presence() == clientGone { // the client left while the request waited to be read
+	m.clientPresence = func() presence { return f.clients.queryPresence(r.Context()) }
+	if m.clientPresence() == clientGone { // the client left while the request waited to be read
 		f.abortConnection(m, arrived)
 	}
-	f.loop.trace.logStep("request taken", m.id, slog.Duration("left", m.left), slog.Int64("held", open))
+	f.loop.trace.logStep("request taken", m.id, slog.Duration("left", m.timeLeft), slog.Int64("held", open))
 	f.awaitAnswer(w, r, q, m, arrived)
 }
 
 // awaitAnswer hands a request to the loop and sends its answer to the client. The request ends early if the client
 // disconnects or does not send its whole body.
-func (f *front) awaitAnswer(w http.ResponseWriter, r *http.Request, q balance.Request, m *message, arrived time.Duration) {
+func (f *front) awaitAnswer(w http.ResponseWriter, r *http.Request, q balance.Request, m *outboundRequest, arrived time.Duration) {
 	reply, bodyErr := make(chan answer, 1), (chan error)(nil)
-	if m.rest != nil {
-		bodyErr = m.rest.failed
+	if m.upload != nil {
+		bodyErr = m.upload.readErr
 	}
-	id, presencePoll := f.loop.ask(q, m, arrived+m.left, reply), time.NewTicker(presencePollInterval)
+	id, presencePoll := f.loop.submit(q, m, arrived+m.timeLeft, reply), time.NewTicker(presencePollInterval)
 	defer presencePoll.Stop()
 	incomplete := false // the client has not sent the whole body
 	defer func() { f.loop.guard.HandlerEnded(f.clock.now(), id, incomplete) }()
@@ -170,12 +170,12 @@
 	for cancelled := ctx.Done(); ; {
 		select {
 		case a := <-reply:
-			f.reply(w, r, q.Class, a, m.rest)
+			f.reply(w, r, q.Class, a, m.upload)
 			return
 		case err := <-bodyErr:
 			incomplete = true
-			f.loop.gone(id)
-			m.rest.stop()
+			f.loop.clientGone(id)
+			m.upload.stop()
 			f.rejectBody(w, err)
 			return
 		case <-presencePoll.C:
@@ -186,9 +186,9 @@
 			continue
 		}
 		f.loop.guard.ClientLeft(f.clock.now(), id)
-		f.loop.gone(id) // the client has disconnected
-		if m.rest != nil {
-			m.rest.stop()
+		f.loop.clientGone(id) // the client has disconnected
+		if m.upload != nil {
+			m.upload.stop()
 		}
 		f.abortConnection(m, arrived)
 	}
@@ -196,29 +196,29 @@
 
 // abortConnection closes the connection of a client that has left, without an answer. net/http provides
 // panic(http.ErrAbortHandler) for that.
-func (f *front) abortConnection(m *message, arrived time.Duration) {
+func (f *front) abortConnection(m *outboundRequest, arrived time.Duration) {
 	f.loop.trace.logUnanswered(m.id, closedClientLeft, f.clock.now()-arrived)
 	panic(http.ErrAbortHandler)
 }
 
 // readBody reads a request's body into m: all of it, or the part that is buffered, with m.rest for the remainder.
-func (f *front) readBody(w http.ResponseWriter, r *http.Request, m *message) error {
-	if r.ContentLength > bodyMost {
-		return errTooLong
+func (f *front) readBody(w http.ResponseWriter, r *http.Request, m *outboundRequest) error {
+	if r.ContentLength > maxRequestBody {
+		return errBodyTooLarge
 	}
-	body := &paced{body: r.Body, deadline: http.NewResponseController(w).SetReadDeadline, waited: f.clients.firstHeadTime(r.Context())}
+	body := &pacedBody{body: r.Body, setReadDeadline: http.NewResponseController(w).SetReadDeadline, clientTime: f.clients.firstHeadTime(r.Context())}
 	var err error
 	if r.ContentLength >= 0 {
-		m.body = make([]byte, min(r.ContentLength, bodyHeld))
+		m.body = make([]byte, min(r.ContentLength, maxBufferedBody))
 		_, err = io.ReadFull(body, m.body)
 	} else {
-		m.body, err = io.ReadAll(io.LimitReader(body, bodyHeld))
+		m.body, err = io.ReadAll(io.LimitReader(body, maxBufferedBody))
 	}
 	switch {
 	case err != nil:
 		return err
-	case r.ContentLength > bodyHeld || r.ContentLength < 0 && len(m.body) == bodyHeld:
-		m.rest = newUpload(body)
+	case r.ContentLength > maxBufferedBody || r.ContentLength < 0 && len(m.body) == maxBufferedBody:
+		m.upload = newUpload(body)
 	default:
 		m.length = int64(len(m.body))
 	}
@@ -231,7 +231,7 @@
 	status := http.StatusBadRequest
 	var netErr net.Error
 	switch {
-	case errors.Is(err, errTooLong):
+	case errors.Is(err, errBodyTooLarge):
 		status = http.StatusRequestEntityTooLarge
 	case errors.As(err, &netErr) && netErr.Timeout():
 		status = http.StatusRequestTimeout
@@ -250,7 +250,7 @@
 	switch {
 	case a.stream != nil:
 		f.sendStream(w, r, class, a)
-	case rest != nil && !rest.ended.Load():
+	case rest != nil && !rest.complete.Load():
 		rest.stop()
 		_ = controller.EnableFullDuplex()     // else the answer would wait for the rest of the body
 		w.Header().Set("Connection", "close") // net/http may still read on when it takes the next request
@@ -266,7 +266,7 @@
 // the connection is aborted so that the client notices.
 func (f *front) sendStream(w http.ResponseWriter, r *http.Request, class int, a answer) {
 	a.setHeaders(w)
-	if n := a.stream.length(); n >= 0 {
+	if n := a.stream.contentLength(); n >= 0 {
 		w.Header().Set("Content-Length", strconv.FormatInt(n, 10))
 	}
 	f.streams.started.Add(1)
@@ -275,7 +275,7 @@
 	began, why := f.clock.now(), closedClientLeft
 	if err := a.stream.copyTo(r.Context(), w); err != nil {
 		switch {
-		case errors.Is(err, errBroken):
+		case errors.Is(err, errAnswerCutShort):
 			f.streams.broken.Add(1)
 			why = closedServerBroke
 		case errors.Is(err, os.ErrDeadlineExceeded):
@@ -284,7 +284,7 @@
 		}
 		f.loop.trace.logUnanswered(r.Header.Get("X-Request-ID"), why, f.clock.now()-began)
 		f.tallies[class].count(http.StatusBadGateway)
-		a.stream.leave()
+		a.stream.abort()
 		panic(http.ErrAbortHandler)
 	}
 	f.tallies[class].count(http.StatusOK)
@@ -311,7 +311,7 @@
 		return q, 0, errors.New("the path names another class than X-Priority-Class")
 	}
 	method := http.MethodPost
-	if f.cfg.Policy.Classes[q.Class].Effect == balance.Safe {
+	if f.cfg.Policy.Classes[q.Class].Idempotency == balance.Safe {
 		method = http.MethodGet
 	}
 	if r.Method != method {
@@ -320,7 +320,7 @@
 	if method == http.MethodGet && r.ContentLength != 0 {
 		return q, 0, errors.New("a request of this class must not have a body")
 	}
-	if f.cfg.Policy.Classes[q.Class].Effect == balance.Keyed && h.Get("Idempotency-Key") == "" {
+	if f.cfg.Policy.Classes[q.Class].Idempotency == balance.Keyed && h.Get("Idempotency-Key") == "" {
 		return q, 0, errors.New("Idempotency-Key is missing")
 	}
 	if len(f.cfg.Tenants) > 0 {
@@ -341,7 +341,7 @@
 		_, _ = io.WriteString(sum, key) // a hash never fails
 		q.Key = sum.Sum64()
 	}
-	q.Repeat = h.Get("X-Retried") == "1"
+	q.ClientRetry = h.Get("X-Retried") == "1"
 	return q, timeout, nil
 }
 
@@ -378,7 +378,7 @@
 		w.Header().Set("Content-Length", strconv.Itoa(len(a.body)))
 		_, _ = w.Write(a.body) // fails only if the client has disconnected
 	case http.StatusServiceUnavailable:
-		writeRefusal(w, a.pause)
+		writeRefusal(w, a.retryAfter)
 	default:
 		w.Header().Set("Content-Length", "0")
 		w.WriteHeader(a.status)
--- a/internal/sidecar/front_test.go
+++ b/internal/sidecar/front_test.go
@@ -45,7 +45,7 @@
 // Requests that the rules bar are refused with Retry-After, and no attempt is made.
 func TestRulesBarServing(t *testing.T) {
 	s := newStub(t, echo)
-	f, side, serve := assembled(t, s.address, nil)
+	f, side, serve := newTestFront(t, s.address, nil)
 	var serves atomic.Bool
 	f.rulesAllow = serves.Load
 	serve()
@@ -105,7 +105,7 @@
 		}
 	}
 	tooLong := side.dial(t)
-	if _, err := io.WriteString(tooLong, requestHead("1", fmt.Sprintf("Content-Length: %d", bodyMost+1))); err != nil {
+	if _, err := io.WriteString(tooLong, requestHead("1", fmt.Sprintf("Content-Length: %d", maxRequestBody+1))); err != nil {
 		t.Fatal(err)
 	}
 	if answers, err := io.ReadAll(tooLong); err != nil || !strings.HasPrefix(string(answers), "HTTP/1.1 413 ") {
@@ -125,7 +125,7 @@
 	if answers, _ := io.ReadAll(many); strings.Count(string(answers), "HTTP/1.1 ") != 1 { // a reset after it counts as a close
 		t.Errorf("three without an id: %q, want one answer and a close", answers)
 	}
-	if res, body := sendRequest(t, side.newRequest(t, "POST", "/entry", strings.Repeat("x", bodyHeld))); res.StatusCode != 200 || body != "done r1" {
+	if res, body := sendRequest(t, side.newRequest(t, "POST", "/entry", strings.Repeat("x", maxBufferedBody))); res.StatusCode != 200 || body != "done r1" {
 		t.Errorf("longest body: %s %q", res.Status, body)
 	}
 	if len(s.requests) != 1 {
@@ -138,7 +138,7 @@
 func TestFloods(t *testing.T) {
 	s := newStub(t, echo)
 	side := startSidecar(t, nil, s.address)
-	chunk := "10000\r\n" + string(long(0x10000)) + "\r\n"
+	chunk := "10000\r\n" + string(patternedBody(0x10000)) + "\r\n"
 	for name, c := range map[string]struct {
 		begin, more string
 		times       int
@@ -146,10 +146,10 @@
 		"a line without end":               {"GET /", strings.Repeat("x", 4096), 256},
 		"headers without end":              {"GET /look HTTP/1.1\r\nHost: service.internal\r\n", strings.Repeat("X-A: b\r\n", 512), 256},
 		"blank lines without end":          {"", strings.Repeat("\r\n", 2048), 256},
-		"60 MB announced":                  {requestHead("1", "Content-Length: 60000000"), string(long(60000)), 1000},
+		"60 MB announced":                  {requestHead("1", "Content-Length: 60000000"), string(patternedBody(60000)), 1000},
 		"60 MB in chunks":                  {requestHead("1", "Transfer-Encoding: chunked"), chunk, 960},
-		"60 MB for an unknown class":       {"POST /nothing HTTP/1.1\r\nHost: service.internal\r\nContent-Length: 60000000\r\n\r\n", string(long(60000)), 1000},
-		"a chunk without end":              {requestHead("1", "Transfer-Encoding: chunked") + "fffffffffffffff\r\n", string(long(1 << 16)), 960},
+		"60 MB for an unknown class":       {"POST /nothing HTTP/1.1\r\nHost: service.internal\r\nContent-Length: 60000000\r\n\r\n", string(patternedBody(60000)), 1000},
+		"a chunk without end":              {requestHead("1", "Transfer-Encoding: chunked") + "fffffffffffffff\r\n", string(patternedBody(1 << 16)), 960},
 		"a chunk without a size":           {requestHead("1", "Transfer-Encoding: chunked") + "g\r\n", "x", 1},
 		"a malformed request byte by byte": {"", strings.Replace(requestHead("1", "Content-Length: 0"), "X-Timeout", "X-Time", 1), 0},
 	} {
--- a/internal/sidecar/handover.go
+++ b/internal/sidecar/handover.go
@@ -49,8 +49,8 @@
 	lastCount      atomic.Int64       // result of the last countProcesses; 0: not counted yet
 
 	mu           sync.Mutex
-	pendingList  *keepNext // server list to be saved next; nil: none
-	legacyDamage int       // 1 if the state had to be read from the legacy file and that is damaged
+	pendingList  *pendingList // server list to be saved next; nil: none
+	legacyDamage int          // 1 if the state had to be read from the legacy file and that is damaged
 }
 
 // newSharedState registers this process among those of sidecar name and opens the state in dir. Missing or invalid
@@ -81,7 +81,7 @@
 
 // emptySharedState returns the state of a process without a folder: it knows of no other process and stores nothing.
 func emptySharedState() *sharedState {
-	return &sharedState{pendingSaves: make(chan struct{}, savesAtOnce), listChanged: make(chan struct{}, 1)}
+	return &sharedState{pendingSaves: make(chan struct{}, maxPendingSaves), listChanged: make(chan struct{}, 1)}
 }
 
 // openStateFolder takes a byte of the lock file in dir and opens the state store and the legacy file there.
@@ -93,7 +93,7 @@
 		slog.Error("upgrade alone", "error", err)
 	}
 	began := time.Now()
-	options.Dir, options.Alone = base+".kept", func() bool { return h.lockFile != nil && h.countProcesses() == 1 }
+	options.Dir, options.SoleWriter = base+".kept", func() bool { return h.lockFile != nil && h.countProcesses() == 1 }
 	var err error
 	h.store, err = store.Open(options)
 	if err != nil {
@@ -101,8 +101,8 @@
 	}
 	h.importLegacy()
 	h.noteEnables(time.Now())
-	damage := h.store.Damage().Files
-	slog.Info("state", "number", h.store.Number(), "calls", len(h.inForce()), "bytes", h.bytes(), "took", time.Since(began), "damaged", len(damage))
+	damage := h.store.Damage().Findings
+	slog.Info("state", "number", h.store.ProcessNumber(), "calls", len(h.callsInForce()), "bytes", h.stateSize(), "took", time.Since(began), "damaged", len(damage))
 	for _, d := range damage {
 		slog.Error("state damaged", "error", d)
 	}
@@ -127,7 +127,7 @@
 		if n > 1 {
 			pause = upgradePollInterval
 		}
-		retryUnreadable := h.store.Unread() && time.Since(lastRead) >= unreadableRetryInterval
+		retryUnreadable := h.store.HasUnread() && time.Since(lastRead) >= unreadableRetryInterval
 		if n > 1 || before > 1 || retryUnreadable {
 			lastRead = time.Now()
 			calls(h.currentCalls())
--- a/internal/sidecar/handover_test.go
+++ b/internal/sidecar/handover_test.go
@@ -92,11 +92,11 @@
 		h.currentCalls()
 		now := time.Now()
 		h.dropOldEnables(now.Add(enableRetention / 2))
-		if _, kept := h.inForce()["a"]; !kept {
+		if _, kept := h.callsInForce()["a"]; !kept {
 			t.Errorf("stepped by %v: the enable call is dropped after half of enableRetention", step)
 		}
 		h.dropOldEnables(now.Add(2 * enableRetention))
-		if _, kept := h.inForce()["a"]; kept {
+		if _, kept := h.callsInForce()["a"]; kept {
 			t.Errorf("stepped by %v: the enable call is kept for twice enableRetention", step)
 		}
 		h.exit()
@@ -134,8 +134,8 @@
 		t.Fatal(err)
 	}
 	h := newSharedState(dir, "n0")
-	var kept errNotKept
-	if err := h.saved("a", true, time.Now()); !errors.As(err, &kept) {
+	var kept errNotDurable
+	if err := h.saveCall("a", true, time.Now()); !errors.As(err, &kept) {
 		t.Errorf("error %v", err)
 	}
 	if got := h.currentCalls(); !got["a"].Out {
@@ -144,7 +144,7 @@
 	if err := os.Remove(filepath.Join(dir, "sidecar-n0.kept")); err != nil {
 		t.Fatal(err)
 	}
-	if err := h.saved("a", true, time.Now()); err != nil { // the repeated call is stored
+	if err := h.saveCall("a", true, time.Now()); err != nil { // the repeated call is stored
 		t.Error(err)
 	}
 	if got := newSharedState(dir, "n0").currentCalls(); !got["a"].Out {
@@ -234,13 +234,13 @@
 			t.Errorf("%d processes hold up to %d descriptors of %d", n, all, cfg.Sockets)
 		}
 	}
-	u := testUpstream(t)
+	u := testTransport(t)
 	s := newStub(t, echo)
 	for i := range 4 {
 		u.idle[s.address] = append(u.idle[s.address], &conn{Conn: dialTCP(t, s.address), idleSince: time.Duration(i)})
 		u.open++
 	}
-	u.share(1)
+	u.setMaxConnections(1)
 	if u.open != 1 || len(u.idle[s.address]) != 1 {
 		t.Errorf("%d open, %d idle, want 1", u.open, len(u.idle[s.address]))
 	}
--- a/internal/sidecar/peers.go
+++ b/internal/sidecar/peers.go
@@ -54,9 +54,9 @@
 	}
 	c := member.Config{
 		Name: cfg.Name, Start: uint64(time.Now().UnixMilli()), Version: revision(), Digest: cfg.digest(),
-		Listen: listen, Cluster: m.Cluster, Seeds: m.Seeds, Routes: cfg.Fleet.Routes, Probe: m.Probe.Std(),
-		Expect: cfg.Policy.Balancers, Forget: m.Forget.Std(), Index: cfg.Policy.Index, Tells: cfg.Fleet.Spread.Share,
-		Meter: counts, Kinds: map[byte]meter.Kind{duty.CallStream: meter.Duties, duty.RaftStream: meter.Duties, rules.Stream: meter.Rules},
+		Listen: listen, Cluster: m.Cluster, Seeds: m.Seeds, Routes: cfg.Fleet.Routes, ProbeInterval: m.Probe.Std(),
+		ExpectedMembers: cfg.Policy.Balancers, ForgetAfter: m.Forget.Std(), Index: cfg.Policy.Index, ShareTraffic: cfg.Fleet.Spread.Share,
+		Meter: counts, StreamKinds: map[byte]meter.Kind{duty.CallStream: meter.Duties, duty.RaftStream: meter.Duties, rules.MessageStream: meter.Rules},
 	}
 	for zone, i := range cfg.Zones {
 		if i == cfg.Policy.Zone {
@@ -67,12 +67,12 @@
 		c.Forms = rules.Highest
 	}
 	if state.store != nil {
-		c.Start = state.store.Number()
-		c.Known, _, _ = read[[]string](state.store, sectionMembers)
+		c.Start = state.store.ProcessNumber()
+		c.KnownPeers, _, _ = readSection[[]string](state.store, sectionMembers)
 	}
-	if p.group, err = member.New(c); err != nil && len(c.Known) > 0 {
+	if p.group, err = member.New(c); err != nil && len(c.KnownPeers) > 0 {
 		slog.Warn("members not recalled", "reason", err)
-		c.Known = nil
+		c.KnownPeers = nil
 		p.group, err = member.New(c)
 	}
 	return p, err
@@ -113,7 +113,7 @@
 		return
 	}
 	if !p.rulesBar() {
-		p.group.Say(member.Serving)
+		p.group.SetPhase(member.Serving)
 	}
 	go p.group.Run(ctx)
 	go p.syncFleet(ctx)
@@ -143,29 +143,29 @@
 		case v.Starved: // in this phase the sidecar gets no duties
 			phase = member.Starved
 		}
-		p.group.Say(phase)
+		p.group.SetPhase(phase)
 		if p.stopping.Load() { // a stop may have begun in the meantime
-			p.group.Say(member.Draining)
+			p.group.SetPhase(member.Draining)
 		}
 		if p.cfg.Fleet.Spread.Share {
-			l, err := p.dataPlane.learned(ctx)
+			l, err := p.dataPlane.learnedState(ctx)
 			if err != nil {
 				return // ctx has ended
 			}
-			p.group.Tell(l.Rate)
+			p.group.ReportTraffic(l.Rate)
 		}
 		if f, ok := p.fleetUpdate(v, last); ok {
-			if p.dataPlane.fleet(ctx, f) != nil {
+			if p.dataPlane.updateFleet(ctx, f) != nil {
 				return
 			}
 			last = f
 		}
-		known := p.group.Known()
+		known := p.group.KnownPeers()
 		if p.state.store == nil || len(known) == 0 || slices.Equal(known, saved) || time.Since(savedAt) < membersSaveInterval {
 			continue
 		}
 		raw, err := json.Marshal(known)
-		if err = errors.Join(err, p.state.store.Keep(sectionMembers, only, raw)); err != nil {
+		if err = errors.Join(err, p.state.store.PutUnsynced(sectionMembers, singleKey, raw)); err != nil {
 			slog.Debug("members not kept", "reason", err) // failures of the store itself are logged elsewhere
 		}
 		saved, savedAt = known, time.Now()
@@ -207,7 +207,7 @@
 func (p *peers) startDraining(replaced bool, d *duties) {
 	if p.group != nil && !replaced {
 		p.stopping.Store(true)
-		p.group.Say(member.Draining)
+		p.group.SetPhase(member.Draining)
 	}
 	d.release()
 	if p.group != nil && replaced {
@@ -233,7 +233,7 @@
 		agreed = 1
 	}
 	fmt.Fprintf(w, "app.fleet_members=%d\napp.fleet_silent=%d\napp.fleet_suspected=%d\napp.fleet_views=%d\napp.fleet_agreed=%d\n",
-		v.Present, v.Silent, v.Suspected, v.Views, agreed)
+		v.Present, v.Silent, v.Suspected, v.DistinctViews, agreed)
 	if p.cfg.Fleet.Spread.Share {
 		n := 0
 		for _, m := range v.Members {
@@ -260,7 +260,7 @@
 	}
 	words := []string{
 		"self=" + p.cfg.Name, "standing=" + string(v.Standing), fmt.Sprintf("view=%d digest=%x", v.Number, v.Digest),
-		fmt.Sprintf("views=%d agreed=%v for=%v", v.Views, v.Agreed, v.Since.Round(time.Second)),
+		fmt.Sprintf("views=%d agreed=%v for=%v", v.DistinctViews, v.Agreed, v.AgreementAge.Round(time.Second)),
 	}
 	if v.Starved {
 		words = append(words, "starved")
@@ -282,11 +282,11 @@
 			notes = append(notes, fmt.Sprintf("traffic=%.3g", m.Traffic))
 		}
 		word := "none"
-		if m.Word >= 0 {
-			word = m.Word.Round(time.Second / 10).String()
+		if m.LastContactAge >= 0 {
+			word = m.LastContactAge.Round(time.Second / 10).String()
 		}
 		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%v\t%d\t%s\t%s\t%s\t%s\n",
-			m.Name, m.Zone, m.State, m.Phase, m.Since.Round(time.Second), m.Start, m.Version, word, m.Address, strings.Join(notes, " "))
+			m.Name, m.Zone, m.State, m.Phase, m.StateAge.Round(time.Second), m.Start, m.Version, word, m.Address, strings.Join(notes, " "))
 	}
 	fmt.Fprintln(w, "EOF")
 	return nil
--- a/internal/sidecar/rules.go
+++ b/internal/sidecar/rules.go
@@ -31,19 +31,19 @@
 	if d.group == nil || cfg.Fleet.Rules.File == "" {
 		return s, nil
 	}
-	forms, err := rules.Forms()
+	forms, err := rules.ParseHighestForm()
 	if err != nil {
 		return nil, err
 	}
 	s.path = cfg.Fleet.Rules.File
-	settings := rules.Settings{Forms: forms, Tenants: cfg.Tenants, Zones: cfg.Zones, Server: serverID, Config: cfg.Policy}
+	settings := rules.Settings{HighestForm: forms, Tenants: cfg.Tenants, Zones: cfg.Zones, Server: serverID, Config: cfg.Policy}
 	keeper := storeKeeper{state.store}
 	s.node = rules.New(rules.Config{
-		Name: cfg.Name, Start: state.store.Number(), Keep: keeper, Damaged: len(state.store.Damage().Files) > 0, Wire: p.group,
-		Voters:  &dutyVoters{group: d.group, fence: duty.Fence{Keep: keeper}},
-		Members: p.rulesMembers,
-		Read:    func(text []byte) (*rules.Set, error) { return rules.Read(text, settings) },
-		Force:   plane.rules,
+		Name: cfg.Name, Start: state.store.ProcessNumber(), Storage: keeper, StorageDamaged: len(state.store.Damage().Findings) > 0, Transport: p.group,
+		Voters:   &dutyVoters{group: d.group, fence: duty.Fence{Storage: keeper}},
+		Members:  p.rulesMembers,
+		Read:     func(text []byte) (*rules.Set, error) { return rules.Read(text, settings) },
+		Activate: plane.applyRules,
 	})
 	p.rulesBar = func() bool { return !s.node.Serves() }
 	return s, nil
@@ -79,30 +79,30 @@
 	return "", err
 }
 
-// Entered implements rules.Voters.
-func (v *dutyVoters) Entered() (rules.Floor, error) {
-	e, err := v.group.Entered(rulesDuty)
+// LastEntry implements rules.Voters.
+func (v *dutyVoters) LastEntry() (rules.Floor, error) {
+	e, err := v.group.LastEntry(rulesDuty)
 	return rules.Floor{Version: e.Version, Digest: e.Digest, Token: e.Token}, err
 }
 
-// Enter implements rules.Voters.
-func (v *dutyVoters) Enter(f rules.Floor) (refused, err error) {
-	err = v.group.Enter(rulesDuty, f.Token, f.Version, f.Digest)
-	if errors.Is(err, duty.ErrNotEntered) {
+// CommitEntry implements rules.Voters.
+func (v *dutyVoters) CommitEntry(f rules.Floor) (refused, err error) {
+	err = v.group.CommitEntry(rulesDuty, f.Token, f.Version, f.Digest)
+	if errors.Is(err, duty.ErrEntryRefused) {
 		return err, nil
 	}
 	return nil, err
 }
 
-// Fence implements rules.Voters.
-func (v *dutyVoters) Fence(token uint64) (bool, error) { return v.fence.Pass(rulesDuty, token) }
+// AdmitToken implements rules.Voters.
+func (v *dutyVoters) AdmitToken(token uint64) (bool, error) { return v.fence.Admit(rulesDuty, token) }
 
 // start puts the floor's rule set in force. The loop must be running, and no request may have been received.
 func (s *ruleSets) start(ctx context.Context) error {
 	if s.node == nil {
 		return nil
 	}
-	return s.node.Begin(ctx)
+	return s.node.ActivateFloor(ctx)
 }
 
 // run pushes the rule file and starts the node, which runs until ctx ends.
@@ -126,10 +126,10 @@
 	var text []byte
 	if err == nil {
 		defer f.Close()
-		text, err = io.ReadAll(io.LimitReader(f, rules.DocumentMost+1))
+		text, err = io.ReadAll(io.LimitReader(f, rules.MaxDocumentBytes+1))
 	}
-	if err == nil && len(text) > rules.DocumentMost {
-		err = fmt.Errorf("%s: more than %d bytes", s.path, rules.DocumentMost)
+	if err == nil && len(text) > rules.MaxDocumentBytes {
+		err = fmt.Errorf("%s: more than %d bytes", s.path, rules.MaxDocumentBytes)
 	}
 	if err != nil {
 		slog.Error("rules", "notPushed", s.path, "error", err)
@@ -163,14 +163,14 @@
 	}
 	st := s.node.Status()
 	fmt.Fprintf(w, "200 in-force=%d floor=%d digest=%s token=%d serves=%v differs=%v holds=%d file=%d forms=%s\n",
-		st.InForce, st.Floor.Version, st.Floor.Digest, st.Floor.Token, st.Serves, st.Differs, st.Holding, st.File, rules.Highest)
-	if st.Why != "" {
-		fmt.Fprintf(w, "barred\t%s\n", st.Why)
+		st.InForce, st.Floor.Version, st.Floor.Digest, st.Floor.Token, st.Serves, st.DigestDiffers, st.DutyToken, st.FileVersion, rules.Highest)
+	if st.BarredReason != "" {
+		fmt.Fprintf(w, "barred\t%s\n", st.BarredReason)
 	}
-	if st.Never != "" {
-		fmt.Fprintf(w, "refused for good\t%d\t%s\n", st.File, st.Never)
+	if st.FileRefusal != "" {
+		fmt.Fprintf(w, "refused for good\t%d\t%s\n", st.FileVersion, st.FileRefusal)
 	}
-	for _, r := range st.Refused {
+	for _, r := range st.Refusals {
 		fmt.Fprintf(w, "refused\t%d\tby %s\t%s\n", r.Version, r.Name, r.Why)
 	}
 	for _, m := range s.peers.group.View().Members { // members that support older or newer forms than this one
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -40,7 +40,7 @@
 // components are the parts of a sidecar.
 type components struct {
 	cfg       *Config
-	upstreams *upstream
+	upstreams *transport
 	loop      *loop
 	control   *control
 	clients   *clients
@@ -50,7 +50,7 @@
 // newComponents creates the components and connects them. Nothing runs yet.
 func newComponents(cfg *Config) (*components, error) {
 	c := newClock()
-	p := &components{cfg: cfg, upstreams: newUpstream(cfg, c)}
+	p := &components{cfg: cfg, upstreams: newTransport(cfg, c)}
 	var err error
 	if p.loop, err = newLoop(cfg, c, p.upstreams); err != nil {
 		return nil, err
@@ -59,12 +59,12 @@
 		return nil, err
 	}
 	l, discovery := p.loop, p.control.discovery
-	l.watch, l.asked, l.handover = discovery.ask, discovery.counters, p.control.state
-	p.clients = newClients(cfg, nil, p.upstreams.connections)
-	p.upstreams.yield, p.upstreams.room = p.clients.makeRoomForUpstream, p.clients.hasRoomForUpstream
+	l.subscribe, l.discoveryCounters, l.handover = discovery.subscribe, discovery.counters, p.control.state
+	p.clients = newClients(cfg, nil, p.upstreams.connectionCount)
+	p.upstreams.makeRoom, p.upstreams.hasRoom = p.clients.makeRoomForUpstream, p.clients.hasRoomForUpstream
 	p.front = newFront(cfg, c, l, p.clients)
-	l.clients, p.clients.countClose = p.front.counters, l.trace.countClose
-	l.bounded = func(now, left time.Duration) time.Duration { return p.front.stopLimits.Load().bound(now, left) }
+	l.clientCounters, p.clients.countClose = p.front.counters, l.trace.countClose
+	l.limitTimeLeft = func(now, left time.Duration) time.Duration { return p.front.stopLimits.Load().bound(now, left) }
 	p.front.rulesAllow = p.control.ruleSets.mayServe
 	return p, nil
 }
@@ -72,15 +72,15 @@
 // setProcessCount divides the sidecar's limits among n processes, and applies this one's part.
 func (p *components) setProcessCount(n int) {
 	limitMemory(p.cfg.MemoryMB, n)
-	p.upstreams.share(p.cfg.upstreamConnLimit(n))
+	p.upstreams.setMaxConnections(p.cfg.upstreamConnLimit(n))
 	p.clients.setLimits(p.cfg.clientConnLimit(n), p.cfg.totalConnLimit(n))
-	p.loop.share(n)
+	p.loop.setProcessCount(n)
 }
 
 // console returns the operators' console for these components.
 func (p *components) console() *console {
 	return &console{
-		ready: p.front.isUp, writeRules: p.control.ruleSets.writeRules, setServer: p.loop.server, confirmState: p.control.state.confirm,
+		ready: p.front.isUp, writeRules: p.control.ruleSets.writeRules, setServer: p.loop.setServerDisabled, confirmState: p.control.state.confirmDamage,
 		writeMembers: p.control.peers.writeMembers, writeDuties: p.control.duties.writeDuties, moveDuty: p.control.duties.moveDuty, writeStats: p.writeStats,
 	}
 }
@@ -109,7 +109,7 @@
 	saved := make(chan struct{})
 	defer func() {
 		stop()
-		waitAtMost(saved, saveWait) // the last save may wait for a disk; the exit does not wait longer
+		waitAtMost(saved, saveTimeout) // the last save may wait for a disk; the exit does not wait longer
 	}()
 	go p.loop.run(running, cfg.KnownServers)
 	if err := p.control.start(running, saved, p.setProcessCount); err != nil {
--- a/internal/sidecar/size_test.go
+++ b/internal/sidecar/size_test.go
@@ -88,7 +88,7 @@
 func (*countingHost) Cancel(balance.RequestID, int)                           {}
 func (*countingHost) Withdraw(balance.RequestID, int)                         {}
 func (*countingHost) Wake(time.Duration)                                      {}
-func (*countingHost) Close(balance.ServerID)                                  {}
+func (*countingHost) CloseIdle(balance.ServerID)                              {}
 func (*countingHost) Probe(balance.ServerID)                                  {}
 func (*countingHost) WatchList()                                              {}
 func (*countingHost) Log(string)                                              {}
@@ -112,14 +112,14 @@
 				b.Fatal(err)
 			}
 			m.Start(0)
-			m.List(0, balance.ListFull, l.servers)
+			m.UpdateServers(0, balance.ListFull, l.servers)
 			return m, host
 		}
 		b.Run(fmt.Sprintf("%d/list", n), func(b *testing.B) {
 			kept := heapGrowth(func() any { m, _ := begin(); return m })
 			m, _ := begin()
 			for b.Loop() {
-				m.List(0, balance.ListFull, l.servers)
+				m.UpdateServers(0, balance.ListFull, l.servers)
 			}
 			b.ReportMetric(kept/float64(n), "kept-bytes/server")
 		})
@@ -128,7 +128,7 @@
 			for i := 0; b.Loop(); i++ {
 				s := l.servers[i/2%n]
 				s.State = []balance.State{balance.Draining, balance.Ready}[i%2]
-				m.List(0, balance.ListDelta, []balance.Server{s})
+				m.UpdateServers(0, balance.ListDelta, []balance.Server{s})
 			}
 		})
 		b.Run(fmt.Sprintf("%d/request", n), func(b *testing.B) {
@@ -137,7 +137,7 @@
 			for b.Loop() {
 				now += gap
 				id++
-				m.Request(now, balance.Request{ID: id, Left: 3 * time.Second})
+				m.Request(now, balance.Request{ID: id, TimeLeft: 3 * time.Second})
 				m.Outcome(now+time.Millisecond, balance.Outcome{ID: id, Ending: balance.Served, Settled: true})
 				m.Wake(now + 2*time.Millisecond)
 			}
