--- a/internal/sidecar/control.go
+++ b/internal/sidecar/control.go
@@ -14,15 +14,15 @@
 	"arrowgw/internal/rules"
 )
 
-// dataPlane is the part of a sidecar that carries requests, as the control plane sees it. It is the loop in a
-// sidecar, and absent in a hollow one.
+// dataPlane is the part of a sidecar that carries requests, as the control plane sees it. In a sidecar it is the loop;
+// a hollow sidecar has none and uses a stub. A method that returns an error fails only if its context ends.
 type dataPlane interface {
-	applyListing(listing)
-	discoveryFailed()
-	updateFleet(context.Context, balance.Fleet) error
-	applyRules(context.Context, *rules.Set) error
-	applyOperatorCalls(context.Context, map[string]operatorCall)
-	learnedState(context.Context) (balance.Learned, error)
+	applyListing(listing)                                        // applies an answer of discovery
+	discoveryFailed()                                            // reports that a call of discovery has failed
+	updateFleet(context.Context, balance.Fleet) error            // passes on the members of the fleet
+	applyRules(context.Context, *rules.Set) error                // puts a rule set in force
+	applyOperatorCalls(context.Context, map[string]operatorCall) // applies operator calls, by server instance
+	learnedState(context.Context) (balance.Learned, error)       // returns what the decision module has learned
 }
 
 // control is the control plane of a sidecar: its stored state, the server list, and its part in the fleet (membership,
--- a/internal/sidecar/duties.go
+++ b/internal/sidecar/duties.go
@@ -134,7 +134,7 @@
 				phases[m.Phase]++
 			}
 		}
-		if token, yes := d.group.Holds(reportDuty); yes {
+		if token, holds := d.group.Holds(reportDuty); holds {
 			slog.Info("fleet", "token", token, "present", v.Present, "silent", v.Silent, "views", v.DistinctViews, "agreed", v.Agreed,
 				"versions", len(versions), "phases", fmt.Sprint(phases))
 		}
--- a/internal/sidecar/momentary.go
+++ b/internal/sidecar/momentary.go
@@ -87,8 +87,8 @@
 // poll fails, the TCP state of the connection is read instead, as an error does not mean that the client is still
 // there.
 func pollPresence(fd int) presence {
-	of := func(left bool) presence {
-		if left {
+	presenceIf := func(closed bool) presence {
+		if closed {
 			return clientGone
 		}
 		return clientPresent
@@ -96,10 +96,10 @@
 	for range pollAttempts {
 		p := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLRDHUP}}
 		if _, err := unix.Poll(p, 0); err == nil {
-			return of(p[0].Revents != 0)
+			return presenceIf(p[0].Revents != 0)
 		}
 		if info, err := unix.GetsockoptTCPInfo(fd, unix.IPPROTO_TCP, unix.TCP_INFO); err == nil {
-			return of(info.State != unix.BPF_TCP_ESTABLISHED)
+			return presenceIf(info.State != unix.BPF_TCP_ESTABLISHED)
 		}
 	}
 	return clientUnknown
--- a/internal/sidecar/peers.go
+++ b/internal/sidecar/peers.go
@@ -281,12 +281,12 @@
 		if m.Traffic > 0 {
 			notes = append(notes, fmt.Sprintf("traffic=%.3g", m.Traffic))
 		}
-		word := "none"
+		lastHeard := "none"
 		if m.LastContactAge >= 0 {
-			word = m.LastContactAge.Round(time.Second / 10).String()
+			lastHeard = m.LastContactAge.Round(time.Second / 10).String()
 		}
 		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%v\t%d\t%s\t%s\t%s\t%s\n",
-			m.Name, m.Zone, m.State, m.Phase, m.StateAge.Round(time.Second), m.Start, m.Version, word, m.Address, strings.Join(notes, " "))
+			m.Name, m.Zone, m.State, m.Phase, m.StateAge.Round(time.Second), m.Start, m.Version, lastHeard, m.Address, strings.Join(notes, " "))
 	}
 	fmt.Fprintln(w, "EOF")
 	return nil
--- a/internal/sidecar/processlock.go
+++ b/internal/sidecar/processlock.go
@@ -52,10 +52,10 @@
 	return fmt.Errorf("lock %s: %w", path, err)
 }
 
-// fcntl locks or unlocks (ofdSetLock) the byte at of a lock file, as kind says. With ofdGetLock it returns EAGAIN if
-// another process has locked the byte.
-func fcntl(f *os.File, command int, at int64, kind int16) error {
-	lock := syscall.Flock_t{Type: kind, Whence: io.SeekStart, Start: at, Len: 1}
+// fcntl locks or unlocks (ofdSetLock) the byte at offset of a lock file, as kind says. With ofdGetLock it returns
+// EAGAIN if another process has locked the byte.
+func fcntl(f *os.File, command int, offset int64, kind int16) error {
+	lock := syscall.Flock_t{Type: kind, Whence: io.SeekStart, Start: offset, Len: 1}
 	_, err := retryInterrupted(func() (int, error) { return 0, syscall.FcntlFlock(f.Fd(), command, &lock) })
 	if err == nil && command == ofdGetLock && lock.Type != syscall.F_UNLCK {
 		return syscall.EAGAIN
@@ -69,18 +69,18 @@
 	h.countMu.Lock() // not mu: the store calls this with its own lock held
 	defer h.countMu.Unlock()
 	n := 1
-	for at := int64(0); h.lockFile != nil && at < maxProcesses; at++ {
-		if at == h.lockIndex {
+	for index := int64(0); h.lockFile != nil && index < maxProcesses; index++ {
+		if index == h.lockIndex {
 			continue
 		}
-		err := fcntl(h.lockFile, ofdGetLock, at, syscall.F_WRLCK)
+		err := fcntl(h.lockFile, ofdGetLock, index, syscall.F_WRLCK)
 		switch {
 		case err == nil:
-			h.otherProcesses[at] = false
+			h.otherProcesses[index] = false
 		case errors.Is(err, syscall.EAGAIN):
-			h.otherProcesses[at] = true
+			h.otherProcesses[index] = true
 		}
-		if h.otherProcesses[at] {
+		if h.otherProcesses[index] {
 			n++
 		}
 	}
--- a/internal/sidecar/rules.go
+++ b/internal/sidecar/rules.go
@@ -148,11 +148,11 @@
 	if s.node == nil {
 		return
 	}
-	st, barred := s.node.Status(), 0
-	if !st.Serves {
+	status, barred := s.node.Status(), 0
+	if !status.Serves {
 		barred = 1
 	}
-	fmt.Fprintf(w, "app.rules_version=%d\napp.rules_floor=%d\napp.rules_barred=%d\n", st.InForce, st.Floor.Version, barred)
+	fmt.Fprintf(w, "app.rules_version=%d\napp.rules_floor=%d\napp.rules_barred=%d\n", status.InForce, status.Floor.Version, barred)
 }
 
 // writeRules writes which rule set is in force, why a push was refused, and which members support another form of
@@ -161,16 +161,16 @@
 	if s.node == nil {
 		return errors.New("there are no rule sets: the fleet file has no rules.file")
 	}
-	st := s.node.Status()
+	status := s.node.Status()
 	fmt.Fprintf(w, "200 in-force=%d floor=%d digest=%s token=%d serves=%v differs=%v holds=%d file=%d forms=%s\n",
-		st.InForce, st.Floor.Version, st.Floor.Digest, st.Floor.Token, st.Serves, st.DigestDiffers, st.DutyToken, st.FileVersion, rules.Highest)
-	if st.BarredReason != "" {
-		fmt.Fprintf(w, "barred\t%s\n", st.BarredReason)
+		status.InForce, status.Floor.Version, status.Floor.Digest, status.Floor.Token, status.Serves, status.DigestDiffers, status.DutyToken, status.FileVersion, rules.Highest)
+	if status.BarredReason != "" {
+		fmt.Fprintf(w, "barred\t%s\n", status.BarredReason)
 	}
-	if st.FileRefusal != "" {
-		fmt.Fprintf(w, "refused for good\t%d\t%s\n", st.FileVersion, st.FileRefusal)
+	if status.FileRefusal != "" {
+		fmt.Fprintf(w, "refused for good\t%d\t%s\n", status.FileVersion, status.FileRefusal)
 	}
-	for _, r := range st.Refusals {
+	for _, r := range status.Refusals {
 		fmt.Fprintf(w, "refused\t%d\tby %s\t%s\n", r.Version, r.Name, r.Why)
 	}
 	for _, m := range s.peers.group.View().Members { // members that support older or newer forms than this one
