--- a/internal/sidecar/clients_test.go
+++ b/internal/sidecar/clients_test.go
@@ -25,27 +25,27 @@
 	"arrowgw/internal/listener"
 )
 
-// Connections make room in the order of how little they are needed, and those with an open request do not.
-func TestWhoMakesRoom(t *testing.T) {
-	l := newClients(testConfig(t, listAnswer(1, "ready"), nil), nil, noUpstreams)
+// Connections are closed to make room in the order of how little they are needed; those with an open request are not.
+func TestShedOrder(t *testing.T) {
+	l := newClients(testConfig(t, listAnswer(1, "ready"), nil), nil, noUpstreamConns)
 	names := make(map[*clientConn]string)
 	for _, c := range []struct {
 		name  string
 		age   time.Duration
-		spoke time.Duration // ago; 0: never
+		spoke time.Duration // time since its last bytes; 0: it has sent nothing
 		known bool
 		state http.ConnState
 	}{
 		{"open request", time.Hour, time.Hour, true, http.StateActive},
 		{"first request read", time.Hour, time.Hour, false, http.StateNew},
 		{"next request read", time.Hour, time.Hour, true, http.StateIdle},
-		{"half a next request", 1500 * time.Millisecond, 1500 * time.Millisecond, true, http.StateIdle},
-		{"slow, goes on", 2 * time.Second, 50 * time.Millisecond, false, http.StateNew},
-		{"half a request", time.Second, time.Second, false, http.StateActive},
+		{"partial next request", 1500 * time.Millisecond, 1500 * time.Millisecond, true, http.StateIdle},
+		{"slow, still sending", 2 * time.Second, 50 * time.Millisecond, false, http.StateNew},
+		{"partial request", time.Second, time.Second, false, http.StateActive},
 		{"idle, newer", time.Second, time.Second, true, http.StateIdle},
 		{"idle", 2 * time.Second, time.Second, true, http.StateIdle},
 		{"silent", time.Second, 0, false, http.StateNew},
-		{"just come", 0, 0, false, http.StateNew},
+		{"just accepted", 0, 0, false, http.StateNew},
 	} {
 		near, far := net.Pipe()
 		t.Cleanup(func() { near.Close(); far.Close() })
@@ -55,15 +55,15 @@
 		}
 		k.since, k.hadRequest, k.state = k.since.Add(-c.age), c.known, c.state
 		if c.spoke > 0 {
-			k.spoke.Store(time.Now().Add(-c.spoke).UnixNano())
+			k.lastRead.Store(time.Now().Add(-c.spoke).UnixNano())
 		}
 		if k.requestBegun = c.spoke > 0 && !strings.HasPrefix(c.name, "idle"); k.requestBegun && !strings.HasSuffix(c.name, "read") {
-			_, _ = k.framing.advance([]byte("POST")) // a good beginning
+			_, _ = k.framing.advance([]byte("POST")) // a valid beginning of a request
 		}
 		names[k] = c.name
 	}
 	var order []string
-	for l.shedOne(closedRoomPartial) {
+	for l.shedOne(closedShedPartial) {
 		for k, name := range names {
 			if _, held := l.conns[k]; !held {
 				order = append(order, name)
@@ -71,14 +71,14 @@
 			}
 		}
 	}
-	want := []string{"silent", "idle", "idle, newer", "half a next request", "half a request", "slow, goes on", "just come"}
+	want := []string{"silent", "idle", "idle, newer", "partial next request", "partial request", "slow, still sending", "just accepted"}
 	if !slices.Equal(order, want) {
-		t.Errorf("room is made by %q, want %q", order, want)
+		t.Errorf("closed in the order %q, want %q", order, want)
 	}
 }
 
-// Clients may take the descriptors that upstreams leave, and give them back once upstreams want them.
-func TestClientsTakeWhatUpstreamsLeave(t *testing.T) {
+// Clients use the descriptors that upstreams leave free, and release them when upstreams need them.
+func TestClientsUseFreeUpstreamDescriptors(t *testing.T) {
 	cfg := testConfig(t, listAnswer(1, "ready"), nil)
 	upstreams := 10
 	l := newClients(cfg, nil, func() int { return upstreams })
@@ -92,12 +92,12 @@
 		}
 		all = append(all, k)
 	}
-	if n := len(l.conns); n <= l.clientShare || n+upstreams > cfg.allConns(1) {
-		t.Errorf("%d held beside %d upstreams, want more than %d and %d together at most", n, upstreams, l.clientShare, cfg.allConns(1))
+	if n := len(l.conns); n <= l.clientShare || n+upstreams > cfg.totalConnLimit(1) {
+		t.Errorf("%d clients with %d upstreams, want more than %d, and at most %d together", n, upstreams, l.clientShare, cfg.totalConnLimit(1))
 	}
 	for ; upstreams < cfg.upstreamConnLimit(1); upstreams++ {
-		if !l.makeRoomForUpstream(upstreams) || len(l.conns)+upstreams >= cfg.allConns(1) {
-			t.Fatalf("%d held beside %d upstreams and one to come", len(l.conns), upstreams)
+		if !l.makeRoomForUpstream(upstreams) || len(l.conns)+upstreams >= cfg.totalConnLimit(1) {
+			t.Fatalf("%d clients with %d upstreams and one more to come", len(l.conns), upstreams)
 		}
 	}
 	for _, k := range all {
@@ -105,107 +105,113 @@
 			l.requestReceived(l.connContext(context.Background(), k))
 		}
 	}
-	if l.makeRoomForUpstream(cfg.allConns(1)) {
-		t.Error("connections with open requests made room")
+	if l.makeRoomForUpstream(cfg.totalConnLimit(1)) {
+		t.Error("a connection with an open request was closed")
 	}
 }
 
-// With limits cut by half too, what clients, upstreams, operators and the process itself may hold fits.
-func TestDescriptorsAreSetAside(t *testing.T) {
+// The connections of clients, upstreams and operators and the process's own descriptors stay within the limit, also
+// if the limit is halved.
+func TestDescriptorBudget(t *testing.T) {
 	for _, sockets := range []float64{96, 128, 192, 1024} {
 		cfg := testConfig(t, listAnswer(1, "ready"), func(file, _ map[string]any) {
 			file["console"] = "127.0.0.1:0"
 			file["limits"].(map[string]any)["sockets"] = sockets
 		})
-		const process = 10 // standard streams, poller and its wake-up, listeners, lock, discovery twice
-		if all := cfg.allConns(1) + consoleConns + process; all > cfg.Sockets {
-			t.Errorf("%d descriptors may be held of %d", all, cfg.Sockets)
+		const process = 10 // standard streams, poller and its wake-up, listeners, lock, two connections to discovery
+		if all := cfg.totalConnLimit(1) + maxConsoleConns + process; all > cfg.Sockets {
+			t.Errorf("up to %d descriptors are used of %d", all, cfg.Sockets)
 		}
 	}
 }
 
-// Bytes that come as a connection is ended are either read, and it goes on, or it is closed and nothing is read of it.
+// Data that arrives as a connection is being closed is either read, and the connection stays open, or the connection is
+// closed and nothing is read.
 func TestBytesCrossTheEnd(t *testing.T) {
 	listener, err := listen(context.Background(), "127.0.0.1:0", true)
 	if err != nil {
 		t.Fatal(err)
 	}
-	l := newClients(testConfig(t, listAnswer(1, "ready"), nil), listener, noUpstreams)
+	l := newClients(testConfig(t, listAnswer(1, "ready"), nil), listener, noUpstreamConns)
 	defer l.Close()
-	var read, ended int
+	var readCount, closedCount int
 	for range 500 {
 		far := dialTCP(t, listener.Addr().String())
 		near, err := l.Accept()
 		if err != nil {
 			t.Fatal(err)
 		}
-		k, went, got := near.(*clientConn), make(chan bool), make(chan int)
+		k, closeResult, readResult := near.(*clientConn), make(chan bool), make(chan int)
 		go func() {
 			n, _ := k.Read(make([]byte, 10))
-			got <- n
+			readResult <- n
 		}()
-		go func() { went <- k.closeUnlessServing(false) }()
+		go func() { closeResult <- k.closeUnlessServing(false) }()
 		if _, err := far.Write([]byte("GET")); err != nil && !errors.Is(err, syscall.EPIPE) && !errors.Is(err, syscall.ECONNRESET) {
 			t.Fatal(err)
 		}
-		n, over := wait(t, "the read", got), wait(t, "the end", went)
-		if over == (n > 0) {
-			t.Fatalf("%d bytes read, ended %v", n, over)
+		n, closed := wait(t, "the read", readResult), wait(t, "the close", closeResult)
+		if closed == (n > 0) {
+			t.Fatalf("%d bytes read, closed %v", n, closed)
 		}
-		if over {
-			ended++
+		if closed {
+			closedCount++
 		} else {
-			read++
+			readCount++
 		}
 		far.Close()
 		near.Close()
 		l.connStateChanged(near, http.StateClosed)
 	}
-	t.Logf("%d read, %d ended", read, ended)
+	t.Logf("%d read, %d closed", readCount, closedCount)
 }
 
-// without is a listener that has no descriptor to accept with until some moment.
-type without struct {
+// failingListener is a listener whose Accept fails with failure until some moment.
+type failingListener struct {
 	clientListener
 	failure error
 	until   time.Time
 	calls   int
 }
 
-func (l *without) Waiting() bool { return false }
+// HasPending implements clientListener.
+func (l *failingListener) HasPending() bool { return false }
 
-func (l *without) Accept() (net.Conn, error) {
+// Accept fails with failure until the time until, and then with net.ErrClosed.
+func (l *failingListener) Accept() (net.Conn, error) {
 	l.calls++
 	if time.Now().Before(l.until) {
 		return nil, &net.OpError{Op: "accept", Net: "tcp", Err: os.NewSyscallError("accept4", l.failure)}
 	}
-	return nil, net.ErrClosed // whatever comes next
+	return nil, net.ErrClosed // ends the test's wait
 }
 
-// Where no descriptor is left to accept with, idle connections make room, and it is tried again soon, but not without a pause.
-func TestAcceptWithNoneLeft(t *testing.T) {
-	for _, failure := range scarce {
+// If accept fails for lack of descriptors or memory, idle connections are closed, and accept is retried soon but not
+// in a busy loop.
+func TestAcceptWithoutDescriptors(t *testing.T) {
+	for _, failure := range resourceErrors {
 		synctest.Test(t, func(t *testing.T) {
-			none := &without{failure: failure, until: time.Now().Add(3 * time.Second)}
-			l := newClients(testConfig(t, listAnswer(1, "ready"), nil), none, noUpstreams)
+			none := &failingListener{failure: failure, until: time.Now().Add(3 * time.Second)}
+			l := newClients(testConfig(t, listAnswer(1, "ready"), nil), none, noUpstreamConns)
 			near, far := net.Pipe()
 			defer far.Close()
 			if !l.add(&clientConn{Conn: near}) {
 				t.Fatal("no room")
 			}
-			time.Sleep(time.Second) // it is silent
+			time.Sleep(time.Second) // the connection sends nothing
 			_, err := l.acceptRetrying()
 			if late := time.Since(none.until); !errors.Is(err, net.ErrClosed) || late < 0 || late > 10*time.Millisecond || none.calls > 1000 {
-				t.Errorf("%v: error %v %v behind the last failure, %d calls", failure, err, late, none.calls)
+				t.Errorf("%v: error %v %v after the last failure, %d calls", failure, err, late, none.calls)
 			}
 			if len(l.conns) > 0 {
-				t.Error("the silent connection made no room")
+				t.Error("the silent connection was not closed")
 			}
 		})
 	}
 }
 
-// TestMain is also a sidecar, in a process of its own with as many descriptors as its configuration says.
+// TestMain runs the tests, or, if SIDECAR_TEST_CONFIG is set, a sidecar in this process, with its descriptors limited
+// as the configuration says.
 func TestMain(m *testing.M) {
 	path := os.Getenv("SIDECAR_TEST_CONFIG")
 	if path == "" {
@@ -222,9 +228,9 @@
 	os.Exit(1)
 }
 
-// While a crowd of idle clients takes all descriptors that there are, and discovery is down, requests are served, the
-// console answers, discovery's first word behind the outage is heard and kept on disk, and no call of the system lacks a descriptor.
-func TestCrowdWhileDiscoveryIsDown(t *testing.T) {
+// While idle clients use all available descriptors and discovery is down, requests are served, the console answers, the
+// first list after the outage is received and saved to disk, and no system call fails for lack of descriptors.
+func TestIdleClientsDuringDiscoveryOutage(t *testing.T) {
 	const sockets = 96
 	s := newStub(t, echo)
 	later := newStub(t, echo)
@@ -264,7 +270,7 @@
 	if err := child.Start(); err != nil {
 		t.Fatal(err)
 	}
-	listens, scarcity := make(chan string, 10), make(chan string, 1000)
+	listens, shortages := make(chan string, 10), make(chan string, 1000)
 	read := make(chan struct{})
 	go func() {
 		defer close(read)
@@ -273,29 +279,29 @@
 				listens <- m[1]
 			}
 			if strings.Contains(in.Text(), "too many open files") {
-				scarcity <- in.Text()
+				shortages <- in.Text()
 			}
 		}
 	}()
 	defer func() {
-		_ = child.Process.Kill() // fails only if it has ended
+		_ = child.Process.Kill() // fails only if the process has exited
 		<-read
 		_ = child.Wait()
 	}()
 	side := &testSidecar{url: "http://" + wait(t, "its listener", listens), consoleAddress: wait(t, "its console", listens)}
 
-	held := func() int {
+	openFiles := func() int {
 		all, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", child.Process.Pid))
 		if err != nil {
 			t.Fatal(err)
 		}
 		return len(all)
 	}
-	crowd := make(chan struct{}, 1)
+	reconnects := make(chan struct{}, 1)
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
 	for i := range 2 * sockets {
-		go func() { // comes again whenever it is closed
+		go func() { // connects again whenever it is closed
 			for ; ctx.Err() == nil; time.Sleep(5 * time.Millisecond) {
 				c, err := net.Dial("tcp", strings.TrimPrefix(side.url, "http://"))
 				if err != nil {
@@ -309,39 +315,39 @@
 				off()
 				c.Close()
 				select {
-				case crowd <- struct{}{}:
+				case reconnects <- struct{}{}:
 				default:
 				}
 			}
 		}()
 	}
-	wait(t, "one of the crowd to be closed", crowd)
+	wait(t, "an idle client to be closed", reconnects)
 	served := func(id string, at *stub) {
 		t.Helper()
 		for end := time.Now().Add(testTimeout); time.Now().Before(end); time.Sleep(time.Millisecond) {
 			res, err := (&http.Transport{DisableKeepAlives: true}).RoundTrip(side.newRequest(t, "POST", "/entry", "1", "X-Request-ID", id))
-			if err != nil { // a new connection may be shut unread
+			if err != nil { // a new connection may be closed unread
 				continue
 			}
 			res.Body.Close()
 			if res.StatusCode == http.StatusOK && len(at.requests) > 0 {
-				wait(t, "it", at.requests)
+				wait(t, "the request at its server", at.requests)
 				return
 			}
 		}
 		t.Fatalf("request %s was not served", id)
 	}
-	most := 0
+	maxOpen := 0
 	for i := range 20 {
 		served(fmt.Sprint(i), s)
-		most = max(most, held())
+		maxOpen = max(maxOpen, openFiles())
 	}
 	if got := side.callConsole(t, "show-stat\n"); !strings.Contains(got, "app.members=1\n") {
 		t.Errorf("figures %q, want one member", got)
 	}
 	up.Store(true)
 	served("later", later)
-	eventually(t, "it to be kept", func() bool {
+	eventually(t, "the list to be saved", func() bool {
 		found := false
 		_ = filepath.WalkDir(state, func(path string, e os.DirEntry, err error) error {
 			if text, err := os.ReadFile(path); err == nil && strings.Contains(string(text), "s-later") {
@@ -351,23 +357,23 @@
 		})
 		return found
 	})
-	if len(scarcity) > 0 {
-		t.Errorf("%d lines such as %q", len(scarcity), <-scarcity)
+	if len(shortages) > 0 {
+		t.Errorf("%d lines such as %q", len(shortages), <-shortages)
 	}
-	t.Logf("%d descriptors of %d at most", most, sockets)
-	if most > sockets {
-		t.Errorf("%d descriptors of %d", most, sockets)
+	t.Logf("%d descriptors of %d at most", maxOpen, sockets)
+	if maxOpen > sockets {
+		t.Errorf("%d descriptors of %d", maxOpen, sockets)
 	}
 }
 
-// A malformed request behind a good one, cut where net/http looks for its client's end by reading one byte, takes no
-// answer from the good one: that read sees nothing, and the next fails.
-func TestMalformedRequestBehindAGoodOne(t *testing.T) {
+// A malformed pipelined request does not cost the request before it its answer. net/http detects a close by reading one
+// byte; if that read would hit the end of the malformed head, it must return nothing, and only the next read fails.
+func TestMalformedPipelinedRequest(t *testing.T) {
 	inner, err := listen(context.Background(), "127.0.0.1:0", true)
 	if err != nil {
 		t.Fatal(err)
 	}
-	l := newClients(testConfig(t, listAnswer(1, "ready"), nil), inner, noUpstreams)
+	l := newClients(testConfig(t, listAnswer(1, "ready"), nil), inner, noUpstreamConns)
 	defer l.Close()
 	far, err := net.Dial("tcp", inner.Addr().String())
 	if err != nil {
@@ -391,21 +397,22 @@
 	if _, err := io.WriteString(far, "\n"); err != nil {
 		t.Fatal(err)
 	}
-	for range 2 { // as the byte comes, and behind it
+	for range 2 { // as the byte arrives, and after it
 		_ = near.SetReadDeadline(time.Now().Add(50 * time.Millisecond))
 		if n, err := near.Read(make([]byte, 1)); n != 0 || !errors.Is(err, os.ErrDeadlineExceeded) {
-			t.Fatalf("the look for an end read %d bytes, error %v", n, err)
+			t.Fatalf("the one-byte read returned %d bytes, error %v", n, err)
 		}
 	}
 	_ = near.SetReadDeadline(time.Time{})
 	if n, err := near.Read(buffer); n != 0 || !errors.Is(err, errFraming) {
-		t.Errorf("read %d bytes, error %v, want that the framing is told", n, err)
+		t.Errorf("read %d bytes, error %v, want %v", n, err, errFraming)
 	}
 }
 
-// However many half requests make room before any of their goroutines has its turn, only few descriptors wait for that.
+// However many partial requests are closed to make room before their goroutines are scheduled, only maxPendingRefusals
+// connections stay open for a refusal.
 func TestRefusedConnectionsAreBounded(t *testing.T) {
-	l := busyClients(t)
+	l := newBusyClients(t)
 	var ends []net.Conn
 	for range 4 * l.clientShare {
 		near, far := net.Pipe()
@@ -414,7 +421,7 @@
 		if !l.add(k) {
 			t.Fatal("no room")
 		}
-		k.requestBegun, k.framing.inHead = true, true // half a head has come, and nobody reads on
+		k.requestBegun, k.framing.inHead = true, true // part of a head has arrived, and no goroutine reads on
 		ends = append(ends, far)
 	}
 	open := 0
@@ -424,29 +431,30 @@
 			open++
 		}
 	}
-	if most := len(l.conns) + refusingMost; open > most {
+	if most := len(l.conns) + maxPendingRefusals; open > most {
 		t.Errorf("%d connections are open, want %d at most", open, most)
 	}
 }
 
-// countedConn is a connection's raw side that counts how often the kernel is asked by it.
-type countedConn struct {
+// countingRawConn is a raw connection that counts system calls through Control.
+type countingRawConn struct {
 	syscall.RawConn
 	asked *int
 }
 
-func (c countedConn) Control(func(fd uintptr)) error {
+// Control counts the call and does not call the function.
+func (c countingRawConn) Control(func(fd uintptr)) error {
 	*c.asked++
 	return nil
 }
 
-// However full the table, making room for one connection asks the kernel of one.
-func TestMakingRoomAsksOfOne(t *testing.T) {
-	l, asked := busyClients(t), 0
+// Making room for a connection makes a system call for at most one other connection, however many there are.
+func TestMakingRoomQueriesOneSocket(t *testing.T) {
+	l, asked := newBusyClients(t), 0
 	for n := range 4 * l.clientShare {
 		near, far := net.Pipe()
 		t.Cleanup(func() { near.Close(); far.Close() })
-		if !l.add(&clientConn{Conn: near, raw: countedConn{asked: &asked}}) {
+		if !l.add(&clientConn{Conn: near, raw: countingRawConn{asked: &asked}}) {
 			t.Fatal("no room")
 		}
 		if asked > n+1 {
@@ -458,10 +466,9 @@
 	}
 }
 
-// A connection that its server is closing already takes no place among those that are closed with a refusal: nobody
-// would give the place back.
-func TestClosingConnectionTakesNoPlace(t *testing.T) {
-	l := newClients(testConfig(t, listAnswer(1, "ready"), nil), nil, noUpstreams)
+// A connection that net/http is closing already reserves no refusal, as the reservation would never be released.
+func TestClosingConnectionReservesNoRefusal(t *testing.T) {
+	l := newClients(testConfig(t, listAnswer(1, "ready"), nil), nil, noUpstreamConns)
 	near, far := net.Pipe()
 	t.Cleanup(func() { far.Close() })
 	k := &clientConn{Conn: near, clients: l}
@@ -469,28 +476,29 @@
 		t.Fatal("no room")
 	}
 	k.requestBegun = true
-	_, _ = k.framing.advance([]byte("POST")) // a good beginning
+	_, _ = k.framing.advance([]byte("POST")) // a valid beginning of a request
 	if err := k.Close(); err != nil {
 		t.Fatal(err)
 	}
-	k.closeUnlessServing(true) // to make room: it is held until its server reports that it is closed
-	if n := l.refusing.Load(); n != 0 {
-		t.Errorf("%d places are taken, want none", n)
+	k.closeUnlessServing(true) // to make room: the connection is kept until the server reports that it is closed
+	if n := l.pendingRefusals.Load(); n != 0 {
+		t.Errorf("%d refusals are reserved, want none", n)
 	}
 }
 
-// Whoever makes room for others does not wait for a connection whose looks fail for lack of memory: the lock was held over all of them.
-func TestMakingRoomWaitsForNoMemory(t *testing.T) {
+// Closing a connection to make room does not wait while its reads fail for lack of memory. It did when the lock was
+// held during all retries of a read.
+func TestMakingRoomDoesNotWaitForMemory(t *testing.T) {
 	inner, err := listen(context.Background(), "127.0.0.1:0", true)
 	if err != nil {
 		t.Fatal(err)
 	}
-	l := newClients(testConfig(t, listAnswer(1, "ready"), nil), inner, noUpstreams)
+	l := newClients(testConfig(t, listAnswer(1, "ready"), nil), inner, noUpstreamConns)
 	defer l.Close()
-	var looks atomic.Int64
+	var reads atomic.Int64
 	first := make(chan struct{})
 	l.readFD = func(int, []byte) (int, error) {
-		if looks.Add(1) == 1 {
+		if reads.Add(1) == 1 {
 			close(first)
 		}
 		return 0, syscall.ENOMEM
@@ -505,25 +513,26 @@
 		_, err := near.Read(make([]byte, 10))
 		read <- err
 	}()
-	wait(t, "the first look", first)
+	wait(t, "the first read", first)
 	if !near.(*clientConn).closeUnlessServing(false) {
-		t.Error("it makes no room")
+		t.Error("the connection was not closed")
 	}
-	if n := looks.Load(); n > momentaryTries/2 {
-		t.Errorf("the end waited for %d looks", n)
+	if n := reads.Load(); n > maxTransientRetries/2 {
+		t.Errorf("the close waited for %d reads", n)
 	}
-	if err := wait(t, "the end of its read", read); !errors.Is(err, net.ErrClosed) {
+	if err := wait(t, "its read to end", read); !errors.Is(err, net.ErrClosed) {
 		t.Errorf("its read ended with %v, want %v", err, net.ErrClosed)
 	}
 }
 
-// A connection that has come and that the system can't wait on for as long as it is tried is refused, and its request with it.
-func TestConnectionThatCannotBeWaitedOnIsRefused(t *testing.T) {
+// A connection that can't be registered with the network poller in time is closed with a refusal, as a request may have
+// arrived on it.
+func TestUnregisteredConnectionIsRefused(t *testing.T) {
 	inner, err := listen(context.Background(), "127.0.0.1:0", true)
 	if err != nil {
 		t.Fatal(err)
 	}
-	l := newClients(testConfig(t, listAnswer(1, "ready"), nil), &unregistering{inner}, noUpstreams)
+	l := newClients(testConfig(t, listAnswer(1, "ready"), nil), &unregisteredListener{inner}, noUpstreamConns)
 	c := dialTCP(t, inner.Addr().String())
 	if _, err := io.WriteString(c, "GET /look HTTP/1.1\r\nHost: x\r\n\r\n"); err != nil {
 		t.Fatal(err)
@@ -543,31 +552,34 @@
 	if err != nil || res.StatusCode != http.StatusServiceUnavailable {
 		t.Errorf("the client read %v, error %v, want 503", res, err)
 	}
-	if n := l.refusing.Load(); n != 0 {
-		t.Errorf("%d places of refusals are taken, want none", n)
+	if n := l.pendingRefusals.Load(); n != 0 {
+		t.Errorf("%d refusals are reserved, want none", n)
 	}
 }
 
-// unregistering is a listener whose connections the network poller never takes.
-type unregistering struct{ clientListener }
+// unregisteredListener is a listener whose connections are never registered with the network poller.
+type unregisteredListener struct{ clientListener }
 
-func (l *unregistering) Accept() (net.Conn, error) {
+// Accept implements net.Listener.
+func (l *unregisteredListener) Accept() (net.Conn, error) {
 	c, err := l.clientListener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	return &unregistered{c.(*listener.Conn)}, nil
+	return &unregisteredConn{c.(*listener.Conn)}, nil
 }
 
-type unregistered struct{ *listener.Conn }
+// unregisteredConn is a connection whose registration always fails.
+type unregisteredConn struct{ *listener.Conn }
 
-func (c *unregistered) SetReadDeadline(time.Time) error { return listener.ErrUnregistered }
+func (c *unregisteredConn) SetReadDeadline(time.Time) error { return listener.ErrUnregistered }
 
-func (c *unregistered) SyscallConn() (syscall.RawConn, error) {
+func (c *unregisteredConn) SyscallConn() (syscall.RawConn, error) {
 	raw, err := c.Conn.SyscallConn()
-	return unreadable{raw}, err
+	return unreadableRawConn{raw}, err
 }
 
-type unreadable struct{ syscall.RawConn }
+// unreadableRawConn is a raw connection whose reads fail with listener.ErrUnregistered.
+type unreadableRawConn struct{ syscall.RawConn }
 
-func (unreadable) Read(func(uintptr) bool) error { return listener.ErrUnregistered }
+func (unreadableRawConn) Read(func(uintptr) bool) error { return listener.ErrUnregistered }
--- a/internal/sidecar/control.go
+++ b/internal/sidecar/control.go
@@ -14,18 +14,19 @@
 	"arrowgw/internal/rules"
 )
 
-// requests is what control tells the path of requests, and asks it. Its loop is that; in a hollow process there is none.
+// dataPlane is the part of a sidecar that carries requests, as the control plane sees it. In a sidecar it is the loop;
+// a hollow sidecar has none and uses a stub. A method that returns an error fails only if its context ends.
 type dataPlane interface {
-	applyListing(listing)
-	discoveryFailed()
-	updateFleet(context.Context, balance.Fleet) error
-	applyRules(context.Context, *rules.Set) error
-	applyOperatorCalls(context.Context, map[string]operatorCall)
-	learnedState(context.Context) (balance.Learned, error)
+	applyListing(listing)                                        // applies an answer of discovery
+	discoveryFailed()                                            // reports that a call of discovery has failed
+	updateFleet(context.Context, balance.Fleet) error            // passes on the members of the fleet
+	applyRules(context.Context, *rules.Set) error                // puts a rule set in force
+	applyOperatorCalls(context.Context, map[string]operatorCall) // applies operator calls, by server instance
+	learnedState(context.Context) (balance.Learned, error)       // returns what the decision module has learned
 }
 
-// control are the parts of a sidecar that are not on the path of a request: its state, the list of servers, and what joins
-// it to its fleet.
+// control is the control plane of a sidecar: its stored state, the server list, and its part in the fleet (membership,
+// duties and rule sets).
 type control struct {
 	cfg       *Config
 	dataPlane dataPlane
@@ -37,12 +38,13 @@
 	meter     *meter.Meter
 }
 
-// newControl reads what the configuration and the state say, and sets cfg.Known to the list that counts. Nothing runs before begin.
-func newControl(cfg *Config, c clock, path dataPlane) (k *control, err error) {
-	k = &control{cfg: cfg, dataPlane: path, meter: new(meter.Meter), state: openSharedState(cfg.SharedDir, cfg.Name, cfg.State)}
+// newControl creates the control plane from the configuration and the stored state, and sets cfg.KnownServers to the
+// server list to start with. Nothing runs before start is called.
+func newControl(cfg *Config, c clock, plane dataPlane) (k *control, err error) {
+	k = &control{cfg: cfg, dataPlane: plane, meter: new(meter.Meter), state: openSharedState(cfg.SharedDir, cfg.Name, cfg.State)}
 	versions := k.state.loadServerList(cfg, c.now())
 	cfg.KnownServers = versions.effectiveListing()
-	k.discovery = newDiscovery(cfg, path.applyListing, path.discoveryFailed)
+	k.discovery = newDiscovery(cfg, plane.applyListing, plane.discoveryFailed)
 	k.discovery.list, k.discovery.now, k.discovery.saveList = versions, c.now, k.state.queueList
 	dial := k.discovery.dial
 	k.discovery.dial = func(ctx context.Context, network, address string) (net.Conn, error) {
@@ -52,39 +54,40 @@
 		}
 		return k.meter.WrapConn(conn, meter.Discovery, true), nil
 	}
-	if k.peers, err = newPeers(cfg, path, k.state, k.meter); err != nil {
+	if k.peers, err = newPeers(cfg, plane, k.state, k.meter); err != nil {
 		return nil, err
 	}
 	if k.duties, err = newDuties(cfg, k.peers, k.state); err != nil {
 		return nil, err
 	}
-	k.ruleSets, err = newRuleSets(cfg, k.peers, k.duties, path, k.state)
+	k.ruleSets, err = newRuleSets(cfg, k.peers, k.duties, plane, k.state)
 	return k, err
 }
 
-// begin follows the sidecar's other processes and the list, and puts the rule set in force that is on the floor, before the
-// first request. share hears how many processes there are. kept is closed once all is kept, after ctx has ended.
-func (k *control) start(ctx context.Context, kept chan<- struct{}, share func(n int)) error {
+// start starts to follow the server list and the sidecar's other processes, and puts the floor's rule set in force,
+// which has to happen before the first request. It passes the number of processes to setProcessCount, and again
+// whenever it changes. saved is closed when, after ctx has ended, the state is saved.
+func (k *control) start(ctx context.Context, saved chan<- struct{}, setProcessCount func(n int)) error {
 	n := k.state.countProcesses()
-	share(n)
-	var beside []byte
-	go k.state.watchProcesses(ctx, n, share, func(handed map[string]operatorCall) {
-		k.dataPlane.applyOperatorCalls(ctx, handed)
-		kept, list, raw, news := k.state.changedList(beside, k.cfg.Zones)
-		if beside = raw; news {
+	setProcessCount(n)
+	var lastRaw []byte
+	go k.state.watchProcesses(ctx, n, setProcessCount, func(calls map[string]operatorCall) {
+		k.dataPlane.applyOperatorCalls(ctx, calls)
+		kept, list, raw, changed := k.state.changedList(lastRaw, k.cfg.Zones)
+		if lastRaw = raw; changed {
 			k.discovery.applyOtherProcessList(kept, list)
 		}
 	})
-	go k.state.followLate(ctx, func(owed map[string]operatorCall) { k.dataPlane.applyOperatorCalls(ctx, owed) })
+	go k.state.followLateState(ctx, func(calls map[string]operatorCall) { k.dataPlane.applyOperatorCalls(ctx, calls) })
 	go func() {
-		defer close(kept)
+		defer close(saved)
 		k.state.persist(ctx, k.dataPlane.learnedState)
 	}()
 	go k.discovery.run(ctx)
 	return k.ruleSets.start(ctx)
 }
 
-// run takes part in the fleet until ctx ends.
+// run starts the sidecar's part in the fleet, which lasts until ctx ends.
 func (k *control) run(ctx context.Context) {
 	k.peers.run(ctx)
 	k.duties.run(ctx)
@@ -92,52 +95,52 @@
 }
 
 const (
-	reloadTime  = 3 * time.Second // a configuration that can't be used is read again for so long: it may just be being written
-	reloadPause = 50 * time.Millisecond
+	reloadTimeout       = 3 * time.Second // how long an invalid configuration is read again, as it may be in the course of being written
+	reloadRetryInterval = 50 * time.Millisecond
 )
 
-// followReloads acts on each signal to read the configuration again, until ctx ends.
-func (k *control) followReloads(ctx context.Context, path string, signals <-chan os.Signal) {
+// handleReloads reloads the rule set and the configuration at path on each signal, until ctx ends.
+func (k *control) handleReloads(ctx context.Context, path string, signals <-chan os.Signal) {
 	for {
 		select {
 		case <-signals:
 			k.ruleSets.pushFile()
-			k.reconfigure(ctx, path)
+			k.reloadConfig(ctx, path)
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-// reconfigure reads the configuration again and goes to where it has discovery now. Nothing else in it may change under a
-// running sidecar. One that can't be used leaves everything as it is, and is tried again for a while, until ctx ends.
-func (k *control) reconfigure(ctx context.Context, path string) {
-	for end, told := time.Now().Add(reloadTime), false; ; told = true {
+// reloadConfig reads the configuration again and applies its address of discovery; no other setting of a running
+// sidecar can change. An invalid configuration changes nothing and is read again for reloadTimeout or until ctx ends.
+func (k *control) reloadConfig(ctx context.Context, path string) {
+	for end, logged := time.Now().Add(reloadTimeout), false; ; logged = true {
 		cfg, err := ReadConfig(path)
 		if err == nil {
 			k.discovery.setAddress(cfg.Discovery)
 			return
 		}
-		if !told {
+		if !logged {
 			slog.Error("configuration kept", "error", err)
 		}
 		if time.Now().After(end) {
 			return
 		}
 		select {
-		case <-time.After(reloadPause):
+		case <-time.After(reloadRetryInterval):
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-// stat writes the figures of control.
-func (k *control) stat(w io.Writer) {
-	k.peers.stat(w)
-	k.duties.stat(w)
-	k.ruleSets.stat(w)
-	if !k.cfg.hasPeers() {
+// writeStats writes the figures of the control plane.
+func (k *control) writeStats(w io.Writer) {
+	k.peers.writeStats(w)
+	k.duties.writeStats(w)
+	k.ruleSets.writeStats(w)
+	if !k.cfg.hasMembership() {
 		return
 	}
 	t := k.meter.Traffic()
--- a/internal/sidecar/front_test.go
+++ b/internal/sidecar/front_test.go
@@ -16,6 +16,7 @@
 	"time"
 )
 
+// A request reaches its server unchanged except for hop-by-hop headers, and so does the answer to the client.
 func TestServed(t *testing.T) {
 	s := newStub(t, func(c net.Conn, r stubRequest) bool {
 		_, err := fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Type: text/hive\r\nX-Server-Load: TEXT inflight=1\r\n"+
@@ -34,15 +35,15 @@
 	got := wait(t, "the request", s.requests)
 	if got.Method != "POST" || got.uri != "/reading/hive%2F7?scale=a%20b&x" || got.body != "41.5 kg" ||
 		got.Header.Get("X-Request-ID") != "r1" || got.Header.Get("Idempotency-Key") != "k1" {
-		t.Errorf("the upstream had %s %s %q, headers %v", got.Method, got.uri, got.body, got.Header)
+		t.Errorf("the upstream received %s %s %q, headers %v", got.Method, got.uri, got.body, got.Header)
 	}
 	if got.Header.Get("X-Hop") != "" || res.Header.Get("X-Server-Load") != "" {
 		t.Errorf("headers of one connection went on: %v, %v", got.Header, res.Header)
 	}
 }
 
-// What rules bar is refused with a time to come back, and no attempt is made.
-func TestBarred(t *testing.T) {
+// Requests that the rules bar are refused with Retry-After, and no attempt is made.
+func TestRulesBarServing(t *testing.T) {
 	s := newStub(t, echo)
 	f, side, serve := newTestFront(t, s.address, nil)
 	var serves atomic.Bool
@@ -58,11 +59,11 @@
 		t.Errorf("GET /up: %s", res.Status)
 	}
 	if len(s.requests) > 0 {
-		t.Error("the server had a request that was barred")
+		t.Error("the server received a barred request")
 	}
 }
 
-// Bad input has a plain answer and no attempt.
+// Malformed requests are answered with an error, without an attempt.
 func TestBadInput(t *testing.T) {
 	s := newStub(t, echo)
 	side := startSidecar(t, nil, s.address)
@@ -83,9 +84,9 @@
 		"unknown tenant":    {400, side.newRequest(t, "GET", "/look", "", "X-Tenant-Id", "east")},
 		"no time":           {400, side.newRequest(t, "GET", "/look", "", "X-Timeout", "")},
 		"time of no unit":   {400, side.newRequest(t, "GET", "/look", "", "X-Timeout", "480")},
-		"time that is none": {400, side.newRequest(t, "GET", "/look", "", "X-Timeout", "NaNm")},
+		"time is no number": {400, side.newRequest(t, "GET", "/look", "", "X-Timeout", "NaNm")},
 		"time below 0":      {400, side.newRequest(t, "GET", "/look", "", "X-Timeout", "-5m")},
-		"time is up":        {503, side.newRequest(t, "GET", "/look", "", "X-Timeout", "0m")},
+		"no time left":      {503, side.newRequest(t, "GET", "/look", "", "X-Timeout", "0m")},
 		"bad cost":          {400, side.newRequest(t, "GET", "/look", "", "X-Cost", "cheap")},
 		"safe with a body":  {400, side.newRequest(t, "GET", "/look", "1")},
 		"two ids":           {400, twice("X-Request-Id")},
@@ -121,18 +122,19 @@
 	if _, err := io.WriteString(many, strings.Repeat(requestHead("", "Content-Length: 0"), 3)); err != nil {
 		t.Fatal(err)
 	}
-	if answers, _ := io.ReadAll(many); strings.Count(string(answers), "HTTP/1.1 ") != 1 { // a reset behind it is as good as a close
+	if answers, _ := io.ReadAll(many); strings.Count(string(answers), "HTTP/1.1 ") != 1 { // a reset after it counts as a close
 		t.Errorf("three without an id: %q, want one answer and a close", answers)
 	}
 	if res, body := sendRequest(t, side.newRequest(t, "POST", "/entry", strings.Repeat("x", maxBufferedBody))); res.StatusCode != 200 || body != "done r1" {
 		t.Errorf("longest body: %s %q", res.Status, body)
 	}
 	if len(s.requests) != 1 {
-		t.Errorf("the upstream had %d requests, want only the usable one", len(s.requests))
+		t.Errorf("the upstream received %d requests, want only the usable one", len(s.requests))
 	}
 }
 
-// Whoever sends without end, or in pieces, is answered with an error or closed, and nothing of it is sent on whole.
+// A client that sends without end or in small pieces is answered with an error or its connection is closed, and no
+// request reaches the upstream.
 func TestFloods(t *testing.T) {
 	s := newStub(t, echo)
 	side := startSidecar(t, nil, s.address)
@@ -141,15 +143,15 @@
 		begin, more string
 		times       int
 	}{
-		"a line without end":      {"GET /", strings.Repeat("x", 4096), 256},
-		"headers without end":     {"GET /look HTTP/1.1\r\nHost: service.internal\r\n", strings.Repeat("X-A: b\r\n", 512), 256},
-		"blank lines without end": {"", strings.Repeat("\r\n", 2048), 256},
-		"60 MB announced":         {requestHead("1", "Content-Length: 60000000"), string(patternedBody(60000)), 1000},
-		"60 MB in chunks":         {requestHead("1", "Transfer-Encoding: chunked"), chunk, 960},
-		"60 MB for nobody":        {"POST /nothing HTTP/1.1\r\nHost: service.internal\r\nContent-Length: 60000000\r\n\r\n", string(patternedBody(60000)), 1000},
-		"a chunk without end":     {requestHead("1", "Transfer-Encoding: chunked") + "fffffffffffffff\r\n", string(patternedBody(1 << 16)), 960},
-		"a chunk of no size":      {requestHead("1", "Transfer-Encoding: chunked") + "g\r\n", "x", 1},
-		"a bad one in pieces":     {"", strings.Replace(requestHead("1", "Content-Length: 0"), "X-Timeout", "X-Time", 1), 0},
+		"a line without end":               {"GET /", strings.Repeat("x", 4096), 256},
+		"headers without end":              {"GET /look HTTP/1.1\r\nHost: service.internal\r\n", strings.Repeat("X-A: b\r\n", 512), 256},
+		"blank lines without end":          {"", strings.Repeat("\r\n", 2048), 256},
+		"60 MB announced":                  {requestHead("1", "Content-Length: 60000000"), string(patternedBody(60000)), 1000},
+		"60 MB in chunks":                  {requestHead("1", "Transfer-Encoding: chunked"), chunk, 960},
+		"60 MB for an unknown class":       {"POST /nothing HTTP/1.1\r\nHost: service.internal\r\nContent-Length: 60000000\r\n\r\n", string(patternedBody(60000)), 1000},
+		"a chunk without end":              {requestHead("1", "Transfer-Encoding: chunked") + "fffffffffffffff\r\n", string(patternedBody(1 << 16)), 960},
+		"a chunk without a size":           {requestHead("1", "Transfer-Encoding: chunked") + "g\r\n", "x", 1},
+		"a malformed request byte by byte": {"", strings.Replace(requestHead("1", "Content-Length: 0"), "X-Timeout", "X-Time", 1), 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -177,16 +179,17 @@
 				t.Errorf("answered %.80q", text)
 			}
 			if len(s.requests) > 0 {
-				t.Error("the upstream had a whole request")
+				t.Error("the upstream received a whole request")
 			}
 		})
 	}
 }
 
-func TestDuration(t *testing.T) {
+// Timeouts are decimal numbers with a unit; anything else is rejected.
+func TestParseTimeout(t *testing.T) {
 	for text, want := range map[string]time.Duration{
 		"480m": 480 * time.Millisecond, "250u": 250 * time.Microsecond, "0.5m": 500 * time.Microsecond, "0u": 0,
-		"99999999999999999999m": longestWait,
+		"99999999999999999999m": maxTimeout,
 	} {
 		if got, ok := parseTimeout(text); !ok || got != want {
 			t.Errorf("%q is %v, %v, want %v", text, got, ok, want)
@@ -194,13 +197,13 @@
 	}
 	for _, text := range []string{"", "m", "480", "480s", "1e3m", "0x5m", "1_0m", "Infm", " 5m", "5 m", "1.2.3m", "-1m", "+1m"} {
 		if got, ok := parseTimeout(text); ok {
-			t.Errorf("%q was taken for %v", text, got)
+			t.Errorf("%q was parsed as %v", text, got)
 		}
 	}
 }
 
-// An unsafe request that may have run has failed; nobody sends it again.
-func TestFailed(t *testing.T) {
+// An unsafe request that may have run fails and is not sent again.
+func TestUnsafeRequestIsNotRetried(t *testing.T) {
 	s := newStub(t, func(c net.Conn, _ stubRequest) bool {
 		_, err := fmt.Fprint(c, "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n")
 		return err == nil
@@ -214,9 +217,9 @@
 	}
 }
 
-// A refusal says when to come back, in decimal seconds.
-func TestRefused(t *testing.T) {
-	side := startSidecar(t, nil) // no servers: requests wait for one, as long as that is worth it or the queue has room
+// A refusal has Retry-After in decimal seconds.
+func TestRetryAfterOfRefusals(t *testing.T) {
+	side := startSidecar(t, nil) // no servers: requests are queued as long as that is useful and the queue has room
 	const requests = 50
 	type got struct {
 		res *http.Response
@@ -244,18 +247,19 @@
 	}
 }
 
-func noUpstreams() int { return 0 }
+// noUpstreamConns is the number of upstream connections of clients that have none.
+func noUpstreamConns() int { return 0 }
 
-// busyClients has no more than the application's share, as upstreams use theirs.
-func busyClients(t *testing.T) *clients {
+// newBusyClients returns clients that can't exceed their share of connections, as upstreams use all of theirs.
+func newBusyClients(t *testing.T) *clients {
 	cfg := testConfig(t, listAnswer(1, "ready"), nil)
 	return newClients(cfg, nil, func() int { return cfg.upstreamConnLimit(1) })
 }
 
-// Connections that no request has come on make room, the first of them first, so that the
-// application keeps its own however many strangers connect.
-func TestStrangersMakeRoom(t *testing.T) {
-	l := busyClients(t)
+// Connections on which no request has arrived are closed to make room, oldest first, so that the application keeps its
+// connections however many other clients connect.
+func TestSilentConnectionsMakeRoom(t *testing.T) {
+	l := newBusyClients(t)
 	connect := func() (*clientConn, net.Conn) {
 		t.Helper()
 		near, far := net.Pipe()
@@ -266,38 +270,38 @@
 		}
 		return k, far
 	}
-	known, _ := connect()
-	if !l.requestReceived(l.connContext(context.Background(), known)) {
-		t.Fatal("the known connection is not held")
+	used, _ := connect()
+	if !l.requestReceived(l.connContext(context.Background(), used)) {
+		t.Fatal("the connection with a request is closed")
 	}
-	var strangers []*clientConn
+	var silent []*clientConn
 	var ends []net.Conn
 	for range 3 * l.clientShare {
 		k, far := connect()
-		strangers, ends = append(strangers, k), append(ends, far)
+		silent, ends = append(silent, k), append(ends, far)
 	}
 	shed := 2*l.clientShare + 1
 	for i, far := range ends[:shed] {
 		if _, err := far.Read(make([]byte, 1)); err != io.EOF {
-			t.Errorf("stranger %d: error %v, want its connection closed", i, err)
+			t.Errorf("silent connection %d: error %v, want it closed", i, err)
 		}
 	}
-	if l.requestReceived(l.connContext(context.Background(), strangers[0])) {
-		t.Error("a request is taken on a connection that was closed")
+	if l.requestReceived(l.connContext(context.Background(), silent[0])) {
+		t.Error("a request was accepted on a closed connection")
 	}
-	for _, k := range append(strangers[shed:], known) {
+	for _, k := range append(silent[shed:], used) {
 		if !l.requestReceived(l.connContext(context.Background(), k)) {
-			t.Error("one of the last, or the known one, is not held")
+			t.Error("one of the last connections, or the one with a request, is closed")
 		}
 	}
-	if len(l.conns) != l.clientShare || l.shed[2] != shed {
-		t.Errorf("%d held, counters %v, want %d held and %d shed", len(l.conns), l.counters(), l.clientShare, shed)
+	if len(l.conns) != l.clientShare || l.shedCounts[2] != shed {
+		t.Errorf("%d connections, counters %v, want %d connections and %d shed", len(l.conns), l.counters(), l.clientShare, shed)
 	}
 }
 
-// Where each connection has a request open, the next ones are refused and closed, so that upstreams
-// stay within reach; past the reserve they are closed at once.
-func TestMostConnections(t *testing.T) {
+// If every connection has an open request, further ones are refused and closed, so that descriptors remain for upstream
+// connections; above the reserve they are closed at once.
+func TestConnectionLimit(t *testing.T) {
 	release := make(chan struct{})
 	s := newStub(t, func(c net.Conn, r stubRequest) bool {
 		if r.Header.Get("X-Request-ID") == "held" {
@@ -310,7 +314,7 @@
 		settings["orgs"].([]any)[0].(map[string]any)["quota_per_s"] = 10000.0 // slots for all
 	}, s.address)
 	var held []*bufio.Reader
-	for range (32 - 32/4) * 3 / 8 { // a quarter is the process's own
+	for range (32 - 32/4) * 3 / 8 { // a quarter is reserved for the process
 		c := side.dial(t)
 		if _, err := io.WriteString(c, requestHead("held", "Content-Length: 0")); err != nil {
 			t.Fatal(err)
@@ -318,7 +322,7 @@
 		wait(t, "the request", s.requests)
 		held = append(held, bufio.NewReader(c))
 	}
-	for range 3 { // each closes with its refusal and leaves its room to the next
+	for range 3 { // each closes with its refusal, which makes room for the next
 		res, _ := sendRequest(t, side.newRequest(t, "POST", "/entry", "1", "X-Request-ID", "over"))
 		if res.StatusCode != http.StatusServiceUnavailable || !res.Close || len(s.requests) > 0 {
 			t.Errorf("%s, to be closed %v, %d attempts, want 503, closed and none", res.Status, res.Close, len(s.requests))
@@ -328,37 +332,37 @@
 	for _, r := range held {
 		res, err := http.ReadResponse(r, nil)
 		if err != nil || res.StatusCode != http.StatusOK {
-			t.Fatalf("a held request: %+v, error %v", res, err)
+			t.Fatalf("an open request: %+v, error %v", res, err)
 		}
 	}
 }
 
-// The listener holds no more connections than its most.
+// The listener never has more connections than its limit.
 func TestConnectionsAreBounded(t *testing.T) {
-	l := busyClients(t)
+	l := newBusyClients(t)
 	var all []*clientConn
 	for range 2 * (l.clientShare + l.clientShare/6) {
 		near, far := net.Pipe()
 		t.Cleanup(func() { near.Close(); far.Close() })
 		k := &clientConn{Conn: near}
 		if l.add(k) && !l.requestReceived(l.connContext(context.Background(), k)) {
-			t.Fatal("a connection that has just come in is not held")
+			t.Fatal("a new connection is closed")
 		}
 		all = append(all, k)
 	}
 	if len(l.conns) != (l.clientShare+l.clientShare/6) || l.counters()["barred"] != (l.clientShare+l.clientShare/6) {
-		t.Errorf("%d held, counters %v, want %d held and as many barred", len(l.conns), l.counters(), (l.clientShare + l.clientShare/6))
+		t.Errorf("%d connections, counters %v, want %d connections and as many rejected", len(l.conns), l.counters(), (l.clientShare + l.clientShare/6))
 	}
 	for _, k := range all {
 		l.connStateChanged(k, http.StateClosed)
 	}
 	if len(l.conns) != 0 {
-		t.Errorf("%d held once all are closed", len(l.conns))
+		t.Errorf("%d connections once all are closed", len(l.conns))
 	}
 }
 
-// Among upstreams that fail in every way, each request has one answer, and none of the unsafe
-// class reaches an upstream twice unless the first one said that it never ran.
+// With upstreams that fail in various ways, each request has one answer, and an unsafe request runs at most once: it is
+// sent again only if the first server said that it was not processed.
 func TestAmongFailingUpstreams(t *testing.T) {
 	var mu sync.Mutex
 	ran := make(map[string]int)
@@ -423,8 +427,8 @@
 	}
 }
 
-// Over caps.max_open requests are refused without an attempt.
-func TestMostOpen(t *testing.T) {
+// Open requests above caps.max_open are refused without an attempt.
+func TestOpenRequestLimit(t *testing.T) {
 	s := newStub(t, neverAnswer)
 	side := startSidecar(t, func(_, settings map[string]any) {
 		caps := settings["caps"].(map[string]any)
@@ -440,14 +444,14 @@
 		t.Errorf("%s, headers %v, want 503 and a pause of 0.4 to 0.8, the longest that clients heed", res.Status, res.Header)
 	}
 	if len(s.requests) > 0 {
-		t.Error("the second request had an attempt")
+		t.Error("an attempt was made for the second request")
 	}
 }
 
-// A client that closes its connection calls its request off, as far as the upstream.
+// If a client closes its connection, its request is cancelled and the attempt's upstream connection closed.
 func TestClientCloses(t *testing.T) {
 	s := newStub(t, neverAnswer)
-	side := startSidecar(t, func(_, settings map[string]any) { // no time-out may end the attempt before the test does
+	side := startSidecar(t, func(_, settings map[string]any) { // so that no timeout ends the attempt before the test does
 		look := settings["classes"].([]any)[2].(map[string]any)
 		look["aim_ms"], look["hard_limit_ms"] = 10*testTimeout.Milliseconds(), 20*testTimeout.Milliseconds()
 	}, s.address)
@@ -460,9 +464,9 @@
 	wait(t, "the attempt's connection to close", s.closed)
 }
 
-// After SIGTERM what is held is answered, new connections are served for a while, all of them
-// close, and the sidecar ends by itself. http.Server.Shutdown alone would refuse the newcomers.
-func TestStop(t *testing.T) {
+// After a stop begins, open requests are answered, new connections are served for a while, all connections close, and
+// the sidecar exits by itself. http.Server.Shutdown alone would refuse the new connections.
+func TestGracefulStop(t *testing.T) {
 	release := make(chan struct{})
 	s := newStub(t, func(c net.Conn, r stubRequest) bool {
 		if r.Header.Get("X-Request-ID") == "held" {
@@ -480,7 +484,7 @@
 	if err := side.newRequest(t, "GET", "/look", "", "X-Request-ID", "held").Write(conn); err != nil {
 		t.Fatal(err)
 	}
-	wait(t, "the held request", s.requests)
+	wait(t, "the open request", s.requests)
 	side.stop()
 	for { // until the stop has begun
 		if res, _ := sendRequest(t, side.newRequest(t, "GET", "/up", "")); res.StatusCode == http.StatusServiceUnavailable {
@@ -493,16 +497,16 @@
 	close(release)
 	res, err := http.ReadResponse(bufio.NewReader(conn), nil)
 	if err != nil || res.StatusCode != http.StatusOK || !res.Close {
-		t.Fatalf("the held request: %+v, error %v, want 200 and the connection closed", res, err)
+		t.Fatalf("the open request: %+v, error %v, want 200 and the connection closed", res, err)
 	}
 	res.Body.Close()
-	if err := wait(t, "the end", side.ended); err != nil {
-		t.Errorf("ended with %v", err)
+	if err := wait(t, "the exit", side.ended); err != nil {
+		t.Errorf("serve returned %v", err)
 	}
 }
 
-// A request that comes on a connection in the very moment in which it is to be closed, as half of its head has been
-// read, is served, and the connection ends with its answer; one that stands idle ends at once.
+// A request of which part of the head has been read when a stop begins is served, and its connection closes with the
+// answer; an idle connection closes at once.
 func TestStopCrossesRequests(t *testing.T) {
 	for name, first := range map[string]string{"kept": "GET /up HTTP/1.1\r\nHost: service.internal\r\n\r\n", "new": ""} {
 		t.Run(name, func(t *testing.T) {
@@ -529,7 +533,7 @@
 			if _, err := io.WriteString(c, whole[:20]); err != nil {
 				t.Fatal(err)
 			}
-			waitRead(t, c)
+			waitUntilRead(t, c)
 			side.stop()
 			if more, err := io.ReadAll(idle); err != nil || len(more) > 0 {
 				t.Errorf("the idle one: %q, error %v, want a close", more, err)
@@ -542,15 +546,16 @@
 				t.Fatalf("%+v, error %v, want 200 and a close", res, err)
 			}
 			res.Body.Close()
-			if err := wait(t, "the end", side.ended); err != nil {
-				t.Errorf("ended with %v", err)
+			if err := wait(t, "the exit", side.ended); err != nil {
+				t.Errorf("serve returned %v", err)
 			}
 		})
 	}
 }
 
-// waitRead waits until the other side has read all that was written on a connection, by what the kernel tells of its end.
-func waitRead(t *testing.T, c net.Conn) {
+// waitUntilRead waits until the other side, which is on this machine, has read everything written to c. It reads the
+// queue lengths from /proc/net/tcp.
+func waitUntilRead(t *testing.T, c net.Conn) {
 	t.Helper()
 	port := func(a net.Addr) string { return fmt.Sprintf("0100007F:%04X", a.(*net.TCPAddr).Port) }
 	ends := " " + port(c.RemoteAddr()) + " " + port(c.LocalAddr()) + " 01 "
@@ -563,11 +568,11 @@
 			return
 		}
 	}
-	t.Fatal("it is not read")
+	t.Fatal("the data was not read")
 }
 
-// The time of a request that was sent behind another counts from when it came, not from when that one was answered.
-func TestTimeOfWhatIsSentBehind(t *testing.T) {
+// The timeout of a pipelined request counts from its arrival, not from the answer to the request before it.
+func TestTimeoutOfPipelinedRequest(t *testing.T) {
 	held := make(chan struct{})
 	s := newStub(t, func(c net.Conn, r stubRequest) bool {
 		if r.Header.Get("X-Request-ID") == "1" {
@@ -578,22 +583,22 @@
 	side := startSidecar(t, nil, s.address)
 	c := side.dial(t)
 	both := requestHead("1", "Content-Length: 0") + requestHead("2", "Content-Length: 0")
-	if _, err := io.WriteString(c, strings.ReplaceAll(both, "20000m", "5000m")); err != nil { // less than the aim
+	if _, err := io.WriteString(c, strings.ReplaceAll(both, "20000m", "5000m")); err != nil { // shorter than the aim
 		t.Fatal(err)
 	}
 	wait(t, "the first", s.requests)
-	waitRead(t, c)
+	waitUntilRead(t, c)
 	const waited = 30 * time.Millisecond
 	time.Sleep(waited)
 	close(held)
-	told, _ := parseTimeout(wait(t, "the second", s.requests).Header.Get("X-Timeout"))
-	if most := 5*time.Second - waited; told > most {
-		t.Errorf("its attempt tells %v, want %v at most", told, most)
+	timeout, _ := parseTimeout(wait(t, "the second", s.requests).Header.Get("X-Timeout"))
+	if limit := 5*time.Second - waited; timeout > limit {
+		t.Errorf("the timeout of its attempt is %v, want at most %v", timeout, limit)
 	}
 }
 
-// A request that comes late behind a stop's signal has no longer than there is until the end.
-func TestTimeLeftAtAStop(t *testing.T) {
+// The time of a request that arrives late in a stop is limited to the time until answers are due.
+func TestTimeoutDuringStop(t *testing.T) {
 	for name, c := range map[string]struct {
 		stop          *stopLimits
 		arrived, want time.Duration
@@ -609,7 +614,7 @@
 	}
 }
 
-// Bytes left unread behind a last answer do not reset its connection.
+// Unread data after the last request does not cause a reset that destroys the answer.
 func TestCloseOverUnreadBytes(t *testing.T) {
 	s := newStub(t, echo)
 	side := startSidecar(t, nil, s.address)
@@ -622,11 +627,11 @@
 	}
 }
 
-// Whoever connects and sends nothing, or stops halfway through a head or a body, is answered or
-// closed; the connection is not held for longer than a request may take.
+// A client that sends nothing, or only part of a head or a body, is answered with an error or its connection is closed
+// within the time that a request may take.
 func TestSilentPeersAreClosed(t *testing.T) {
 	if s := newFront(testConfig(t, listAnswer(1, "ready"), nil), newClock(), nil, nil).server(); s.ReadHeaderTimeout <= 0 || s.ReadHeaderTimeout >= 3*time.Second {
-		t.Errorf("a head may take %v to come in; peers are owed an end within 3 s", s.ReadHeaderTimeout)
+		t.Errorf("the timeout of a request head is %v; inactive connections must be closed within 3 s", s.ReadHeaderTimeout)
 	}
 	for name, text := range map[string]string{
 		"nothing":          "",
@@ -649,14 +654,14 @@
 				t.Errorf("answered %q, error %v, want a close, or a 400 or 408 before it", answers, err)
 			}
 			if len(s.requests) > 0 {
-				t.Error("the upstream had a request")
+				t.Error("the upstream received a request")
 			}
 		})
 	}
 }
 
-// The time to send a request in does not bound the wait for its answer.
-func TestAnswerAfterTheTimeToRead(t *testing.T) {
+// The read timeout of a request does not limit the wait for its answer.
+func TestReadTimeoutDoesNotBoundAnswer(t *testing.T) {
 	release := make(chan struct{})
 	s := newStub(t, func(c net.Conn, r stubRequest) bool {
 		<-release
@@ -669,7 +674,7 @@
 	}
 	wait(t, "the request", s.requests)
 	silentPeer := side.dial(t)
-	if _, err := io.ReadAll(silentPeer); err != nil { // the time to read is over: one that came later is closed
+	if _, err := io.ReadAll(silentPeer); err != nil { // the read timeout has passed: a connection opened later is closed
 		t.Fatal(err)
 	}
 	close(release)
@@ -680,7 +685,7 @@
 	res.Body.Close()
 }
 
-// A connection that nothing more comes on is closed, and leaves its descriptor to others.
+// An idle connection is closed, which frees its descriptor.
 func TestIdleClientsAreClosed(t *testing.T) {
 	side := startSidecar(t, nil)
 	c := side.dial(t)
--- a/internal/sidecar/momentary.go
+++ b/internal/sidecar/momentary.go
@@ -9,33 +9,33 @@
 )
 
 const (
-	momentaryTries = 20                   // of a call that fails for a moment, one behind the other
-	momentaryPause = 2 * time.Millisecond // between two of them
+	maxTransientRetries    = 20                   // retries of a call that fails transiently
+	transientRetryInterval = 2 * time.Millisecond // pause between two retries
 )
 
-// isMomentary tells whether a call on a socket may well succeed when it is made again: a signal came, or the system had no
-// memory for it (recv(2), send(2)). It says nothing of the connection, which stands.
-func isMomentary(err error) bool {
+// isTransient reports whether a failed call on a socket is worth a retry: it was interrupted by a signal, or the system
+// lacked memory for it (recv(2), send(2)). Such an error does not mean that the connection is broken.
+func isTransient(err error) bool {
 	return errors.Is(err, unix.EINTR) || errors.Is(err, unix.ENOMEM) || errors.Is(err, unix.ENOBUFS)
 }
 
-// retryMomentary makes a system call again that fails for a moment: at once where a signal came, else after a pause, so
-// that it may hold the caller up for momentaryTries pauses.
-func retryMomentary(call func() (int, error)) (n int, err error) {
+// retryTransient makes a system call and retries transient failures: at once after a signal, else after a pause. It may
+// block for maxTransientRetries pauses.
+func retryTransient(call func() (int, error)) (n int, err error) {
 	for tries := 0; ; {
 		n, err = call()
 		switch {
 		case err == unix.EINTR:
 			continue
-		case !isMomentary(err) || tries == momentaryTries:
+		case !isTransient(err) || tries == maxTransientRetries:
 			return n, err
 		}
 		tries++
-		time.Sleep(momentaryPause)
+		time.Sleep(transientRetryInterval)
 	}
 }
 
-// retryInterrupted makes a system call again that a signal has interrupted.
+// retryInterrupted makes a system call and repeats it as long as signals interrupt it.
 func retryInterrupted(call func() (int, error)) (int, error) {
 	for {
 		n, err := call()
@@ -45,49 +45,50 @@
 	}
 }
 
-// writeThrough writes all of p, and goes on behind failures that the system has for a moment. It returns how many bytes
-// have gone out.
+// writeRetrying writes all of p and retries transient failures. It returns the number of bytes written.
 func writeRetrying(w io.Writer, p []byte) (done int, err error) {
 	for tries := 0; ; tries++ {
 		n, err := w.Write(p[done:])
 		done += n
-		if err == nil || !isMomentary(err) || tries == momentaryTries {
+		if err == nil || !isTransient(err) || tries == maxTransientRetries {
 			return done, err
 		}
-		time.Sleep(momentaryPause)
+		time.Sleep(transientRetryInterval)
 	}
 }
 
-// retryingReader reads on behind failures that the system has for a moment.
+// retryingReader retries reads that fail transiently.
 type retryingReader struct{ io.Reader }
 
+// Read implements io.Reader. It makes at most maxTransientRetries retries.
 func (r retryingReader) Read(p []byte) (n int, err error) {
 	for tries := 0; ; tries++ {
 		n, err = r.Reader.Read(p)
-		if n > 0 || err == nil || !isMomentary(err) || tries == momentaryTries {
+		if n > 0 || err == nil || !isTransient(err) || tries == maxTransientRetries {
 			return n, err
 		}
-		time.Sleep(momentaryPause)
+		time.Sleep(transientRetryInterval)
 	}
 }
 
-// presence is what is known of whether a client is still there.
+// presence is what is known about whether a client is still connected.
 type presence int
 
 const (
 	clientPresent presence = iota
-	clientGone             // it has closed its connection, or its sending side
-	clientUnknown          // the system would not tell: nothing is sent for it, and nothing is taken from it
+	clientGone             // it has closed the connection or its sending side
+	clientUnknown          // the system gives no information: no attempt is sent for the request, and the request is not ended
 )
 
-// looks is how often the system is asked for a client's presence, in each of two ways.
+// pollAttempts is how often the system is asked for a client's presence, in each of two ways.
 const pollAttempts = 3
 
-// presenceAt tells whether the other side of a connection has ended its sending, or all of it. Where poll fails the state
-// of the connection is read instead: an error is no sign that the client is there.
-func presenceAt(fd int) presence {
-	of := func(left bool) presence {
-		if left {
+// pollPresence reports whether the other side has closed the connection with descriptor fd, or its sending side. If
+// poll fails, the TCP state of the connection is read instead, as an error does not mean that the client is still
+// there.
+func pollPresence(fd int) presence {
+	presenceIf := func(closed bool) presence {
+		if closed {
 			return clientGone
 		}
 		return clientPresent
@@ -95,10 +96,10 @@
 	for range pollAttempts {
 		p := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLRDHUP}}
 		if _, err := unix.Poll(p, 0); err == nil {
-			return of(p[0].Revents != 0)
+			return presenceIf(p[0].Revents != 0)
 		}
 		if info, err := unix.GetsockoptTCPInfo(fd, unix.IPPROTO_TCP, unix.TCP_INFO); err == nil {
-			return of(info.State != unix.BPF_TCP_ESTABLISHED)
+			return presenceIf(info.State != unix.BPF_TCP_ESTABLISHED)
 		}
 	}
 	return clientUnknown
