--- a/internal/sidecar/discovery.go
+++ b/internal/sidecar/discovery.go
@@ -20,42 +20,42 @@
 )
 
 const (
-	watchLeast = 10 * time.Second // how long discovery may hold a watch, at least
-	watchMost  = 20 * time.Second // and at most: each draws its own, or watches that fall silent together would all be opened anew together
-	firstWait  = time.Millisecond // and the first after a start or a failure: the module waits for word
+	minWatchWait   = 10 * time.Second // how long discovery may hold a watch, at least
+	maxWatchWait   = 20 * time.Second // and at most: each draws its own, or watches that fall silent together would all be opened anew together
+	firstWatchWait = time.Millisecond // and the first after a start or a failure: the module waits for word
 
 	// Limits of calls. What a silent one misses counts as told 2 s after its wait, or 6 s after it fell silent, 4 s after a SIGHUP, and 6 s
 	// after discovery could be reached, whatever failed before: by then the next one has to be answered, and in turn after other sidecars'
 	// (docs/list.md).
-	answerTime  = 750 * time.Millisecond  // for the answer of a watch, behind its wait
-	firstTime   = 2500 * time.Millisecond // for that of another call,
-	againTime   = 4 * time.Second         // where two before were silent: discovery may have a long queue
-	listTime    = 6 * time.Second         // where two before were, and the last had begun to answer: lists may be long
-	connectTime = 400 * time.Millisecond  // for the connection: a lost packet or a machine that is off costs no more,
-	hungMost    = 2                       // doubled so often at most, after each that did not come up
+	watchAnswerTimeout  = 750 * time.Millisecond  // for the answer of a watch, behind its wait
+	callTimeout         = 2500 * time.Millisecond // for that of another call,
+	retryCallTimeout    = 4 * time.Second         // where two before were silent: discovery may have a long queue
+	longListTimeout     = 6 * time.Second         // where two before were, and the last had begun to answer: lists may be long
+	connectTimeout      = 400 * time.Millisecond  // for the connection: a lost packet or a machine that is off costs no more,
+	maxConnectDoublings = 2                       // doubled so often at most, after each that did not come up
 
-	firstRetry = 200 * time.Millisecond
-	lastRetry  = 500 * time.Millisecond // with jitter and a call within 1 s: what was pushed meanwhile counts once discovery is back
-	staleRetry = 2 * time.Second        // and between whole lists, or to wait for changes, where its word is older than what is held
-	listLimit  = 8 << 20                // bytes of one answer; far above any real list
+	minRetryDelay  = 200 * time.Millisecond
+	maxRetryDelay  = 500 * time.Millisecond // with jitter and a call within 1 s: what was pushed meanwhile counts once discovery is back
+	staleListDelay = 2 * time.Second        // and between whole lists, or to wait for changes, where its word is older than what is held
+	maxListBytes   = 8 << 20                // bytes of one answer; far above any real list
 )
 
 // errSilent says that a call got no answer within its limit, errCut that it got the beginning of one.
 var (
-	errSilent = errors.New("discovery gave no answer")
-	errCut    = errors.New("the answer had begun")
+	errNoAnswer         = errors.New("discovery gave no answer")
+	errAnswerIncomplete = errors.New("the answer had begun")
 )
 
-// unknown is no version: the whole list is needed.
-const unknown = int64(-1)
+// unknownVersion is no version: the whole list is needed.
+const unknownVersion = int64(-1)
 
 // listing is one answer of discovery.
 type listing struct {
-	version int64
-	whole   bool
-	servers []balance.Server
-	address map[balance.ServerID]string
-	raw     map[balance.ServerID]json.RawMessage // the entries as they came
+	version    int64
+	whole      bool
+	servers    []balance.Server
+	addresses  map[balance.ServerID]string
+	rawEntries map[balance.ServerID]json.RawMessage // the entries as they came
 }
 
 // serverID names a server by a hash of its instanceId: the same at every sidecar and after a
@@ -88,8 +88,8 @@
 	if answer.Generation == nil {
 		return listing{}, errors.New("no generation")
 	}
-	l := listing{version: *answer.Generation, whole: answer.Reset, address: make(map[balance.ServerID]string)}
-	l.raw = make(map[balance.ServerID]json.RawMessage, len(answer.Instances))
+	l := listing{version: *answer.Generation, whole: answer.Reset, addresses: make(map[balance.ServerID]string)}
+	l.rawEntries = make(map[balance.ServerID]json.RawMessage, len(answer.Instances))
 	for i, raw := range answer.Instances {
 		var e instance
 		if err := json.Unmarshal(raw, &e); err != nil {
@@ -116,61 +116,61 @@
 			s.State = balance.Draining // nothing new, whatever it is
 		}
 		if _, _, err := net.SplitHostPort(e.HostPort); err == nil {
-			l.address[s.ID] = e.HostPort
+			l.addresses[s.ID] = e.HostPort
 		} else if s.State != balance.Gone {
 			return listing{}, fmt.Errorf("instance %s: hostPort: %w", e.InstanceID, err)
 		}
 		l.servers = append(l.servers, s)
-		l.raw[s.ID] = raw
+		l.rawEntries[s.ID] = raw
 	}
 	return l, nil
 }
 
 // discovery follows the list of servers and hands what it learns to the loop.
 type discovery struct {
-	zones  map[string]int
-	asked  chan struct{} // where the list must be asked for: the module did
-	heard  func(listing)
-	failed func()
-	client http.Client
+	zones             map[string]int
+	subscribeRequests chan struct{} // where the list must be asked for: the module did
+	onListing         func(listing)
+	onFailure         func()
+	client            http.Client
 
-	taking   sync.Mutex  // held while news go on to the loop, so that they do so in order
-	list     *serverList // of the list that the loop holds; changed only with taking held
-	now      func() time.Duration
-	draw     func() float64 // from 0 to 1: a watch's part between the shortest and the longest
-	pause    func(context.Context, time.Duration)
-	saveList func(v *serverList, durable bool)
-	dial     func(ctx context.Context, network, address string) (net.Conn, error)
-	silent   int  // calls other than watches that got no answer in time, one after the other
-	begun    bool // the last of them had begun to answer
+	applyMu            sync.Mutex  // held while news go on to the loop, so that they do so in order
+	list               *serverList // of the list that the loop holds; changed only with taking held
+	now                func() time.Duration
+	random             func() float64 // from 0 to 1: a watch's part between the shortest and the longest
+	sleep              func(context.Context, time.Duration)
+	saveList           func(v *serverList, durable bool)
+	dial               func(ctx context.Context, network, address string) (net.Conn, error)
+	timeouts           int  // calls other than watches that got no answer in time, one after the other
+	lastTimeoutPartial bool // the last of them had begun to answer
 
-	connectTime, firstRetry, lastRetry time.Duration
+	connectTimeout, minRetryDelay, maxRetryDelay time.Duration
 
-	mu      sync.Mutex
-	address string
-	leave   context.CancelFunc // ends what is under way at that address
-	calls   calls
-	hung    int // connections that did not come up in time, one after the other
+	mu              sync.Mutex
+	address         string
+	cancelCalls     context.CancelFunc // ends what is under way at that address
+	counts          callCounts
+	connectTimeouts int // connections that did not come up in time, one after the other
 }
 
-// calls count what discovery was asked, for the log: all sidecars share its one capacity.
-type calls struct {
-	whole   int // calls for the whole list
-	heard   int // answers that were whole lists
-	watches int // and for changes
-	failed  int // of both
-	lines   int // entries that the answers held
+// callCounts count what discovery was asked, for the log: all sidecars share its one capacity.
+type callCounts struct {
+	wholeLists   int // calls for the whole list
+	wholeAnswers int // answers that were whole lists
+	watches      int // and for changes
+	failed       int // of both
+	entries      int // entries that the answers held
 }
 
 func newDiscovery(cfg *Config, heard func(listing), failed func()) *discovery {
-	d := &discovery{address: cfg.Discovery, zones: cfg.Zones, heard: heard, failed: failed, now: newClock().now, pause: pause}
-	d.list, d.saveList = recall(cfg, keptList{}, time.Time{}, d.now()), func(*serverList, bool) {}
-	d.draw, d.dial = rand.Float64, new(net.Dialer).DialContext
-	d.connectTime, d.firstRetry, d.lastRetry = connectTime, firstRetry, lastRetry
+	d := &discovery{address: cfg.Discovery, zones: cfg.Zones, onListing: heard, onFailure: failed, now: newClock().now, sleep: sleepJittered}
+	d.list, d.saveList = restoreServerList(cfg, savedList{}, time.Time{}, d.now()), func(*serverList, bool) {}
+	d.random, d.dial = rand.Float64, new(net.Dialer).DialContext
+	d.connectTimeout, d.minRetryDelay, d.maxRetryDelay = connectTimeout, minRetryDelay, maxRetryDelay
 	if cfg.Policy.AskList {
-		d.asked = make(chan struct{}, 1)
+		d.subscribeRequests = make(chan struct{}, 1)
 	} else if grace := cfg.DrainGrace; grace > 0 { // what is pushed counts at once, with or without a watch
-		d.connectTime, d.firstRetry, d.lastRetry = min(connectTime, grace/3), min(firstRetry, grace/6), min(lastRetry, grace/3)
+		d.connectTimeout, d.minRetryDelay, d.maxRetryDelay = min(connectTimeout, grace/3), min(minRetryDelay, grace/6), min(maxRetryDelay, grace/3)
 	}
 	// Calls to discovery change nothing there, so the standard client may repeat one on a new connection.
 	d.client.Transport = &http.Transport{MaxIdleConns: 1, DisableCompression: true, DialContext: d.connect}
@@ -180,7 +180,7 @@
 // connect opens a connection to discovery, with a limit of its own.
 func (d *discovery) connect(ctx context.Context, network, address string) (net.Conn, error) {
 	d.mu.Lock()
-	limit := d.connectTime << d.hung
+	limit := d.connectTimeout << d.connectTimeouts
 	d.mu.Unlock()
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
@@ -188,9 +188,9 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if err == nil {
-		d.hung = 0
+		d.connectTimeouts = 0
 	} else if errors.Is(ctx.Err(), context.DeadlineExceeded) {
-		d.hung = min(d.hung+1, hungMost)
+		d.connectTimeouts = min(d.connectTimeouts+1, maxConnectDoublings)
 	}
 	return conn, err
 }
@@ -198,7 +198,7 @@
 // subscribe takes that the module wants to be subscribed to the list.
 func (d *discovery) subscribe() {
 	select {
-	case d.asked <- struct{}{}:
+	case d.subscribeRequests <- struct{}{}:
 	default: // already asked, or the list is pushed
 	}
 }
@@ -211,164 +211,164 @@
 		return
 	}
 	slog.Info("discovery moved", "from", d.address, "to", address)
-	d.address, d.hung = address, 0
-	if d.leave != nil {
-		d.leave()
+	d.address, d.connectTimeouts = address, 0
+	if d.cancelCalls != nil {
+		d.cancelCalls()
 	}
 }
 
-// stay returns the address, and a context that ends with the stay there.
-func (d *discovery) stay(ctx context.Context) (context.Context, string) {
+// enterAddress returns the address, and a context that ends with the stay there.
+func (d *discovery) enterAddress(ctx context.Context) (context.Context, string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	ctx, d.leave = context.WithCancel(ctx)
+	ctx, d.cancelCalls = context.WithCancel(ctx)
 	return ctx, d.address
 }
 
 // run follows the list until ctx ends, at one address after the other.
 func (d *discovery) run(ctx context.Context) {
 	for moved := false; ctx.Err() == nil; moved = true {
-		here, address := d.stay(ctx)
-		d.taking.Lock()
-		d.list.move(address, d.now()) // whether versions are the same elsewhere is not told
-		d.silent = 0
-		d.taking.Unlock()
-		d.runAt(here, address, moved)
+		here, address := d.enterAddress(ctx)
+		d.applyMu.Lock()
+		d.list.setSource(address, d.now()) // whether versions are the same elsewhere is not told
+		d.timeouts = 0
+		d.applyMu.Unlock()
+		d.followAddress(here, address, moved)
 		d.client.CloseIdleConnections()
 	}
 }
 
-// runAt follows the list at an address until ctx ends, and again after a failure. Where lists are pushed
+// followAddress follows the list at an address until ctx ends, and again after a failure. Where lists are pushed
 // it comes back by itself after a pause; where they are asked for, the module says when, but for the first
 // time after a move: then the module holds itself for subscribed.
-func (d *discovery) runAt(ctx context.Context, address string, moved bool) {
-	pause := d.firstRetry
+func (d *discovery) followAddress(ctx context.Context, address string, moved bool) {
+	pause := d.minRetryDelay
 	for ctx.Err() == nil {
-		if d.asked != nil && !moved {
+		if d.subscribeRequests != nil && !moved {
 			select {
-			case <-d.asked:
+			case <-d.subscribeRequests:
 			case <-ctx.Done():
 				return
 			}
 		}
 		moved = false
-		heard, err := d.follow(ctx, address)
+		heard, err := d.callUntilFailure(ctx, address)
 		if ctx.Err() != nil {
 			return
 		}
 		slog.Warn("discovery failed", "error", err)
 		select {
-		case <-d.asked: // meanwhile: what the module makes of this failure goes before it
+		case <-d.subscribeRequests: // meanwhile: what the module makes of this failure goes before it
 		default:
 		}
-		d.failed()
-		if d.asked != nil {
+		d.onFailure()
+		if d.subscribeRequests != nil {
 			continue
 		}
 		if heard {
-			pause = d.firstRetry
+			pause = d.minRetryDelay
 		}
-		d.pause(ctx, pause)
-		pause = min(2*pause, d.lastRetry)
+		d.sleep(ctx, pause)
+		pause = min(2*pause, d.maxRetryDelay)
 	}
 }
 
-// pause waits for about d. Jitter: all sidecars lose discovery at the same moment and must not come back as one.
-func pause(ctx context.Context, d time.Duration) {
+// sleepJittered waits for about d. Jitter: all sidecars lose discovery at the same moment and must not come back as one.
+func sleepJittered(ctx context.Context, d time.Duration) {
 	select {
 	case <-time.After(time.Duration(float64(d) * (0.5 + rand.Float64()))):
 	case <-ctx.Done():
 	}
 }
 
-// follow calls discovery until a call fails: watch after watch from the version that the loop holds, or
+// callUntilFailure calls discovery until a call fails: watch after watch from the version that the loop holds, or
 // the whole list first where there is none. A call that fails takes nothing away from what is held, and
 // discovery is one for all sidecars: when many start or fail at once, whole lists keep it from the others. After an
 // answer older than what is held it asks for whole lists, now and then, until it knows whether that was stale or
 // discovery has begun anew. A call that has fallen silent is made anew at once: it took its time, and the time until
 // its news count as told is short. It tells whether any call went well.
-func (d *discovery) follow(ctx context.Context, address string) (heard bool, err error) {
-	for wait := firstWait; ; {
-		query, limit := d.query(wait)
-		watch := query != "" && wait != firstWait
+func (d *discovery) callUntilFailure(ctx context.Context, address string) (heard bool, err error) {
+	for wait := firstWatchWait; ; {
+		query, limit := d.nextQuery(wait)
+		watch := query != "" && wait != firstWatchWait
 		l, err := d.call(ctx, address, query, limit)
 		switch {
-		case errors.Is(err, errSilent):
+		case errors.Is(err, errNoAnswer):
 			slog.Warn("discovery is silent", "query", query, "limit", limit)
 			if !watch {
-				d.silent, d.begun = d.silent+1, errors.Is(err, errCut)
+				d.timeouts, d.lastTimeoutPartial = d.timeouts+1, errors.Is(err, errAnswerIncomplete)
 			}
-			wait = firstWait
+			wait = firstWatchWait
 			continue
 		case err != nil:
 			return heard, err
 		}
-		d.silent = 0
+		d.timeouts = 0
 		l.whole = l.whole || query == ""
-		heard, wait = true, watchLeast+time.Duration(d.draw()*float64(watchMost-watchLeast))
-		if again := d.take(l); again > 0 {
-			if d.pause(ctx, again); ctx.Err() != nil {
+		heard, wait = true, minWatchWait+time.Duration(d.random()*float64(maxWatchWait-minWatchWait))
+		if again := d.applyAnswer(l); again > 0 {
+			if d.sleep(ctx, again); ctx.Err() != nil {
 				return heard, ctx.Err()
 			}
 		}
 	}
 }
 
-// take acts on an answer, and returns a pause until the next call, where that is not a watch from it.
-func (d *discovery) take(l listing) (pause time.Duration) {
-	d.taking.Lock()
-	defer d.taking.Unlock()
-	held := d.list.top
-	news, older := d.list.take(l, d.now())
-	d.heard(news)
+// applyAnswer acts on an answer, and returns a pause until the next call, where that is not a watch from it.
+func (d *discovery) applyAnswer(l listing) (pause time.Duration) {
+	d.applyMu.Lock()
+	defer d.applyMu.Unlock()
+	held := d.list.version
+	news, older := d.list.apply(l, d.now())
+	d.onListing(news)
 	if l.whole || len(news.servers) > 0 {
 		d.saveList(d.list, l.whole || !allReady(news))
 	}
 	if older {
 		slog.Warn("discovery is older than what is held", "version", l.version, "held", held, "whole", l.whole, "out", len(news.servers))
 	}
-	_, doubted := d.list.doubted(d.now())
+	_, doubted := d.list.resetWatchVersion(d.now())
 	switch {
-	case d.list.watched():
+	case d.list.canWatch():
 		return 0
 	case l.whole && !doubted: // and the next is whole too
-		return staleRetry
+		return staleListDelay
 	}
-	return lastRetry
+	return maxRetryDelay
 }
 
 // applyOtherProcessList acts on what another process of this sidecar goes by.
-func (d *discovery) applyOtherProcessList(k keptList, l listing) {
-	d.taking.Lock()
-	defer d.taking.Unlock()
-	if news := d.list.beside(k, l); len(news.servers) > 0 {
-		slog.Info("out by the other process", "version", l.version, "held", d.list.top, "out", len(news.servers))
-		d.heard(news)
+func (d *discovery) applyOtherProcessList(k savedList, l listing) {
+	d.applyMu.Lock()
+	defer d.applyMu.Unlock()
+	if news := d.list.applyOtherProcess(k, l); len(news.servers) > 0 {
+		slog.Info("out by the other process", "version", l.version, "held", d.list.version, "out", len(news.servers))
+		d.onListing(news)
 	}
 }
 
-// query is what is asked next: changes, for so long, or the whole list.
-func (d *discovery) query(wait time.Duration) (query string, limit time.Duration) {
-	d.taking.Lock()
-	defer d.taking.Unlock()
-	since, older := d.list.doubted(d.now())
-	first := firstTime
-	if d.silent > 1 {
-		first = againTime
-		if d.begun {
-			first = listTime
+// nextQuery is what is asked next: changes, for so long, or the whole list.
+func (d *discovery) nextQuery(wait time.Duration) (query string, limit time.Duration) {
+	d.applyMu.Lock()
+	defer d.applyMu.Unlock()
+	since, older := d.list.resetWatchVersion(d.now())
+	first := callTimeout
+	if d.timeouts > 1 {
+		first = retryCallTimeout
+		if d.lastTimeoutPartial {
+			first = longListTimeout
 		}
 	}
 	switch {
-	case d.list.watched():
-		since = d.list.top
+	case d.list.canWatch():
+		since = d.list.version
 	case older:
-		wait = staleRetry
+		wait = staleListDelay
 	default:
 		return "", first
 	}
-	limit = wait + answerTime
-	if wait == firstWait {
+	limit = wait + watchAnswerTimeout
+	if wait == firstWatchWait {
 		limit = wait + first
 	}
 	return fmt.Sprintf("?index=%d&wait=%d", since, wait.Milliseconds()), limit
@@ -384,35 +384,35 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return map[string]int{
-		"whole": d.calls.whole, "watches": d.calls.watches, "failed": d.calls.failed, "lines": d.calls.lines,
+		"whole": d.counts.wholeLists, "watches": d.counts.watches, "failed": d.counts.failed, "lines": d.counts.entries,
 	}
 }
 
 // call asks discovery, and counts that it did.
 func (d *discovery) call(ctx context.Context, address, query string, limit time.Duration) (listing, error) {
-	l, err := d.get(ctx, address, query, limit)
+	l, err := d.fetch(ctx, address, query, limit)
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if query == "" {
-		d.calls.whole++
+		d.counts.wholeLists++
 	} else {
-		d.calls.watches++
+		d.counts.watches++
 	}
 	if err != nil {
-		d.calls.failed++
+		d.counts.failed++
 	} else if l.whole || query == "" {
-		d.calls.heard++
+		d.counts.wholeAnswers++
 	}
-	d.calls.lines += len(l.servers)
+	d.counts.entries += len(l.servers)
 	return l, err
 }
 
-func (d *discovery) get(ctx context.Context, address, query string, limit time.Duration) (l listing, err error) {
-	ctx, cancel := context.WithTimeoutCause(ctx, limit, errSilent)
+func (d *discovery) fetch(ctx context.Context, address, query string, limit time.Duration) (l listing, err error) {
+	ctx, cancel := context.WithTimeoutCause(ctx, limit, errNoAnswer)
 	defer cancel()
 	defer func() {
-		if err != nil && context.Cause(ctx) == errSilent {
-			err = fmt.Errorf("%w within %v: %w", errSilent, limit, err)
+		if err != nil && context.Cause(ctx) == errNoAnswer {
+			err = fmt.Errorf("%w within %v: %w", errNoAnswer, limit, err)
 		}
 	}()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/discovery/hosts"+query, nil)
@@ -424,13 +424,13 @@
 		return listing{}, err
 	}
 	defer res.Body.Close()
-	body, err := io.ReadAll(io.LimitReader(res.Body, listLimit+1))
+	body, err := io.ReadAll(io.LimitReader(res.Body, maxListBytes+1))
 	switch {
 	case err != nil:
-		return listing{}, fmt.Errorf("%w: %w", errCut, err)
+		return listing{}, fmt.Errorf("%w: %w", errAnswerIncomplete, err)
 	case res.StatusCode != http.StatusOK:
 		return listing{}, fmt.Errorf("answered %s", res.Status)
-	case len(body) > listLimit:
+	case len(body) > maxListBytes:
 		return listing{}, errors.New("the answer is too long")
 	}
 	return parseListing(body, d.zones)
--- a/internal/sidecar/discovery_test.go
+++ b/internal/sidecar/discovery_test.go
@@ -29,7 +29,7 @@
 		{ID: serverID("s-3"), Zone: -1 - int(serverID("")>>2), State: balance.Draining},
 		{ID: serverID("s-4"), Zone: -1 - int(serverID("")>>2), State: balance.Gone},
 	}
-	if l.version != 41 || l.whole || len(l.servers) != len(want) || l.address[want[1].ID] != "127.0.0.1:81" {
+	if l.version != 41 || l.whole || len(l.servers) != len(want) || l.addresses[want[1].ID] != "127.0.0.1:81" {
 		t.Fatalf("list %+v", l)
 	}
 	for i := range want {
@@ -74,8 +74,8 @@
 	heard, failed := make(chan listing, 100), make(chan struct{}, 100)
 	d := newDiscovery(cfg, func(l listing) { heard <- l }, func() { failed <- struct{}{} })
 	var clock atomic.Int64
-	d.now, d.pause = func() time.Duration { return time.Duration(clock.Load()) }, func(_ context.Context, by time.Duration) { clock.Add(int64(by)) }
-	d.draw = func() float64 { return 1 }
+	d.now, d.sleep = func() time.Duration { return time.Duration(clock.Load()) }, func(_ context.Context, by time.Duration) { clock.Add(int64(by)) }
+	d.random = func() float64 { return 1 }
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
 	go func() { d.run(ctx); close(ended) }()
@@ -109,7 +109,7 @@
 	news(45, false)
 	for range 2 { // 1 s and 3.5 s later
 		step("index=8&wait=2000", func(w http.ResponseWriter) {
-			clock.Add(int64(staleRetry))
+			clock.Add(int64(staleListDelay))
 			_, _ = io.WriteString(w, `{"generation":8,"reset":false,"instances":[]}`)
 		})
 		news(45, false)
@@ -141,7 +141,7 @@
 	defer cancel()
 	d := newDiscovery(cfg, func(listing) {}, func() {})
 	var pauses []time.Duration
-	d.pause = func(_ context.Context, by time.Duration) {
+	d.sleep = func(_ context.Context, by time.Duration) {
 		if pauses = append(pauses, by); len(pauses) == failures {
 			cancel()
 		}
@@ -239,21 +239,21 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	l.take(moved, balance.ListDelta)
-	if l.address[id] != "127.0.0.1:82" {
-		t.Errorf("address %q after the move", l.address[id])
+	l.applyList(moved, balance.ListDelta)
+	if l.addresses[id] != "127.0.0.1:82" {
+		t.Errorf("address %q after the move", l.addresses[id])
 	}
-	l.take(listing{}, balance.ListDelta)
-	if len(l.address) != 1 {
-		t.Errorf("addresses %v after no change", l.address)
+	l.applyList(listing{}, balance.ListDelta)
+	if len(l.addresses) != 1 {
+		t.Errorf("addresses %v after no change", l.addresses)
 	}
-	l.take(listing{servers: []balance.Server{{ID: id, State: balance.Gone}}}, balance.ListDelta)
-	if len(l.address) != 0 {
-		t.Errorf("addresses %v, the server is gone", l.address)
+	l.applyList(listing{servers: []balance.Server{{ID: id, State: balance.Gone}}}, balance.ListDelta)
+	if len(l.addresses) != 0 {
+		t.Errorf("addresses %v, the server is gone", l.addresses)
 	}
-	l.take(moved, balance.ListDelta)
-	l.take(listing{whole: true}, balance.ListFull)
-	if len(l.address) != 0 {
-		t.Errorf("addresses %v after a whole list of none", l.address)
+	l.applyList(moved, balance.ListDelta)
+	l.applyList(listing{whole: true}, balance.ListFull)
+	if len(l.addresses) != 0 {
+		t.Errorf("addresses %v after a whole list of none", l.addresses)
 	}
 }
--- a/internal/sidecar/hollow.go
+++ b/internal/sidecar/hollow.go
@@ -10,8 +10,8 @@
 	"arrowgw/internal/rules"
 )
 
-// killWait is how long the end of a killed process may take: what it has begun with others ends by then.
-const killWait = 2 * time.Second
+// killTimeout is how long the end of a killed process may take: what it has begun with others ends by then.
+const killTimeout = 2 * time.Second
 
 // Hollow is a sidecar without a path of requests: control alone, as in a whole one, with a name, a state folder and addresses of
 // its own. Many may run in one process of the machine. What a whole sidecar has besides is not there: a front, a
@@ -20,7 +20,7 @@
 type Hollow struct {
 	control *control
 	stop    context.CancelFunc
-	kept    chan struct{}
+	saved   chan struct{}
 }
 
 // StartHollow starts one by a sidecar's configuration file and a folder for its state. rate is the traffic that it tells the
@@ -37,13 +37,13 @@
 	}
 	cfg.Policy.AskList = false
 	c := newClock()
-	h := &Hollow{kept: make(chan struct{})}
-	if h.control, err = newControl(cfg, c, absent{c, rate}); err != nil {
+	h := &Hollow{saved: make(chan struct{})}
+	if h.control, err = newControl(cfg, c, noRequestPath{c, rate}); err != nil {
 		return nil, err
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	h.stop = stop
-	if err := h.control.begin(ctx, h.kept, func(int) {}); err != nil {
+	if err := h.control.begin(ctx, h.saved, func(int) {}); err != nil {
 		stop()
 		return nil, err
 	}
@@ -62,9 +62,9 @@
 	}()
 	select {
 	case <-closed:
-	case <-time.After(killWait):
+	case <-time.After(killTimeout):
 	}
-	h.end()
+	h.shutDown()
 }
 
 // Stop ends it as a planned stop does: duties are passed on, and the others are told.
@@ -79,13 +79,13 @@
 	case <-time.After(leaveWait):
 	}
 	h.control.peers.leave()
-	h.end()
+	h.shutDown()
 }
 
-func (h *Hollow) end() {
+func (h *Hollow) shutDown() {
 	h.stop()
 	select {
-	case <-h.kept:
+	case <-h.saved:
 	case <-time.After(saveTimeout):
 	}
 }
@@ -123,23 +123,23 @@
 	d := h.control.discovery
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.calls.heard, d.calls.failed
+	return d.counts.wholeAnswers, d.counts.failed
 }
 
 // Traffic is what its control has sent and was sent so far.
 func (h *Hollow) Traffic() meter.Traffic { return h.control.meter.Traffic() }
 
-// absent is the path of requests of a process that has none.
-type absent struct {
+// noRequestPath is the path of requests of a process that has none.
+type noRequestPath struct {
 	clock clock
 	rate  float64
 }
 
-func (absent) applyListing(listing)                                  {}
-func (absent) discoveryFailed()                                      {}
-func (absent) updateFleet(context.Context, balance.Fleet) error      { return nil }
-func (absent) applyRules(context.Context, *rules.Set) error          { return nil }
-func (absent) applyOperatorCalls(context.Context, map[string]handed) {}
-func (a absent) learnedState(context.Context) (balance.Learned, error) {
+func (noRequestPath) applyListing(listing)                                  {}
+func (noRequestPath) discoveryFailed()                                      {}
+func (noRequestPath) updateFleet(context.Context, balance.Fleet) error      { return nil }
+func (noRequestPath) applyRules(context.Context, *rules.Set) error          { return nil }
+func (noRequestPath) applyOperatorCalls(context.Context, map[string]handed) {}
+func (a noRequestPath) learnedState(context.Context) (balance.Learned, error) {
 	return balance.Learned{At: a.clock.now(), Rate: a.rate}, nil
 }
--- a/internal/sidecar/late_test.go
+++ b/internal/sidecar/late_test.go
@@ -56,11 +56,11 @@
 			u := testTransport(t)
 			u.dialTimeout = 2 * generous
 			dialled, _ := u.late(s.address)
-			done, now := make(chan result, 1), u.clock.now()
+			done, now := make(chan attemptResult, 1), u.clock.now()
 			if c.by > 0 {
 				c.by += now
 			}
-			x := u.send(s.address, testMessage("1"), now+c.until, c.by, now+c.until, func(r result) { done <- r })
+			x := u.send(s.address, testMessage("1"), now+c.until, c.by, now+c.until, func(r attemptResult) { done <- r })
 			wait(t, "its call for a connection", dialled)
 			if c.happens != nil {
 				c.happens(x)
@@ -82,8 +82,8 @@
 	answer := make(chan struct{})
 	s := newStub(t, func(c net.Conn, r received) bool { <-answer; return echo(c, r) })
 	u := testTransport(t)
-	done := make(chan result, 1)
-	x := u.send(s.address, testMessage("1"), u.clock.now()+generous, 0, u.clock.now()+generous, func(r result) { done <- r })
+	done := make(chan attemptResult, 1)
+	x := u.send(s.address, testMessage("1"), u.clock.now()+generous, 0, u.clock.now()+generous, func(r attemptResult) { done <- r })
 	wait(t, "the request", s.seen)
 	x.withdraw()
 	close(answer)
@@ -136,8 +136,8 @@
 					accepted <- c
 				}
 			}()
-			done := make(chan result, 1)
-			u.send(l.Addr().String(), m, u.clock.now()+2*generous, by, u.clock.now()+2*generous, func(r result) { done <- r })
+			done := make(chan attemptResult, 1)
+			u.send(l.Addr().String(), m, u.clock.now()+2*generous, by, u.clock.now()+2*generous, func(r attemptResult) { done <- r })
 			server := wait(t, "the connection", accepted)
 			defer server.Close()
 			if name == "long" { // it reads, and the client is slow; else the client is quick, and nobody reads
@@ -166,9 +166,9 @@
 	l.submit(balance.Request{Class: 1}, testMessage("1"), l.now+generous, reply)
 	l.next(t)
 	wait(t, "its call for a connection", dialled)
-	l.take(listing{servers: []balance.Server{{ID: serverID("s-0"), State: balance.Draining, Weight: 1},
+	l.applyList(listing{servers: []balance.Server{{ID: serverID("s-0"), State: balance.Draining, Weight: 1},
 		{ID: serverID("s-1"), State: balance.Ready, Weight: 1}},
-		address: map[balance.ServerID]string{serverID("s-0"): late.address, serverID("s-1"): other.address}}, balance.ListDelta)
+		addresses: map[balance.ServerID]string{serverID("s-0"): late.address, serverID("s-1"): other.address}}, balance.ListDelta)
 	l.next(t) // its attempt ends
 	wait(t, "the request at the other server", other.seen)
 	l.next(t)
@@ -388,7 +388,7 @@
 				m.upload = newUpload(&pacedBody{body: strings.NewReader("end"), setReadDeadline: func(time.Time) error { return nil }})
 				m.upload.onSent, m.length = func() {}, int64(len(m.body))+3
 			}
-			u.send(s.address, m, u.clock.now()+m.timeLeft, 0, u.clock.now()+m.timeLeft, func(result) {})
+			u.send(s.address, m, u.clock.now()+m.timeLeft, 0, u.clock.now()+m.timeLeft, func(attemptResult) {})
 			wait(t, "its call for a connection", dialled)
 			begun := u.clock.now()
 			time.Sleep(30 * time.Millisecond)
@@ -418,8 +418,8 @@
 		"one":               {late: 1, ending: balance.Served, dials: 2, open: 1},
 		"one, up after all": {late: 1, comesUp: true, ending: balance.Served, dials: 2, open: 2},
 		"two":               {late: 2, ending: balance.Served, dials: 3, open: 1},
-		"all":               {late: dialsMost + 1, ending: balance.NoConnection, dials: dialsMost},
-		"one, at the limit": {late: 1, edit: func(u *transport) { u.most = 1 }, ending: balance.NoConnection, dials: 1},
+		"all":               {late: maxParallelDials + 1, ending: balance.NoConnection, dials: maxParallelDials},
+		"one, at the limit": {late: 1, edit: func(u *transport) { u.maxOpen = 1 }, ending: balance.NoConnection, dials: 1},
 		"one, with no room": {late: 1, edit: func(u *transport) { u.hasRoom = func(n int) bool { return n < 1 } },
 			ending: balance.NoConnection, dials: 1},
 		"one, then refused": {late: 1, fails: refused, ending: balance.NoConnection, dials: 2},
@@ -435,9 +435,9 @@
 				c.edit(u)
 			}
 			var dials atomic.Int32
-			dialled, over := make(chan int, 2*dialsMost), make(chan time.Time)
+			dialled, over := make(chan int, 2*maxParallelDials), make(chan time.Time)
 			close(over)
-			u.lateAfter = func(time.Duration) <-chan time.Time { // over for each late one, once that has begun
+			u.lateDialTimer = func(time.Duration) <-chan time.Time { // over for each late one, once that has begun
 				if <-dialled <= c.late {
 					return over
 				}
@@ -480,9 +480,9 @@
 	s := newStub(t, echo)
 	l := idleLoop(t, s.address)
 	r, _ := l.hold(7)
-	r.message.timeLeft = generous
-	r.message.upload = newUpload(&pacedBody{body: strings.NewReader("end"), setReadDeadline: func(time.Time) error { return nil }})
-	r.message.upload.onSent, r.message.length = func() {}, int64(len(r.message.body))+3
+	r.outbound.timeLeft = generous
+	r.outbound.upload = newUpload(&pacedBody{body: strings.NewReader("end"), setReadDeadline: func(time.Time) error { return nil }})
+	r.outbound.upload.onSent, r.outbound.length = func() {}, int64(len(r.outbound.body))+3
 	l.now += generous / 2 // as if others had failed
 	l.Send(7, serverID("s-0"), 0, 0)
 	if told, _ := duration(wait(t, "the request", s.seen).Header.Get("X-Timeout")); told > generous/2 {
@@ -504,8 +504,8 @@
 		}
 		return present
 	}
-	done := make(chan result, 1)
-	u.send(s.address, m, u.clock.now()+generous, 0, u.clock.now()+generous, func(r result) { done <- r })
+	done := make(chan attemptResult, 1)
+	u.send(s.address, m, u.clock.now()+generous, 0, u.clock.now()+generous, func(r attemptResult) { done <- r })
 	if got := wait(t, "its end", done); got.ending != balance.Cancelled {
 		t.Errorf("ending %v, want %v", got.ending, balance.Cancelled)
 	}
--- a/internal/sidecar/loop.go
+++ b/internal/sidecar/loop.go
@@ -16,9 +16,9 @@
 )
 
 const (
-	countersEvery        = 5 * time.Second        // how often the module's counters go to the log
+	countersLogInterval  = 5 * time.Second        // how often the module's counters go to the log
 	serverCountsInterval = 100 * time.Millisecond // and what it knows of its servers to the console
-	eventQueue           = 256
+	eventQueueLength     = 256
 )
 
 // loop owns the Balancer. All of its events pass through one goroutine, in order; the other parts
@@ -26,7 +26,7 @@
 // final answer and the Outcome, is kept here.
 type loop struct {
 	clock             clock
-	b                 *policy.Balancer
+	balancer          *policy.Balancer
 	upstream          *transport
 	handover          *handover             // keeps the calls by hand
 	subscribe         func()                // subscribes to the list
@@ -38,18 +38,18 @@
 	most              int                                         // attempts for one request at most
 	classes           []balance.Class
 
-	serverCounts atomic.Pointer[serverCounts] // the last word on the servers, for the console
-	membersAt    time.Duration                // when it was published
+	serverCounts   atomic.Pointer[serverCounts] // the last word on the servers, for the console
+	serverCountsAt time.Duration                // when it was published
 
-	lastID   atomic.Uint64
-	events   chan func(now time.Duration)
-	now      time.Duration // the time of the event under way
-	requests map[balance.RequestID]*request
-	address  map[balance.ServerID]string
-	ready    map[balance.ServerID]bool // of those with an address
-	notSent  []balance.Outcome         // owed once the event under way is over
-	wakes    []time.Duration           // when Wake is due, in order
-	timer    *time.Timer               // set for the first of them
+	lastID         atomic.Uint64
+	events         chan func(now time.Duration)
+	now            time.Duration // the time of the event under way
+	requests       map[balance.RequestID]*request
+	addresses      map[balance.ServerID]string
+	readyServers   map[balance.ServerID]bool // of those with an address
+	unsentOutcomes []balance.Outcome         // owed once the event under way is over
+	wakeTimes      []time.Duration           // when Wake is due, in order
+	wakeTimer      *time.Timer               // set for the first of them
 }
 
 // serverCounts counts the servers in the list, and those that the module avoids.
@@ -57,15 +57,15 @@
 
 // request is one in the table. It stays until it has its answer and all its attempts have ended.
 type request struct {
-	message  *outboundRequest
-	reply    chan<- answer
-	deadline time.Duration
-	attempts []*exchange    // by number; nil: was not sent
-	out      int            // attempts with no Outcome yet
-	stream   *stream        // its answer, where that is passed on as it comes
-	over     bool           // it has its final answer, or its client has gone
-	timedOut bool           // its last attempt did: what a failure is called
-	ending   balance.Ending // of the attempt that ended last
+	outbound         *outboundRequest
+	reply            chan<- answer
+	deadline         time.Duration
+	attempts         []*exchange    // by number; nil: was not sent
+	attemptsInFlight int            // attempts with no Outcome yet
+	stream           *stream        // its answer, where that is passed on as it comes
+	settled          bool           // it has its final answer, or its client has gone
+	lastTimedOut     bool           // its last attempt did: what a failure is called
+	lastEnding       balance.Ending // of the attempt that ended last
 }
 
 // answer is the final answer of a request.
@@ -86,28 +86,28 @@
 		trace:             newTrace(),
 		guard:             guard.New(logViolation, cfg.DrainGrace),
 		limitTimeLeft:     func(_, left time.Duration) time.Duration { return left },
-		events:            make(chan func(time.Duration), eventQueue),
+		events:            make(chan func(time.Duration), eventQueueLength),
 		requests:          make(map[balance.RequestID]*request),
-		address:           make(map[balance.ServerID]string),
-		ready:             make(map[balance.ServerID]bool),
-		timer:             time.NewTimer(time.Hour),
+		addresses:         make(map[balance.ServerID]string),
+		readyServers:      make(map[balance.ServerID]bool),
+		wakeTimer:         time.NewTimer(time.Hour),
 	}
 	var err error
-	if l.b, err = policy.New(cfg.Policy, cfg.Seed, l); err != nil {
+	if l.balancer, err = policy.New(cfg.Policy, cfg.Seed, l); err != nil {
 		return nil, err
 	}
 	l.serverCounts.Store(new(serverCounts))
 	return l, nil
 }
 
-// publish tells the console of the servers, now and then: the module is woken more often than that.
-func (l *loop) publish() {
-	if l.now-l.membersAt < serverCountsInterval {
+// publishServerCounts tells the console of the servers, now and then: the module is woken more often than that.
+func (l *loop) publishServerCounts() {
+	if l.now-l.serverCountsAt < serverCountsInterval {
 		return
 	}
-	l.membersAt = l.now
+	l.serverCountsAt = l.now
 	var m serverCounts
-	m.listed, m.unavailable = l.b.Members(l.now)
+	m.listed, m.unavailable = l.balancer.Members(l.now)
 	l.serverCounts.Store(&m)
 }
 
@@ -116,8 +116,8 @@
 func (l *loop) setServerDisabled(ctx context.Context, instance string, out bool) error {
 	id, known := serverID(instance), make(chan bool, 1)
 	if err := l.postAndWait(ctx, func(time.Duration) {
-		_, listed := l.address[id]
-		known <- listed || l.b.Out(id)
+		_, listed := l.addresses[id]
+		known <- listed || l.balancer.Out(id)
 	}); err != nil {
 		return err
 	}
@@ -125,7 +125,7 @@
 		return fmt.Errorf("no server has the id %q", instance)
 	}
 	at := l.clock.now()
-	if err := l.postAndWait(ctx, func(now time.Duration) { l.byHand(now, instance, out, at) }); err != nil {
+	if err := l.postAndWait(ctx, func(now time.Duration) { l.applyOperatorCall(now, instance, out, at) }); err != nil {
 		return err
 	}
 	err := l.handover.saveCall(instance, out, time.Unix(0, int64(at)))
@@ -133,13 +133,13 @@
 		slog.Error("by hand not kept", "server", instance, "out", out, "error", err)
 	}
 	if out && err == nil && l.handover.countWithin(countLimit) > 1 { // it binds the other process too, from the yes on
-		l.awaitOther(ctx)
+		l.waitForOtherProcess(ctx)
 	}
 	return err
 }
 
-// awaitOther waits until the other process has taken over the calls that were kept by now, also where it may be held up.
-func (l *loop) awaitOther(ctx context.Context) {
+// waitForOtherProcess waits until the other process has taken over the calls that were kept by now, also where it may be held up.
+func (l *loop) waitForOtherProcess(ctx context.Context) {
 	select {
 	case <-time.After(alonePoll + togetherPoll + otherHeldUp):
 	case <-ctx.Done():
@@ -148,46 +148,46 @@
 
 // learnedState asks the module what it has learned.
 func (l *loop) learnedState(ctx context.Context) (told balance.Learned, err error) {
-	err = l.postAndWait(ctx, func(now time.Duration) { told = l.b.Learned(now) })
+	err = l.postAndWait(ctx, func(now time.Duration) { told = l.balancer.Learned(now) })
 	return told, err
 }
 
 // updateFleet tells the module who is there.
 func (l *loop) updateFleet(ctx context.Context, f balance.Fleet) error {
-	return l.postAndWait(ctx, func(now time.Duration) { l.b.Fleet(now, f) })
+	return l.postAndWait(ctx, func(now time.Duration) { l.balancer.Fleet(now, f) })
 }
 
 // applyRules puts a rule set in force.
 func (l *loop) applyRules(ctx context.Context, set *rules.Set) error {
-	return l.postAndWait(ctx, func(now time.Duration) { l.b.Rules(now, set.Rules) })
+	return l.postAndWait(ctx, func(now time.Duration) { l.balancer.Rules(now, set.Rules) })
 }
 
 // setProcessCount takes how many processes this sidecar has.
-func (l *loop) setProcessCount(n int) { l.post(func(time.Duration) { l.b.Share(n) }) }
+func (l *loop) setProcessCount(n int) { l.post(func(time.Duration) { l.balancer.Share(n) }) }
 
 // applyOperatorCalls takes over what was called for at the other process.
 func (l *loop) applyOperatorCalls(ctx context.Context, handed map[string]handed) {
 	_ = l.postAndWait(ctx, func(now time.Duration) { // fails only as all ends
 		for instance, s := range handed {
-			l.byHand(now, instance, s.Out, time.Duration(s.AtMs)*time.Millisecond)
+			l.applyOperatorCall(now, instance, s.Out, time.Duration(s.AtMs)*time.Millisecond)
 		}
 	})
 }
 
-// byHand has the module take a server out or back, as of the moment at. Said again, it changes nothing.
-func (l *loop) byHand(now time.Duration, instance string, out bool, at time.Duration) {
+// applyOperatorCall has the module take a server out or back, as of the moment at. Said again, it changes nothing.
+func (l *loop) applyOperatorCall(now time.Duration, instance string, out bool, at time.Duration) {
 	id := serverID(instance)
-	if l.b.Out(id) == out {
+	if l.balancer.Out(id) == out {
 		return
 	}
 	at = min(at, now) // another process of before a step of the wall clock may have a later one
 	if out {
-		l.b.TakeOut(now, id)
+		l.balancer.TakeOut(now, id)
 	} else {
-		l.b.BringBack(now, id, at)
+		l.balancer.BringBack(now, id, at)
 	}
 	slog.Info("by hand", "server", instance, "out", out)
-	l.membersAt = 0 // to be published at once
+	l.serverCountsAt = 0 // to be published at once
 }
 
 // postAndWait has the loop's goroutine carry out an event, and returns once it has.
@@ -213,30 +213,30 @@
 // run gives the Balancer its life: start, the servers known so far, then event after event.
 func (l *loop) run(ctx context.Context, known listing) {
 	l.now = l.clock.now()
-	l.b.Start(l.now)
+	l.balancer.Start(l.now)
 	for instance, s := range l.handover.known() { // one that is back is taken out first, for it is cold
-		l.byHand(l.now, instance, true, 0)
-		l.byHand(l.now, instance, s.Out, time.Duration(s.AtMs)*time.Millisecond)
+		l.applyOperatorCall(l.now, instance, true, 0)
+		l.applyOperatorCall(l.now, instance, s.Out, time.Duration(s.AtMs)*time.Millisecond)
 	}
 	known.whole = true
-	l.take(known, balance.ListCached)
+	l.applyList(known, balance.ListCached)
 	if before, ok := l.handover.loadLearned(); ok {
-		l.b.Recall(l.now, before)
+		l.balancer.Recall(l.now, before)
 	}
-	counters := time.NewTicker(countersEvery)
+	counters := time.NewTicker(countersLogInterval)
 	defer counters.Stop()
 	for {
-		l.settle()
-		l.publish()
+		l.reportUnsent()
+		l.publishServerCounts()
 		select {
 		case event := <-l.events:
 			l.now = l.clock.now()
 			event(l.now)
-		case <-l.timer.C:
+		case <-l.wakeTimer.C:
 			l.now = l.clock.now()
-			l.wake()
+			l.runDueWakes()
 		case <-counters.C:
-			slog.Info("counters", "module", fmt.Sprintf("%+v", l.b.Counters()),
+			slog.Info("counters", "module", fmt.Sprintf("%+v", l.balancer.Counters()),
 				"upstream", l.upstream.counters(), "clients", l.clientCounters(), "discovery", l.discoveryCounters(), "requests", l.trace.counters(), "guard", guardCounters(l.guard))
 		case <-ctx.Done():
 			return
@@ -244,31 +244,31 @@
 	}
 }
 
-// wake calls the module once for all timers that are due.
-func (l *loop) wake() {
+// runDueWakes calls the module once for all timers that are due.
+func (l *loop) runDueWakes() {
 	due := 0
-	for due < len(l.wakes) && l.wakes[due] <= l.now {
+	for due < len(l.wakeTimes) && l.wakeTimes[due] <= l.now {
 		due++
 	}
-	if l.wakes = slices.Delete(l.wakes, 0, due); due > 0 {
-		l.b.Wake(l.now)
+	if l.wakeTimes = slices.Delete(l.wakeTimes, 0, due); due > 0 {
+		l.balancer.Wake(l.now)
 	}
-	l.setTimer()
+	l.resetWakeTimer()
 }
 
-func (l *loop) setTimer() {
-	if len(l.wakes) > 0 {
-		l.timer.Reset(l.wakes[0] - l.now)
+func (l *loop) resetWakeTimer() {
+	if len(l.wakeTimes) > 0 {
+		l.wakeTimer.Reset(l.wakeTimes[0] - l.now)
 	}
 }
 
-// settle tells the module of the sends that were not carried out. It waits until the module has
+// reportUnsent tells the module of the sends that were not carried out. It waits until the module has
 // returned, as Host's methods must not call back.
-func (l *loop) settle() {
-	for len(l.notSent) > 0 {
-		o := l.notSent[0]
-		l.notSent = l.notSent[1:]
-		l.outcome(o)
+func (l *loop) reportUnsent() {
+	for len(l.unsentOutcomes) > 0 {
+		o := l.unsentOutcomes[0]
+		l.unsentOutcomes = l.unsentOutcomes[1:]
+		l.reportOutcome(o)
 	}
 }
 
@@ -278,52 +278,52 @@
 	if news.whole {
 		kind = balance.ListFull
 	}
-	l.post(func(time.Duration) { l.take(news, kind) })
+	l.post(func(time.Duration) { l.applyList(news, kind) })
 }
 
 func (l *loop) discoveryFailed() {
-	l.post(func(now time.Duration) { l.b.List(now, balance.ListFailed, nil) })
+	l.post(func(now time.Duration) { l.balancer.List(now, balance.ListFailed, nil) })
 }
 
-func (l *loop) take(news listing, kind balance.ListKind) {
+func (l *loop) applyList(news listing, kind balance.ListKind) {
 	gone := make(map[string]bool) // addresses that nothing can be sent to any more
 	if news.whole {
-		for _, address := range l.address {
+		for _, address := range l.addresses {
 			gone[address] = true
 		}
-		clear(l.address)
-		clear(l.ready)
+		clear(l.addresses)
+		clear(l.readyServers)
 	}
 	for _, s := range news.servers {
-		if old, ok := l.address[s.ID]; ok {
+		if old, ok := l.addresses[s.ID]; ok {
 			gone[old] = true
-			delete(l.address, s.ID)
-			delete(l.ready, s.ID)
+			delete(l.addresses, s.ID)
+			delete(l.readyServers, s.ID)
 		}
 		if s.State != balance.Gone {
-			l.address[s.ID] = news.address[s.ID]
-			l.ready[s.ID] = s.State == balance.Ready
+			l.addresses[s.ID] = news.addresses[s.ID]
+			l.readyServers[s.ID] = s.State == balance.Ready
 		}
 	}
 	ready := make(map[string]bool) // addresses of ready servers, though others may be listed there too
-	for id, address := range l.address {
+	for id, address := range l.addresses {
 		delete(gone, address)
-		ready[address] = ready[address] || l.ready[id]
+		ready[address] = ready[address] || l.readyServers[id]
 	}
 	for address := range gone {
-		l.upstream.close(address)
+		l.upstream.closeIdle(address)
 		l.guard.Listed(l.now, address, balance.Gone)
 	}
 	for _, s := range news.servers {
-		if address, listed := l.address[s.ID]; listed {
-			l.guard.Listed(l.now, address, stateAt(ready[address]))
+		if address, listed := l.addresses[s.ID]; listed {
+			l.guard.Listed(l.now, address, addressState(ready[address]))
 		}
 	}
-	l.b.List(l.now, kind, news.servers)
+	l.balancer.List(l.now, kind, news.servers)
 }
 
-// stateAt is what an address is: ready where any server that is listed there is.
-func stateAt(ready bool) balance.State {
+// addressState is what an address is: ready where any server that is listed there is.
+func addressState(ready bool) balance.State {
 	if ready {
 		return balance.Ready
 	}
@@ -336,14 +336,14 @@
 	q.ID = balance.RequestID(l.lastID.Add(1))
 	class := l.classes[q.Class]
 	l.guard.Take(q.ID, guard.Request{Name: m.id, Deadline: deadline, Effect: class.Effect, Window: class.Window, Coming: m.upload != nil})
-	m.permit = func(now time.Duration, address string) error { return l.guard.Write(now, q.ID, address) }
-	m.written = func(began, now time.Duration, address string) { l.guard.Written(began, now, q.ID, address) }
+	m.permitWrite = func(now time.Duration, address string) error { return l.guard.Write(now, q.ID, address) }
+	m.onWritten = func(began, now time.Duration, address string) { l.guard.Written(began, now, q.ID, address) }
 	if m.upload != nil {
 		q.Coming = true
 		whole := m.upload.onSent
 		m.upload.onSent = func() {
 			whole()
-			l.post(func(now time.Duration) { l.uploaded(now, q.ID) })
+			l.post(func(now time.Duration) { l.bodySent(now, q.ID) })
 		}
 	}
 	if look := m.clientPresence; look != nil {
@@ -358,8 +358,8 @@
 	}
 	l.post(func(now time.Duration) {
 		q.Left = deadline - now
-		l.requests[q.ID] = &request{message: m, deadline: deadline, reply: reply}
-		l.b.Request(now, q)
+		l.requests[q.ID] = &request{outbound: m, deadline: deadline, reply: reply}
+		l.balancer.Request(now, q)
 	})
 	return q.ID
 }
@@ -372,72 +372,72 @@
 		case r == nil:
 		case r.stream != nil:
 			r.stream.abort()
-		case !r.over:
-			l.finish(id, r, nil)
-			l.b.ClientGone(now, id)
+		case !r.settled:
+			l.finishRequest(id, r, nil)
+			l.balancer.ClientGone(now, id)
 		}
 	})
 }
 
-// uploaded takes that the last byte of a request's body has gone out: the client's time begins.
-func (l *loop) uploaded(now time.Duration, id balance.RequestID) {
-	if r := l.requests[id]; r != nil && !r.over {
-		left := l.limitTimeLeft(now, r.message.timeLeft)
+// bodySent takes that the last byte of a request's body has gone out: the client's time begins.
+func (l *loop) bodySent(now time.Duration, id balance.RequestID) {
+	if r := l.requests[id]; r != nil && !r.settled {
+		left := l.limitTimeLeft(now, r.outbound.timeLeft)
 		r.deadline = now + left
 		l.guard.BodyEnded(id, r.deadline)
-		l.b.BodyEnded(now, id, left)
+		l.balancer.BodyEnded(now, id, left)
 	}
 }
 
-// finish ends a request with its one answer, or with none where the client has gone.
-func (l *loop) finish(id balance.RequestID, r *request, a *answer) {
-	r.over = true
+// finishRequest ends a request with its one answer, or with none where the client has gone.
+func (l *loop) finishRequest(id balance.RequestID, r *request, a *answer) {
+	r.settled = true
 	switch {
 	case a == nil:
 		l.guard.Settle(id)
 	case l.guard.Answer(l.now, id) == nil:
 		r.reply <- *a
 	}
-	if r.out == 0 {
+	if r.attemptsInFlight == 0 {
 		delete(l.requests, id)
 	}
 }
 
-// outcome tells the module how an attempt ended, once for each.
-func (l *loop) outcome(o balance.Outcome) {
+// reportOutcome tells the module how an attempt ended, once for each.
+func (l *loop) reportOutcome(o balance.Outcome) {
 	r := l.requests[o.ID]
-	r.out--
-	o.Settled = r.over
-	l.b.Outcome(l.now, o)
-	if r.over && r.out == 0 {
+	r.attemptsInFlight--
+	o.Settled = r.settled
+	l.balancer.Outcome(l.now, o)
+	if r.settled && r.attemptsInFlight == 0 {
 		delete(l.requests, o.ID)
 	}
 }
 
-// began takes that an attempt's answer has begun to stream: it goes to the client as it comes, and can't be called
+// streamBegan takes that an attempt's answer has begun to stream: it goes to the client as it comes, and can't be called
 // off any more.
-func (l *loop) began(id balance.RequestID, number int, res result) {
+func (l *loop) streamBegan(id balance.RequestID, number int, res attemptResult) {
 	r := l.requests[id]
-	if r.over || r.attempts[number].givenUp() { // called off while this was on its way: its connection is closed
+	if r.settled || r.attempts[number].isCancelled() { // called off while this was on its way: its connection is closed
 		res.stream.abort()
 		return
 	}
 	r.attempts[number], r.stream = nil, res.stream
-	l.finish(id, r, &answer{status: http.StatusOK, header: res.header, stream: res.stream})
-	l.b.StreamBegun(l.now, id, number)
+	l.finishRequest(id, r, &answer{status: http.StatusOK, header: res.header, stream: res.stream})
+	l.balancer.StreamBegun(l.now, id, number)
 }
 
-// ended takes the end of an attempt. The first answer of an upstream goes to the client at once
+// attemptEnded takes the end of an attempt. The first answer of an upstream goes to the client at once
 // and settles the request.
-func (l *loop) ended(id balance.RequestID, number int, sent time.Duration, res result) {
+func (l *loop) attemptEnded(id balance.RequestID, number int, sent time.Duration, res attemptResult) {
 	r := l.requests[id]
 	l.guard.End(sent, id, res.ending)
-	r.timedOut, r.ending = res.ending == balance.TimedOut, res.ending
-	l.trace.step("attempt ended", r.message.id, slog.Int("number", number), slog.String("ending", res.ending.String()))
-	if res.ending == balance.Served && !r.over {
-		l.finish(id, r, &answer{status: http.StatusOK, header: res.header, body: res.body})
+	r.lastTimedOut, r.lastEnding = res.ending == balance.TimedOut, res.ending
+	l.trace.step("attempt ended", r.outbound.id, slog.Int("number", number), slog.String("ending", res.ending.String()))
+	if res.ending == balance.Served && !r.settled {
+		l.finishRequest(id, r, &answer{status: http.StatusOK, header: res.header, body: res.body})
 	}
-	l.outcome(balance.Outcome{ID: id, Attempt: number, Ending: res.ending, Load: res.load, Spent: r.message.spent()})
+	l.reportOutcome(balance.Outcome{ID: id, Attempt: number, Ending: res.ending, Load: res.load, Spent: r.outbound.bodyConsumed()})
 }
 
 // Send starts an attempt, given up after timeout or at the client's deadline, and written within unsent if at all.
@@ -448,12 +448,12 @@
 		return // over, with all attempts ended: the module has forgotten it too
 	}
 	number, left := len(r.attempts), r.deadline-l.now
-	r.out++
-	address := l.address[to]
-	never := r.over || number >= l.most || left <= 0 || timeout < 0 || unsent < 0 || address == ""
-	if spent := r.message.spent(); never || spent || l.guard.Send(l.now, id, address) != nil {
+	r.attemptsInFlight++
+	address := l.addresses[to]
+	never := r.settled || number >= l.most || left <= 0 || timeout < 0 || unsent < 0 || address == ""
+	if spent := r.outbound.bodyConsumed(); never || spent || l.guard.Send(l.now, id, address) != nil {
 		r.attempts = append(r.attempts, nil)
-		l.notSent = append(l.notSent, balance.Outcome{ID: id, Attempt: number, Ending: balance.NotSent, Spent: spent})
+		l.unsentOutcomes = append(l.unsentOutcomes, balance.Outcome{ID: id, Attempt: number, Ending: balance.NotSent, Spent: spent})
 		return
 	}
 	if timeout == 0 || timeout > left {
@@ -462,17 +462,17 @@
 	if unsent > 0 {
 		unsent += l.now
 	}
-	if r.message.upload != nil { // its last byte may have come long ago, and lie unread
-		r.message.timeLeft = min(r.message.timeLeft, left)
+	if r.outbound.upload != nil { // its last byte may have come long ago, and lie unread
+		r.outbound.timeLeft = min(r.outbound.timeLeft, left)
 	}
 	sent := l.now
-	l.trace.attempt(r.message.id, number, r.ending, address, timeout)
-	r.attempts = append(r.attempts, l.upstream.send(address, r.message, l.now+timeout, unsent, r.deadline, func(res result) {
+	l.trace.attempt(r.outbound.id, number, r.lastEnding, address, timeout)
+	r.attempts = append(r.attempts, l.upstream.send(address, r.outbound, l.now+timeout, unsent, r.deadline, func(res attemptResult) {
 		l.post(func(time.Duration) {
 			if res.stream != nil {
-				l.began(id, number, res)
+				l.streamBegan(id, number, res)
 			} else {
-				l.ended(id, number, sent, res)
+				l.attemptEnded(id, number, sent, res)
 			}
 		})
 	}))
@@ -480,24 +480,24 @@
 
 // Refuse ends a request; trying again is harmless.
 func (l *loop) Refuse(id balance.RequestID, pause time.Duration, why balance.Reason) {
-	if r := l.requests[id]; r != nil && !r.over {
-		l.trace.refused(r.message.id, why, len(r.attempts))
-		l.finish(id, r, &answer{status: http.StatusServiceUnavailable, retryAfter: pause})
+	if r := l.requests[id]; r != nil && !r.settled {
+		l.trace.refused(r.outbound.id, why, len(r.attempts))
+		l.finishRequest(id, r, &answer{status: http.StatusServiceUnavailable, retryAfter: pause})
 	}
 }
 
 // Fail ends a request with no promise.
 func (l *loop) Fail(id balance.RequestID, why balance.Reason) {
 	r := l.requests[id]
-	if r == nil || r.over {
+	if r == nil || r.settled {
 		return
 	}
 	status := http.StatusBadGateway
-	if r.timedOut || r.out > 0 {
+	if r.lastTimedOut || r.attemptsInFlight > 0 {
 		status = http.StatusGatewayTimeout
 	}
-	l.trace.gaveUp(r.message.id, why, len(r.attempts))
-	l.finish(id, r, &answer{status: status})
+	l.trace.gaveUp(r.outbound.id, why, len(r.attempts))
+	l.finishRequest(id, r, &answer{status: status})
 }
 
 // Cancel calls off an attempt; its Outcome still comes.
@@ -517,21 +517,21 @@
 // Wake sees to a call of Balancer.Wake after d. Timers due at one moment share that call.
 func (l *loop) Wake(d time.Duration) {
 	due := l.now + max(d, 0)
-	i, found := slices.BinarySearch(l.wakes, due)
+	i, found := slices.BinarySearch(l.wakeTimes, due)
 	if found {
 		return
 	}
-	if l.wakes = slices.Insert(l.wakes, i, due); i == 0 {
-		l.setTimer()
+	if l.wakeTimes = slices.Insert(l.wakeTimes, i, due); i == 0 {
+		l.resetWakeTimer()
 	}
 }
 
 // Probe asks a server for a load report.
 func (l *loop) Probe(to balance.ServerID) {
 	told := func(ok bool, load balance.Load) {
-		l.post(func(now time.Duration) { l.b.Probed(now, to, ok, load) })
+		l.post(func(now time.Duration) { l.balancer.Probed(now, to, ok, load) })
 	}
-	address := l.address[to]
+	address := l.addresses[to]
 	if address == "" { // no longer listed; Host's methods must not call back, so from outside
 		go told(false, balance.Load{})
 		return
@@ -540,7 +540,7 @@
 }
 
 // Close closes the idle connections to a server.
-func (l *loop) Close(to balance.ServerID) { l.upstream.close(l.address[to]) }
+func (l *loop) Close(to balance.ServerID) { l.upstream.closeIdle(l.addresses[to]) }
 
 // WatchList subscribes to the server list.
 func (l *loop) WatchList() { l.subscribe() }
--- a/internal/sidecar/loop_test.go
+++ b/internal/sidecar/loop_test.go
@@ -21,8 +21,8 @@
 	}
 	l.now = c.now()
 	l.guard.Start()
-	l.b.Start(l.now)
-	l.take(cfg.Known, balance.ListCached)
+	l.balancer.Start(l.now)
+	l.applyList(cfg.Known, balance.ListCached)
 	return l
 }
 
@@ -32,14 +32,14 @@
 	event := wait(t, "an event", l.events)
 	l.now = l.clock.now()
 	event(l.now)
-	l.settle()
+	l.reportUnsent()
 }
 
 // hold enters a request that the module does not know, so that the test can decide for it.
 func (l *loop) hold(id balance.RequestID) (*request, chan answer) {
 	reply := make(chan answer, 1)
 	l.guard.Take(id, guard.Request{Name: "held", Deadline: l.now + generous, Effect: balance.Safe})
-	r := &request{message: testMessage("1"), reply: reply, deadline: l.now + generous}
+	r := &request{outbound: testMessage("1"), reply: reply, deadline: l.now + generous}
 	l.requests[id] = r
 	return r, reply
 }
@@ -69,12 +69,12 @@
 	l.Refuse(7, time.Second, balance.OutOfTime)
 	l.Fail(7, balance.OutOfTime)
 	l.Send(7, to, 0, 0)
-	if len(reply) != 0 || len(l.notSent) != 1 || l.notSent[0] != (balance.Outcome{ID: 7, Attempt: 1, Ending: balance.NotSent}) {
-		t.Errorf("%d more answers, not sent %+v, want none and attempt 1", len(reply), l.notSent)
+	if len(reply) != 0 || len(l.unsentOutcomes) != 1 || l.unsentOutcomes[0] != (balance.Outcome{ID: 7, Attempt: 1, Ending: balance.NotSent}) {
+		t.Errorf("%d more answers, not sent %+v, want none and attempt 1", len(reply), l.unsentOutcomes)
 	}
-	l.settle()
-	if len(l.requests) != 0 || r.out != 0 {
-		t.Errorf("%d requests in the table, %d attempts out, want none", len(l.requests), r.out)
+	l.reportUnsent()
+	if len(l.requests) != 0 || r.attemptsInFlight != 0 {
+		t.Errorf("%d requests in the table, %d attempts out, want none", len(l.requests), r.attemptsInFlight)
 	}
 	close(release)
 }
@@ -120,12 +120,12 @@
 		{ID: 7, Attempt: 3, Ending: balance.NotSent}, {ID: 8, Attempt: 0, Ending: balance.NotSent},
 		{ID: 8, Attempt: 1, Ending: balance.NotSent}, {ID: 8, Attempt: 2, Ending: balance.NotSent},
 	}
-	if len(l.notSent) != len(want) {
-		t.Fatalf("not sent %+v, want %+v", l.notSent, want)
+	if len(l.unsentOutcomes) != len(want) {
+		t.Fatalf("not sent %+v, want %+v", l.unsentOutcomes, want)
 	}
 	for i := range want {
-		if l.notSent[i] != want[i] {
-			t.Errorf("not sent %+v, want %+v", l.notSent[i], want[i])
+		if l.unsentOutcomes[i] != want[i] {
+			t.Errorf("not sent %+v, want %+v", l.unsentOutcomes[i], want[i])
 		}
 	}
 	for range 3 {
@@ -157,17 +157,17 @@
 // Timers due at one moment share one call, the rest wait for theirs.
 func TestWakesAreMerged(t *testing.T) {
 	l := idleLoop(t, "127.0.0.1:1")
-	l.wakes = nil
+	l.wakeTimes = nil
 	now := l.now
 	for _, d := range []time.Duration{30, 10, 20, 10, -5} {
 		l.Wake(d * time.Millisecond)
 	}
-	if len(l.wakes) != 4 || l.wakes[0] != now || l.wakes[1] != now+10*time.Millisecond {
-		t.Fatalf("due in %v from %v", l.wakes, now)
+	if len(l.wakeTimes) != 4 || l.wakeTimes[0] != now || l.wakeTimes[1] != now+10*time.Millisecond {
+		t.Fatalf("due in %v from %v", l.wakeTimes, now)
 	}
 	l.now = now + 15*time.Millisecond
-	l.wake()
-	if first := l.wakes[0]; first > now+20*time.Millisecond {
+	l.runDueWakes()
+	if first := l.wakeTimes[0]; first > now+20*time.Millisecond {
 		t.Errorf("first due in %v, want 20ms at most", first-now)
 	}
 }
@@ -209,16 +209,16 @@
 			l.guard = guard.New(func(guard.Violation) {}, grace)
 			l.guard.Start()
 			_, _ = l.hold(7)
-			news := listing{whole: true, address: make(map[balance.ServerID]string)}
+			news := listing{whole: true, addresses: make(map[balance.ServerID]string)}
 			for i, state := range c.states {
 				id := serverID([]string{"s-0", "s-1"}[i])
 				news.servers = append(news.servers, balance.Server{ID: id, State: state})
-				news.address[id] = "127.0.0.1:1"
+				news.addresses[id] = "127.0.0.1:1"
 			}
-			l.take(news, balance.ListFull)
+			l.applyList(news, balance.ListFull)
 			l.now += c.after
 			l.Send(7, serverID("s-0"), 0, 0)
-			if sent := len(l.notSent) == 0; sent != c.sent {
+			if sent := len(l.unsentOutcomes) == 0; sent != c.sent {
 				t.Errorf("sent: %v", sent)
 			}
 		})
--- a/internal/sidecar/state.go
+++ b/internal/sidecar/state.go
@@ -17,14 +17,14 @@
 )
 
 const (
-	keepEvery       = time.Second            // how often what the module has learned is looked at
-	syncEvery       = 10 * time.Second       // and made durable: a loss of power costs so much of it, the end of a process nothing
-	listEvery       = 100 * time.Millisecond // the list is written no more often than this
-	listKept        = time.Hour              // a kept list is no use past this
-	listBytes       = 256 << 10              // of one that is larger only servers that are not ready are kept
-	rateChange      = 0.2                    // traffic that changed by less than this part is not worth a write
-	saveTimeout     = 800 * time.Millisecond
-	maxPendingSaves = 8 // calls that wait for a disk; past that it is stuck
+	saveInterval      = time.Second            // how often what the module has learned is looked at
+	syncInterval      = 10 * time.Second       // and made durable: a loss of power costs so much of it, the end of a process nothing
+	listSaveInterval  = 100 * time.Millisecond // the list is written no more often than this
+	maxSavedListAge   = time.Hour              // a kept list is no use past this
+	maxSavedListBytes = 256 << 10              // of one that is larger only servers that are not ready are kept
+	minRateChange     = 0.2                    // traffic that changed by less than this part is not worth a write
+	saveTimeout       = 800 * time.Millisecond
+	maxPendingSaves   = 8 // calls that wait for a disk; past that it is stuck
 )
 
 // The sections of the state and, where a section has one value, its key.
@@ -40,27 +40,27 @@
 
 func (e errNotDurable) Error() string { return fmt.Sprintf("it holds, but is not kept: %v", e.why) }
 
-// keptList is the list of servers as it was acted on last. Times are Unix milliseconds.
-type keptList struct {
-	Source  string          `json:"source"` // discovery's address
-	Answer  json.RawMessage `json:"answer"` // in discovery's form, whole
-	Line    int64           `json:"line,omitempty"`
-	Version int64           `json:"version,omitempty"` // the answer's, to be read without it; 0: an older program wrote this
-	Before  int64           `json:"before,omitempty"`
-	HeardMs int64           `json:"heardMs,omitempty"`
-	Short   bool            `json:"short,omitempty"` // too long a list: only servers that are not ready are in it
-	Away    []keptAway      `json:"away,omitempty"`
-	Gone    []keptHeard     `json:"gone,omitempty"`
-	Held    []keptHeard     `json:"held,omitempty"`
-	UntilMs int64           `json:"untilMs,omitempty"` // of held
+// savedList is the list of servers as it was acted on last. Times are Unix milliseconds.
+type savedList struct {
+	Source          string          `json:"source"` // discovery's address
+	Answer          json.RawMessage `json:"answer"` // in discovery's form, whole
+	Epoch           int64           `json:"line,omitempty"`
+	Version         int64           `json:"version,omitempty"` // the answer's, to be read without it; 0: an older program wrote this
+	PreviousVersion int64           `json:"before,omitempty"`
+	VersionAtMs     int64           `json:"heardMs,omitempty"`
+	Short           bool            `json:"short,omitempty"` // too long a list: only servers that are not ready are in it
+	Withheld        []savedWithheld `json:"away,omitempty"`
+	Gone            []savedRemoval  `json:"gone,omitempty"`
+	CarriedOver     []savedRemoval  `json:"held,omitempty"`
+	CarriedUntilMs  int64           `json:"untilMs,omitempty"` // of held
 }
 
-type keptAway struct {
+type savedWithheld struct {
 	ID    uint64 `json:"id"`
 	Until int64  `json:"until"` // a version
 }
 
-type keptHeard struct {
+type savedRemoval struct {
 	ID        uint64 `json:"id"`
 	AtMs      int64  `json:"atMs"`
 	StartedNs int64  `json:"startedNs,omitempty"` // to be the same as the list's
@@ -69,18 +69,18 @@
 // pendingList is a list that is to be kept.
 type pendingList struct {
 	raw     []byte
-	kept    keptList
+	saved   savedList
 	durable bool
 }
 
-// keptLearned is what the module has learned. Times are Unix milliseconds.
-type keptLearned struct {
-	AtMs    int64        `json:"atMs"`
-	Rate    float64      `json:"rate"`
-	Servers []keptServer `json:"servers,omitempty"`
+// savedLearned is what the module has learned. Times are Unix milliseconds.
+type savedLearned struct {
+	AtMs    int64         `json:"atMs"`
+	Rate    float64       `json:"rate"`
+	Servers []savedServer `json:"servers,omitempty"`
 }
 
-type keptServer struct {
+type savedServer struct {
 	ID       uint64  `json:"id"`
 	Fails    int     `json:"fails,omitempty"`
 	SilentMs int64   `json:"silentMs,omitempty"`
@@ -94,17 +94,17 @@
 	return time.Duration(min(max(ms, 0), math.MaxInt64/int64(time.Millisecond))) * time.Millisecond
 }
 
-// learned words what the module has learned.
-func learned(l balance.Learned) keptLearned {
-	k := keptLearned{AtMs: millis(l.At), Rate: l.Rate}
+// newSavedLearned words what the module has learned.
+func newSavedLearned(l balance.Learned) savedLearned {
+	k := savedLearned{AtMs: millis(l.At), Rate: l.Rate}
 	for _, s := range l.Servers {
-		k.Servers = append(k.Servers, keptServer{uint64(s.ID), s.Fails, millis(s.Silent), millis(s.WarmAt), s.Strain})
+		k.Servers = append(k.Servers, savedServer{uint64(s.ID), s.Fails, millis(s.Silent), millis(s.WarmAt), s.Strain})
 	}
 	return k
 }
 
-// toModule is learned the other way round.
-func (k keptLearned) toModule() balance.Learned {
+// toBalance is learned the other way round.
+func (k savedLearned) toBalance() balance.Learned {
 	l := balance.Learned{At: fromMillis(k.AtMs), Rate: k.Rate}
 	for _, s := range k.Servers {
 		l.Servers = append(l.Servers, balance.LearnedServer{
@@ -114,9 +114,9 @@
 	return l
 }
 
-// same says whether there is nothing in k that is worth a write after old.
-func (k keptLearned) same(old keptLearned) bool {
-	if math.Abs(k.Rate-old.Rate) > rateChange*max(old.Rate, 1) || len(k.Servers) != len(old.Servers) {
+// nearlyEqual says whether there is nothing in k that is worth a write after old.
+func (k savedLearned) nearlyEqual(old savedLearned) bool {
+	if math.Abs(k.Rate-old.Rate) > minRateChange*max(old.Rate, 1) || len(k.Servers) != len(old.Servers) {
 		return false
 	}
 	for i, s := range k.Servers {
@@ -144,35 +144,35 @@
 // queueList has the list kept as it is now, soon: whoever follows discovery must not wait for a disk. What takes servers
 // away is made durable at once.
 func (h *handover) queueList(v *serverList, durable bool) {
-	if h.store == nil || v.top == unknown {
+	if h.store == nil || v.version == unknownVersion {
 		return
 	}
-	k := keptList{
-		Source: v.source, Line: v.line, Version: v.top, Before: max(v.before, 0), HeardMs: millis(v.heard), UntilMs: millis(v.until), Short: !v.whole,
+	k := savedList{
+		Source: v.source, Epoch: v.epoch, Version: v.version, PreviousVersion: max(v.previousVersion, 0), VersionAtMs: millis(v.versionAt), CarriedUntilMs: millis(v.carriedUntil), Short: !v.complete,
 	}
 	answer := struct {
 		Generation int64             `json:"generation"`
 		Reset      bool              `json:"reset"`
 		Instances  []json.RawMessage `json:"instances"`
-	}{v.top, true, []json.RawMessage{}}
+	}{v.version, true, []json.RawMessage{}}
 	size := 0
 	for _, e := range v.entries {
 		size += len(e.raw)
 	}
-	k.Short = k.Short || size > listBytes
+	k.Short = k.Short || size > maxSavedListBytes
 	size = 0
 	for _, id := range slices.Sorted(maps.Keys(v.entries)) {
 		e := v.entries[id]
-		if k.Short && e.State == balance.Ready || size+len(e.raw) > listBytes {
+		if k.Short && e.State == balance.Ready || size+len(e.raw) > maxSavedListBytes {
 			continue
 		}
 		answer.Instances = append(answer.Instances, e.raw)
 		size += len(e.raw)
 	}
-	for _, id := range slices.Sorted(maps.Keys(v.away)) {
-		k.Away = append(k.Away, keptAway{uint64(id), v.away[id]})
+	for _, id := range slices.Sorted(maps.Keys(v.withheld)) {
+		k.Withheld = append(k.Withheld, savedWithheld{uint64(id), v.withheld[id]})
 	}
-	k.Gone, k.Held = keptHeards(v.gone), keptHeards(v.held)
+	k.Gone, k.CarriedOver = savedRemovals(v.gone), savedRemovals(v.carriedOver)
 	raw, err := json.Marshal(answer)
 	if err == nil {
 		k.Answer = raw
@@ -192,18 +192,18 @@
 	}
 }
 
-// keptHeards words what was heard of servers, by id, in order; at most goneMost of them.
-func keptHeards(all map[balance.ServerID]heardOf) (kept []keptHeard) {
+// savedRemovals words what was heard of servers, by id, in order; at most goneMost of them.
+func savedRemovals(all map[balance.ServerID]removal) (kept []savedRemoval) {
 	for _, id := range slices.Sorted(maps.Keys(all)) {
-		if len(kept) < goneMost {
-			kept = append(kept, keptHeard{uint64(id), millis(all[id].at), int64(all[id].started)})
+		if len(kept) < maxGoneServers {
+			kept = append(kept, savedRemoval{uint64(id), millis(all[id].at), int64(all[id].started)})
 		}
 	}
 	return kept
 }
 
-// flushList keeps the list that came last, where no other process of this sidecar has kept a newer one.
-func (h *handover) flushList() error {
+// writeList keeps the list that came last, where no other process of this sidecar has kept a newer one.
+func (h *handover) writeList() error {
 	h.mu.Lock()
 	next := h.nextList
 	h.nextList = nil
@@ -214,14 +214,14 @@
 	if _, err := h.store.Follow(); err != nil {
 		return err
 	}
-	if old, _, ok := readSection[keptList](h.store, sectionList); ok {
-		newer := old.Line > next.kept.Line
-		if old.Line == next.kept.Line && old.Source == next.kept.Source {
+	if old, _, ok := readSection[savedList](h.store, sectionList); ok {
+		newer := old.Epoch > next.saved.Epoch
+		if old.Epoch == next.saved.Epoch && old.Source == next.saved.Source {
 			if old.Version == 0 {
 				l, _ := parseListing(old.Answer, nil) // one that can't be read is no newer
 				old.Version = l.version
 			}
-			newer = old.Version > next.kept.Version
+			newer = old.Version > next.saved.Version
 		}
 		if newer {
 			return nil
@@ -242,7 +242,7 @@
 }
 
 // changedList returns the list that this sidecar's processes have kept last, where it is another than the one before.
-func (h *handover) changedList(before []byte, zones map[string]int) (k keptList, l listing, raw []byte, news bool) {
+func (h *handover) changedList(before []byte, zones map[string]int) (k savedList, l listing, raw []byte, news bool) {
 	if h.store == nil {
 		return k, l, nil, false
 	}
@@ -256,17 +256,17 @@
 
 // loadServerList returns what a process before this one knew of the list, or else what the configuration does.
 func (h *handover) loadServerList(cfg *Config, now time.Duration) *serverList {
-	var kept keptList
+	var kept savedList
 	var at time.Time
 	if h.store != nil {
-		kept, at, _ = readSection[keptList](h.store, sectionList)
+		kept, at, _ = readSection[savedList](h.store, sectionList)
 	}
-	return recall(cfg, kept, at, now)
+	return restoreServerList(cfg, kept, at, now)
 }
 
-// recall begins with the newer of the list that was kept at some moment and the configuration's. Where that is the
+// restoreServerList begins with the newer of the list that was kept at some moment and the configuration's. Where that is the
 // configuration's as the kept one is too old to be served from, what that says against servers still holds.
-func recall(cfg *Config, kept keptList, at time.Time, now time.Duration) *serverList {
+func restoreServerList(cfg *Config, kept savedList, at time.Time, now time.Duration) *serverList {
 	v, known := newVersions(cfg.Discovery), cfg.Known
 	known.whole = true
 	l, err := listing{}, error(nil)
@@ -277,41 +277,41 @@
 	}
 	if len(kept.Answer) == 0 || err != nil {
 		if len(known.servers) > 0 {
-			v.take(known, now)
+			v.apply(known, now)
 		}
 		return v
 	}
-	v.source, v.line, v.before, v.top = kept.Source, kept.Line, kept.Before, l.version
-	v.heard, v.until = fromMillis(kept.HeardMs), min(fromMillis(kept.UntilMs), now+heldFor)
+	v.source, v.epoch, v.previousVersion, v.version = kept.Source, kept.Epoch, kept.PreviousVersion, l.version
+	v.versionAt, v.carriedUntil = fromMillis(kept.VersionAtMs), min(fromMillis(kept.CarriedUntilMs), now+carryOverTime)
 	for _, s := range l.servers {
-		v.entries[s.ID] = entry{s, l.address[s.ID], l.raw[s.ID]}
+		v.entries[s.ID] = entry{s, l.addresses[s.ID], l.rawEntries[s.ID]}
 	}
-	for _, a := range kept.Away {
-		v.away[balance.ServerID(a.ID)] = a.Until
+	for _, a := range kept.Withheld {
+		v.withheld[balance.ServerID(a.ID)] = a.Until
 	}
-	for to, all := range map[*map[balance.ServerID]heardOf][]keptHeard{&v.gone: kept.Gone, &v.held: kept.Held} {
-		for _, g := range all[:min(len(all), goneMost)] {
-			(*to)[balance.ServerID(g.ID)] = heardOf{fromMillis(g.AtMs), time.Duration(g.StartedNs)}
+	for to, all := range map[*map[balance.ServerID]removal][]savedRemoval{&v.gone: kept.Gone, &v.carriedOver: kept.CarriedOver} {
+		for _, g := range all[:min(len(all), maxGoneServers)] {
+			(*to)[balance.ServerID(g.ID)] = removal{fromMillis(g.AtMs), time.Duration(g.StartedNs)}
 		}
 	}
-	if now >= v.until {
-		clear(v.held)
+	if now >= v.carriedUntil {
+		clear(v.carriedOver)
 	}
 	age := now - time.Duration(at.UnixNano())
-	fresh := !kept.Short && len(l.servers) > 0 && age >= 0 && age <= listKept
-	newer := known.version > v.top && known.version > v.before || known.version == v.top && !fresh
+	fresh := !kept.Short && len(l.servers) > 0 && age >= 0 && age <= maxSavedListAge
+	newer := known.version > v.version && known.version > v.previousVersion || known.version == v.version && !fresh
 	switch {
 	case kept.Source != cfg.Discovery: // versions of another discovery say nothing here
-		v.move(cfg.Discovery, now)
+		v.setSource(cfg.Discovery, now)
 		if clear(v.entries); len(known.servers) > 0 {
-			v.take(known, now)
+			v.apply(known, now)
 		}
 	case len(known.servers) > 0 && newer:
-		v.take(known, now)
+		v.apply(known, now)
 	case fresh:
-		v.whole = true
+		v.complete = true
 	default:
-		v.doubtful(known, kept.Short)
+		v.useOlderList(known, kept.Short)
 	}
 	return v
 }
@@ -321,8 +321,8 @@
 	if h.store == nil {
 		return balance.Learned{}, false
 	}
-	kept, _, ok := readSection[keptLearned](h.store, sectionLearned)
-	return kept.toModule(), ok
+	kept, _, ok := readSection[savedLearned](h.store, sectionLearned)
+	return kept.toBalance(), ok
 }
 
 // persist keeps what the module learns until ctx ends, and then makes it durable. It never holds the loop up.
@@ -331,13 +331,13 @@
 		return
 	}
 	defer func() {
-		if err := errors.Join(h.flushList(), h.store.Close()); err != nil {
+		if err := errors.Join(h.writeList(), h.store.Close()); err != nil {
 			slog.Warn("state not kept", "reason", err)
 		}
 	}()
-	tick := time.NewTicker(keepEvery)
+	tick := time.NewTicker(saveInterval)
 	defer tick.Stop()
-	var last keptLearned
+	var last savedLearned
 	failing, synced := false, time.Now()
 	told := func(err error) { // once, not every second
 		if err != nil && !failing {
@@ -349,8 +349,8 @@
 	for {
 		select {
 		case <-news:
-			told(h.flushList())
-			news, rest = nil, time.After(listEvery)
+			told(h.writeList())
+			news, rest = nil, time.After(listSaveInterval)
 			continue
 		case <-rest:
 			news, rest = h.news, nil
@@ -363,8 +363,8 @@
 		if err != nil {
 			return // it ends
 		}
-		err = h.flushList()
-		if now := learned(l); !now.same(last) {
+		err = h.writeList()
+		if now := newSavedLearned(l); !now.nearlyEqual(last) {
 			raw, failed := json.Marshal(now)
 			if failed == nil {
 				failed = h.store.Keep(sectionLearned, singleKey, raw)
@@ -374,7 +374,7 @@
 			}
 			err = errors.Join(err, failed)
 		}
-		if time.Since(synced) >= syncEvery {
+		if time.Since(synced) >= syncInterval {
 			err = errors.Join(err, h.store.Sync())
 			synced = time.Now()
 		}
--- a/internal/sidecar/state_test.go
+++ b/internal/sidecar/state_test.go
@@ -22,16 +22,16 @@
 	dir := t.TempDir()
 	cfg := testConfig(t, listed(1, "ready", "127.0.0.1:1"), nil)
 	h, now := newHandover(dir, "n0"), newClock().now()
-	if v := h.loadServerList(cfg, now); v.top != 1 || !v.watched() {
-		t.Errorf("without a kept list: version %d", v.top)
+	if v := h.loadServerList(cfg, now); v.version != 1 || !v.canWatch() {
+		t.Errorf("without a kept list: version %d", v.version)
 	}
 	l, err := parseListing([]byte(listed(7, "ready", "127.0.0.1:2", "127.0.0.1:3")), cfg.Zones)
 	if err != nil {
 		t.Fatal(err)
 	}
 	v := newVersions(cfg.Discovery)
-	v.take(l, now)
-	v.take(listing{version: 8, servers: []balance.Server{{ID: serverID("s-0"), State: balance.Gone}}}, now)
+	v.apply(l, now)
+	v.apply(listing{version: 8, servers: []balance.Server{{ID: serverID("s-0"), State: balance.Gone}}}, now)
 	h.queueList(v, true)
 	told := balance.Learned{At: time.Duration(time.Now().UnixMilli()) * time.Millisecond, Rate: 120, Servers: []balance.LearnedServer{
 		{ID: serverID("s-1"), Fails: 3, Silent: 5 * time.Second, WarmAt: 9 * time.Second, Strain: 7.5},
@@ -63,14 +63,14 @@
 		"kept":                      {1, cfg.Discovery, 0, 8, "s-1@127.0.0.1:3"},
 		"the configuration's newer": {9, cfg.Discovery, 0, 9, "s-0@127.0.0.1:1"},
 		"of another discovery":      {1, "127.0.0.1:9", 0, 1, "s-0@127.0.0.1:1 out"},
-		"kept long ago":             {1, cfg.Discovery, 2 * listKept, 8, "s-0@127.0.0.1:1 out"},
-		"kept in the future":        {1, cfg.Discovery, -2 * listKept, 8, "s-0@127.0.0.1:1 out"},
+		"kept long ago":             {1, cfg.Discovery, 2 * maxSavedListAge, 8, "s-0@127.0.0.1:1 out"},
+		"kept in the future":        {1, cfg.Discovery, -2 * maxSavedListAge, 8, "s-0@127.0.0.1:1 out"},
 	} {
 		cfg.Known.version, cfg.Discovery = c.known, c.source
 		at := newClock().now() + c.later
 		v := next.loadServerList(cfg, at)
-		if got := wording(v.effectiveListing()); got != c.want || v.top != c.top {
-			t.Errorf("%s: version %d, %s, want %d, %s", name, v.top, got, c.top, c.want)
+		if got := wording(v.effectiveListing()); got != c.want || v.version != c.top {
+			t.Errorf("%s: version %d, %s, want %d, %s", name, v.version, got, c.top, c.want)
 		}
 	}
 }
--- a/internal/sidecar/stream_test.go
+++ b/internal/sidecar/stream_test.go
@@ -260,12 +260,12 @@
 	}{
 		"at first":                         {pacedBody{}, bodyStallTimeout},
 		"behind a head of 2 s":             {pacedBody{clientTime: 2 * time.Second}, 700 * time.Millisecond},
-		"64 kB a second for 30 s":          {pacedBody{clientTime: 30 * time.Second, n: 30 * 64 << 10}, bodyStallTimeout},
-		"a byte a second":                  {pacedBody{clientTime: 2600 * time.Millisecond, n: 3}, 100 * time.Millisecond},
-		"much at once, then nothing":       {pacedBody{n: 20 << 20}, bodyStallTimeout},
-		"half a body, then a byte a while": {pacedBody{clientTime: 4 * time.Second, n: 40 << 10}, -466 * time.Millisecond},
+		"64 kB a second for 30 s":          {pacedBody{clientTime: 30 * time.Second, bytesRead: 30 * 64 << 10}, bodyStallTimeout},
+		"a byte a second":                  {pacedBody{clientTime: 2600 * time.Millisecond, bytesRead: 3}, 100 * time.Millisecond},
+		"much at once, then nothing":       {pacedBody{bytesRead: 20 << 20}, bodyStallTimeout},
+		"half a body, then a byte a while": {pacedBody{clientTime: 4 * time.Second, bytesRead: 40 << 10}, -466 * time.Millisecond},
 	} {
-		if got := c.p.due(now).Sub(now); got < c.want-time.Millisecond || got > c.want+time.Millisecond {
+		if got := c.p.readDeadline(now).Sub(now); got < c.want-time.Millisecond || got > c.want+time.Millisecond {
 			t.Errorf("%s: due in %v, want %v", name, got, c.want)
 		}
 	}
--- a/internal/sidecar/upstream_test.go
+++ b/internal/sidecar/upstream_test.go
@@ -28,17 +28,17 @@
 }
 
 // attempt sends one and waits for its end.
-func attempt(t *testing.T, u *transport, address, id string, limit time.Duration) result {
+func attempt(t *testing.T, u *transport, address, id string, limit time.Duration) attemptResult {
 	t.Helper()
-	done := make(chan result, 2)
-	u.send(address, testMessage(id), u.clock.now()+limit, 0, u.clock.now()+limit, func(r result) { done <- r })
+	done := make(chan attemptResult, 2)
+	u.send(address, testMessage(id), u.clock.now()+limit, 0, u.clock.now()+limit, func(r attemptResult) { done <- r })
 	return wait(t, "the end of an attempt", done)
 }
 
 // Every kind of answer has its ending; a connection is kept only behind a whole and clean one.
 func TestEndings(t *testing.T) {
 	long := strings.Repeat("x", maxBufferedBody+1)
-	atLimit := "HTTP/1.0 500 No\r\nX-A: " + strings.Repeat("x", answerLimit-29) + "\r\n\r\n" // but for two bytes of its body
+	atLimit := "HTTP/1.0 500 No\r\nX-A: " + strings.Repeat("x", maxAnswerBytes-29) + "\r\n\r\n" // but for two bytes of its body
 	for name, c := range map[string]struct {
 		answer string
 		ending balance.Ending
@@ -151,8 +151,8 @@
 // unrested has a request wait until quiet is closed wherever no connection has rested; waits hears of it.
 func (u *transport) unrested() (waits chan time.Duration, quiet chan time.Time) {
 	waits, quiet = make(chan time.Duration, 10), make(chan time.Time)
-	u.after = func(d time.Duration) <-chan time.Time { waits <- d; return quiet }
-	u.quietTime = u.keep // however long the test is held up, it has not passed
+	u.reuseTimer = func(d time.Duration) <-chan time.Time { waits <- d; return quiet }
+	u.reuseDelay = u.maxIdle // however long the test is held up, it has not passed
 	return waits, quiet
 }
 
@@ -188,8 +188,8 @@
 		u.hasRoom = func(int) bool { return spare }
 		waits, quiet := u.unrested()
 		attempt(t, u, s.address, "1", generous)
-		kept, done := u.idle[s.address][0], make(chan result, 2)
-		u.send(s.address, testMessage("2"), u.clock.now()+generous, 0, u.clock.now()+generous, func(r result) { done <- r })
+		kept, done := u.idle[s.address][0], make(chan attemptResult, 2)
+		u.send(s.address, testMessage("2"), u.clock.now()+generous, 0, u.clock.now()+generous, func(r attemptResult) { done <- r })
 		select {
 		case <-waits:
 			if spare {
@@ -232,7 +232,7 @@
 		"late":               {dialled: 2, open: 2},
 		"request given up":   {happens: "cancelled", dialled: 2, open: 2},
 		"request called off": {happens: "withdrawn", dialled: 2, open: 2},
-		"at the limit":       {edit: func(u *transport) { u.most = 1 }, dialled: 1, open: 1},
+		"at the limit":       {edit: func(u *transport) { u.maxOpen = 1 }, dialled: 1, open: 1},
 		"no room":            {edit: func(u *transport) { u.hasRoom = func(int) bool { return false } }, dialled: 1, open: 1},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -254,8 +254,8 @@
 			if c.edit != nil {
 				c.edit(u)
 			}
-			done := make(chan result, 2)
-			x := u.send(s.address, testMessage("2"), u.clock.now()+generous, 0, u.clock.now()+generous, func(r result) { done <- r })
+			done := make(chan attemptResult, 2)
+			x := u.send(s.address, testMessage("2"), u.clock.now()+generous, 0, u.clock.now()+generous, func(r attemptResult) { done <- r })
 			wait(t, "the request to wait", waits)
 			want := balance.Served
 			if c.dialled > 1 {
@@ -306,15 +306,15 @@
 	u.mu.Lock()
 	u.open++
 	u.mu.Unlock()
-	c, err := u.openConn(t.Context(), s.address)
+	c, err := u.dialHedged(t.Context(), s.address)
 	if err != nil {
 		t.Fatal(err)
 	}
-	u.keepIdle(s.address, c, false)
+	u.putIdle(s.address, c, false)
 	dialled, free := u.late(s.address)
-	done := make(chan result, 3)
+	done := make(chan attemptResult, 3)
 	for _, id := range []string{"2", "3"} {
-		u.send(s.address, testMessage(id), u.clock.now()+generous, 0, u.clock.now()+generous, func(r result) { done <- r })
+		u.send(s.address, testMessage(id), u.clock.now()+generous, 0, u.clock.now()+generous, func(r attemptResult) { done <- r })
 		wait(t, "the request to wait", waits)
 	}
 	wait(t, "the call for a spare connection", dialled)
@@ -325,7 +325,7 @@
 	close(free)
 	u.untilIdle(t, s.address, 1)
 	attempt(t, u, s.address, "4", generous)
-	u.send(s.address, testMessage("5"), u.clock.now()+generous, 0, u.clock.now()+generous, func(r result) { done <- r })
+	u.send(s.address, testMessage("5"), u.clock.now()+generous, 0, u.clock.now()+generous, func(r attemptResult) { done <- r })
 	wait(t, "the request to wait", waits)
 	wait(t, "the call for a second spare connection", dialled)
 	close(quiet)
@@ -350,28 +350,28 @@
 		"all quiet":       {[]time.Duration{3 * time.Second, 2 * time.Second, time.Second}, nil, 2},
 		"last too new":    {[]time.Duration{3 * time.Second, 2 * time.Second, 0}, nil, 1},
 		"all too new":     {[]time.Duration{2 * time.Millisecond, 0}, nil, 0},
-		"old and new":     {[]time.Duration{u.keep, 0}, nil, 1},
-		"too old":         {[]time.Duration{u.keep}, nil, -1},
+		"old and new":     {[]time.Duration{u.maxIdle, 0}, nil, 1},
+		"too old":         {[]time.Duration{u.maxIdle}, nil, -1},
 		"a new spare":     {[]time.Duration{2 * time.Millisecond, time.Millisecond, 0}, []int{1}, 1},
 		"a spare in need": {[]time.Duration{3 * time.Second, 2 * time.Second, 0}, []int{0}, 1}, // as it is there for that alone
-		"a spare too old": {[]time.Duration{u.keep, 0}, []int{0}, 1},
+		"a spare too old": {[]time.Duration{u.maxIdle, 0}, []int{0}, 1},
 	} {
 		u.idle, u.open = map[string][]*conn{}, len(c.ages)
-		u.quietTime = time.Second / 2 // the test may be held up
+		u.reuseDelay = time.Second / 2 // the test may be held up
 		var all []*conn
 		for i, age := range c.ages {
 			a, b := net.Pipe()
 			defer b.Close()
-			all = append(all, &conn{Conn: a, idleSince: now - age, kept: !slices.Contains(c.spare, i)})
+			all = append(all, &conn{Conn: a, idleSince: now - age, reused: !slices.Contains(c.spare, i)})
 		}
 		u.idle["a"] = slices.Clone(all)
-		got, err := u.take("a")
+		got, err := u.takeIdle("a")
 		if at := slices.Index(all, got); err != nil || at != c.want {
 			t.Errorf("%s: took the one at %d (%v), want %d", name, at, err, c.want)
 		}
 		if got != nil {
 			since := got.idleSince
-			u.keepIdle("a", got, true)
+			u.putIdle("a", got, true)
 			if list := u.idle["a"]; got.idleSince != since || !slices.IsSortedFunc(list, func(a, b *conn) int { return cmp.Compare(a.idleSince, b.idleSince) }) {
 				t.Errorf("%s: given back unused, it is not where it was", name)
 			}
@@ -385,13 +385,13 @@
 	u := testTransport(t)
 	attempt(t, u, s.address, "1", generous)
 	u.mu.Lock()
-	u.idle[s.address][0].idleSince -= u.keep
+	u.idle[s.address][0].idleSince -= u.maxIdle
 	u.mu.Unlock()
-	u.sweep()
+	u.closeExpired()
 	wait(t, "the old connection to close", s.closed)
 	attempt(t, u, s.address, "2", generous)
 	u.mu.Lock()
-	u.idle[s.address][0].idleSince -= u.keep
+	u.idle[s.address][0].idleSince -= u.maxIdle
 	u.mu.Unlock()
 	attempt(t, u, s.address, "3", generous)
 	if u.dialled != 3 || u.open != 1 {
@@ -402,7 +402,7 @@
 func TestConnectionsAreReused(t *testing.T) {
 	s := newStub(t, echo)
 	u := testTransport(t)
-	u.quietTime = 0 // each has rested when the next request comes
+	u.reuseDelay = 0 // each has rested when the next request comes
 	for i := range 5 {
 		attempt(t, u, s.address, fmt.Sprint(i), generous)
 	}
@@ -416,13 +416,13 @@
 func TestConnectionsStayUnderTheLimit(t *testing.T) {
 	a, b, mute := newStub(t, echo), newStub(t, echo), newStub(t, silent)
 	u := testTransport(t)
-	u.most = 1
+	u.maxOpen = 1
 	attempt(t, u, a.address, "1", generous)
 	if got := attempt(t, u, b.address, "2", generous); got.ending != balance.Served || u.open != 1 {
 		t.Errorf("ending %v, %d open, want served over the one connection", got.ending, u.open)
 	}
-	done := make(chan result, 1)
-	x := u.send(mute.address, testMessage("3"), u.clock.now()+generous, 0, u.clock.now()+generous, func(r result) { done <- r })
+	done := make(chan attemptResult, 1)
+	x := u.send(mute.address, testMessage("3"), u.clock.now()+generous, 0, u.clock.now()+generous, func(r attemptResult) { done <- r })
 	wait(t, "the request", mute.seen)
 	if got := attempt(t, u, a.address, "4", generous); got.ending != balance.NoConnection {
 		t.Errorf("ending %v, want %v", got.ending, balance.NoConnection)
@@ -460,7 +460,7 @@
 	for _, id := range []string{"break", "good", "break", "cut"} {
 		attempt(t, u, s.address, id, generous)
 	}
-	if want := (failures{reset: 1, resetKept: 1, unreadable: 1}); u.failed != want {
+	if want := (failures{reset: 1, resetReused: 1, unreadable: 1}); u.failed != want {
 		t.Errorf("counted %+v, want %+v", u.failed, want)
 	}
 }
@@ -484,8 +484,8 @@
 func TestCancelClosesTheConnection(t *testing.T) {
 	s := newStub(t, silent)
 	u := testTransport(t)
-	done := make(chan result, 2)
-	x := u.send(s.address, testMessage("1"), u.clock.now()+generous, 0, u.clock.now()+generous, func(r result) { done <- r })
+	done := make(chan attemptResult, 2)
+	x := u.send(s.address, testMessage("1"), u.clock.now()+generous, 0, u.clock.now()+generous, func(r attemptResult) { done <- r })
 	wait(t, "the request", s.seen)
 	x.cancel()
 	x.cancel()
@@ -508,14 +508,14 @@
 	x.cancel()
 	req := &http.Request{Method: http.MethodGet, URL: &url.URL{Path: "/look"}, Header: http.Header{"X-Request-Id": {"2"}}}
 	for i := range 2 { // over the kept connection, then over a new one
-		if _, _, ending := u.exchange(x, s.address, req, testMessage("2"), u.clock.now()+generous, nil); ending != balance.Cancelled {
+		if _, _, ending := u.roundTrip(x, s.address, req, testMessage("2"), u.clock.now()+generous, nil); ending != balance.Cancelled {
 			t.Errorf("ending %v, want %v", ending, balance.Cancelled)
 		}
 		x.cancel() // once more: the connection is not its own any more
 		if list := u.idle[s.address]; i == 0 && (len(list) != 1 || !list[0].usable()) {
 			t.Fatal("the connection, which nothing was written to, is not kept")
 		}
-		u.close(s.address)
+		u.closeIdle(s.address)
 	}
 	attempt(t, u, s.address, "3", generous)
 	if wait(t, "1", s.seen); wait(t, "3", s.seen).Header.Get("X-Request-ID") != "3" {
--- a/internal/sidecar/versions_test.go
+++ b/internal/sidecar/versions_test.go
@@ -24,7 +24,7 @@
 		name := fmt.Sprintf("s-%d", i)
 		for _, s := range l.servers {
 			if s.ID == serverID(name) {
-				words = append(words, name+"@"+l.address[s.ID]+map[balance.State]string{balance.Ready: "", balance.Draining: " out", balance.Gone: " gone"}[s.State])
+				words = append(words, name+"@"+l.addresses[s.ID]+map[balance.State]string{balance.Ready: "", balance.Draining: " out", balance.Gone: " gone"}[s.State])
 			}
 		}
 	}
@@ -71,7 +71,7 @@
 		h := newHandover(dir, "n0") // as another process: the first still runs
 		v := h.loadServerList(testConfig(t, entries(45, "ready"), configured), newClock().now())
 		h.die()
-		if v.top == 50 {
+		if v.version == 50 {
 			break
 		}
 	}
@@ -135,7 +135,7 @@
 func (h *truth) answer(version, since int64) listing {
 	var entries []string
 	list, old := h.versions[version-h.first], map[int]fact{}
-	if since != unknown {
+	if since != unknownVersion {
 		old = h.versions[since-h.first]
 	}
 	for i := range 10 {
@@ -148,7 +148,7 @@
 		entries = append(entries, fmt.Sprintf(`{"instanceId":%q,"hostPort":"127.0.0.1:8%d","lifecycle":%q,"weight":1,"startedAtMs":%d}`,
 			name, i, life, f.started.Milliseconds()))
 	}
-	l, err := parseListing(fmt.Appendf(nil, `{"generation":%d,"reset":%v,"instances":[%s]}`, version, since == unknown, strings.Join(entries, ",")), nil)
+	l, err := parseListing(fmt.Appendf(nil, `{"generation":%d,"reset":%v,"instances":[%s]}`, version, since == unknownVersion, strings.Join(entries, ",")), nil)
 	if err != nil {
 		panic(err) // of the test's own making
 	}
@@ -174,8 +174,8 @@
 		taken := make(map[balance.ServerID]bool)        // out by an older word since the last one that was not
 		var renewed time.Duration                       // discovery began anew then, and the node does not know; 0: it does
 		take := func(l listing) {
-			was := v.line
-			news, isOlder := v.take(l, now)
+			was := v.epoch
+			news, isOlder := v.apply(l, now)
 			if isOlder {
 				older++
 			} else if l.whole {
@@ -210,14 +210,14 @@
 					t.Fatalf("seed %d: a server that the whole list %d does not have is ready", seed, l.version)
 				}
 			}
-			if !isOlder && v.line == was { // its line's newest word
+			if !isOlder && v.epoch == was { // its line's newest word
 				for _, s := range l.servers {
 					if delete(out, s.ID); s.State != balance.Ready {
 						out[s.ID] = s.Started
 					}
 				}
 			}
-			if was != v.line {
+			if was != v.epoch {
 				begun++
 			}
 			for id := range acted {
@@ -229,7 +229,7 @@
 				}
 			}
 			for id, started := range out { // undone by time alone, or by a later start
-				if s := acted[id]; s.State == balance.Ready && s.Started <= started && now < v.until {
+				if s := acted[id]; s.State == balance.Ready && s.Started <= started && now < v.carriedUntil {
 					t.Fatalf("seed %d: a server that was out is back by version %d", seed, l.version)
 				}
 			}
@@ -239,7 +239,7 @@
 				}
 			}
 		}
-		take(h.answer(h.newest(), unknown))
+		take(h.answer(h.newest(), unknownVersion))
 		for range 120 {
 			now += time.Duration(500+rng.IntN(1500)) * time.Millisecond
 			if rng.IntN(3) > 0 {
@@ -253,14 +253,14 @@
 				restarts++
 				s := &handover{store: memoryStore(t), news: make(chan struct{}, 1)}
 				s.queueList(v, true)
-				if err := s.flushList(); err != nil {
+				if err := s.writeList(); err != nil {
 					t.Fatal(err)
 				}
-				kept, _, ok := readSection[keptList](s.store, sectionList)
+				kept, _, ok := readSection[savedList](s.store, sectionList)
 				if !ok {
 					t.Fatal("nothing was kept")
 				}
-				v, renewed = recall(cfg, kept, time.Unix(0, int64(now)), now), min(renewed, 1)*now // it counts from the start again
+				v, renewed = restoreServerList(cfg, kept, time.Unix(0, int64(now)), now), min(renewed, 1)*now // it counts from the start again
 				clear(acted)
 				for _, e := range v.effectiveListing().servers {
 					acted[e.ID] = e
@@ -270,36 +270,36 @@
 				}
 			case n == 2: // discovery moves
 				cfg.Discovery = fmt.Sprintf("127.0.0.1:%d", 1+rng.IntN(1000))
-				v.move(cfg.Discovery, now)
+				v.setSource(cfg.Discovery, now)
 				renewed = 0
 			}
-			version, since := h.newest(), unknown
+			version, since := h.newest(), unknownVersion
 			stale := rng.IntN(4) == 0 && renewed == 0
 			if stale {
 				version = h.first + rng.Int64N(h.newest()-h.first+1)
 			}
-			if v.watched() && renewed == 0 && version >= v.top && v.top >= h.first {
-				since = v.top
+			if v.canWatch() && renewed == 0 && version >= v.version && v.version >= h.first {
+				since = v.version
 			}
-			if from, yes := v.doubted(now); yes && from >= h.first && from <= version {
+			if from, yes := v.resetWatchVersion(now); yes && from >= h.first && from <= version {
 				since = from
 			}
 			take(h.answer(version, since))
-			if renewed > 0 && v.top <= h.newest() && v.line > 0 && !v.doubt.open {
+			if renewed > 0 && v.version <= h.newest() && v.epoch > 0 && !v.suspectedReset.open {
 				renewed = 0
 			}
-			if renewed > 0 && now-renewed > 2*anewAfter+4*time.Second {
+			if renewed > 0 && now-renewed > 2*resetMinAge+4*time.Second {
 				t.Fatalf("seed %d: discovery has begun anew %v ago, and is not believed", seed, now-renewed)
 			}
 		}
 		for range 3 { // in the end, with the truth alone and time enough, the list is the true one
-			now += 2 * heldFor
-			take(h.answer(h.newest(), unknown))
-			take(h.answer(h.newest(), unknown))
-			take(h.answer(h.newest(), unknown))
+			now += 2 * carryOverTime
+			take(h.answer(h.newest(), unknownVersion))
+			take(h.answer(h.newest(), unknownVersion))
+			take(h.answer(h.newest(), unknownVersion))
 		}
-		if !v.watched() || len(v.held) > 0 {
-			t.Errorf("seed %d: in the end the whole list is still needed, or %d servers are held", seed, len(v.held))
+		if !v.canWatch() || len(v.carriedOver) > 0 {
+			t.Errorf("seed %d: in the end the whole list is still needed, or %d servers are held", seed, len(v.carriedOver))
 		}
 		for i := range 10 {
 			id := serverID(fmt.Sprintf("s-%d", i))
@@ -347,15 +347,15 @@
 		{next, b, 7, 7}, {old, a, 70, 7}, {next, b, 8, 8},
 	} {
 		if step.version == 7 { // discovery has begun anew, and only one of them knows
-			step.v.begin(now)
+			step.v.startEpoch(now)
 		}
-		step.v.take(word(step.version), now)
+		step.v.apply(word(step.version), now)
 		step.by.queueList(step.v, true)
-		if err := step.by.flushList(); err != nil {
+		if err := step.by.writeList(); err != nil {
 			t.Fatal(err)
 		}
 		last := newHandover(dir, "n0")
-		if got := last.loadServerList(cfg, now).top; got != step.kept {
+		if got := last.loadServerList(cfg, now).version; got != step.kept {
 			t.Errorf("step %d: version %d is kept, want %d", i, got, step.kept)
 		}
 		last.die()
@@ -405,14 +405,14 @@
 			case w.version == -1:
 				s := &handover{store: memoryStore(t), news: make(chan struct{}, 1)}
 				s.queueList(v, true)
-				if err := s.flushList(); err != nil {
+				if err := s.writeList(); err != nil {
 					t.Fatal(err)
 				}
-				kept, _, _ := readSection[keptList](s.store, sectionList)
-				v = recall(cfg, kept, time.Unix(0, int64(now)), now)
+				kept, _, _ := readSection[savedList](s.store, sectionList)
+				v = restoreServerList(cfg, kept, time.Unix(0, int64(now)), now)
 			case w.version == -2:
 				cfg.Discovery = "127.0.0.1:2"
-				v.move(cfg.Discovery, now)
+				v.setSource(cfg.Discovery, now)
 			default:
 				var entries []string
 				if w.s0 != "" {
@@ -426,11 +426,11 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				v.take(l, now)
+				v.apply(l, now)
 			}
 		}
-		if out := wording(v.effectiveListing()) == "s-0@127.0.0.1:80 out"; out != c.out || v.line != c.line {
-			t.Errorf("%s: %s, line %d, want out %v, line %d", name, wording(v.effectiveListing()), v.line, c.out, c.line)
+		if out := wording(v.effectiveListing()) == "s-0@127.0.0.1:80 out"; out != c.out || v.epoch != c.line {
+			t.Errorf("%s: %s, line %d, want out %v, line %d", name, wording(v.effectiveListing()), v.epoch, c.out, c.line)
 		}
 	}
 }
@@ -472,9 +472,9 @@
 		{theirs: whole(62, "draining"), want: "s-0@127.0.0.1:1, s-1@127.0.0.1:2"},
 	} {
 		if step.theirs.version > 0 {
-			theirs.take(step.theirs, now)
+			theirs.apply(step.theirs, now)
 			other.queueList(theirs, true)
-			if err := other.flushList(); err != nil {
+			if err := other.writeList(); err != nil {
 				t.Fatal(err)
 			}
 			h.known() // as it looks for calls by hand
@@ -482,7 +482,7 @@
 			if last = raw; news {
 				d.applyOtherProcessList(k, l)
 			}
-		} else if again := d.take(step.ours) > 0; again != step.whole {
+		} else if again := d.applyAnswer(step.ours) > 0; again != step.whole {
 			t.Errorf("version %d: the whole list is asked for: %v", step.ours.version, again)
 		}
 		if got := wording(d.list.effectiveListing()); got != step.want {
@@ -543,20 +543,20 @@
 	}
 	h, now := &handover{store: memoryStore(t), news: make(chan struct{}, 1)}, newClock().now()
 	v := newVersions(cfg.Discovery)
-	v.take(l, now)
+	v.apply(l, now)
 	h.queueList(v, true)
-	if err := h.flushList(); err != nil {
+	if err := h.writeList(); err != nil {
 		t.Fatal(err)
 	}
 	if e, _ := h.store.Get(sectionList, singleKey); len(e.Value) > 1000 {
 		t.Errorf("%d bytes are kept", len(e.Value))
 	}
 	next := h.loadServerList(cfg, now)
-	if got := wording(next.effectiveListing()); next.top != 50 || next.watched() || !strings.HasPrefix(got, "s-0@127.0.0.1:1 out, s-1@127.0.0.1:2, ") || len(next.entries) != 3000 {
-		t.Errorf("version %d with %d servers: %s", next.top, len(next.entries), got)
+	if got := wording(next.effectiveListing()); next.version != 50 || next.canWatch() || !strings.HasPrefix(got, "s-0@127.0.0.1:1 out, s-1@127.0.0.1:2, ") || len(next.entries) != 3000 {
+		t.Errorf("version %d with %d servers: %s", next.version, len(next.entries), got)
 	}
-	next.take(l, now)
-	if got := wording(next.effectiveListing()); !next.watched() || !strings.HasPrefix(got, "s-0@127.0.0.1:1 out, s-1@127.0.0.1:2, ") {
+	next.apply(l, now)
+	if got := wording(next.effectiveListing()); !next.canWatch() || !strings.HasPrefix(got, "s-0@127.0.0.1:1 out, s-1@127.0.0.1:2, ") {
 		t.Errorf("after the whole list: %s", got)
 	}
 }
--- a/internal/sidecar/watch_test.go
+++ b/internal/sidecar/watch_test.go
@@ -27,7 +27,7 @@
 		t.Fatal(err)
 	}
 	d = newDiscovery(cfg, func(news listing) { heard(news); l.applyListing(news) }, l.discoveryFailed)
-	d.now, d.dial, d.draw, l.subscribe = c.now, dial, rand.New(rand.NewPCG(cfg.Seed, 0)).Float64, d.subscribe
+	d.now, d.dial, d.random, l.subscribe = c.now, dial, rand.New(rand.NewPCG(cfg.Seed, 0)).Float64, d.subscribe
 	ctx, cancel := context.WithCancel(context.Background())
 	go l.run(ctx, cfg.Known)
 	go d.run(ctx)
@@ -45,7 +45,7 @@
 func query(r *http.Request) (since int64, wait time.Duration) {
 	since, err := strconv.ParseInt(r.URL.Query().Get("index"), 10, 64)
 	if err != nil {
-		since = unknown
+		since = unknownVersion
 	}
 	ms, _ := strconv.Atoi(r.URL.Query().Get("wait")) // none: no wait
 	return since, time.Duration(ms) * time.Millisecond
@@ -175,7 +175,7 @@
 							case "none":
 								ok(c, `{"generation":1,"reset":false,"instances":[]}`)
 							case "news":
-								ok(c, strings.Replace(listed(2, "draining", "127.0.0.1:80"), "true", strconv.FormatBool(since == unknown), 1))
+								ok(c, strings.Replace(listed(2, "draining", "127.0.0.1:80"), "true", strconv.FormatBool(since == unknownVersion), 1))
 							case "hold":
 								_, _ = io.Copy(io.Discard, in) // until the other side gives up
 							case "full":
@@ -191,7 +191,7 @@
 								}
 								_, _ = io.Copy(io.Discard, in)
 							case "late":
-								time.Sleep(wait + answerTime)
+								time.Sleep(wait + watchAnswerTimeout)
 								ok(c, strings.Replace(listed(2, "draining", "127.0.0.1:80"), "true", "false", 1))
 							case "cut":
 								return
