--- a/internal/sidecar/loop.go
+++ b/internal/sidecar/loop.go
@@ -16,70 +16,72 @@
 )
 
 const (
-	countersLogInterval  = 5 * time.Second        // how often the module's counters go to the log
-	serverCountsInterval = 100 * time.Millisecond // and what it knows of its servers to the console
-	eventQueueLength     = 256
+	countersLogInterval  = 5 * time.Second        // between two log lines with the counters
+	serverCountsInterval = 100 * time.Millisecond // least time between two updates of the console's server counts
+	eventQueueLength     = 256                    // events that may wait before post blocks
 )
 
-// loop owns the Balancer. All of its events pass through one goroutine, in order; the other parts
-// hand them over with post. Everything that must happen once a request or once an attempt, the
-// final answer and the Outcome, is kept here.
+// loop owns the Balancer and implements balance.Host for it. All of its events run on one goroutine, in order;
+// other goroutines hand them over with post. The loop ensures what must happen exactly once: one final answer for
+// each request and one Outcome for each attempt.
 type loop struct {
 	clock             clock
 	balancer          *policy.Balancer
 	upstream          *transport
-	handover          *handover             // keeps the calls by hand
-	subscribe         func()                // subscribes to the list
-	clientCounters    func() map[string]int // counters of the application's side
-	discoveryCounters func() map[string]int // and of discovery's
+	handover          *handover             // stores the operator calls
+	subscribe         func()                // subscribes to the server list
+	clientCounters    func() map[string]int // counters of the client connections, for the log
+	discoveryCounters func() map[string]int // counters of the discovery calls, for the log
 	trace             *trace
-	guard             *guard.Guard                                // every start, send, repeat, answer and close passes it
-	limitTimeLeft     func(now, left time.Duration) time.Duration // what a stop under way leaves of a request's time
-	most              int                                         // attempts for one request at most
+	guard             *guard.Guard                                // checks every start, send, retry, answer and close
+	limitTimeLeft     func(now, left time.Duration) time.Duration // shortens a request's remaining time during a shutdown
+	maxAttempts       int                                         // for one request
 	classes           []balance.Class
 
-	serverCounts   atomic.Pointer[serverCounts] // the last word on the servers, for the console
-	serverCountsAt time.Duration                // when it was published
+	serverCounts   atomic.Pointer[serverCounts] // last published counts, for the console
+	serverCountsAt time.Duration                // when they were published
 
 	lastID         atomic.Uint64
 	events         chan func(now time.Duration)
-	now            time.Duration // the time of the event under way
+	now            time.Duration // time of the event being run
 	requests       map[balance.RequestID]*request
-	addresses      map[balance.ServerID]string
-	readyServers   map[balance.ServerID]bool // of those with an address
-	unsentOutcomes []balance.Outcome         // owed once the event under way is over
-	wakeTimes      []time.Duration           // when Wake is due, in order
-	wakeTimer      *time.Timer               // set for the first of them
+	addresses      map[balance.ServerID]string // of the listed servers
+	readyServers   map[balance.ServerID]bool   // whether each server in addresses is ready
+	unsentOutcomes []balance.Outcome           // of sends that were not carried out, to be reported after the current event
+	wakeTimes      []time.Duration             // when Balancer.Wake is due, in order
+	wakeTimer      *time.Timer                 // set for the first of wakeTimes
 }
 
-// serverCounts counts the servers in the list, and those that the module avoids.
+// serverCounts holds the number of listed servers and of those that the module currently avoids.
 type serverCounts struct{ listed, unavailable int }
 
-// request is one in the table. It stays until it has its answer and all its attempts have ended.
+// request is an entry of the request table. It stays until the request has its answer and all its attempts have
+// ended.
 type request struct {
 	outbound         *outboundRequest
 	reply            chan<- answer
 	deadline         time.Duration
-	attempts         []*exchange    // by number; nil: was not sent
-	attemptsInFlight int            // attempts with no Outcome yet
-	stream           *stream        // its answer, where that is passed on as it comes
-	settled          bool           // it has its final answer, or its client has gone
-	lastTimedOut     bool           // its last attempt did: what a failure is called
+	attempts         []*exchange    // by number; nil if nothing was sent or the answer has begun to stream
+	attemptsInFlight int            // attempts whose Outcome has not been reported
+	stream           *stream        // the answer, if it is passed on as it arrives
+	settled          bool           // has its final answer, or its client has left
+	lastTimedOut     bool           // the attempt that ended last timed out; decides the status of a failure
 	lastEnding       balance.Ending // of the attempt that ended last
 }
 
-// answer is the final answer of a request.
+// answer is the final answer to a request.
 type answer struct {
 	status     int
 	header     http.Header
 	body       []byte
-	stream     *stream       // served, and passed on as it comes
-	retryAfter time.Duration // refused: when to come back
+	stream     *stream       // set if the body is passed on as it arrives
+	retryAfter time.Duration // advice to the client of a refused request
 }
 
+// newLoop returns a loop for a configuration, with its Balancer created but not started.
 func newLoop(cfg *Config, c clock, up *transport) (*loop, error) {
 	l := &loop{
-		clock: c, upstream: up, subscribe: func() {}, most: cfg.Policy.MaxAttempts, classes: cfg.Policy.Classes,
+		clock: c, upstream: up, subscribe: func() {}, maxAttempts: cfg.Policy.MaxAttempts, classes: cfg.Policy.Classes,
 		clientCounters:    func() map[string]int { return nil },
 		discoveryCounters: func() map[string]int { return nil },
 		handover:          new(handover),
@@ -100,7 +102,8 @@
 	return l, nil
 }
 
-// publishServerCounts tells the console of the servers, now and then: the module is woken more often than that.
+// publishServerCounts updates the console's server counts, at most once per serverCountsInterval: the loop runs far
+// more events than that.
 func (l *loop) publishServerCounts() {
 	if l.now-l.serverCountsAt < serverCountsInterval {
 		return
@@ -111,9 +114,10 @@
 	l.serverCounts.Store(&m)
 }
 
-// setServerDisabled takes a server out by hand, or brings it back, and returns once the module has done so and it is
-// durable; where it can't be made so it is an errNotDurable. One that is neither listed nor out is an error.
-func (l *loop) setServerDisabled(ctx context.Context, instance string, out bool) error {
+// setServerDisabled administratively disables or enables a server. It returns once the module has applied the call
+// and the call is durable, with an errNotDurable if it could not be stored. A server that is neither listed nor
+// disabled is an error.
+func (l *loop) setServerDisabled(ctx context.Context, instance string, disabled bool) error {
 	id, known := serverID(instance), make(chan bool, 1)
 	if err := l.postAndWait(ctx, func(time.Duration) {
 		_, listed := l.addresses[id]
@@ -125,20 +129,21 @@
 		return fmt.Errorf("no server has the id %q", instance)
 	}
 	at := l.clock.now()
-	if err := l.postAndWait(ctx, func(now time.Duration) { l.applyOperatorCall(now, instance, out, at) }); err != nil {
+	if err := l.postAndWait(ctx, func(now time.Duration) { l.applyOperatorCall(now, instance, disabled, at) }); err != nil {
 		return err
 	}
-	err := l.handover.saveCall(instance, out, time.Unix(0, int64(at)))
+	err := l.handover.saveCall(instance, disabled, time.Unix(0, int64(at)))
 	if err != nil {
-		slog.Error("by hand not kept", "server", instance, "out", out, "error", err)
+		slog.Error("by hand not kept", "server", instance, "out", disabled, "error", err)
 	}
-	if out && err == nil && l.handover.countWithin(countLimit) > 1 { // it binds the other process too, from the yes on
+	if disabled && err == nil && l.handover.countWithin(countLimit) > 1 { // from the answer on the call binds the other process too
 		l.waitForOtherProcess(ctx)
 	}
 	return err
 }
 
-// waitForOtherProcess waits until the other process has taken over the calls that were kept by now, also where it may be held up.
+// waitForOtherProcess waits long enough for the other process of an upgrade to apply the operator calls stored so
+// far, even if that process is held up.
 func (l *loop) waitForOtherProcess(ctx context.Context) {
 	select {
 	case <-time.After(alonePoll + togetherPoll + otherHeldUp):
@@ -146,15 +151,15 @@
 	}
 }
 
-// learnedState asks the module what it has learned.
-func (l *loop) learnedState(ctx context.Context) (told balance.Learned, err error) {
-	err = l.postAndWait(ctx, func(now time.Duration) { told = l.balancer.Learned(now) })
-	return told, err
+// learnedState returns what the module has learned about its servers and traffic.
+func (l *loop) learnedState(ctx context.Context) (learned balance.Learned, err error) {
+	err = l.postAndWait(ctx, func(now time.Duration) { learned = l.balancer.Learned(now) })
+	return learned, err
 }
 
-// updateFleet tells the module who is there.
-func (l *loop) updateFleet(ctx context.Context, f balance.Fleet) error {
-	return l.postAndWait(ctx, func(now time.Duration) { l.balancer.Fleet(now, f) })
+// updateFleet passes the current fleet membership to the module.
+func (l *loop) updateFleet(ctx context.Context, fleet balance.Fleet) error {
+	return l.postAndWait(ctx, func(now time.Duration) { l.balancer.Fleet(now, fleet) })
 }
 
 // applyRules puts a rule set in force.
@@ -162,35 +167,35 @@
 	return l.postAndWait(ctx, func(now time.Duration) { l.balancer.Rules(now, set.Rules) })
 }
 
-// setProcessCount takes how many processes this sidecar has.
+// setProcessCount tells the module how many processes this sidecar currently has.
 func (l *loop) setProcessCount(n int) { l.post(func(time.Duration) { l.balancer.Share(n) }) }
 
-// applyOperatorCalls takes over what was called for at the other process.
-func (l *loop) applyOperatorCalls(ctx context.Context, handed map[string]handed) {
-	_ = l.postAndWait(ctx, func(now time.Duration) { // fails only as all ends
-		for instance, s := range handed {
-			l.applyOperatorCall(now, instance, s.Out, time.Duration(s.AtMs)*time.Millisecond)
+// applyOperatorCalls applies the calls that operators made at the other process.
+func (l *loop) applyOperatorCalls(ctx context.Context, calls map[string]handed) {
+	_ = l.postAndWait(ctx, func(now time.Duration) { // fails only at the end of the process
+		for instance, call := range calls {
+			l.applyOperatorCall(now, instance, call.Out, time.Duration(call.AtMs)*time.Millisecond)
 		}
 	})
 }
 
-// applyOperatorCall has the module take a server out or back, as of the moment at. Said again, it changes nothing.
-func (l *loop) applyOperatorCall(now time.Duration, instance string, out bool, at time.Duration) {
+// applyOperatorCall has the module disable or enable a server, as of the moment at. A repeated call changes nothing.
+func (l *loop) applyOperatorCall(now time.Duration, instance string, disabled bool, at time.Duration) {
 	id := serverID(instance)
-	if l.balancer.Out(id) == out {
+	if l.balancer.Out(id) == disabled {
 		return
 	}
-	at = min(at, now) // another process of before a step of the wall clock may have a later one
-	if out {
+	at = min(at, now) // the other process may have made the call before a backward step of the wall clock
+	if disabled {
 		l.balancer.TakeOut(now, id)
 	} else {
 		l.balancer.BringBack(now, id, at)
 	}
-	slog.Info("by hand", "server", instance, "out", out)
-	l.serverCountsAt = 0 // to be published at once
+	slog.Info("by hand", "server", instance, "out", disabled)
+	l.serverCountsAt = 0 // so that the counts are published at once
 }
 
-// postAndWait has the loop's goroutine carry out an event, and returns once it has.
+// postAndWait runs an event on the loop's goroutine and returns once it has run.
 func (l *loop) postAndWait(ctx context.Context, event func(now time.Duration)) error {
 	done := make(chan struct{})
 	select {
@@ -206,22 +211,23 @@
 	}
 }
 
-// post hands over an event. It waits where many are under way; the loop itself never waits for
-// those who post.
+// post queues an event for the loop's goroutine. It blocks while the queue is full; the loop itself never waits for
+// a goroutine that posts.
 func (l *loop) post(event func(now time.Duration)) { l.events <- event }
 
-// run gives the Balancer its life: start, the servers known so far, then event after event.
+// run starts the Balancer, gives it the servers known so far and what an earlier process learned, and then runs
+// events until ctx ends.
 func (l *loop) run(ctx context.Context, known listing) {
 	l.now = l.clock.now()
 	l.balancer.Start(l.now)
-	for instance, s := range l.handover.known() { // one that is back is taken out first, for it is cold
+	for instance, call := range l.handover.known() { // an enabled server is disabled first, so that the module treats it as cold
 		l.applyOperatorCall(l.now, instance, true, 0)
-		l.applyOperatorCall(l.now, instance, s.Out, time.Duration(s.AtMs)*time.Millisecond)
+		l.applyOperatorCall(l.now, instance, call.Out, time.Duration(call.AtMs)*time.Millisecond)
 	}
 	known.whole = true
 	l.applyList(known, balance.ListCached)
-	if before, ok := l.handover.loadLearned(); ok {
-		l.balancer.Recall(l.now, before)
+	if learned, ok := l.handover.loadLearned(); ok {
+		l.balancer.Recall(l.now, learned)
 	}
 	counters := time.NewTicker(countersLogInterval)
 	defer counters.Stop()
@@ -244,7 +250,7 @@
 	}
 }
 
-// runDueWakes calls the module once for all timers that are due.
+// runDueWakes calls Balancer.Wake once for all wake times that have passed.
 func (l *loop) runDueWakes() {
 	due := 0
 	for due < len(l.wakeTimes) && l.wakeTimes[due] <= l.now {
@@ -256,14 +262,15 @@
 	l.resetWakeTimer()
 }
 
+// resetWakeTimer sets the timer for the earliest wake time.
 func (l *loop) resetWakeTimer() {
 	if len(l.wakeTimes) > 0 {
 		l.wakeTimer.Reset(l.wakeTimes[0] - l.now)
 	}
 }
 
-// reportUnsent tells the module of the sends that were not carried out. It waits until the module has
-// returned, as Host's methods must not call back.
+// reportUnsent reports to the module the sends that were not carried out. It runs after the module has returned, as
+// methods of balance.Host must not call back into it.
 func (l *loop) reportUnsent() {
 	for len(l.unsentOutcomes) > 0 {
 		o := l.unsentOutcomes[0]
@@ -272,7 +279,7 @@
 	}
 }
 
-// applyListing takes news from discovery.
+// applyListing queues an answer of discovery, a whole list or changes.
 func (l *loop) applyListing(news listing) {
 	kind := balance.ListDelta
 	if news.whole {
@@ -281,12 +288,15 @@
 	l.post(func(time.Duration) { l.applyList(news, kind) })
 }
 
+// discoveryFailed tells the module that a call to discovery failed.
 func (l *loop) discoveryFailed() {
 	l.post(func(now time.Duration) { l.balancer.List(now, balance.ListFailed, nil) })
 }
 
+// applyList updates the addresses of the listed servers, closes idle connections to addresses that are no longer
+// listed, and passes the list to the module.
 func (l *loop) applyList(news listing, kind balance.ListKind) {
-	gone := make(map[string]bool) // addresses that nothing can be sent to any more
+	gone := make(map[string]bool) // addresses that are no longer listed
 	if news.whole {
 		for _, address := range l.addresses {
 			gone[address] = true
@@ -305,7 +315,7 @@
 			l.readyServers[s.ID] = s.State == balance.Ready
 		}
 	}
-	ready := make(map[string]bool) // addresses of ready servers, though others may be listed there too
+	ready := make(map[string]bool) // addresses with a ready server, even if others at the same address are not
 	for id, address := range l.addresses {
 		delete(gone, address)
 		ready[address] = ready[address] || l.readyServers[id]
@@ -322,7 +332,7 @@
 	l.balancer.List(l.now, kind, news.servers)
 }
 
-// addressState is what an address is: ready where any server that is listed there is.
+// addressState returns the state of an address: ready if any server listed there is ready, else draining.
 func addressState(ready bool) balance.State {
 	if ready {
 		return balance.Ready
@@ -330,41 +340,42 @@
 	return balance.Draining
 }
 
-// submit takes a request on. Its final answer goes to reply, which must have room for it.
-// The number that it returns names the request for gone.
-func (l *loop) submit(q balance.Request, m *outboundRequest, deadline time.Duration, reply chan<- answer) balance.RequestID {
+// submit enters a request whose final answer goes to reply, a channel with room for it. The returned ID identifies
+// the request for clientGone.
+func (l *loop) submit(q balance.Request, outbound *outboundRequest, deadline time.Duration, reply chan<- answer) balance.RequestID {
 	q.ID = balance.RequestID(l.lastID.Add(1))
 	class := l.classes[q.Class]
-	l.guard.Take(q.ID, guard.Request{Name: m.id, Deadline: deadline, Effect: class.Effect, Window: class.Window, Coming: m.upload != nil})
-	m.permitWrite = func(now time.Duration, address string) error { return l.guard.Write(now, q.ID, address) }
-	m.onWritten = func(began, now time.Duration, address string) { l.guard.Written(began, now, q.ID, address) }
-	if m.upload != nil {
+	l.guard.Take(q.ID, guard.Request{Name: outbound.id, Deadline: deadline, Effect: class.Effect, Window: class.Window, Coming: outbound.upload != nil})
+	outbound.permitWrite = func(now time.Duration, address string) error { return l.guard.Write(now, q.ID, address) }
+	outbound.onWritten = func(began, now time.Duration, address string) { l.guard.Written(began, now, q.ID, address) }
+	if outbound.upload != nil {
 		q.Coming = true
-		whole := m.upload.onSent
-		m.upload.onSent = func() {
-			whole()
+		onSent := outbound.upload.onSent
+		outbound.upload.onSent = func() {
+			onSent()
 			l.post(func(now time.Duration) { l.bodySent(now, q.ID) })
 		}
 	}
-	if look := m.clientPresence; look != nil {
-		m.clientPresence = func() presence {
-			found := look()
+	if askPresence := outbound.clientPresence; askPresence != nil {
+		outbound.clientPresence = func() presence {
+			found := askPresence()
 			if found == departed {
 				l.guard.Left(l.clock.now(), q.ID)
-				l.clientGone(q.ID) // ahead of the end of the attempt that finds it out, or the module would make another
+				l.clientGone(q.ID) // posted before the end of the attempt that finds this out, or the module would retry
 			}
 			return found
 		}
 	}
 	l.post(func(now time.Duration) {
 		q.Left = deadline - now
-		l.requests[q.ID] = &request{outbound: m, deadline: deadline, reply: reply}
+		l.requests[q.ID] = &request{outbound: outbound, deadline: deadline, reply: reply}
 		l.balancer.Request(now, q)
 	})
 	return q.ID
 }
 
-// clientGone takes that a request's client has closed its connection.
+// clientGone handles a client that has closed its connection: the request ends without an answer, or its answer's
+// stream is aborted.
 func (l *loop) clientGone(id balance.RequestID) {
 	l.post(func(now time.Duration) {
 		r := l.requests[id]
@@ -379,7 +390,7 @@
 	})
 }
 
-// bodySent takes that the last byte of a request's body has gone out: the client's time begins.
+// bodySent handles the last byte of a request's body going out: the client's deadline counts from now.
 func (l *loop) bodySent(now time.Duration, id balance.RequestID) {
 	if r := l.requests[id]; r != nil && !r.settled {
 		left := l.limitTimeLeft(now, r.outbound.timeLeft)
@@ -389,7 +400,7 @@
 	}
 }
 
-// finishRequest ends a request with its one answer, or with none where the client has gone.
+// finishRequest settles a request with its final answer, or with nil if its client has left.
 func (l *loop) finishRequest(id balance.RequestID, r *request, a *answer) {
 	r.settled = true
 	switch {
@@ -403,7 +414,7 @@
 	}
 }
 
-// reportOutcome tells the module how an attempt ended, once for each.
+// reportOutcome reports to the module how an attempt ended. It is called exactly once per attempt.
 func (l *loop) reportOutcome(o balance.Outcome) {
 	r := l.requests[o.ID]
 	r.attemptsInFlight--
@@ -414,44 +425,46 @@
 	}
 }
 
-// streamBegan takes that an attempt's answer has begun to stream: it goes to the client as it comes, and can't be called
-// off any more.
-func (l *loop) streamBegan(id balance.RequestID, number int, res attemptResult) {
+// streamBegan handles an attempt whose answer has begun to stream: the answer goes to the client as it arrives, and
+// the attempt can no longer be cancelled.
+func (l *loop) streamBegan(id balance.RequestID, number int, result attemptResult) {
 	r := l.requests[id]
-	if r.settled || r.attempts[number].isCancelled() { // called off while this was on its way: its connection is closed
-		res.stream.abort()
+	if r.settled || r.attempts[number].isCancelled() { // cancelled while this event was queued: its connection is closed
+		result.stream.abort()
 		return
 	}
-	r.attempts[number], r.stream = nil, res.stream
-	l.finishRequest(id, r, &answer{status: http.StatusOK, header: res.header, stream: res.stream})
+	r.attempts[number], r.stream = nil, result.stream
+	l.finishRequest(id, r, &answer{status: http.StatusOK, header: result.header, stream: result.stream})
 	l.balancer.StreamBegun(l.now, id, number)
 }
 
-// attemptEnded takes the end of an attempt. The first answer of an upstream goes to the client at once
-// and settles the request.
-func (l *loop) attemptEnded(id balance.RequestID, number int, sent time.Duration, res attemptResult) {
+// attemptEnded handles the end of an attempt. The first served answer goes to the client at once and settles the
+// request.
+func (l *loop) attemptEnded(id balance.RequestID, number int, sent time.Duration, result attemptResult) {
 	r := l.requests[id]
-	l.guard.End(sent, id, res.ending)
-	r.lastTimedOut, r.lastEnding = res.ending == balance.TimedOut, res.ending
-	l.trace.step("attempt ended", r.outbound.id, slog.Int("number", number), slog.String("ending", res.ending.String()))
-	if res.ending == balance.Served && !r.settled {
-		l.finishRequest(id, r, &answer{status: http.StatusOK, header: res.header, body: res.body})
+	l.guard.End(sent, id, result.ending)
+	r.lastTimedOut, r.lastEnding = result.ending == balance.TimedOut, result.ending
+	l.trace.step("attempt ended", r.outbound.id, slog.Int("number", number), slog.String("ending", result.ending.String()))
+	if result.ending == balance.Served && !r.settled {
+		l.finishRequest(id, r, &answer{status: http.StatusOK, header: result.header, body: result.body})
 	}
-	l.reportOutcome(balance.Outcome{ID: id, Attempt: number, Ending: res.ending, Load: res.load, Spent: r.outbound.bodyConsumed()})
+	l.reportOutcome(balance.Outcome{ID: id, Attempt: number, Ending: result.ending, Load: result.load, Spent: r.outbound.bodyConsumed()})
 }
 
-// Send starts an attempt, given up after timeout or at the client's deadline, and written within unsent if at all.
-// Where the request is over or out of attempts or time, or the server is not listed, nothing is sent.
-func (l *loop) Send(id balance.RequestID, to balance.ServerID, timeout, unsent time.Duration) {
+// Send starts an attempt that is abandoned after timeout or at the client's deadline, whichever is earlier; 0 leaves
+// the deadline alone. Its request is written within sendWithin or not at all, unless that is 0. Nothing is sent if
+// either is negative, if the request is settled or has used up its attempts, its body or its time, or if the server is
+// not listed.
+func (l *loop) Send(id balance.RequestID, to balance.ServerID, timeout, sendWithin time.Duration) {
 	r := l.requests[id]
 	if r == nil {
-		return // over, with all attempts ended: the module has forgotten it too
+		return // settled, with all attempts ended: the module has forgotten it too
 	}
 	number, left := len(r.attempts), r.deadline-l.now
 	r.attemptsInFlight++
 	address := l.addresses[to]
-	never := r.settled || number >= l.most || left <= 0 || timeout < 0 || unsent < 0 || address == ""
-	if spent := r.outbound.bodyConsumed(); never || spent || l.guard.Send(l.now, id, address) != nil {
+	forbidden := r.settled || number >= l.maxAttempts || left <= 0 || timeout < 0 || sendWithin < 0 || address == ""
+	if spent := r.outbound.bodyConsumed(); forbidden || spent || l.guard.Send(l.now, id, address) != nil {
 		r.attempts = append(r.attempts, nil)
 		l.unsentOutcomes = append(l.unsentOutcomes, balance.Outcome{ID: id, Attempt: number, Ending: balance.NotSent, Spent: spent})
 		return
@@ -459,15 +472,15 @@
 	if timeout == 0 || timeout > left {
 		timeout = left
 	}
-	if unsent > 0 {
-		unsent += l.now
+	if sendWithin > 0 {
+		sendWithin += l.now
 	}
-	if r.outbound.upload != nil { // its last byte may have come long ago, and lie unread
+	if r.outbound.upload != nil { // its last byte may have arrived long ago and still be unread
 		r.outbound.timeLeft = min(r.outbound.timeLeft, left)
 	}
 	sent := l.now
 	l.trace.attempt(r.outbound.id, number, r.lastEnding, address, timeout)
-	r.attempts = append(r.attempts, l.upstream.send(address, r.outbound, l.now+timeout, unsent, r.deadline, func(res attemptResult) {
+	r.attempts = append(r.attempts, l.upstream.send(address, r.outbound, l.now+timeout, sendWithin, r.deadline, func(res attemptResult) {
 		l.post(func(time.Duration) {
 			if res.stream != nil {
 				l.streamBegan(id, number, res)
@@ -478,15 +491,15 @@
 	}))
 }
 
-// Refuse ends a request; trying again is harmless.
-func (l *loop) Refuse(id balance.RequestID, pause time.Duration, why balance.Reason) {
+// Refuse ends a request with a 503, which promises the client that retrying is harmless.
+func (l *loop) Refuse(id balance.RequestID, retryAfter time.Duration, why balance.Reason) {
 	if r := l.requests[id]; r != nil && !r.settled {
 		l.trace.refused(r.outbound.id, why, len(r.attempts))
-		l.finishRequest(id, r, &answer{status: http.StatusServiceUnavailable, retryAfter: pause})
+		l.finishRequest(id, r, &answer{status: http.StatusServiceUnavailable, retryAfter: retryAfter})
 	}
 }
 
-// Fail ends a request with no promise.
+// Fail ends a request with a 502 or 504, which say nothing about whether it has run.
 func (l *loop) Fail(id balance.RequestID, why balance.Reason) {
 	r := l.requests[id]
 	if r == nil || r.settled {
@@ -500,50 +513,50 @@
 	l.finishRequest(id, r, &answer{status: status})
 }
 
-// Cancel calls off an attempt; its Outcome still comes.
+// Cancel cancels an attempt. Its Outcome is still reported.
 func (l *loop) Cancel(id balance.RequestID, attempt int) {
 	if r := l.requests[id]; r != nil && attempt >= 0 && attempt < len(r.attempts) && r.attempts[attempt] != nil {
 		r.attempts[attempt].cancel()
 	}
 }
 
-// Withdraw calls off an attempt of which nothing has been written; another goes on.
+// Withdraw cancels an attempt unless some of its request has been written, in which case the attempt goes on.
 func (l *loop) Withdraw(id balance.RequestID, attempt int) {
 	if r := l.requests[id]; r != nil && attempt >= 0 && attempt < len(r.attempts) && r.attempts[attempt] != nil {
 		r.attempts[attempt].withdraw()
 	}
 }
 
-// Wake sees to a call of Balancer.Wake after d. Timers due at one moment share that call.
+// Wake schedules a call of Balancer.Wake after d. Wakes due at the same moment share one call.
 func (l *loop) Wake(d time.Duration) {
-	due := l.now + max(d, 0)
-	i, found := slices.BinarySearch(l.wakeTimes, due)
+	at := l.now + max(d, 0)
+	i, found := slices.BinarySearch(l.wakeTimes, at)
 	if found {
 		return
 	}
-	if l.wakeTimes = slices.Insert(l.wakeTimes, i, due); i == 0 {
+	if l.wakeTimes = slices.Insert(l.wakeTimes, i, at); i == 0 {
 		l.resetWakeTimer()
 	}
 }
 
-// Probe asks a server for a load report.
+// Probe asks a server for a load report and passes the result to the module.
 func (l *loop) Probe(to balance.ServerID) {
-	told := func(ok bool, load balance.Load) {
+	report := func(ok bool, load balance.Load) {
 		l.post(func(now time.Duration) { l.balancer.Probed(now, to, ok, load) })
 	}
 	address := l.addresses[to]
-	if address == "" { // no longer listed; Host's methods must not call back, so from outside
-		go told(false, balance.Load{})
+	if address == "" { // no longer listed; reported from another goroutine, as methods of balance.Host must not call back
+		go report(false, balance.Load{})
 		return
 	}
-	l.upstream.probe(address, l.now, told)
+	l.upstream.probe(address, l.now, report)
 }
 
 // Close closes the idle connections to a server.
 func (l *loop) Close(to balance.ServerID) { l.upstream.closeIdle(l.addresses[to]) }
 
-// WatchList subscribes to the server list.
+// WatchList subscribes to the server list at discovery.
 func (l *loop) WatchList() { l.subscribe() }
 
-// Log writes a line for the people on call.
+// Log writes a line of the module to the log.
 func (l *loop) Log(line string) { slog.Info("module", "says", line) }
