--- a/internal/sidecar/upstream.go
+++ b/internal/sidecar/upstream.go
@@ -25,45 +25,48 @@
 )
 
 const (
-	maxBufferedBody    = 64 << 10        // bytes of a body, either way, that are held at once
-	maxAnswerBytes     = 512 << 10       // bytes on the wire of an answer that is held whole, and of any answer's head
-	serverStallTimeout = 5 * time.Second // a server may stand still for so long as it takes a long body
-	maxInterimAnswers  = 8               // 1xx answers that are read over before the one that counts
-	idleMargin         = time.Second
-	// A second answer may come some milliseconds behind the first. It must find no request out on its connection.
+	maxBufferedBody    = 64 << 10        // bytes of a request or answer body that are buffered at once
+	maxAnswerBytes     = 512 << 10       // bytes on the wire of a buffered answer, and of the head of any answer
+	serverStallTimeout = 5 * time.Second // how long a server may read nothing of a long request body
+	maxInterimAnswers  = 8               // 1xx answers skipped before the final one
+	idleMargin         = time.Second     // connections are closed this long before their server would close them
+	// A faulty server may send a second answer some milliseconds after the first. It must not find another request in
+	// flight on its connection.
 	connReuseDelay = 10 * time.Millisecond
-	// A connection whose first packet is lost comes up after a second (RFC 6298, 2.1: the initial retransmission
-	// time-out), which is more than a dial's time-out may be. Another, dialled early in that, mostly comes up at once.
-	maxParallelDials = 3 // for one connection, the first included
-	lateDialDivisor  = 8 // and each a dial's time-out by this behind the one before
+	// A connection whose first packet is lost comes up only after the initial retransmission time-out of one second
+	// (RFC 6298, section 2.1), which may exceed the dial time-out. A second connection, dialled before that, usually
+	// comes up at once.
+	maxParallelDials = 3 // dials for one connection, including the first
+	lateDialDivisor  = 8 // another dial starts when the previous one has taken dialTimeout/lateDialDivisor
 )
 
-// outboundRequest is a request as it goes on to an upstream, but for its time-out.
+// outboundRequest is a client's request as it is forwarded to an upstream, without the X-Timeout header.
 type outboundRequest struct {
 	id       string // X-Request-ID, for the log
 	method   string
 	url      *url.URL
 	host     string
-	header   http.Header   // end-to-end ones; not changed any more
-	body     []byte        // the whole of it, or what is held
-	upload   *upload       // what follows the held part; nil: nothing does
-	length   int64         // of both together; -1: not told
-	timeLeft time.Duration // how long the client waits once its last byte has gone out, where rest follows: less what it has waited for that to begin
+	header   http.Header // end-to-end headers, not to be modified
+	body     []byte // the whole body, or the part of it that is buffered
+	upload   *upload       // the part of the body after the buffered part; nil if there is none
+	length   int64         // of the whole body, or -1 if unknown
+	timeLeft time.Duration // with upload: how long the client waits from its last byte on, less the time spent on getting a connection
 
-	clientPresence func() presence                                // whether its client is still there; nil: it has none
-	permitWrite    func(now time.Duration, address string) error  // whether its first byte may go out there; nil: it may
-	onWritten      func(began, now time.Duration, address string) // hears that its last byte has gone out; may be nil
+	clientPresence func() presence                                // whether the client is still there; nil if there is no client
+	permitWrite    func(now time.Duration, address string) error  // whether the first byte may be written to address; nil if always
+	onWritten      func(began, now time.Duration, address string) // called when the last byte has been written; may be nil
 }
 
-// clientAbsent tells whether nothing may be sent any more, as nobody is known to wait for the answer.
-func (m *outboundRequest) clientAbsent() bool {
-	return m != nil && m.clientPresence != nil && m.clientPresence() != present
+// clientAbsent reports whether the client is not known to wait for the answer, so that nothing may be sent any more.
+func (r *outboundRequest) clientAbsent() bool {
+	return r != nil && r.clientPresence != nil && r.clientPresence() != present
 }
 
-// bodyConsumed tells whether the message can't be sent again, as part of its body is gone.
-func (m *outboundRequest) bodyConsumed() bool { return m.upload != nil && m.upload.consumed.Load() }
+// bodyConsumed reports whether the request can't be sent again because part of its body has been read and dropped.
+func (r *outboundRequest) bodyConsumed() bool { return r.upload != nil && r.upload.consumed.Load() }
 
-// attemptResult is how an attempt ended. Where stream is set, its answer has begun, and the end is still to come.
+// attemptResult is the result of an attempt. If stream is set, the answer has begun and a second result will report
+// its end.
 type attemptResult struct {
 	ending balance.Ending
 	header http.Header
@@ -72,69 +75,70 @@
 	load   balance.Load
 }
 
-// transport carries attempts and probes to the servers, over connections that it keeps. It is not
-// http.Transport because that sends again by itself when a kept connection breaks: an attempt that
-// nobody decided on.
+// transport carries attempts and probes to the servers over a pool of persistent connections. It takes the place of
+// http.Transport, which resends a request by itself when a persistent connection breaks: that would be an attempt the
+// policy did not decide on.
 type transport struct {
 	clock           clock
 	dialTimeout     time.Duration
-	maxIdle         time.Duration // connections idle for longer are not used again
-	reportFields    []string
+	maxIdle         time.Duration // connections that have been idle for longer are closed
+	reportFields    []string      // names of a load report's fields, in the order of columns
 	columns         wire.Columns
-	probePath       string
+	probePath       string                               // path of the probes' requests
 	attemptsWritten atomic.Uint64                        // attempts whose last byte was written
-	makeRoom        func(upstreams int) bool             // has clients make room for one more connection than so many
-	hasRoom         func(upstreams int) bool             // tells whether there is room for it as it is
+	makeRoom        func(upstreams int) bool             // closes client connections until one more than these upstream connections fits
+	hasRoom         func(upstreams int) bool             // reports whether one more than these upstream connections fits as it is
 	reuseDelay      time.Duration                        // how long a connection is idle at least before it is used again
-	reuseTimer      func(time.Duration) <-chan time.Time // for that
-	lateDialTimer   func(time.Duration) <-chan time.Time // and for when another connection is dialled beside one
+	waitTimer       func(time.Duration) <-chan time.Time // time.After, for the reuse delay and between dials; replaced in tests
+	lateDialTimer   func(time.Duration) <-chan time.Time // time.After, for the start of another dial; replaced in tests
 	dial            func(ctx context.Context, network, address string) (net.Conn, error)
 
 	mu         sync.Mutex
-	maxOpen    int                // connections at most
+	maxOpen    int                // limit of open
 	idle       map[string][]*conn // by address, in the order of idleSince
-	spareDials map[string]bool    // addresses to which a spare one is being opened
-	open       int                // idle, in use or being opened
-	sweepTimer *time.Timer        // set while there are idle ones
-	dialled    int
-	extraDials int // of these, dialled as one before was late
-	stale      int // idle ones found closed by their server, or with bytes left over
-	reuseWaits int // exchanges that waited as all idle ones had been used just now
+	spareDials map[string]bool    // addresses to which a spare connection is being opened
+	open       int                // connections that are idle, in use or being opened
+	sweepTimer *time.Timer        // set while there are idle connections
+	dialled    int                // connections dialled so far
+	extraDials int                // dialled because an earlier dial was late
+	stale      int                // idle connections found closed by their server or with unread bytes
+	reuseWaits int                // exchanges that waited because all idle connections had just been used
 	failed     failures
 }
 
-// failures count the attempts and probes that had no whole answer, for the log.
+// failures counts, for the log, the attempts and probes that had no complete answer.
 type failures struct {
 	unsent      int // no connection came up, or it broke before the request was written
 	reset       int // a new connection broke before the answer began
-	resetReused int // and one that had been kept, which its server may have closed by then
+	resetReused int // a reused connection did, which its server may have closed at that moment
 	unreadable  int // the answer was malformed, too long or cut short
-	timedOut    int
-	local       int // dials that failed by this machine's own fault; they are tried again
+	timedOut    int // the answer was not complete in time
+	local       int // dials that failed for a reason of this machine; they are retried
 }
 
-// conn is a connection to a server; it carries one exchange at a time.
+// conn is a connection to a server. It carries one exchange at a time.
 type conn struct {
 	net.Conn
-	address     string // its server's, as listed
+	address     string // of the server, as listed
 	r           *bufio.Reader
-	answerLimit io.LimitedReader // what may still be read for this answer
-	idleSince   time.Duration    // or opened, until its first exchange
-	reused      bool             // it has carried an exchange before
+	answerLimit io.LimitedReader // bounds what is read for the current answer
+	idleSince   time.Duration    // end of the last exchange, or when the connection was opened
+	reused      bool             // has carried an exchange before
 }
 
+// newTransport returns a transport without connections, for a sidecar that has one process.
 func newTransport(cfg *Config, c clock) *transport {
 	u := &transport{
 		clock: c, dialTimeout: cfg.DialTimeout, reportFields: cfg.Reports, columns: cfg.Columns,
-		// Well before the server closes it: a request written from then on would end as a reset.
+		// A request written as the server closes the connection would end as a reset.
 		maxIdle:       cfg.ConnIdle - min(idleMargin, cfg.ConnIdle/4),
 		maxOpen:       cfg.upstreamConns(1),
 		probePath:     "/alive",
 		makeRoom:      func(int) bool { return true },
 		hasRoom:       func(int) bool { return true },
-		reuseTimer:    time.After,
+		waitTimer:     time.After,
 		lateDialTimer: time.After,
-		dial:          (&net.Dialer{KeepAlive: -1}).DialContext, // no use against a silent machine; the time-outs are
+		dial:          (&net.Dialer{KeepAlive: -1}).DialContext, // keep-alive probes would find a silent machine later than the time-outs do
 		idle:          make(map[string][]*conn),
 		spareDials:    make(map[string]bool),
 	}
@@ -147,17 +151,17 @@
 
 // exchange is one attempt or probe under way.
 type exchange struct {
-	sendBy         time.Duration // its request's last byte goes out by then or never; 0: no such bound
-	clientDeadline time.Duration // its client's; 0: it has none
+	sendBy         time.Duration // the last byte of the request is written by then or never; 0 means no bound
+	clientDeadline time.Duration // the client's deadline; 0 if there is none
 
 	mu        sync.Mutex
 	cancelled bool
-	withdrawn bool   // before any of it was written
-	writing   bool   // its request is being written, or was
-	stop      func() // ends what it is at: dialling, or its connection
+	withdrawn bool   // cancelled before any byte of it was written
+	writing   bool   // writing the request has begun
+	stop      func() // ends the current phase: cancels the dial or closes the connection
 }
 
-// cancel gives the exchange up. If its request is not yet on the way, it will not be sent.
+// cancel abandons the exchange. A request that has not been written yet will not be sent.
 func (x *exchange) cancel() {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -167,7 +171,7 @@
 	}
 }
 
-// withdraw calls the exchange off if nothing of its request has been written, and from then on nothing will be.
+// withdraw cancels the exchange if no byte of its request has been written, and ensures that none will be.
 func (x *exchange) withdraw() {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -180,82 +184,84 @@
 	}
 }
 
-// enterPhase enters what cancel has to end from now on, and whether that is writing and what comes after it. It returns
-// false if the exchange is given up already, and then enters nothing: a second cancel must not close a connection that
-// has gone back to the pool and may serve another exchange by then.
-func (x *exchange) enterPhase(writes bool, stop func()) bool {
+// enterPhase sets the function by which cancel ends the exchange's next phase; writing is true from the writing of the
+// request on. It returns false, and sets nothing, if the exchange has been cancelled or withdrawn: a second cancel must
+// not close a connection that is back in the pool and may serve another exchange by then.
+func (x *exchange) enterPhase(writing bool, stop func()) bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	if x.cancelled || x.withdrawn {
 		return false
 	}
-	x.writing, x.stop = writes, stop
+	x.writing, x.stop = writing, stop
 	return true
 }
 
-// limitToSendBy is the earlier of a moment and the one by which the request has to have gone out.
-func (x *exchange) limitToSendBy(t time.Duration) time.Duration {
+// limitToSendBy returns the earlier of a moment and the moment by which the request must have been written.
+func (x *exchange) limitToSendBy(at time.Duration) time.Duration {
 	if x.sendBy == 0 {
-		return t
+		return at
 	}
-	return min(t, x.sendBy)
+	return min(at, x.sendBy)
 }
 
-// unsentEnding is the ending where the request's last byte did not go out.
-func (u *transport) unsentEnding(x *exchange, m *outboundRequest) balance.Ending {
+// unsentEnding returns the ending of an exchange whose request was not written completely.
+func (u *transport) unsentEnding(x *exchange, outbound *outboundRequest) balance.Ending {
 	x.mu.Lock()
 	withdrawn, cancelled := x.withdrawn, x.cancelled
 	x.mu.Unlock()
 	switch {
 	case withdrawn:
 		return balance.NotSent
-	case cancelled || m != nil && m.upload != nil && m.upload.stopped.Load():
+	case cancelled || outbound != nil && outbound.upload != nil && outbound.upload.stopped.Load():
 		return balance.Cancelled
 	}
 	u.count(&u.failed.unsent)
 	return balance.NoConnection
 }
 
+// isCancelled reports whether cancel has been called.
 func (x *exchange) isCancelled() bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	return x.cancelled
 }
 
-// send starts an attempt that is given up at until; the time of one whose body still comes begins with its last
-// byte. What has not gone out at by never does; 0 is no such bound. An answer that streams has to end soon behind its
-// client's deadline, unless it is long. Its end goes to done, once, and before that the beginning of an answer that streams.
-func (u *transport) send(address string, m *outboundRequest, until, by, deadline time.Duration, done func(attemptResult)) *exchange {
-	x := &exchange{sendBy: by, clientDeadline: deadline}
+// send starts an attempt, which is abandoned at abandonAt; for a request with an upload that time counts from the last
+// byte on. A request that is not written completely by sendBy is cut short; 0 means no such bound. A streamed answer
+// has to end soon after clientDeadline unless it is long. done is called once with the end of the attempt, and before
+// that with the beginning of an answer that streams.
+func (u *transport) send(address string, outbound *outboundRequest, abandonAt, sendBy, clientDeadline time.Duration, done func(attemptResult)) *exchange {
+	x := &exchange{sendBy: sendBy, clientDeadline: clientDeadline}
 	go func() {
-		header := maps.Clone(m.header)
-		req := &http.Request{Method: m.method, URL: m.url, Host: m.host, Header: header}
+		header := maps.Clone(outbound.header)
+		req := &http.Request{Method: outbound.method, URL: outbound.url, Host: outbound.host, Header: header}
 		switch {
-		case m.upload != nil:
-			req.Body, req.ContentLength = io.NopCloser(io.MultiReader(bytes.NewReader(m.body), m.upload)), m.length
-		case len(m.body) > 0:
-			req.Body, req.ContentLength = io.NopCloser(bytes.NewReader(m.body)), int64(len(m.body))
+		case outbound.upload != nil:
+			req.Body, req.ContentLength = io.NopCloser(io.MultiReader(bytes.NewReader(outbound.body), outbound.upload)), outbound.length
+		case len(outbound.body) > 0:
+			req.Body, req.ContentLength = io.NopCloser(bytes.NewReader(outbound.body)), int64(len(outbound.body))
 		}
-		begin := func(res *http.Response, s *stream) { done(attemptResult{header: res.Header, stream: s}) }
-		res, body, ending := u.roundTrip(x, address, req, m, until, begin)
+		onBegin := func(res *http.Response, s *stream) { done(attemptResult{header: res.Header, stream: s}) }
+		res, body, ending := u.roundTrip(x, address, req, outbound, abandonAt, onBegin)
 		if res == nil {
 			done(attemptResult{ending: ending})
 			return
 		}
-		out := attemptResult{ending: balance.Errored, load: u.parseLoad(res.Header.Get("X-Server-Load"))}
-		switch never := slices.Equal(res.Header["X-Not-Processed"], []string{"1"}); { // said in two ways it proves nothing
+		result := attemptResult{ending: balance.Errored, load: u.parseLoad(res.Header.Get("X-Server-Load"))}
+		switch notProcessed := slices.Equal(res.Header["X-Not-Processed"], []string{"1"}); { // contradicting header lines prove nothing
 		case res.StatusCode == http.StatusOK:
-			out.ending, out.header, out.body = balance.Served, res.Header, body
-		case never && (res.StatusCode == http.StatusServiceUnavailable || res.StatusCode == http.StatusGatewayTimeout):
-			out.ending = balance.TurnedAway
+			result.ending, result.header, result.body = balance.Served, res.Header, body
+		case notProcessed && (res.StatusCode == http.StatusServiceUnavailable || res.StatusCode == http.StatusGatewayTimeout):
+			result.ending = balance.TurnedAway
 		}
-		done(out)
+		done(result)
 	}()
 	return x
 }
 
-// probe asks a server for its load report. The result goes to told, once.
-func (u *transport) probe(address string, now time.Duration, told func(ok bool, load balance.Load)) {
+// probe asks a server for its load report and calls report once with the result.
+func (u *transport) probe(address string, now time.Duration, report func(ok bool, load balance.Load)) {
 	go func() {
 		req := &http.Request{
 			Method: http.MethodGet, URL: &url.URL{Path: u.probePath}, Host: address,
@@ -263,43 +269,44 @@
 		}
 		res, body, _ := u.roundTrip(new(exchange), address, req, nil, now+u.dialTimeout, nil)
 		if res == nil {
-			told(false, balance.Load{})
+			report(false, balance.Load{})
 			return
 		}
-		told(res.StatusCode == http.StatusOK, u.parseLoad(string(body)))
+		report(res.StatusCode == http.StatusOK, u.parseLoad(string(body)))
 	}()
 }
 
-// roundTrip sends a request, m where it is an attempt's, and reads its answer. Without a whole answer the ending says
-// what is known: NoConnection until the last byte of the request is written, as it cannot have run before. An answer
-// that is not held whole goes to begin, if there is one, and is over when exchange returns.
+// roundTrip sends a request and reads its answer; outbound is nil for a probe. Without a complete answer the ending
+// says what is known: it is NoConnection until the last byte of the request is written, as the request can't have run
+// before that. An answer that is too long to be buffered is passed to onBegin if that is set, and has ended when
+// roundTrip returns.
 func (u *transport) roundTrip(
-	x *exchange, address string, req *http.Request, m *outboundRequest, until time.Duration, begin func(*http.Response, *stream),
+	x *exchange, address string, req *http.Request, outbound *outboundRequest, deadline time.Duration, onBegin func(*http.Response, *stream),
 ) (*http.Response, []byte, balance.Ending) {
-	c, ending := u.acquireConn(x, address, m, until)
+	c, ending := u.acquireConn(x, address, outbound, deadline)
 	if c == nil {
 		return nil, nil, ending
 	}
-	if m != nil {
-		left := until - u.clock.now()
-		if m.upload != nil {
-			left = m.timeLeft
+	if outbound != nil {
+		left := deadline - u.clock.now()
+		if outbound.upload != nil {
+			left = outbound.timeLeft
 		}
 		req.Header.Set("X-Timeout", strconv.FormatInt(max(1, left.Milliseconds()), 10)+"m")
 	}
-	until, err := u.writeRequest(x, c, req, m, until)
+	deadline, err := u.writeRequest(x, c, req, outbound, deadline)
 	if err != nil {
 		u.discard(c)
-		return nil, nil, u.unsentEnding(x, m)
+		return nil, nil, u.unsentEnding(x, outbound)
 	}
-	if m != nil && m.upload != nil { // the client's time has begun with its last byte
-		x.clientDeadline = until
+	if outbound != nil && outbound.upload != nil { // the client's deadline counts from its last byte
+		x.clientDeadline = deadline
 	}
-	res, body, err := u.readAnswer(x, c, req, until, begin)
+	res, body, err := u.readAnswer(x, c, req, deadline, onBegin)
 	switch {
 	case err == nil && !res.Close && c.r.Buffered() == 0 && x.enterPhase(true, nil):
 		u.putIdle(address, c, false)
-	default: // broken, to be closed, with bytes left over behind the answer, or given up
+	default: // broken, to be closed, with unread bytes after the answer, or cancelled
 		u.discard(c)
 	}
 	if err != nil {
@@ -308,60 +315,60 @@
 	return res, body, balance.Served
 }
 
-// acquireConn returns a connection on which the exchange may write at once. Where there is none the ending says why.
-func (u *transport) acquireConn(x *exchange, address string, m *outboundRequest, until time.Duration) (*conn, balance.Ending) {
-	asked := u.clock.now()
-	c, err := u.getConn(x, address, x.limitToSendBy(until))
-	if m != nil && m.upload != nil {
-		m.timeLeft -= u.clock.now() - asked
+// acquireConn returns a connection on which the exchange may write at once, or the ending that tells why there is none.
+func (u *transport) acquireConn(x *exchange, address string, outbound *outboundRequest, deadline time.Duration) (*conn, balance.Ending) {
+	start := u.clock.now()
+	c, err := u.getConn(x, address, x.limitToSendBy(deadline))
+	if outbound != nil && outbound.upload != nil {
+		outbound.timeLeft -= u.clock.now() - start
 	}
 	switch {
 	case err != nil && isLocalError(err):
 		return nil, balance.NotSent
 	case err != nil:
-		return nil, u.unsentEnding(x, m)
+		return nil, u.unsentEnding(x, outbound)
 	}
 	stop := func() { c.Conn.Close() }
-	if m != nil && m.upload != nil {
-		stop = func() { c.Conn.Close(); m.upload.interrupt() }
+	if outbound != nil && outbound.upload != nil {
+		stop = func() { c.Conn.Close(); outbound.upload.interrupt() }
 	}
-	// Asked here, as word of a client's leaving may be behind others, and it has to go nowhere from now on.
-	if m.clientAbsent() || m != nil && m.permitWrite != nil && m.permitWrite(u.clock.now(), address) != nil {
+	// The loop may learn of a client's leaving later than this, but from now on nothing may be sent for it.
+	if outbound.clientAbsent() || outbound != nil && outbound.permitWrite != nil && outbound.permitWrite(u.clock.now(), address) != nil {
 		x.withdraw()
 	}
-	if !x.enterPhase(true, stop) { // given up in the meantime: nothing may go out any more
+	if !x.enterPhase(true, stop) { // cancelled in the meantime: nothing may be written any more
 		u.putIdle(address, c, true)
-		return nil, u.unsentEnding(x, m)
+		return nil, u.unsentEnding(x, outbound)
 	}
 	return c, balance.Served
 }
 
-// readAnswer reads the answer to a request that has gone out. An error says that it has not come whole; res is not nil where
-// its head has.
+// readAnswer reads the answer to a request that has been written. An error means that the answer is incomplete; res is
+// set if its head was read.
 func (u *transport) readAnswer(
-	x *exchange, c *conn, req *http.Request, until time.Duration, begin func(*http.Response, *stream),
+	x *exchange, c *conn, req *http.Request, deadline time.Duration, onBegin func(*http.Response, *stream),
 ) (res *http.Response, body []byte, err error) {
-	_ = c.SetDeadline(u.clock.at(until)) // fails only on a closed connection, as the read then does
+	_ = c.SetDeadline(u.clock.at(deadline)) // fails only on a closed connection, as the read then does
 	if res, err = c.readHead(req); err != nil {
 		return res, nil, err
 	}
-	if begin != nil && res.StatusCode == http.StatusOK && (res.ContentLength < 0 || res.ContentLength > maxBufferedBody) {
-		body, err = newStream(res, c, x, u.clock).run(begin)
+	if onBegin != nil && res.StatusCode == http.StatusOK && (res.ContentLength < 0 || res.ContentLength > maxBufferedBody) {
+		body, err = newStream(res, c, x, u.clock).run(onBegin)
 	} else {
 		body, err = c.readBody(res)
 	}
 	if err == nil && c.answerLimit.N <= 0 {
-		err = errors.New("the answer is too long") // else one with no length would pass for whole where it was left off
+		err = errors.New("answer exceeds the size limit") // an answer without a length would otherwise pass for complete at the limit
 	}
 	return res, body, err
 }
 
-// failureEnding says how an exchange ended whose answer has not come whole, and counts that.
+// failureEnding counts an exchange that had no complete answer and returns its ending.
 func (u *transport) failureEnding(x *exchange, c *conn, res *http.Response, err error) balance.Ending {
 	switch {
 	case x.isCancelled():
 		return balance.Cancelled
-	case errors.Is(err, os.ErrDeadlineExceeded): // its own; ETIMEDOUT is the kernel's word that the connection broke
+	case errors.Is(err, os.ErrDeadlineExceeded): // the exchange's own time-out; ETIMEDOUT means that the connection broke
 		u.count(&u.failed.timedOut)
 		return balance.TimedOut
 	case res != nil || c.answerLimit.N < maxAnswerBytes:
@@ -371,63 +378,65 @@
 	default:
 		u.count(&u.failed.reset)
 	}
-	return balance.Broken // or malformed: it may have run
+	return balance.Broken // or malformed; either way the request may have run
 }
 
-// writeRequest sends a request's head and body, and returns until when its answer may take: a client's time begins with
-// its last byte. Nothing goes out behind the exchange's bound, so that a request which passes it is cut short.
-func (u *transport) writeRequest(x *exchange, c *conn, req *http.Request, m *outboundRequest, until time.Duration) (time.Duration, error) {
+// writeRequest writes a request's head and body and returns the deadline for its answer, which for an upload counts
+// from the last byte. A request that is not written completely by the exchange's sendBy is cut short.
+func (u *transport) writeRequest(x *exchange, c *conn, req *http.Request, outbound *outboundRequest, deadline time.Duration) (time.Duration, error) {
 	began := u.clock.now()
-	if m != nil && m.upload != nil {
-		last := time.Time{}
+	if outbound != nil && outbound.upload != nil {
+		sendBy := time.Time{}
 		if x.sendBy > 0 {
-			last = u.clock.at(x.sendBy)
+			sendBy = u.clock.at(x.sendBy)
 		}
-		out := bufio.NewWriterSize(stallWriter{c, last}, chunkSize)
+		out := bufio.NewWriterSize(stallWriter{c, sendBy}, chunkSize)
 		if err := req.Write(out); err != nil {
 			return 0, err
 		}
-		if m.clientAbsent() { // its last byte has not gone out
-			m.upload.interrupt()
+		if outbound.clientAbsent() { // the last byte has not been written yet
+			outbound.upload.interrupt()
 			return 0, errRequestOver
 		}
 		if err := out.Flush(); err != nil {
 			return 0, err
 		}
-		u.recordWritten(m, c, began)
-		m.upload.onSent()
-		return u.clock.now() + m.timeLeft, nil
+		u.recordWritten(outbound, c, began)
+		outbound.upload.onSent()
+		return u.clock.now() + outbound.timeLeft, nil
 	}
-	// One write: it tells whether the last byte went out.
+	// A single write shows whether the last byte went out.
 	var out bytes.Buffer
 	if err := req.Write(&out); err != nil {
 		return 0, err
 	}
-	_ = c.SetDeadline(u.clock.at(x.limitToSendBy(until))) // fails only on a closed connection, as the write then does
+	_ = c.SetDeadline(u.clock.at(x.limitToSendBy(deadline))) // fails only on a closed connection, as the write then does
 	if _, err := writeThrough(c, out.Bytes()); err != nil {
 		return 0, err
 	}
-	if m != nil {
-		u.recordWritten(m, c, began)
+	if outbound != nil {
+		u.recordWritten(outbound, c, began)
 	}
-	return until, nil
+	return deadline, nil
 }
 
-// recordWritten takes that the last byte of an attempt has gone out, which was begun at a moment.
-func (u *transport) recordWritten(m *outboundRequest, c *conn, began time.Duration) {
+// recordWritten counts an attempt whose last byte has been written, and reports it to the request's owner. began is when
+// writing began.
+func (u *transport) recordWritten(outbound *outboundRequest, c *conn, began time.Duration) {
 	u.attemptsWritten.Add(1)
-	if m.onWritten != nil {
-		m.onWritten(began, u.clock.now(), c.address)
+	if outbound.onWritten != nil {
+		outbound.onWritten(began, u.clock.now(), c.address)
 	}
 }
 
-func (u *transport) count(of *int) {
+// count adds 1 to a counter under the lock.
+func (u *transport) count(counter *int) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	*of++
+	*counter++
 }
 
-// readHead reads the head of an answer.
+// readHead reads the head of an answer, skipping interim answers.
 func (c *conn) readHead(req *http.Request) (*http.Response, error) {
 	c.answerLimit.N = maxAnswerBytes
 	for range maxInterimAnswers {
@@ -439,17 +448,17 @@
 	return nil, errors.New("too many interim answers")
 }
 
-// readBody reads the body of an answer that is held whole.
+// readBody reads the body of an answer that is buffered.
 func (c *conn) readBody(res *http.Response) ([]byte, error) {
 	body, err := io.ReadAll(io.LimitReader(res.Body, maxBufferedBody+1))
 	if err == nil && len(body) > maxBufferedBody {
-		err = errors.New("the body is too long")
+		err = errors.New("answer body exceeds the size limit")
 	}
 	return body, err
 }
 
-// getConn returns a kept connection that still stands, or opens one.
-func (u *transport) getConn(x *exchange, address string, until time.Duration) (*conn, error) {
+// getConn returns an idle connection that is still usable, or opens one.
+func (u *transport) getConn(x *exchange, address string, deadline time.Duration) (*conn, error) {
 	for {
 		c, err := u.takeIdle(address)
 		if err != nil {
@@ -464,7 +473,7 @@
 		u.count(&u.stale)
 		u.discard(c)
 	}
-	limit := min(u.dialTimeout, until-u.clock.now())
+	limit := min(u.dialTimeout, deadline-u.clock.now())
 	ctx, cancel := context.WithTimeout(context.Background(), limit)
 	defer cancel()
 	if !x.enterPhase(false, cancel) {
@@ -473,37 +482,37 @@
 	return u.dialHedged(ctx, address)
 }
 
-// dialHedged opens a connection that has been counted as open already. While it is late others are dialled beside it, as
-// long as there is room without anyone's making it; the first to end decides. The rest is called off, and what comes
-// up all the same is the pool's.
+// dialHedged opens a connection that the counter open already includes. While a dial is late, another is started, up to
+// maxParallelDials, as long as there is room without closing anything. The first dial to end decides. The others are
+// cancelled; a connection that comes up nevertheless goes to the pool.
 func (u *transport) dialHedged(ctx context.Context, address string) (*conn, error) {
-	type ended struct {
+	type dialResult struct {
 		c   *conn
 		err error
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	var decided atomic.Bool
-	first := make(chan ended, 1)
+	first := make(chan dialResult, 1)
 	dial := func() {
 		c, err := u.dialConn(ctx, address)
 		switch {
 		case decided.CompareAndSwap(false, true):
-			first <- ended{c, err}
+			first <- dialResult{c, err}
 		case err == nil:
 			u.putIdle(address, c, true)
 		}
 	}
 	for n := 1; ; n++ {
 		go dial()
-		var over <-chan time.Time
+		var late <-chan time.Time
 		if n < maxParallelDials {
-			over = u.lateDialTimer(u.dialTimeout / lateDialDivisor)
+			late = u.lateDialTimer(u.dialTimeout / lateDialDivisor)
 		}
 		select {
 		case e := <-first:
 			return e.c, e.err
-		case <-over:
+		case <-late:
 		}
 		if !u.reserveExtraDial() {
 			e := <-first
@@ -512,22 +521,23 @@
 	}
 }
 
-// localErrors are errors of socket and connect that tell of this machine, and not of the server: they are no reason to
-// think ill of it, and mostly pass at once.
+// localErrors are the errors of socket and connect that are caused by this machine. They say nothing about the server,
+// and most of them are transient.
 var localErrors = []error{
 	syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.ENOSPC, syscall.EADDRNOTAVAIL, syscall.EADDRINUSE, syscall.EAGAIN, syscall.EINTR, syscall.ENETUNREACH, syscall.ENETDOWN,
 }
 
+// isLocalError reports whether a dial failed for a reason of this machine and not of the server.
 func isLocalError(err error) bool {
 	return slices.ContainsFunc(localErrors, func(e error) bool { return errors.Is(err, e) })
 }
 
 const (
-	maxDialTries   = 4                    // of one connection, where this machine fails
-	dialRetryDelay = 5 * time.Millisecond // between them
+	maxDialTries   = 4                    // for one connection, if this machine fails
+	dialRetryDelay = 5 * time.Millisecond // between two tries
 )
 
-// dialWithRetry dials, and again after a failure of this machine's own.
+// dialWithRetry dials and retries failures of this machine.
 func (u *transport) dialWithRetry(ctx context.Context, address string) (raw net.Conn, err error) {
 	for range maxDialTries {
 		raw, err = u.dial(ctx, "tcp", address)
@@ -536,7 +546,7 @@
 		}
 		u.count(&u.failed.local)
 		select {
-		case <-u.reuseTimer(dialRetryDelay):
+		case <-u.waitTimer(dialRetryDelay):
 		case <-ctx.Done():
 			return nil, err
 		}
@@ -544,7 +554,7 @@
 	return nil, err
 }
 
-// dialConn opens a connection that has been counted as open.
+// dialConn opens a connection that the counter open already includes, and decrements the counter if it fails.
 func (u *transport) dialConn(ctx context.Context, address string) (*conn, error) {
 	raw, err := u.dialWithRetry(ctx, address)
 	if err != nil {
@@ -559,8 +569,8 @@
 	return c, nil
 }
 
-// reserveConn counts one more connection that is to be opened, if there is room that nobody has to make. The caller holds
-// the lock.
+// reserveConn counts a connection that is about to be opened, if there is room without closing anything. The
+// caller holds the lock.
 func (u *transport) reserveConn() bool {
 	if u.open >= u.maxOpen || !u.hasRoom(u.open) {
 		return false
@@ -570,7 +580,7 @@
 	return true
 }
 
-// reserveExtraDial counts one that is to be opened beside a late one, if there is room.
+// reserveExtraDial is reserveConn for a dial that runs in parallel to a late one.
 func (u *transport) reserveExtraDial() bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -581,9 +591,10 @@
 	return true
 }
 
-// openSpareConn opens a connection for requests to come, as all idle ones to an address have been used just now. So as many
-// are kept as its requests need within quietTime, each opened once and not for each wait, and those that are not needed
-// end by being idle. It is one at a time, with no other dialled where it is late, and nothing has to make room for it.
+// openSpareConn opens a connection for later requests, as all idle ones to an address have just been used. The pool
+// thus grows to what the requests within reuseDelay need, with one dial per connection instead of one per wait, and
+// shrinks again as unneeded connections reach maxIdle. At most one spare connection per address is being opened, without
+// parallel dials, and nothing is closed to make room for it.
 func (u *transport) openSpareConn(address string) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -604,35 +615,35 @@
 	}()
 }
 
-// awaitReuse waits until a connection has rested. It returns false if the exchange is given up.
+// awaitReuse waits until a connection may be reused. It returns false if the exchange is cancelled or withdrawn.
 func (u *transport) awaitReuse(x *exchange, address string, c *conn) bool {
 	now := u.clock.now()
 	if u.reusable(c, now) {
 		return true
 	}
-	off := make(chan struct{})
-	if !x.enterPhase(false, sync.OnceFunc(func() { close(off) })) {
+	givenUp := make(chan struct{})
+	if !x.enterPhase(false, sync.OnceFunc(func() { close(givenUp) })) {
 		return false
 	}
 	u.count(&u.reuseWaits)
 	u.openSpareConn(address)
 	select {
-	case <-u.reuseTimer(c.idleSince + u.reuseDelay - now):
+	case <-u.waitTimer(c.idleSince + u.reuseDelay - now):
 		return true
-	case <-off:
+	case <-givenUp:
 		return false
 	}
 }
 
-// reusable tells whether nothing can come on a connection any more, as it has been idle for quietTime, or nothing was
-// ever asked on it.
+// reusable reports whether no late answer can arrive on a connection any more: it has been idle for reuseDelay, or has
+// carried no exchange.
 func (u *transport) reusable(c *conn, now time.Duration) bool {
 	return !c.reused || c.idleSince <= now-u.reuseDelay
 }
 
-// takeIdle returns the idle connection that was used last of those that have rested, else the one that will have been
-// first; or nil once it has counted a new one that is to be opened. At the limit an idle connection to another server
-// makes room.
+// takeIdle removes a connection from the pool: the most recently used of those that are reusable, else the one that
+// will be reusable first. If there is none it counts a connection that the caller is to open and returns nil; at the limit
+// an idle connection to another server is closed for it.
 func (u *transport) takeIdle(address string) (*conn, error) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -641,7 +652,7 @@
 	for i > 0 && !u.reusable(list[i], now) {
 		i--
 	}
-	if i >= 0 && list[i].idleSince <= now-u.maxIdle { // it is too old, and so are those before it
+	if i >= 0 && list[i].idleSince <= now-u.maxIdle { // connections before it are older still
 		u.closeFirstIdle(address, i+1)
 		list, i = u.idle[address], 0
 	}
@@ -651,41 +662,43 @@
 		return c, nil
 	}
 	if (u.open >= u.maxOpen || !u.makeRoom(u.open)) && !u.closeOldestIdle() {
-		return nil, errors.New("no descriptor is left for a connection")
+		return nil, errors.New("connection limit reached, and no idle connection to close")
 	}
 	u.open++
 	u.dialled++
 	return nil, nil
 }
 
-// countIdleSince counts the connections to an address that have been idle since then or longer. The caller holds the lock.
-func (u *transport) countIdleSince(address string, then time.Duration) int {
+// countIdleSince returns the number of connections to an address that have been idle since then or longer. The caller
+// holds the lock.
+func (u *transport) countIdleSince(address string, since time.Duration) int {
 	n := 0
 	for _, c := range u.idle[address] {
-		if c.idleSince <= then {
+		if c.idleSince <= since {
 			n++
 		}
 	}
 	return n
 }
 
-// connectionCount tells how many there are, in use, idle or being opened.
+// connectionCount returns the number of connections that are idle, in use or being opened.
 func (u *transport) connectionCount() int {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return u.open
 }
 
-// setMaxConnections allows so many connections from now on, and closes idle ones above that.
-func (u *transport) setMaxConnections(most int) {
+// setMaxConnections sets the limit of connections and closes idle ones above it.
+func (u *transport) setMaxConnections(limit int) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.maxOpen = most
-	for u.open > most && u.closeOldestIdle() {
+	u.maxOpen = limit
+	for u.open > limit && u.closeOldestIdle() {
 	}
 }
 
-// closeOldestIdle closes the connection that has been idle longest, if there is one. The caller holds the lock.
+// closeOldestIdle closes the connection that has been idle longest, and reports whether there was one. The caller holds
+// the lock.
 func (u *transport) closeOldestIdle() bool {
 	oldest, since := "", time.Duration(math.MaxInt64)
 	for a, list := range u.idle {
@@ -700,7 +713,7 @@
 	return true
 }
 
-// closeFirstIdle closes the first n idle connections to an address. The caller holds the lock.
+// closeFirstIdle closes the n connections to an address that have been idle longest. The caller holds the lock.
 func (u *transport) closeFirstIdle(address string, n int) {
 	list := u.idle[address]
 	for _, c := range list[:n] {
@@ -714,9 +727,10 @@
 	}
 }
 
-// putIdle puts a connection back. Where it was not used, its server has counted it as idle all the while.
+// putIdle returns a connection to the pool. An unused connection keeps its idleSince, as its server has counted it as
+// idle all along.
 func (u *transport) putIdle(address string, c *conn, unused bool) {
-	_ = c.SetDeadline(time.Time{}) // a closed one is found out before it is used
+	_ = c.SetDeadline(time.Time{}) // fails only on a closed connection, which takeIdle's callers detect
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if !unused {
@@ -728,7 +742,7 @@
 	}
 }
 
-// closeExpired closes the connections that have been idle for too long.
+// closeExpired closes the connections that have been idle for maxIdle, and schedules its next run.
 func (u *transport) closeExpired() {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -756,6 +770,7 @@
 	u.closeFirstIdle(address, len(u.idle[address]))
 }
 
+// discard closes a connection that is not in the pool.
 func (u *transport) discard(c *conn) {
 	c.Conn.Close()
 	u.mu.Lock()
@@ -763,24 +778,24 @@
 	u.mu.Unlock()
 }
 
-// usable tells whether an idle connection still stands: its server has neither closed or reset it
-// (at its idle time-out, when it drains, when it restarts) nor sent what nobody asked for.
+// usable reports whether the server of an idle connection has neither closed nor reset it, as servers do at their idle
+// time-out or when they drain or restart, nor sent unexpected bytes.
 func (c *conn) usable() bool {
 	raw, err := c.Conn.(*net.TCPConn).SyscallConn()
 	if err != nil {
 		return false
 	}
-	standing := false
+	open := false
 	err = raw.Read(func(fd uintptr) bool {
 		var b [1]byte
 		_, err := syscall.Read(int(fd), b[:])
-		standing = err == syscall.EAGAIN
+		open = err == syscall.EAGAIN
 		return true // never wait
 	})
-	return err == nil && standing
+	return err == nil && open
 }
 
-// counters are for the log.
+// counters returns the transport's counters for the log, by name.
 func (u *transport) counters() map[string]int {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -791,7 +806,8 @@
 	}
 }
 
-// parseLoad reads a report of the form "TEXT name=value, name=value".
+// parseLoad parses a load report of the form "TEXT name=value, name=value". Fields that are missing or malformed count as
+// absent.
 func (u *transport) parseLoad(report string) balance.Load {
 	report, ok := strings.CutPrefix(strings.TrimSpace(report), "TEXT ")
 	if !ok {
--- a/internal/sidecar/upstream_test.go
+++ b/internal/sidecar/upstream_test.go
@@ -151,7 +151,7 @@
 // unrested has a request wait until quiet is closed wherever no connection has rested; waits hears of it.
 func (u *transport) unrested() (waits chan time.Duration, quiet chan time.Time) {
 	waits, quiet = make(chan time.Duration, 10), make(chan time.Time)
-	u.reuseTimer = func(d time.Duration) <-chan time.Time { waits <- d; return quiet }
+	u.waitTimer = func(d time.Duration) <-chan time.Time { waits <- d; return quiet }
 	u.reuseDelay = u.maxIdle // however long the test is held up, it has not passed
 	return waits, quiet
 }
