--- a/internal/sidecar/stream.go
+++ b/internal/sidecar/stream.go
@@ -15,37 +15,38 @@
 )
 
 const (
-	maxRequestBody     = 32 << 20                // bytes of a request's body at most
-	bodyBaseTime       = 2700 * time.Millisecond // a client may take this long over a request, and
-	minBodyRate        = 48 << 10                // a second more for each so many bytes of its body,
-	bodyStallTimeout   = 2 * time.Second         // but may not stand still for so long; a peer that connects is owed an end in 3 s
-	clientStallTimeout = 15 * time.Second        // a client may leave its answer unread: the room for 64 kB/s is told in steps of 6 s
-	chunkSize          = 16 << 10                // bytes of a piece of a long answer,
-	maxQueuedChunks    = 4                       // of which so many wait for the client
-	streamStartDelay   = 10 * time.Millisecond   // an answer whose length is not told begins so long after its head
+	maxRequestBody     = 32 << 20                // bytes
+	bodyBaseTime       = 2700 * time.Millisecond // how long a client may take over a request, without the time that minBodyRate adds
+	minBodyRate        = 48 << 10                // bytes a second; each byte of the body extends the time accordingly
+	bodyStallTimeout   = 2 * time.Second         // longest pause within a body; a connection that stalls has to be closed within 3 s
+	clientStallTimeout = 15 * time.Second        // how long a client may read nothing; at 64 kB/s its kernel opens the receive window only every 6 s
+	chunkSize          = 16 << 10                // bytes of a chunk of a streamed answer
+	maxQueuedChunks    = 4                       // chunks read from the server that wait for the client
+	streamStartDelay   = 10 * time.Millisecond   // an answer of unknown length that is not complete this long after its head is streamed
 )
 
 var (
-	errRequestOver    = errors.New("its request is over")
-	errBodyTooLarge   = errors.New("the body is too long")
-	errAnswerCutShort = errors.New("the server's answer broke off")
+	errRequestOver    = errors.New("the request has ended")
+	errBodyTooLarge   = errors.New("request body exceeds the size limit")
+	errAnswerCutShort = errors.New("the server's answer was cut short")
 )
 
-// pacedBody reads a request's body, and bounds the time that its client takes: it may be slow, but neither drip
-// nor stop. Time that passes between reads is the sidecar's own.
+// pacedBody reads a request's body and limits the time that its client takes: the client may be slow, but not stop or send
+// single bytes. The time between two reads is the sidecar's own and does not count.
 type pacedBody struct {
 	body            io.Reader
-	setReadDeadline func(time.Time) error // sets that of the connection's reads
-	clientTime      time.Duration         // for the client, its head included
-	bytesRead       int64                 // bytes so far
+	setReadDeadline func(time.Time) error // of the connection
+	clientTime      time.Duration         // spent waiting for the client, from the request's head on
+	bytesRead       int64
 }
 
-// readDeadline is when the next byte has to come.
+// readDeadline returns the moment by which the next byte has to arrive.
 func (p *pacedBody) readDeadline(now time.Time) time.Time {
-	left := bodyBaseTime + time.Duration(p.bytesRead)*time.Second/minBodyRate - p.clientTime
-	return now.Add(min(left, bodyStallTimeout))
+	timeLeft := bodyBaseTime + time.Duration(p.bytesRead)*time.Second/minBodyRate - p.clientTime
+	return now.Add(min(timeLeft, bodyStallTimeout))
 }
 
+// Read reads from the body under the client's deadline. It fails with errBodyTooLarge above maxRequestBody.
 func (p *pacedBody) Read(b []byte) (int, error) {
 	now := time.Now()
 	_ = p.setReadDeadline(p.readDeadline(now)) // fails only on a closed connection, as the read then does
@@ -55,28 +56,28 @@
 		return n, errBodyTooLarge
 	}
 	if err == io.EOF {
-		_ = p.setReadDeadline(time.Time{}) // what the client waits for now is its answer
+		_ = p.setReadDeadline(time.Time{}) // the client now waits for its answer
 	}
 	return n, err
 }
 
-// upload is the part of a request's body that is not held. It is read once, by the attempt that sends it on.
+// upload is the part of a request's body that is not buffered. It is read once, by the attempt that forwards it.
 type upload struct {
 	body     *pacedBody
-	onSent   func()      // hears that the last byte has gone out
-	readErr  chan error  // hears why it did not come, from the client's side
+	onSent   func()      // called when the last byte has been written to the server
+	readErr  chan error  // receives the error if the client does not send all of it
 	consumed atomic.Bool // part of it has been read
-	complete atomic.Bool // all of it has
-	stopped  atomic.Bool // nobody may read on
+	complete atomic.Bool // all of it has been read
+	stopped  atomic.Bool // further reads fail
 
 	mu              sync.Mutex // held by a read under way
 	setReadDeadline func(time.Time) error
 }
 
-// newUpload makes the rest of a body that has come in part.
+// newUpload returns an upload of the rest of a body that has been read in part.
 func newUpload(body *pacedBody) *upload {
 	u := &upload{body: body, readErr: make(chan error, 1), setReadDeadline: body.setReadDeadline}
-	body.setReadDeadline = func(t time.Time) error { // a read under way may set its own behind that of interrupt
+	body.setReadDeadline = func(t time.Time) error { // a read under way may set its deadline after interrupt has set its own
 		err := u.setReadDeadline(t)
 		if u.stopped.Load() {
 			err = u.setReadDeadline(time.Unix(1, 0))
@@ -86,6 +87,7 @@
 	return u
 }
 
+// Read reads on in the body, until interrupt is called.
 func (u *upload) Read(b []byte) (int, error) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -103,8 +105,8 @@
 	return n, err
 }
 
-// interrupt ends the read under way and lets none follow. Behind the body's end the connection's reads are net/http's, which
-// looks for its client's leaving by them.
+// interrupt ends the read under way and makes further ones fail. After the end of the body the connection's reads belong
+// to net/http, which detects by them that the client leaves.
 func (u *upload) interrupt() {
 	u.stopped.Store(true)
 	if u.complete.Load() {
@@ -113,26 +115,27 @@
 	_ = u.body.setReadDeadline(time.Unix(1, 0)) // fails only on a closed connection
 }
 
-// stop returns once nobody reads any more: from then on the body is the handler's own again.
+// stop interrupts the upload and returns once no read is under way: the body then belongs to its handler again.
 func (u *upload) stop() {
 	u.interrupt()
 	u.mu.Lock()
 	defer u.mu.Unlock()
 }
 
-// drain reads what its client still sends of a request that has its answer: a close in the middle of that could
-// take the answer from it.
+// drain reads the rest of a body whose request has been answered: closing the connection before that could destroy the
+// answer on its way to the client.
 func (u *upload) drain() {
 	u.body.setReadDeadline = u.setReadDeadline
-	_, _ = io.Copy(io.Discard, u.body) // an error ends the connection, by what is left unread
+	_, _ = io.Copy(io.Discard, u.body) // after an error the unread bytes end the connection
 }
 
-// stallWriter writes a long body to a server, which may read it slowly but not stand still.
+// stallWriter writes a long body to a server, which may read it slowly but not stop reading.
 type stallWriter struct {
 	*conn
-	sendBy time.Time // nothing is written behind it; zero: no such bound
+	sendBy time.Time // nothing is written after it; zero means no bound
 }
 
+// Write writes all of b, with a deadline that starts anew with each call.
 func (s stallWriter) Write(b []byte) (int, error) {
 	until := time.Now().Add(serverStallTimeout)
 	if !s.sendBy.IsZero() && s.sendBy.Before(until) {
@@ -142,66 +145,67 @@
 	return writeThrough(s.conn, b)
 }
 
-// chunkPool has the buffers that long answers go through.
+// chunkPool holds the buffers of streamed answers.
 var chunkPool = sync.Pool{New: func() any { return new([chunkSize]byte) }}
 
-// chunk is a part of a long answer, in a buffer of the pool.
+// chunk is a part of a streamed answer, in a buffer from chunkPool.
 type chunk struct {
 	buffer *[chunkSize]byte
 	n      int
 }
 
-// stream is an answer that is passed on as it comes: from its server's connection by the attempt's goroutine, to the
-// client by its handler. Between them wait some pieces; whoever is faster waits for the other.
+// stream is an answer that is passed on as it arrives. The attempt's goroutine reads it from the server's connection and
+// the client's handler writes it; between them a few chunks are queued, and the faster side waits for the other.
 type stream struct {
 	res      *http.Response
 	conn     *conn
 	exchange *exchange
 	clock    clock
-	onBegin  func(*http.Response, *stream) // hears that the answer has begun
+	onBegin  func(*http.Response, *stream) // called when the answer begins to be passed on
 
 	mu              sync.Mutex
 	pace            policy.AnswerPace
-	begun           bool
-	beginOnNextByte bool   // it is to begin with its next byte
-	buffered        []byte // what came before it began
+	begun           bool   // onBegin has been called, or will not be
+	beginOnNextByte bool   // do not wait for the end or for a full buffer
+	buffered        []byte // read before the stream began
 
-	chunks     chan chunk    // what has come since; closed at its end
-	err        error         // what broke it; set before pieces is closed
-	clientGone chan struct{} // closed where the client has left
+	chunks     chan chunk    // read since; closed at the end
+	err        error         // why the answer is incomplete; set before chunks is closed
+	clientGone chan struct{} // closed by abort
 	abortOnce  sync.Once
 }
 
-func newStream(res *http.Response, c *conn, x *exchange, clock clock) *stream {
+// newStream returns a stream of an answer whose head has been read.
+func newStream(res *http.Response, c *conn, exchange *exchange, clock clock) *stream {
 	return &stream{
-		res: res, conn: c, exchange: x, clock: clock, pace: policy.NewAnswerPace(clock.now(), x.clientDeadline), beginOnNextByte: res.ContentLength > maxBufferedBody,
+		res: res, conn: c, exchange: exchange, clock: clock, pace: policy.NewAnswerPace(clock.now(), exchange.clientDeadline), beginOnNextByte: res.ContentLength > maxBufferedBody,
 		chunks: make(chan chunk, maxQueuedChunks), clientGone: make(chan struct{}),
 	}
 }
 
-// contentLength is what the answer tells of its body's length, or -1.
+// contentLength returns the announced length of the body, or -1.
 func (s *stream) contentLength() int64 { return s.res.ContentLength }
 
-// extendReadDeadline sets by when the next bytes have to come. The caller holds the lock.
+// extendReadDeadline sets the moment by which the next bytes have to arrive. The caller holds the lock.
 func (s *stream) extendReadDeadline() {
 	_ = s.conn.SetReadDeadline(s.clock.at(s.pace.Wait(s.clock.now()))) // fails only on a closed connection, as the read then does
 }
 
-// run reads the answer from its connection. One that ends before it has begun is returned whole; else begin hears
-// that it has, and run returns when it has ended.
-func (s *stream) run(begin func(*http.Response, *stream)) ([]byte, error) {
-	s.onBegin = begin
-	hold := time.AfterFunc(streamStartDelay, s.beginBuffered)
-	defer hold.Stop()
+// run reads the answer from its connection until it ends. An answer that is complete before it is long enough to be
+// streamed is returned as a whole; otherwise onBegin is called and run passes the answer on.
+func (s *stream) run(onBegin func(*http.Response, *stream)) ([]byte, error) {
+	s.onBegin = onBegin
+	start := time.AfterFunc(streamStartDelay, s.beginBuffered)
+	defer start.Stop()
 	defer close(s.chunks)
 	for {
-		p := chunk{buffer: chunkPool.Get().(*[chunkSize]byte)}
+		c := chunk{buffer: chunkPool.Get().(*[chunkSize]byte)}
 		var err error
-		p.n, err = s.res.Body.Read(p.buffer[:])
-		begun, whole := s.receive(&p, err)
-		s.enqueue(p)
+		c.n, err = s.res.Body.Read(c.buffer[:])
+		begun, complete := s.receive(&c, err)
+		s.enqueue(c)
 		switch {
-		case whole:
+		case complete:
 			return s.buffered, nil
 		case err == io.EOF:
 			return nil, nil
@@ -214,13 +218,14 @@
 	}
 }
 
-// beginLocked begins the answer. The caller holds the lock.
+// beginLocked begins to pass the answer on. The caller holds the lock.
 func (s *stream) beginLocked() {
 	s.begun = true
 	s.onBegin(s.res, s)
 }
 
-// beginBuffered begins an answer whose length is not told and that has come in part by now.
+// beginBuffered begins an answer of unknown length that is not complete after streamStartDelay, if any byte of its body has
+// arrived; otherwise it begins with the next byte.
 func (s *stream) beginBuffered() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -231,43 +236,44 @@
 	}
 }
 
-// receive takes what a read has brought, and empties the piece where that is held. begun: the answer has begun; whole: it has come whole
-// before, and is all held.
-func (s *stream) receive(p *chunk, err error) (begun, whole bool) {
+// receive handles the result of a read. Before the stream begins it moves the bytes to the buffer and empties the chunk.
+// begun reports whether the stream has begun, complete whether the whole answer is in the buffer.
+func (s *stream) receive(c *chunk, err error) (begun, complete bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.pace.Came(s.clock.now(), p.n)
+	s.pace.Came(s.clock.now(), c.n)
 	if s.begun {
 		return true, false
 	}
-	some := p.n > 0
-	s.buffered = append(s.buffered, p.buffer[:p.n]...)
-	p.n = 0
+	gotBytes := c.n > 0
+	s.buffered = append(s.buffered, c.buffer[:c.n]...)
+	c.n = 0
 	switch {
 	case err == io.EOF && len(s.buffered) <= maxBufferedBody:
-		s.begun = true // nothing is left to begin
+		s.begun = true // complete, so it is not streamed
 		return true, true
 	case err != nil && err != io.EOF:
 		s.begun = true
-	case len(s.buffered) > maxBufferedBody || s.beginOnNextByte && some:
+	case len(s.buffered) > maxBufferedBody || s.beginOnNextByte && gotBytes:
 		s.beginLocked()
 	}
 	return s.begun, false
 }
 
-// enqueue hands a piece to the client's handler, unless the client has gone.
-func (s *stream) enqueue(p chunk) {
-	if p.n > 0 {
+// enqueue passes a chunk to the client's handler, or drops it if it is empty or the client has left.
+func (s *stream) enqueue(c chunk) {
+	if c.n > 0 {
 		select {
-		case s.chunks <- p:
+		case s.chunks <- c:
 			return
 		case <-s.clientGone:
 		}
 	}
-	chunkPool.Put(p.buffer)
+	chunkPool.Put(c.buffer)
 }
 
-// continueReading waits for more of an answer that has begun, however long it is: bounded is what is held of it.
+// continueReading allows the next read of an answer that has begun. Its total length is not limited, as only a few chunks
+// of it are in memory.
 func (s *stream) continueReading() {
 	s.conn.answerLimit.N = math.MaxInt64
 	s.mu.Lock()
@@ -275,7 +281,7 @@
 	s.extendReadDeadline()
 }
 
-// abort ends a stream that its client does not wait for any more.
+// abort ends the stream because its client has left, and cancels the exchange.
 func (s *stream) abort() {
 	s.abortOnce.Do(func() {
 		close(s.clientGone)
@@ -283,7 +289,8 @@
 	})
 }
 
-// copyTo passes a stream on as it comes, until its end, an error or the client's leaving.
+// copyTo writes the stream to the client as it arrives, until its end or an error, or until ctx ends. Every write has to
+// be taken within clientStallTimeout.
 func (s *stream) copyTo(ctx context.Context, w http.ResponseWriter) error {
 	out := http.NewResponseController(w)
 	write := func(b []byte) error {
@@ -298,15 +305,15 @@
 	}
 	for {
 		select {
-		case p, more := <-s.chunks:
+		case c, more := <-s.chunks:
 			if !more && s.err != nil {
 				return fmt.Errorf("%w: %w", errAnswerCutShort, s.err)
 			}
 			if !more {
 				return nil
 			}
-			err := write(p.buffer[:p.n])
-			chunkPool.Put(p.buffer)
+			err := write(c.buffer[:c.n])
+			chunkPool.Put(c.buffer)
 			if err != nil {
 				return err
 			}
--- a/internal/sidecar/upstream.go
+++ b/internal/sidecar/upstream.go
@@ -46,8 +46,8 @@
 	method   string
 	url      *url.URL
 	host     string
-	header   http.Header // end-to-end headers, not to be modified
-	body     []byte // the whole body, or the part of it that is buffered
+	header   http.Header   // end-to-end headers, not to be modified
+	body     []byte        // the whole body, or the part of it that is buffered
 	upload   *upload       // the part of the body after the buffered part; nil if there is none
 	length   int64         // of the whole body, or -1 if unknown
 	timeLeft time.Duration // with upload: how long the client waits from its last byte on, less the time spent on getting a connection
