--- a/internal/sidecar/discovery.go
+++ b/internal/sidecar/discovery.go
@@ -20,55 +20,55 @@
 )
 
 const (
-	minWatchWait   = 10 * time.Second // how long discovery may hold a watch, at least
-	maxWatchWait   = 20 * time.Second // and at most: each draws its own, or watches that fall silent together would all be opened anew together
-	firstWatchWait = time.Millisecond // and the first after a start or a failure: the module waits for word
+	minWatchWait   = 10 * time.Second // shortest time for which discovery is asked to hold a watch
+	maxWatchWait   = 20 * time.Second // longest; drawn anew for each watch, so that watches that stop answering together are not reopened together
+	firstWatchWait = time.Millisecond // for the first watch after a start or a failure: the module waits for an answer
 
-	// Limits of calls. What a silent one misses counts as told 2 s after its wait, or 6 s after it fell silent, 4 s after a SIGHUP, and 6 s
-	// after discovery could be reached, whatever failed before: by then the next one has to be answered, and in turn after other sidecars'
-	// (docs/list.md).
-	watchAnswerTimeout  = 750 * time.Millisecond  // for the answer of a watch, behind its wait
-	callTimeout         = 2500 * time.Millisecond // for that of another call,
-	retryCallTimeout    = 4 * time.Second         // where two before were silent: discovery may have a long queue
-	longListTimeout     = 6 * time.Second         // where two before were, and the last had begun to answer: lists may be long
-	connectTimeout      = 400 * time.Millisecond  // for the connection: a lost packet or a machine that is off costs no more,
-	maxConnectDoublings = 2                       // doubled so often at most, after each that did not come up
+	// Limits of calls. A change that an unanswered call misses must be known 2 s after the end of that watch's wait, or 6 s
+	// after the call stopped answering, 4 s after a SIGHUP, or 6 s after discovery became reachable again, whatever failed
+	// before. The next call has to be answered by then, although other sidecars' calls may come first (docs/list.md).
+	watchAnswerTimeout  = 750 * time.Millisecond  // for the answer to a watch, after its wait
+	callTimeout         = 2500 * time.Millisecond // for the answer to any other call
+	retryCallTimeout    = 4 * time.Second         // instead of callTimeout after two unanswered calls: discovery may have a long queue
+	longListTimeout     = 6 * time.Second         // instead of callTimeout after two, if the second answer had begun: the list may be long
+	connectTimeout      = 400 * time.Millisecond  // for a connection; bounds the cost of a lost packet or of a machine that is off
+	maxConnectDoublings = 2                       // how often connectTimeout is doubled at most, once after each connection that timed out
 
-	minRetryDelay  = 200 * time.Millisecond
-	maxRetryDelay  = 500 * time.Millisecond // with jitter and a call within 1 s: what was pushed meanwhile counts once discovery is back
-	staleListDelay = 2 * time.Second        // and between whole lists, or to wait for changes, where its word is older than what is held
+	minRetryDelay  = 200 * time.Millisecond // first delay after a failed call
+	maxRetryDelay  = 500 * time.Millisecond // a call within 1 s, jitter included: pushed changes count as soon as discovery is back
+	staleListDelay = 2 * time.Second        // between calls for whole lists while answers are older than the list held, and the wait of watches then
 	maxListBytes   = 8 << 20                // bytes of one answer; far above any real list
 )
 
-// errSilent says that a call got no answer within its limit, errCut that it got the beginning of one.
+// errNoAnswer means that a call was not answered within its limit, errAnswerIncomplete that the answer had begun.
 var (
-	errNoAnswer         = errors.New("discovery gave no answer")
-	errAnswerIncomplete = errors.New("the answer had begun")
+	errNoAnswer         = errors.New("no answer from discovery")
+	errAnswerIncomplete = errors.New("the answer is incomplete")
 )
 
-// unknownVersion is no version: the whole list is needed.
+// unknownVersion stands for no version: the whole list is needed.
 const unknownVersion = int64(-1)
 
-// listing is one answer of discovery.
+// listing is an answer of discovery: the whole list, or the changes since an earlier version.
 type listing struct {
 	version    int64
 	whole      bool
 	servers    []balance.Server
 	addresses  map[balance.ServerID]string
-	rawEntries map[balance.ServerID]json.RawMessage // the entries as they came
+	rawEntries map[balance.ServerID]json.RawMessage // the entries as received
 }
 
-// serverID names a server by a hash of its instanceId: the same at every sidecar and after a
-// restart, as the module spreads the sidecars over the servers by the order of their ids.
+// serverID derives a server's ID from its instanceId by a hash. The ID is the same at every sidecar and after a restart, as
+// the module distributes the sidecars over the servers by the order of their IDs.
 func serverID(instance string) balance.ServerID {
 	h := fnv.New64a()
-	_, _ = io.WriteString(h, instance) // a hash takes everything
+	_, _ = io.WriteString(h, instance) // a hash never returns an error
 	return balance.ServerID(h.Sum64())
 }
 
-// parseListing reads an answer. One malformed entry makes the whole answer unusable.
+// parseListing parses an answer of discovery. A single malformed entry makes the whole answer unusable.
 func parseListing(raw []byte, zones map[string]int) (listing, error) {
-	var answer struct {
+	var parsed struct {
 		Generation *int64
 		Reset      bool
 		Instances  []json.RawMessage
@@ -82,43 +82,43 @@
 		Weight      float64
 		StartedAtMs float64
 	}
-	if err := json.Unmarshal(raw, &answer); err != nil {
+	if err := json.Unmarshal(raw, &parsed); err != nil {
 		return listing{}, err
 	}
-	if answer.Generation == nil {
-		return listing{}, errors.New("no generation")
+	if parsed.Generation == nil {
+		return listing{}, errors.New("the answer has no generation")
 	}
-	l := listing{version: *answer.Generation, whole: answer.Reset, addresses: make(map[balance.ServerID]string)}
-	l.rawEntries = make(map[balance.ServerID]json.RawMessage, len(answer.Instances))
-	for i, raw := range answer.Instances {
-		var e instance
-		if err := json.Unmarshal(raw, &e); err != nil {
+	l := listing{version: *parsed.Generation, whole: parsed.Reset, addresses: make(map[balance.ServerID]string)}
+	l.rawEntries = make(map[balance.ServerID]json.RawMessage, len(parsed.Instances))
+	for i, raw := range parsed.Instances {
+		var entry instance
+		if err := json.Unmarshal(raw, &entry); err != nil {
 			return listing{}, fmt.Errorf("instance %d: %w", i, err)
 		}
-		if e.InstanceID == "" {
+		if entry.InstanceID == "" {
 			return listing{}, fmt.Errorf("instance %d has no instanceId", i)
 		}
-		s := balance.Server{ID: serverID(e.InstanceID), Cell: e.Cell, Weight: e.Weight}
+		s := balance.Server{ID: serverID(entry.InstanceID), Cell: entry.Cell, Weight: entry.Weight}
 		var known bool
-		if s.Zone, known = zones[e.Zone]; !known { // below 0, and each its own: a repeat may be bound to a zone
-			s.Zone = -1 - int(serverID(e.Zone)>>2)
+		if s.Zone, known = zones[entry.Zone]; !known { // a negative number for each unknown zone, as a retry may be restricted to a zone
+			s.Zone = -1 - int(serverID(entry.Zone)>>2)
 		}
-		if e.StartedAtMs > math.MaxInt64/float64(time.Millisecond)/2 { // no time of this clock
-			return listing{}, fmt.Errorf("instance %s: startedAtMs is %v", e.InstanceID, e.StartedAtMs)
+		if entry.StartedAtMs > math.MaxInt64/float64(time.Millisecond)/2 { // out of the clock's range
+			return listing{}, fmt.Errorf("instance %s: startedAtMs %v is out of range", entry.InstanceID, entry.StartedAtMs)
 		}
-		s.Started = time.Duration(max(0, e.StartedAtMs) * float64(time.Millisecond))
-		switch e.Lifecycle {
+		s.Started = time.Duration(max(0, entry.StartedAtMs) * float64(time.Millisecond))
+		switch entry.Lifecycle {
 		case "ready":
 			s.State = balance.Ready
 		case "gone":
 			s.State = balance.Gone
 		default:
-			s.State = balance.Draining // nothing new, whatever it is
+			s.State = balance.Draining // an unknown lifecycle: send nothing new
 		}
-		if _, _, err := net.SplitHostPort(e.HostPort); err == nil {
-			l.addresses[s.ID] = e.HostPort
+		if _, _, err := net.SplitHostPort(entry.HostPort); err == nil {
+			l.addresses[s.ID] = entry.HostPort
 		} else if s.State != balance.Gone {
-			return listing{}, fmt.Errorf("instance %s: hostPort: %w", e.InstanceID, err)
+			return listing{}, fmt.Errorf("instance %s: hostPort: %w", entry.InstanceID, err)
 		}
 		l.servers = append(l.servers, s)
 		l.rawEntries[s.ID] = raw
@@ -126,58 +126,59 @@
 	return l, nil
 }
 
-// discovery follows the list of servers and hands what it learns to the loop.
+// discovery is the client of the discovery service. It follows the server list and passes what it learns to the loop.
 type discovery struct {
-	zones             map[string]int
-	subscribeRequests chan struct{} // where the list must be asked for: the module did
-	onListing         func(listing)
-	onFailure         func()
+	zones             map[string]int // zone by name
+	subscribeRequests chan struct{}  // the module's requests to subscribe; nil where lists are pushed
+	onListing         func(listing)  // called with each list or change to apply
+	onFailure         func()         // called after each failed call
 	client            http.Client
 
-	applyMu            sync.Mutex  // held while news go on to the loop, so that they do so in order
-	list               *serverList // of the list that the loop holds; changed only with taking held
+	applyMu            sync.Mutex  // held while a list is applied and passed on, which keeps the order
+	list               *serverList // the list that the loop has; changed only with applyMu held
 	now                func() time.Duration
-	random             func() float64 // from 0 to 1: a watch's part between the shortest and the longest
-	sleep              func(context.Context, time.Duration)
-	saveList           func(v *serverList, durable bool)
+	random             func() float64                       // from 0 to 1; places a watch's wait between minWatchWait and maxWatchWait
+	sleep              func(context.Context, time.Duration) // sleepJittered, replaced in tests
+	saveList           func(v *serverList, durable bool)    // stores the list; durable means at once
 	dial               func(ctx context.Context, network, address string) (net.Conn, error)
-	timeouts           int  // calls other than watches that got no answer in time, one after the other
-	lastTimeoutPartial bool // the last of them had begun to answer
+	timeouts           int  // unanswered calls in a row, without watches
+	lastTimeoutPartial bool // the last of them had begun to be answered
 
 	connectTimeout, minRetryDelay, maxRetryDelay time.Duration
 
 	mu              sync.Mutex
 	address         string
-	cancelCalls     context.CancelFunc // ends what is under way at that address
+	cancelCalls     context.CancelFunc // ends the calls to the current address
 	counts          callCounts
-	connectTimeouts int // connections that did not come up in time, one after the other
+	connectTimeouts int // connections in a row that timed out
 }
 
-// callCounts count what discovery was asked, for the log: all sidecars share its one capacity.
+// callCounts counts the calls to discovery, for the log: all sidecars share its capacity.
 type callCounts struct {
 	wholeLists   int // calls for the whole list
-	wholeAnswers int // answers that were whole lists
-	watches      int // and for changes
-	failed       int // of both
-	entries      int // entries that the answers held
+	wholeAnswers int // answers with the whole list
+	watches      int // calls for changes
+	failed       int // calls of either kind that failed
+	entries      int // entries in the answers
 }
 
-func newDiscovery(cfg *Config, heard func(listing), failed func()) *discovery {
-	d := &discovery{address: cfg.Discovery, zones: cfg.Zones, onListing: heard, onFailure: failed, now: newClock().now, sleep: sleepJittered}
+// newDiscovery returns a discovery client that starts from the configuration's list.
+func newDiscovery(cfg *Config, onListing func(listing), onFailure func()) *discovery {
+	d := &discovery{address: cfg.Discovery, zones: cfg.Zones, onListing: onListing, onFailure: onFailure, now: newClock().now, sleep: sleepJittered}
 	d.list, d.saveList = restoreServerList(cfg, savedList{}, time.Time{}, d.now()), func(*serverList, bool) {}
 	d.random, d.dial = rand.Float64, new(net.Dialer).DialContext
 	d.connectTimeout, d.minRetryDelay, d.maxRetryDelay = connectTimeout, minRetryDelay, maxRetryDelay
 	if cfg.Policy.AskList {
 		d.subscribeRequests = make(chan struct{}, 1)
-	} else if grace := cfg.DrainGrace; grace > 0 { // what is pushed counts at once, with or without a watch
+	} else if grace := cfg.DrainGrace; grace > 0 { // pushed changes count as soon as discovery can be reached
 		d.connectTimeout, d.minRetryDelay, d.maxRetryDelay = min(connectTimeout, grace/3), min(minRetryDelay, grace/6), min(maxRetryDelay, grace/3)
 	}
-	// Calls to discovery change nothing there, so the standard client may repeat one on a new connection.
+	// Calls change nothing at discovery, so http.Transport may resend one on a new connection.
 	d.client.Transport = &http.Transport{MaxIdleConns: 1, DisableCompression: true, DialContext: d.connect}
 	return d
 }
 
-// connect opens a connection to discovery, with a limit of its own.
+// connect opens a connection to discovery with connectTimeout, doubled after connections that timed out.
 func (d *discovery) connect(ctx context.Context, network, address string) (net.Conn, error) {
 	d.mu.Lock()
 	limit := d.connectTimeout << d.connectTimeouts
@@ -195,15 +196,15 @@
 	return conn, err
 }
 
-// subscribe takes that the module wants to be subscribed to the list.
+// subscribe handles the module's request to subscribe to the list.
 func (d *discovery) subscribe() {
 	select {
 	case d.subscribeRequests <- struct{}{}:
-	default: // already asked, or the list is pushed
+	default: // already requested, or the list is pushed
 	}
 }
 
-// setAddress goes on at another address, at once: what the old one is waited on for does not come there any more.
+// setAddress switches to another address of discovery at once: calls to the old one are cancelled.
 func (d *discovery) setAddress(address string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -217,7 +218,7 @@
 	}
 }
 
-// enterAddress returns the address, and a context that ends with the stay there.
+// enterAddress returns the current address, and a context that ends when the address changes.
 func (d *discovery) enterAddress(ctx context.Context) (context.Context, string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -225,55 +226,56 @@
 	return ctx, d.address
 }
 
-// run follows the list until ctx ends, at one address after the other.
+// run follows the list until ctx ends, at one address after another.
 func (d *discovery) run(ctx context.Context) {
 	for moved := false; ctx.Err() == nil; moved = true {
-		here, address := d.enterAddress(ctx)
+		addressCtx, address := d.enterAddress(ctx)
 		d.applyMu.Lock()
-		d.list.setSource(address, d.now()) // whether versions are the same elsewhere is not told
+		d.list.setSource(address, d.now()) // versions of another address need not be comparable
 		d.timeouts = 0
 		d.applyMu.Unlock()
-		d.followAddress(here, address, moved)
+		d.followAddress(addressCtx, address, moved)
 		d.client.CloseIdleConnections()
 	}
 }
 
-// followAddress follows the list at an address until ctx ends, and again after a failure. Where lists are pushed
-// it comes back by itself after a pause; where they are asked for, the module says when, but for the first
-// time after a move: then the module holds itself for subscribed.
-func (d *discovery) followAddress(ctx context.Context, address string, moved bool) {
-	pause := d.minRetryDelay
+// followAddress follows the list at an address until ctx ends. After a failure it retries after a delay if lists are
+// pushed; otherwise the module decides when to subscribe again, except right after a change of address, when the module
+// still considers itself subscribed.
+func (d *discovery) followAddress(ctx context.Context, address string, afterMove bool) {
+	delay := d.minRetryDelay
 	for ctx.Err() == nil {
-		if d.subscribeRequests != nil && !moved {
+		if d.subscribeRequests != nil && !afterMove {
 			select {
 			case <-d.subscribeRequests:
 			case <-ctx.Done():
 				return
 			}
 		}
-		moved = false
-		heard, err := d.callUntilFailure(ctx, address)
+		afterMove = false
+		anySuccess, err := d.watchUntilError(ctx, address)
 		if ctx.Err() != nil {
 			return
 		}
 		slog.Warn("discovery failed", "error", err)
 		select {
-		case <-d.subscribeRequests: // meanwhile: what the module makes of this failure goes before it
+		case <-d.subscribeRequests: // requested during the call: the failure settles it, and the module decides anew
 		default:
 		}
 		d.onFailure()
 		if d.subscribeRequests != nil {
 			continue
 		}
-		if heard {
-			pause = d.minRetryDelay
+		if anySuccess {
+			delay = d.minRetryDelay
 		}
-		d.sleep(ctx, pause)
-		pause = min(2*pause, d.maxRetryDelay)
+		d.sleep(ctx, delay)
+		delay = min(2*delay, d.maxRetryDelay)
 	}
 }
 
-// sleepJittered waits for about d. Jitter: all sidecars lose discovery at the same moment and must not come back as one.
+// sleepJittered waits for 0.5 to 1.5 times d. All sidecars lose discovery at the same moment, and the jitter keeps them from
+// returning at the same moment.
 func sleepJittered(ctx context.Context, d time.Duration) {
 	select {
 	case <-time.After(time.Duration(float64(d) * (0.5 + rand.Float64()))):
@@ -281,13 +283,13 @@
 	}
 }
 
-// callUntilFailure calls discovery until a call fails: watch after watch from the version that the loop holds, or
-// the whole list first where there is none. A call that fails takes nothing away from what is held, and
-// discovery is one for all sidecars: when many start or fail at once, whole lists keep it from the others. After an
-// answer older than what is held it asks for whole lists, now and then, until it knows whether that was stale or
-// discovery has begun anew. A call that has fallen silent is made anew at once: it took its time, and the time until
-// its news count as told is short. It tells whether any call went well.
-func (d *discovery) callUntilFailure(ctx context.Context, address string) (heard bool, err error) {
+// watchUntilError calls discovery until a call fails, and reports whether any call succeeded. It opens one watch after
+// another from the version held, or asks for the whole list first if there is none; a failure leaves the list as it is.
+// Whole lists are asked for only when needed, as the service is shared by all sidecars and many of them may start or
+// fail at once. After an answer older than the list held, whole lists are requested every now and then until it is clear
+// whether that answer was stale or discovery has restarted with new versions. A call that times out is repeated at once,
+// because the time until its changes count is short.
+func (d *discovery) watchUntilError(ctx context.Context, address string) (anySuccess bool, err error) {
 	for wait := firstWatchWait; ; {
 		query, limit := d.nextQuery(wait)
 		watch := query != "" && wait != firstWatchWait
@@ -301,85 +303,87 @@
 			wait = firstWatchWait
 			continue
 		case err != nil:
-			return heard, err
+			return anySuccess, err
 		}
 		d.timeouts = 0
 		l.whole = l.whole || query == ""
-		heard, wait = true, minWatchWait+time.Duration(d.random()*float64(maxWatchWait-minWatchWait))
-		if again := d.applyAnswer(l); again > 0 {
-			if d.sleep(ctx, again); ctx.Err() != nil {
-				return heard, ctx.Err()
+		anySuccess, wait = true, minWatchWait+time.Duration(d.random()*float64(maxWatchWait-minWatchWait))
+		if delay := d.applyAnswer(l); delay > 0 {
+			if d.sleep(ctx, delay); ctx.Err() != nil {
+				return anySuccess, ctx.Err()
 			}
 		}
 	}
 }
 
-// applyAnswer acts on an answer, and returns a pause until the next call, where that is not a watch from it.
-func (d *discovery) applyAnswer(l listing) (pause time.Duration) {
+// applyAnswer applies an answer and passes the resulting changes on. It returns a delay before the next call, 0 if a watch
+// can follow at once.
+func (d *discovery) applyAnswer(l listing) (delay time.Duration) {
 	d.applyMu.Lock()
 	defer d.applyMu.Unlock()
-	held := d.list.version
+	before := d.list.version
 	news, older := d.list.apply(l, d.now())
 	d.onListing(news)
 	if l.whole || len(news.servers) > 0 {
 		d.saveList(d.list, l.whole || !allReady(news))
 	}
 	if older {
-		slog.Warn("discovery is older than what is held", "version", l.version, "held", held, "whole", l.whole, "out", len(news.servers))
+		slog.Warn("discovery is older than what is held", "version", l.version, "held", before, "whole", l.whole, "out", len(news.servers))
 	}
-	_, doubted := d.list.resetWatchVersion(d.now())
+	_, suspected := d.list.resetWatchVersion(d.now())
 	switch {
 	case d.list.canWatch():
 		return 0
-	case l.whole && !doubted: // and the next is whole too
+	case l.whole && !suspected: // the next call asks for a whole list too
 		return staleListDelay
 	}
 	return maxRetryDelay
 }
 
-// applyOtherProcessList acts on what another process of this sidecar goes by.
-func (d *discovery) applyOtherProcessList(k savedList, l listing) {
+// applyOtherProcessList applies the list that the other process of an upgrade goes by.
+func (d *discovery) applyOtherProcessList(saved savedList, l listing) {
 	d.applyMu.Lock()
 	defer d.applyMu.Unlock()
-	if news := d.list.applyOtherProcess(k, l); len(news.servers) > 0 {
+	if news := d.list.applyOtherProcess(saved, l); len(news.servers) > 0 {
 		slog.Info("out by the other process", "version", l.version, "held", d.list.version, "out", len(news.servers))
 		d.onListing(news)
 	}
 }
 
-// nextQuery is what is asked next: changes, for so long, or the whole list.
+// nextQuery returns the query of the next call and its time limit: a watch from a known version that discovery holds for
+// wait, or an empty query for the whole list.
 func (d *discovery) nextQuery(wait time.Duration) (query string, limit time.Duration) {
 	d.applyMu.Lock()
 	defer d.applyMu.Unlock()
-	since, older := d.list.resetWatchVersion(d.now())
-	first := callTimeout
+	since, suspected := d.list.resetWatchVersion(d.now())
+	timeout := callTimeout
 	if d.timeouts > 1 {
-		first = retryCallTimeout
+		timeout = retryCallTimeout
 		if d.lastTimeoutPartial {
-			first = longListTimeout
+			timeout = longListTimeout
 		}
 	}
 	switch {
 	case d.list.canWatch():
 		since = d.list.version
-	case older:
+	case suspected:
 		wait = staleListDelay
 	default:
-		return "", first
+		return "", timeout
 	}
 	limit = wait + watchAnswerTimeout
 	if wait == firstWatchWait {
-		limit = wait + first
+		limit = wait + timeout
 	}
 	return fmt.Sprintf("?index=%d&wait=%d", since, wait.Milliseconds()), limit
 }
 
-// allReady says that a list takes no server away.
+// allReady reports whether a list or change has only ready servers, so that it takes none away.
 func allReady(l listing) bool {
 	return !slices.ContainsFunc(l.servers, func(s balance.Server) bool { return s.State != balance.Ready })
 }
 
-// counters are for the log.
+// counters returns the counts of calls for the log, by name.
 func (d *discovery) counters() map[string]int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -388,7 +392,7 @@
 	}
 }
 
-// call asks discovery, and counts that it did.
+// call makes a call to discovery and counts it.
 func (d *discovery) call(ctx context.Context, address, query string, limit time.Duration) (listing, error) {
 	l, err := d.fetch(ctx, address, query, limit)
 	d.mu.Lock()
@@ -407,6 +411,7 @@
 	return l, err
 }
 
+// fetch makes a call to discovery and parses the answer. If the limit passes first the error is an errNoAnswer.
 func (d *discovery) fetch(ctx context.Context, address, query string, limit time.Duration) (l listing, err error) {
 	ctx, cancel := context.WithTimeoutCause(ctx, limit, errNoAnswer)
 	defer cancel()
@@ -429,9 +434,9 @@
 	case err != nil:
 		return listing{}, fmt.Errorf("%w: %w", errAnswerIncomplete, err)
 	case res.StatusCode != http.StatusOK:
-		return listing{}, fmt.Errorf("answered %s", res.Status)
+		return listing{}, fmt.Errorf("discovery answered %s", res.Status)
 	case len(body) > maxListBytes:
-		return listing{}, errors.New("the answer is too long")
+		return listing{}, fmt.Errorf("the answer exceeds %d bytes", maxListBytes)
 	}
 	return parseListing(body, d.zones)
 }
