--- a/internal/sidecar/discovery.go
+++ b/internal/sidecar/discovery.go
@@ -330,7 +330,7 @@
 	if older {
 		slog.Warn("discovery is older than what is held", "version", l.version, "held", before, "whole", l.whole, "out", len(news.servers))
 	}
-	_, suspected := d.list.resetWatchVersion(d.now())
+	_, suspected := d.list.watchDuringReset(d.now())
 	switch {
 	case d.list.canWatch():
 		return 0
@@ -355,7 +355,7 @@
 func (d *discovery) nextQuery(wait time.Duration) (query string, limit time.Duration) {
 	d.applyMu.Lock()
 	defer d.applyMu.Unlock()
-	since, suspected := d.list.resetWatchVersion(d.now())
+	since, suspected := d.list.watchDuringReset(d.now())
 	timeout := callTimeout
 	if d.timeouts > 1 {
 		timeout = retryCallTimeout
--- a/internal/sidecar/state.go
+++ b/internal/sidecar/state.go
@@ -196,7 +196,7 @@
 func savedRemovals(all map[balance.ServerID]removal) (kept []savedRemoval) {
 	for _, id := range slices.Sorted(maps.Keys(all)) {
 		if len(kept) < maxGoneServers {
-			kept = append(kept, savedRemoval{uint64(id), millis(all[id].at), int64(all[id].started)})
+			kept = append(kept, savedRemoval{uint64(id), millis(all[id].recordedAt), int64(all[id].started)})
 		}
 	}
 	return kept
@@ -267,7 +267,7 @@
 // restoreServerList begins with the newer of the list that was kept at some moment and the configuration's. Where that is the
 // configuration's as the kept one is too old to be served from, what that says against servers still holds.
 func restoreServerList(cfg *Config, kept savedList, at time.Time, now time.Duration) *serverList {
-	v, known := newVersions(cfg.Discovery), cfg.Known
+	v, known := newServerList(cfg.Discovery), cfg.Known
 	known.whole = true
 	l, err := listing{}, error(nil)
 	if len(kept.Answer) > 0 {
--- a/internal/sidecar/state_test.go
+++ b/internal/sidecar/state_test.go
@@ -29,7 +29,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	v := newVersions(cfg.Discovery)
+	v := newServerList(cfg.Discovery)
 	v.apply(l, now)
 	v.apply(listing{version: 8, servers: []balance.Server{{ID: serverID("s-0"), State: balance.Gone}}}, now)
 	h.queueList(v, true)
--- a/internal/sidecar/versions.go
+++ b/internal/sidecar/versions.go
@@ -13,162 +13,164 @@
 	"arrowgw/internal/balance"
 )
 
-// Versions of the list only move forward (docs/list.md).
+// Versions of the list only move forward (docs/list.md). If discovery restarts with lower versions, a new epoch begins.
 const (
-	resetMinAge     = 6 * time.Second // older words alone for so long, and
-	resetMinAnswers = 3               // so many of them, the last of them whole: discovery has begun anew
-	resetClockSkew  = 5 * time.Second // a server that started so long after a version was heard of is proof that what lists it came later
-	carryOverTime   = time.Minute     // a drain known before outlives the first list of another line by so long
-	maxGoneServers  = 256             // servers that are remembered to be gone
+	resetMinAge     = 6 * time.Second // discovery has restarted once answers have only been older than the list held for this long
+	resetMinAnswers = 3               // and there were this many, of which the last is a whole list
+	resetClockSkew  = 5 * time.Second // a list with a server that started this much after a version was received was made after that version
+	carryOverTime   = time.Minute     // how long a removal recorded in an earlier epoch outlives the first list of the next one
+	maxGoneServers  = 256             // removed servers that are remembered
 )
 
-// removal is what is remembered of a server that was told draining or gone. Times are since the Unix epoch.
+// removal records that a server was announced draining or gone. Times are since the Unix epoch.
 type removal struct {
-	at      time.Duration // when it was told
-	started time.Duration // its last start then; one that started later is another
+	recordedAt time.Duration // when the announcement arrived
+	started    time.Duration // the server's last known start; a later start makes it ready again
 }
 
-// entry is one line of the list, as of the version that is acted on.
+// entry is a listed server, as of the version in force.
 type entry struct {
 	balance.Server
 	address string
 	raw     json.RawMessage
 }
 
-// serverList is what a sidecar knows of the list. Versions can be compared within a line: that of one source, until it
-// begins anew. Whoever uses it keeps to one call at a time.
+// serverList is the state of the server list as a sidecar knows it. Versions can be compared within an epoch, which
+// begins with each new source and each restart of discovery. Calls must not be concurrent.
 type serverList struct {
-	source          string // discovery's address
-	epoch           int64  // grows with each source and each beginning; of two words of a node the one of the higher line is newer
-	version         int64  // the highest version acted on in this line, or unknown
-	previousVersion int64  // the highest of this source's earlier lines, or unknown
-	versionAt       time.Duration
-	complete        bool // entries are those of top; otherwise the whole list is needed
+	source          string        // discovery's address
+	epoch           int64         // number of the epoch; of two lists of a sidecar the one with the higher epoch is newer
+	version         int64         // highest version applied in this epoch, or unknownVersion
+	previousVersion int64         // highest version of the source's earlier epochs, or unknownVersion
+	versionAt       time.Duration // when version was first received
+	complete        bool          // entries are those of version; otherwise the whole list is needed
 
 	entries      map[balance.ServerID]entry
-	withheld     map[balance.ServerID]int64   // ready as of top, and out by another word: until a list of this version
-	gone         map[balance.ServerID]removal // told gone lately
-	carriedOver  map[balance.ServerID]removal // out by the word of an earlier line, until it has a word of its own
-	carriedUntil time.Duration                // no longer than this
+	withheld     map[balance.ServerID]int64   // ready as of version but not by another answer: draining until a list of at least this version
+	gone         map[balance.ServerID]removal // announced gone lately
+	carriedOver  map[balance.ServerID]removal // removed in an earlier epoch: draining until a change in this one
+	carriedUntil time.Duration                // when carriedOver expires
 
-	suspectedReset struct { // whether discovery has begun anew
-		open, whole bool          // whole: one of the older words was
-		top         int64         // the highest of them
-		words       int           // that were not older still
-		since, last time.Duration // of the first of them, and of the last that was not older still
+	reset struct { // older answers that suggest a restart of discovery
+		suspected, sawWholeList bool          // there are such answers; one of them was a whole list
+		version                 int64         // highest version among them
+		answers                 int           // answers of at least the version that was the highest at their time
+		firstAt, lastAt         time.Duration // when the first of answers arrived, and the last
 	}
 }
 
-func newVersions(source string) *serverList {
+// newServerList returns an empty list of a source.
+func newServerList(source string) *serverList {
 	return &serverList{
 		source: source, version: unknownVersion, previousVersion: unknownVersion, entries: make(map[balance.ServerID]entry),
 		withheld: make(map[balance.ServerID]int64), gone: make(map[balance.ServerID]removal), carriedOver: make(map[balance.ServerID]removal),
 	}
 }
 
-// canWatch says that changes are enough; otherwise the whole list is needed.
+// canWatch reports whether the next call may ask for changes only; otherwise the whole list is needed.
 func (v *serverList) canWatch() bool {
 	for _, until := range v.withheld {
 		if until <= v.version {
 			return false
 		}
 	}
-	return v.version != unknownVersion && v.complete && !v.suspectedReset.open
+	return v.version != unknownVersion && v.complete && !v.reset.suspected
 }
 
-// resetWatchVersion says that changes to older words are enough for now: since this version, until it is time to judge by a whole list.
-func (v *serverList) resetWatchVersion(now time.Duration) (since int64, yes bool) {
-	d := &v.suspectedReset
-	return d.top, d.open && d.whole && v.complete && now-d.since < resetMinAge
+// watchDuringReset returns the version from which changes are to be watched while a restart is suspected but too recent to
+// be decided by another whole list. ok reports whether that is so.
+func (v *serverList) watchDuringReset(now time.Duration) (since int64, ok bool) {
+	r := &v.reset
+	return r.version, r.suspected && r.sawWholeList && v.complete && now-r.firstAt < resetMinAge
 }
 
-// apply takes an answer, and returns what is to be acted on: the answer as it is, but for what may not go back. An
-// answer that is older than what is acted on takes servers away, and returns none (older).
-func (v *serverList) apply(l listing, now time.Duration) (news listing, older bool) {
+// apply applies an answer and returns the changes for the module: the answer itself, except that nothing that was removed
+// comes back by it too early. An answer older than version only withholds servers; older then is true.
+func (v *serverList) apply(l listing, now time.Duration) (changes listing, older bool) {
 	if v.version != unknownVersion && l.version < v.version {
 		if !v.confirmReset(l, now) {
 			return v.withhold(l, v.version), true
 		}
-		slog.Warn("discovery has begun anew", "from", v.version, "to", l.version, "words", v.suspectedReset.words)
+		slog.Warn("discovery has begun anew", "from", v.version, "to", l.version, "words", v.reset.answers)
 		v.startEpoch(now)
 	}
 	if l.version > v.version || v.version == unknownVersion {
 		v.versionAt = now
 	}
 	v.version, v.complete = l.version, v.complete || l.whole
-	v.suspectedReset.open = false
-	was := v.entries
+	v.reset.suspected = false
+	before := v.entries
 	if l.whole {
 		v.entries = make(map[balance.ServerID]entry, len(l.servers))
 	}
-	news = listing{version: l.version, whole: l.whole, addresses: l.addresses, rawEntries: l.rawEntries}
+	changes = listing{version: l.version, whole: l.whole, addresses: l.addresses, rawEntries: l.rawEntries}
 	for _, s := range l.servers {
 		raw := l.rawEntries[s.ID]
-		if started := max(was[s.ID].Started, v.gone[s.ID].started, v.carriedOver[s.ID].started); s.Started < started {
-			s.Started, raw = started, withStartTime(raw, started) // the start of one id never goes back
+		if started := max(before[s.ID].Started, v.gone[s.ID].started, v.carriedOver[s.ID].started); s.Started < started {
+			s.Started, raw = started, withStartTime(raw, started) // an ID's start time never goes back
 		}
 		if !l.whole || s.State != balance.Ready {
-			delete(v.carriedOver, s.ID) // a change told in this line
+			delete(v.carriedOver, s.ID) // a change made in this epoch
 		}
 		if v.withheld[s.ID] <= l.version {
 			delete(v.withheld, s.ID)
 		}
 		if s.State == balance.Gone {
-			v.rememberGone(s.ID, was[s.ID], now)
+			v.rememberGone(s.ID, before[s.ID], now)
 			delete(v.entries, s.ID)
 		} else {
 			v.entries[s.ID] = entry{s, l.addresses[s.ID], raw}
 			delete(v.gone, s.ID)
 		}
 		s.State = v.effectiveState(s)
-		news.servers = append(news.servers, s)
+		changes.servers = append(changes.servers, s)
 	}
 	if l.whole {
 		maps.DeleteFunc(v.withheld, func(_ balance.ServerID, until int64) bool { return until <= l.version })
-		for id, e := range was {
+		for id, e := range before {
 			if _, listed := v.entries[id]; !listed {
 				v.rememberGone(id, e, now)
 			}
 		}
 	}
-	if len(v.carriedOver) > 0 && now >= v.carriedUntil { // they are as the list has them from now on
-		held := v.carriedOver
+	if len(v.carriedOver) > 0 && now >= v.carriedUntil { // from now on the list alone decides
+		expired := v.carriedOver
 		v.carriedOver = make(map[balance.ServerID]removal)
-		v.addListed(&news, slices.Sorted(maps.Keys(held)))
+		v.addListed(&changes, slices.Sorted(maps.Keys(expired)))
 	}
-	return news, false
+	return changes, false
 }
 
-// effectiveState is what a line of the list comes to: nothing is brought back by an older word.
+// effectiveState returns the state of an entry for the module: a withheld or carried over server counts as draining.
 func (v *serverList) effectiveState(s balance.Server) balance.State {
-	_, away := v.withheld[s.ID]
-	if h, held := v.carriedOver[s.ID]; s.State == balance.Ready && (away || held && s.Started <= h.started) {
+	_, withheld := v.withheld[s.ID]
+	if h, carried := v.carriedOver[s.ID]; s.State == balance.Ready && (withheld || carried && s.Started <= h.started) {
 		return balance.Draining
 	}
 	return s.State
 }
 
-// addListed adds servers to what is told, as the list has them.
-func (v *serverList) addListed(news *listing, ids []balance.ServerID) {
-	at := make(map[balance.ServerID]int, len(news.servers))
-	for i, s := range news.servers {
-		at[s.ID] = i
+// addListed adds servers to the changes, in the state that the list gives them.
+func (v *serverList) addListed(changes *listing, ids []balance.ServerID) {
+	index := make(map[balance.ServerID]int, len(changes.servers))
+	for i, s := range changes.servers {
+		index[s.ID] = i
 	}
-	address := make(map[balance.ServerID]string)
-	maps.Copy(address, news.addresses)
+	addresses := make(map[balance.ServerID]string)
+	maps.Copy(addresses, changes.addresses)
 	for _, id := range ids {
 		e, listed := v.entries[id]
-		if i, told := at[id]; listed && told {
-			news.servers[i].State = e.State
+		if i, included := index[id]; listed && included {
+			changes.servers[i].State = e.State
 		} else if listed {
-			news.servers = append(news.servers, e.Server)
-			address[id] = e.address
+			changes.servers = append(changes.servers, e.Server)
+			addresses[id] = e.address
 		}
 	}
-	news.addresses = address
+	changes.addresses = addresses
 }
 
-// rememberGone remembers that a server is gone. Those that went first are forgotten first.
+// rememberGone records that a server is gone. Above maxGoneServers the oldest records are dropped.
 func (v *serverList) rememberGone(id balance.ServerID, e entry, now time.Duration) {
 	if _, known := v.gone[id]; known {
 		return
@@ -176,68 +178,70 @@
 	v.gone[id] = removal{now, max(e.Started, v.carriedOver[id].started)}
 	for len(v.gone) > maxGoneServers {
 		delete(v.gone, slices.MinFunc(slices.Sorted(maps.Keys(v.gone)), func(a, b balance.ServerID) int {
-			return cmp.Compare(v.gone[a].at, v.gone[b].at)
+			return cmp.Compare(v.gone[a].recordedAt, v.gone[b].recordedAt)
 		}))
 	}
 }
 
-// withhold returns the ready servers that another word has draining or gone. They stay out until a list of a version from
-// until on names them, or all of such a one is known.
+// withhold returns, as draining, the ready servers that another answer has draining or gone. They stay so until a list of
+// version until or later names them, or is a whole list.
 func (v *serverList) withhold(l listing, until int64) listing {
-	news := listing{version: v.version, addresses: make(map[balance.ServerID]string)}
-	says := make(map[balance.ServerID]balance.State, len(l.servers))
+	changes := listing{version: v.version, addresses: make(map[balance.ServerID]string)}
+	states := make(map[balance.ServerID]balance.State, len(l.servers))
 	for _, s := range l.servers {
-		says[s.ID] = s.State
+		states[s.ID] = s.State
 	}
 	for _, id := range slices.Sorted(maps.Keys(v.entries)) {
 		e := v.entries[id]
-		state, told := says[id]
-		if e.State != balance.Ready || told && state == balance.Ready || !told && !l.whole {
+		state, named := states[id]
+		if e.State != balance.Ready || named && state == balance.Ready || !named && !l.whole {
 			continue
 		}
-		_, away := v.withheld[id]
-		if v.withheld[id] = max(v.withheld[id], until); !away {
+		_, already := v.withheld[id]
+		if v.withheld[id] = max(v.withheld[id], until); !already {
 			e.State = balance.Draining
-			news.servers = append(news.servers, e.Server)
-			news.addresses[id] = e.address
+			changes.servers = append(changes.servers, e.Server)
+			changes.addresses[id] = e.address
 		}
 	}
-	return news
+	return changes
 }
 
-// applyOtherProcess takes what another process of this sidecar goes by, where that is a newer version of the same line: what it has
-// not ready is out here too, until this process is told as much.
-func (v *serverList) applyOtherProcess(k savedList, l listing) listing {
-	if k.Source != v.source || k.Epoch != v.epoch || v.version == unknownVersion || l.version <= v.version {
+// applyOtherProcess applies the stored list of the other process of an upgrade if it is a newer version of the same epoch:
+// servers that are not ready in it are withheld here until this process receives that version.
+func (v *serverList) applyOtherProcess(saved savedList, l listing) listing {
+	if saved.Source != v.source || saved.Epoch != v.epoch || v.version == unknownVersion || l.version <= v.version {
 		return listing{}
 	}
-	l.whole = !k.Short
+	l.whole = !saved.Short
 	return v.withhold(l, l.version)
 }
 
-// confirmReset judges an answer that is older than what is acted on: whether discovery has begun anew, or is stale.
+// confirmReset evaluates an answer older than version. It reports whether discovery has restarted, as opposed to the answer
+// being stale.
 func (v *serverList) confirmReset(l listing, now time.Duration) bool {
-	d := &v.suspectedReset
-	if !d.open || now < d.last || l.version < d.top && now-d.last >= resetMinAge {
-		d.open, d.whole, d.top, d.words, d.since, d.last = true, false, l.version, 0, now, now
+	r := &v.reset
+	if !r.suspected || now < r.lastAt || l.version < r.version && now-r.lastAt >= resetMinAge {
+		r.suspected, r.sawWholeList, r.version, r.answers, r.firstAt, r.lastAt = true, false, l.version, 0, now, now
 	}
-	if l.version < d.top {
+	if l.version < r.version {
 		return false
 	}
-	d.top, d.last, d.words = l.version, now, d.words+1
-	d.whole = d.whole || l.whole
+	r.version, r.lastAt, r.answers = l.version, now, r.answers+1
+	r.sawWholeList = r.sawWholeList || l.whole
 	if !l.whole {
 		return false
 	}
 	for _, s := range l.servers {
 		if v.versionAt > 0 && s.Started > v.versionAt+resetClockSkew && s.Started <= now+resetClockSkew {
-			return true // what was made before top can't know of it
+			return true // version can't be newer than this list
 		}
 	}
-	return d.words >= resetMinAnswers && now-d.since >= resetMinAge
+	return r.answers >= resetMinAnswers && now-r.firstAt >= resetMinAge
 }
 
-// startEpoch begins a line: its versions say nothing on those before, and what was out by those stays out for a while.
+// startEpoch begins an epoch. Its versions are not comparable with earlier ones, and servers removed in those stay
+// draining for carryOverTime.
 func (v *serverList) startEpoch(now time.Duration) {
 	v.previousVersion = max(v.previousVersion, v.version)
 	v.epoch, v.version, v.versionAt, v.complete, v.carriedUntil = v.epoch+1, unknownVersion, 0, false, now+carryOverTime
@@ -250,7 +254,7 @@
 	}
 }
 
-// setSource goes on at another source.
+// setSource switches to another address of discovery and begins an epoch if it differs from the current one.
 func (v *serverList) setSource(source string, now time.Duration) {
 	if source != v.source {
 		v.startEpoch(now)
@@ -258,23 +262,23 @@
 	}
 }
 
-// useOlderList goes on with an older list than top's, where that can't be had: of its servers those that top's word leaves
-// ready. A short word names only servers that are not.
+// useOlderList goes on with a list older than version, as the list of version is not available. Servers that version
+// is known not to have ready are withheld. A short list of version names only the servers that are not ready.
 func (v *serverList) useOlderList(older listing, short bool) {
-	top := v.entries
+	newer := v.entries
 	v.entries, v.complete = make(map[balance.ServerID]entry), false
 	for _, s := range older.servers {
 		if s.State == balance.Gone {
 			continue
 		}
 		v.entries[s.ID] = entry{s, older.addresses[s.ID], older.rawEntries[s.ID]}
-		if e, listed := top[s.ID]; listed && e.State != balance.Ready || !listed && !short {
+		if e, listed := newer[s.ID]; listed && e.State != balance.Ready || !listed && !short {
 			v.withheld[s.ID] = v.version
 		}
 	}
 }
 
-// effectiveListing is the whole list as it is acted on.
+// effectiveListing returns the whole list in the states that apply to the module.
 func (v *serverList) effectiveListing() listing {
 	l := listing{version: v.version, whole: true, addresses: make(map[balance.ServerID]string)}
 	for _, id := range slices.Sorted(maps.Keys(v.entries)) {
@@ -286,18 +290,18 @@
 	return l
 }
 
-// withStartTime is a line of the list with another start.
+// withStartTime returns a list entry with another start time.
 func withStartTime(raw json.RawMessage, started time.Duration) json.RawMessage {
 	var fields map[string]json.RawMessage
 	if json.Unmarshal(raw, &fields) != nil {
-		return raw // it has been read before
+		return raw // can't happen: the entry was parsed before
 	}
 	maps.DeleteFunc(fields, func(name string, _ json.RawMessage) bool { return strings.EqualFold(name, "startedAtMs") })
 	ms := float64(started) / float64(time.Millisecond)
-	for time.Duration(ms*float64(time.Millisecond)) < started { // as it is read again
+	for time.Duration(ms*float64(time.Millisecond)) < started { // so that parsing yields at least started
 		ms = math.Nextafter(ms, math.Inf(1))
 	}
-	fields["startedAtMs"], _ = json.Marshal(ms) // a number is no error
+	fields["startedAtMs"], _ = json.Marshal(ms) // a finite number always marshals
 	changed, err := json.Marshal(fields)
 	if err != nil {
 		return raw
--- a/internal/sidecar/versions_test.go
+++ b/internal/sidecar/versions_test.go
@@ -167,7 +167,7 @@
 			h.change(now)
 		}
 		cfg := &Config{Discovery: "127.0.0.1:1"}
-		v := newVersions(cfg.Discovery)
+		v := newServerList(cfg.Discovery)
 		acted := make(map[balance.ServerID]balance.Server) // as the module has it
 		starts := make(map[balance.ServerID]time.Duration)
 		out := make(map[balance.ServerID]time.Duration) // drained or gone as of the newest word of its line: since when
@@ -281,11 +281,11 @@
 			if v.canWatch() && renewed == 0 && version >= v.version && v.version >= h.first {
 				since = v.version
 			}
-			if from, yes := v.resetWatchVersion(now); yes && from >= h.first && from <= version {
+			if from, yes := v.watchDuringReset(now); yes && from >= h.first && from <= version {
 				since = from
 			}
 			take(h.answer(version, since))
-			if renewed > 0 && v.version <= h.newest() && v.epoch > 0 && !v.suspectedReset.open {
+			if renewed > 0 && v.version <= h.newest() && v.epoch > 0 && !v.reset.suspected {
 				renewed = 0
 			}
 			if renewed > 0 && now-renewed > 2*resetMinAge+4*time.Second {
@@ -398,7 +398,7 @@
 		"a start again":             {[]word{{at(1), -1, "", 0, false}, {at(2), 45, "ready", 0, true}}, 0, true},
 	} {
 		cfg := &Config{Discovery: "127.0.0.1:1"}
-		v := newVersions(cfg.Discovery)
+		v := newServerList(cfg.Discovery)
 		for _, w := range append([]word{{0, 50, "draining", 0, true}}, c.words...) {
 			now := zero + w.at
 			switch {
@@ -542,7 +542,7 @@
 		t.Fatal(err)
 	}
 	h, now := &handover{store: memoryStore(t), news: make(chan struct{}, 1)}, newClock().now()
-	v := newVersions(cfg.Discovery)
+	v := newServerList(cfg.Discovery)
 	v.apply(l, now)
 	h.queueList(v, true)
 	if err := h.writeList(); err != nil {
