--- a/internal/sidecar/state.go
+++ b/internal/sidecar/state.go
@@ -17,69 +17,73 @@
 )
 
 const (
-	saveInterval      = time.Second            // how often what the module has learned is looked at
-	syncInterval      = 10 * time.Second       // and made durable: a loss of power costs so much of it, the end of a process nothing
-	listSaveInterval  = 100 * time.Millisecond // the list is written no more often than this
-	maxSavedListAge   = time.Hour              // a kept list is no use past this
-	maxSavedListBytes = 256 << 10              // of one that is larger only servers that are not ready are kept
-	minRateChange     = 0.2                    // traffic that changed by less than this part is not worth a write
-	saveTimeout       = 800 * time.Millisecond
-	maxPendingSaves   = 8 // calls that wait for a disk; past that it is stuck
+	saveInterval      = time.Second            // how often learned state is saved if it changed
+	syncInterval      = 10 * time.Second       // how often it is made durable: a power failure loses up to this much of it, the end of a process nothing
+	listSaveInterval  = 100 * time.Millisecond // least time between two writes of the list
+	maxSavedListAge   = time.Hour              // an older saved list is not used
+	maxSavedListBytes = 256 << 10              // of a larger list only the servers that are not ready are saved
+	minRateChange     = 0.2                    // smaller relative changes of the request rate are not saved
+	saveTimeout       = 800 * time.Millisecond // how long a console call or the end of the process waits for the disk
+	maxPendingSaves   = 8                      // calls waiting for the disk; above that the disk counts as stuck
 )
 
 // The sections of the state and, where a section has one value, its key.
 const (
-	sectionCalls   = "calls"   // by instanceId: handed
-	sectionList    = "list"    // keptList
-	sectionLearned = "learned" // keptLearned
+	sectionCalls   = "calls"   // operator calls (handed), by instanceId
+	sectionList    = "list"    // savedList
+	sectionLearned = "learned" // savedLearned
 	singleKey      = "all"
 )
 
-// errNotDurable says that a call holds, but is not durable.
+// errNotDurable is the error of a console call that is in force but could not be stored.
 type errNotDurable struct{ why error }
 
+// Error returns the text that the console answers with.
 func (e errNotDurable) Error() string { return fmt.Sprintf("it holds, but is not kept: %v", e.why) }
 
-// savedList is the list of servers as it was acted on last. Times are Unix milliseconds.
+// savedList is the stored form of the server list. Times are Unix milliseconds.
 type savedList struct {
 	Source          string          `json:"source"` // discovery's address
-	Answer          json.RawMessage `json:"answer"` // in discovery's form, whole
+	Answer          json.RawMessage `json:"answer"` // the whole list in discovery's format
 	Epoch           int64           `json:"line,omitempty"`
-	Version         int64           `json:"version,omitempty"` // the answer's, to be read without it; 0: an older program wrote this
+	Version         int64           `json:"version,omitempty"` // of Answer, to be read without parsing it; 0 if an older program wrote this
 	PreviousVersion int64           `json:"before,omitempty"`
 	VersionAtMs     int64           `json:"heardMs,omitempty"`
-	Short           bool            `json:"short,omitempty"` // too long a list: only servers that are not ready are in it
+	Short           bool            `json:"short,omitempty"` // the list was too long: only servers that are not ready are in it
 	Withheld        []savedWithheld `json:"away,omitempty"`
 	Gone            []savedRemoval  `json:"gone,omitempty"`
 	CarriedOver     []savedRemoval  `json:"held,omitempty"`
-	CarriedUntilMs  int64           `json:"untilMs,omitempty"` // of held
+	CarriedUntilMs  int64           `json:"untilMs,omitempty"` // end of CarriedOver
 }
 
+// savedWithheld is the stored form of an entry of serverList.withheld.
 type savedWithheld struct {
 	ID    uint64 `json:"id"`
-	Until int64  `json:"until"` // a version
+	Until int64  `json:"until"` // version of the list
 }
 
+// savedRemoval is the stored form of a removal.
 type savedRemoval struct {
 	ID        uint64 `json:"id"`
 	AtMs      int64  `json:"atMs"`
-	StartedNs int64  `json:"startedNs,omitempty"` // to be the same as the list's
+	StartedNs int64  `json:"startedNs,omitempty"` // in nanoseconds, so that it equals the list's
 }
 
-// pendingList is a list that is to be kept.
+// pendingList is a list that waits to be written to the store.
 type pendingList struct {
-	raw     []byte
+	raw     []byte // saved as JSON
 	saved   savedList
-	durable bool
+	durable bool // to be made durable at once
 }
 
-// savedLearned is what the module has learned. Times are Unix milliseconds.
+// savedLearned is the stored form of what the module has learned. Times are Unix milliseconds.
 type savedLearned struct {
 	AtMs    int64         `json:"atMs"`
 	Rate    float64       `json:"rate"`
 	Servers []savedServer `json:"servers,omitempty"`
 }
 
+// savedServer is the stored form of what the module has learned about a server.
 type savedServer struct {
 	ID       uint64  `json:"id"`
 	Fails    int     `json:"fails,omitempty"`
@@ -88,39 +92,41 @@
 	Strain   float64 `json:"strain"`
 }
 
+// millis returns d in whole milliseconds.
 func millis(d time.Duration) int64 { return int64(d / time.Millisecond) }
 
+// fromMillis is the inverse of millis. It limits ms to the range of a time.Duration.
 func fromMillis(ms int64) time.Duration {
 	return time.Duration(min(max(ms, 0), math.MaxInt64/int64(time.Millisecond))) * time.Millisecond
 }
 
-// newSavedLearned words what the module has learned.
-func newSavedLearned(l balance.Learned) savedLearned {
-	k := savedLearned{AtMs: millis(l.At), Rate: l.Rate}
-	for _, s := range l.Servers {
-		k.Servers = append(k.Servers, savedServer{uint64(s.ID), s.Fails, millis(s.Silent), millis(s.WarmAt), s.Strain})
+// newSavedLearned converts learned state to its stored form.
+func newSavedLearned(learned balance.Learned) savedLearned {
+	saved := savedLearned{AtMs: millis(learned.At), Rate: learned.Rate}
+	for _, s := range learned.Servers {
+		saved.Servers = append(saved.Servers, savedServer{uint64(s.ID), s.Fails, millis(s.Silent), millis(s.WarmAt), s.Strain})
 	}
-	return k
+	return saved
 }
 
-// toBalance is learned the other way round.
-func (k savedLearned) toBalance() balance.Learned {
-	l := balance.Learned{At: fromMillis(k.AtMs), Rate: k.Rate}
-	for _, s := range k.Servers {
-		l.Servers = append(l.Servers, balance.LearnedServer{
+// toBalance converts stored learned state back.
+func (saved savedLearned) toBalance() balance.Learned {
+	learned := balance.Learned{At: fromMillis(saved.AtMs), Rate: saved.Rate}
+	for _, s := range saved.Servers {
+		learned.Servers = append(learned.Servers, balance.LearnedServer{
 			ID: balance.ServerID(s.ID), Fails: s.Fails, Silent: fromMillis(s.SilentMs), WarmAt: fromMillis(s.WarmAtMs), Strain: s.Strain,
 		})
 	}
-	return l
+	return learned
 }
 
-// nearlyEqual says whether there is nothing in k that is worth a write after old.
-func (k savedLearned) nearlyEqual(old savedLearned) bool {
-	if math.Abs(k.Rate-old.Rate) > minRateChange*max(old.Rate, 1) || len(k.Servers) != len(old.Servers) {
+// nearlyEqual reports whether the state differs too little from old to be written.
+func (saved savedLearned) nearlyEqual(old savedLearned) bool {
+	if math.Abs(saved.Rate-old.Rate) > minRateChange*max(old.Rate, 1) || len(saved.Servers) != len(old.Servers) {
 		return false
 	}
-	for i, s := range k.Servers {
-		s.Strain = old.Servers[i].Strain // it changes with each answer
+	for i, s := range saved.Servers {
+		s.Strain = old.Servers[i].Strain // changes with every answer
 		if s != old.Servers[i] {
 			return false
 		}
@@ -128,7 +134,8 @@
 	return true
 }
 
-// readSection takes a kept value, or says that there is none that can be used.
+// readSection reads the value of a section that has a single key, and when it was stored. ok is false if there is none or
+// it can't be read.
 func readSection[T any](s *store.Store, section string) (value T, at time.Time, ok bool) {
 	e, ok := s.Get(section, singleKey)
 	if !ok {
@@ -141,42 +148,42 @@
 	return value, e.At, true
 }
 
-// queueList has the list kept as it is now, soon: whoever follows discovery must not wait for a disk. What takes servers
-// away is made durable at once.
-func (h *handover) queueList(v *serverList, durable bool) {
-	if h.store == nil || v.version == unknownVersion {
+// queueList queues the list for writing; the discovery client must not wait for the disk. With durable it is made durable
+// at once, as is needed when servers were removed.
+func (h *handover) queueList(list *serverList, durable bool) {
+	if h.store == nil || list.version == unknownVersion {
 		return
 	}
-	k := savedList{
-		Source: v.source, Epoch: v.epoch, Version: v.version, PreviousVersion: max(v.previousVersion, 0), VersionAtMs: millis(v.versionAt), CarriedUntilMs: millis(v.carriedUntil), Short: !v.complete,
+	saved := savedList{
+		Source: list.source, Epoch: list.epoch, Version: list.version, PreviousVersion: max(list.previousVersion, 0), VersionAtMs: millis(list.versionAt), CarriedUntilMs: millis(list.carriedUntil), Short: !list.complete,
 	}
 	answer := struct {
 		Generation int64             `json:"generation"`
 		Reset      bool              `json:"reset"`
 		Instances  []json.RawMessage `json:"instances"`
-	}{v.version, true, []json.RawMessage{}}
+	}{list.version, true, []json.RawMessage{}}
 	size := 0
-	for _, e := range v.entries {
+	for _, e := range list.entries {
 		size += len(e.raw)
 	}
-	k.Short = k.Short || size > maxSavedListBytes
+	saved.Short = saved.Short || size > maxSavedListBytes
 	size = 0
-	for _, id := range slices.Sorted(maps.Keys(v.entries)) {
-		e := v.entries[id]
-		if k.Short && e.State == balance.Ready || size+len(e.raw) > maxSavedListBytes {
+	for _, id := range slices.Sorted(maps.Keys(list.entries)) {
+		e := list.entries[id]
+		if saved.Short && e.State == balance.Ready || size+len(e.raw) > maxSavedListBytes {
 			continue
 		}
 		answer.Instances = append(answer.Instances, e.raw)
 		size += len(e.raw)
 	}
-	for _, id := range slices.Sorted(maps.Keys(v.withheld)) {
-		k.Withheld = append(k.Withheld, savedWithheld{uint64(id), v.withheld[id]})
+	for _, id := range slices.Sorted(maps.Keys(list.withheld)) {
+		saved.Withheld = append(saved.Withheld, savedWithheld{uint64(id), list.withheld[id]})
 	}
-	k.Gone, k.CarriedOver = savedRemovals(v.gone), savedRemovals(v.carriedOver)
+	saved.Gone, saved.CarriedOver = savedRemovals(list.gone), savedRemovals(list.carriedOver)
 	raw, err := json.Marshal(answer)
 	if err == nil {
-		k.Answer = raw
-		raw, err = json.Marshal(k)
+		saved.Answer = raw
+		raw, err = json.Marshal(saved)
 	}
 	if err != nil {
 		slog.Warn("state not kept", "reason", err)
@@ -185,24 +192,24 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	durable = durable || h.nextList != nil && h.nextList.durable
-	h.nextList = &pendingList{raw, k, durable}
+	h.nextList = &pendingList{raw, saved, durable}
 	select {
 	case h.news <- struct{}{}:
 	default:
 	}
 }
 
-// savedRemovals words what was heard of servers, by id, in order; at most goneMost of them.
-func savedRemovals(all map[balance.ServerID]removal) (kept []savedRemoval) {
+// savedRemovals converts removals to their stored form, ordered by ID, at most maxGoneServers of them.
+func savedRemovals(all map[balance.ServerID]removal) (saved []savedRemoval) {
 	for _, id := range slices.Sorted(maps.Keys(all)) {
-		if len(kept) < maxGoneServers {
-			kept = append(kept, savedRemoval{uint64(id), millis(all[id].recordedAt), int64(all[id].started)})
+		if len(saved) < maxGoneServers {
+			saved = append(saved, savedRemoval{uint64(id), millis(all[id].recordedAt), int64(all[id].started)})
 		}
 	}
-	return kept
+	return saved
 }
 
-// writeList keeps the list that came last, where no other process of this sidecar has kept a newer one.
+// writeList writes the queued list to the store, unless another process of this sidecar has stored a newer one.
 func (h *handover) writeList() error {
 	h.mu.Lock()
 	next := h.nextList
@@ -218,7 +225,7 @@
 		newer := old.Epoch > next.saved.Epoch
 		if old.Epoch == next.saved.Epoch && old.Source == next.saved.Source {
 			if old.Version == 0 {
-				l, _ := parseListing(old.Answer, nil) // one that can't be read is no newer
+				l, _ := parseListing(old.Answer, nil) // an unreadable list counts as not newer
 				old.Version = l.version
 			}
 			newer = old.Version > next.saved.Version
@@ -231,7 +238,7 @@
 	if err == nil && next.durable {
 		err = h.store.Sync()
 	}
-	if err != nil { // the folder may fail for a while: it is still to be kept, unless there is a newer one
+	if err != nil { // the folder may fail for a while: try again with the next write, unless a newer list is queued
 		h.mu.Lock()
 		defer h.mu.Unlock()
 		if h.nextList == nil {
@@ -241,92 +248,94 @@
 	return err
 }
 
-// changedList returns the list that this sidecar's processes have kept last, where it is another than the one before.
-func (h *handover) changedList(before []byte, zones map[string]int) (k savedList, l listing, raw []byte, news bool) {
+// changedList returns the list that this sidecar's processes have stored last, and its raw form. changed is false if the raw
+// form equals previous or can't be read.
+func (h *handover) changedList(previous []byte, zones map[string]int) (saved savedList, l listing, raw []byte, changed bool) {
 	if h.store == nil {
-		return k, l, nil, false
+		return saved, l, nil, false
 	}
 	e, ok := h.store.Get(sectionList, singleKey)
-	if !ok || bytes.Equal(e.Value, before) || json.Unmarshal(e.Value, &k) != nil {
-		return k, l, e.Value, false
+	if !ok || bytes.Equal(e.Value, previous) || json.Unmarshal(e.Value, &saved) != nil {
+		return saved, l, e.Value, false
 	}
-	l, err := parseListing(k.Answer, zones)
-	return k, l, e.Value, err == nil
+	l, err := parseListing(saved.Answer, zones)
+	return saved, l, e.Value, err == nil
 }
 
-// loadServerList returns what a process before this one knew of the list, or else what the configuration does.
+// loadServerList returns the list that an earlier process stored, or the configuration's.
 func (h *handover) loadServerList(cfg *Config, now time.Duration) *serverList {
-	var kept savedList
-	var at time.Time
+	var saved savedList
+	var savedAt time.Time
 	if h.store != nil {
-		kept, at, _ = readSection[savedList](h.store, sectionList)
+		saved, savedAt, _ = readSection[savedList](h.store, sectionList)
 	}
-	return restoreServerList(cfg, kept, at, now)
+	return restoreServerList(cfg, saved, savedAt, now)
 }
 
-// restoreServerList begins with the newer of the list that was kept at some moment and the configuration's. Where that is the
-// configuration's as the kept one is too old to be served from, what that says against servers still holds.
-func restoreServerList(cfg *Config, kept savedList, at time.Time, now time.Duration) *serverList {
-	v, known := newServerList(cfg.Discovery), cfg.Known
+// restoreServerList builds the list from the newer of the stored one and the configuration's. If the stored one is too old
+// to be served from, the servers that it has as removed are still withheld.
+func restoreServerList(cfg *Config, saved savedList, savedAt time.Time, now time.Duration) *serverList {
+	list, known := newServerList(cfg.Discovery), cfg.Known
 	known.whole = true
-	l, err := listing{}, error(nil)
-	if len(kept.Answer) > 0 {
-		if l, err = parseListing(kept.Answer, cfg.Zones); err != nil {
+	parsed, err := listing{}, error(nil)
+	if len(saved.Answer) > 0 {
+		if parsed, err = parseListing(saved.Answer, cfg.Zones); err != nil {
 			slog.Error("state not read", "error", fmt.Errorf("section %s: %w", sectionList, err))
 		}
 	}
-	if len(kept.Answer) == 0 || err != nil {
+	if len(saved.Answer) == 0 || err != nil {
 		if len(known.servers) > 0 {
-			v.apply(known, now)
+			list.apply(known, now)
 		}
-		return v
+		return list
 	}
-	v.source, v.epoch, v.previousVersion, v.version = kept.Source, kept.Epoch, kept.PreviousVersion, l.version
-	v.versionAt, v.carriedUntil = fromMillis(kept.VersionAtMs), min(fromMillis(kept.CarriedUntilMs), now+carryOverTime)
-	for _, s := range l.servers {
-		v.entries[s.ID] = entry{s, l.addresses[s.ID], l.rawEntries[s.ID]}
+	list.source, list.epoch, list.previousVersion, list.version = saved.Source, saved.Epoch, saved.PreviousVersion, parsed.version
+	list.versionAt, list.carriedUntil = fromMillis(saved.VersionAtMs), min(fromMillis(saved.CarriedUntilMs), now+carryOverTime)
+	for _, s := range parsed.servers {
+		list.entries[s.ID] = entry{s, parsed.addresses[s.ID], parsed.rawEntries[s.ID]}
 	}
-	for _, a := range kept.Withheld {
-		v.withheld[balance.ServerID(a.ID)] = a.Until
+	for _, a := range saved.Withheld {
+		list.withheld[balance.ServerID(a.ID)] = a.Until
 	}
-	for to, all := range map[*map[balance.ServerID]removal][]savedRemoval{&v.gone: kept.Gone, &v.carriedOver: kept.CarriedOver} {
-		for _, g := range all[:min(len(all), maxGoneServers)] {
-			(*to)[balance.ServerID(g.ID)] = removal{fromMillis(g.AtMs), time.Duration(g.StartedNs)}
+	for target, removals := range map[*map[balance.ServerID]removal][]savedRemoval{&list.gone: saved.Gone, &list.carriedOver: saved.CarriedOver} {
+		for _, r := range removals[:min(len(removals), maxGoneServers)] {
+			(*target)[balance.ServerID(r.ID)] = removal{fromMillis(r.AtMs), time.Duration(r.StartedNs)}
 		}
 	}
-	if now >= v.carriedUntil {
-		clear(v.carriedOver)
+	if now >= list.carriedUntil {
+		clear(list.carriedOver)
 	}
-	age := now - time.Duration(at.UnixNano())
-	fresh := !kept.Short && len(l.servers) > 0 && age >= 0 && age <= maxSavedListAge
-	newer := known.version > v.version && known.version > v.previousVersion || known.version == v.version && !fresh
+	age := now - time.Duration(savedAt.UnixNano())
+	fresh := !saved.Short && len(parsed.servers) > 0 && age >= 0 && age <= maxSavedListAge
+	newer := known.version > list.version && known.version > list.previousVersion || known.version == list.version && !fresh
 	switch {
-	case kept.Source != cfg.Discovery: // versions of another discovery say nothing here
-		v.setSource(cfg.Discovery, now)
-		if clear(v.entries); len(known.servers) > 0 {
-			v.apply(known, now)
+	case saved.Source != cfg.Discovery: // versions of another discovery are not comparable
+		list.setSource(cfg.Discovery, now)
+		if clear(list.entries); len(known.servers) > 0 {
+			list.apply(known, now)
 		}
 	case len(known.servers) > 0 && newer:
-		v.apply(known, now)
+		list.apply(known, now)
 	case fresh:
-		v.complete = true
+		list.complete = true
 	default:
-		v.useOlderList(known, kept.Short)
+		list.useOlderList(known, saved.Short)
 	}
-	return v
+	return list
 }
 
-// loadLearned returns what a process before this one had learned; the module judges what of it still holds.
+// loadLearned returns what an earlier process had learned. The module decides how much of it still holds.
 func (h *handover) loadLearned() (balance.Learned, bool) {
 	if h.store == nil {
 		return balance.Learned{}, false
 	}
-	kept, _, ok := readSection[savedLearned](h.store, sectionLearned)
-	return kept.toBalance(), ok
+	saved, _, ok := readSection[savedLearned](h.store, sectionLearned)
+	return saved.toBalance(), ok
 }
 
-// persist keeps what the module learns until ctx ends, and then makes it durable. It never holds the loop up.
-func (h *handover) persist(ctx context.Context, ask func(context.Context) (balance.Learned, error)) {
+// persist saves the queued lists and the module's learned state until ctx ends, and then makes them durable. It runs on
+// its own goroutine, so that the loop never waits for the disk.
+func (h *handover) persist(ctx context.Context, learnedState func(context.Context) (balance.Learned, error)) {
 	if h.store == nil {
 		return
 	}
@@ -338,51 +347,51 @@
 	tick := time.NewTicker(saveInterval)
 	defer tick.Stop()
 	var last savedLearned
-	failing, synced := false, time.Now()
-	told := func(err error) { // once, not every second
+	failing, syncedAt := false, time.Now()
+	logFailure := func(err error) { // logs the first of several failures in a row
 		if err != nil && !failing {
 			slog.Warn("state not kept", "reason", err)
 		}
 		failing = err != nil
 	}
-	news, rest := h.news, (<-chan time.Time)(nil)
+	queued, listPause := h.news, (<-chan time.Time)(nil)
 	for {
 		select {
-		case <-news:
-			told(h.writeList())
-			news, rest = nil, time.After(listSaveInterval)
+		case <-queued:
+			logFailure(h.writeList())
+			queued, listPause = nil, time.After(listSaveInterval)
 			continue
-		case <-rest:
-			news, rest = h.news, nil
+		case <-listPause:
+			queued, listPause = h.news, nil
 			continue
 		case <-tick.C:
 		case <-ctx.Done():
 			return
 		}
-		l, err := ask(ctx)
+		l, err := learnedState(ctx)
 		if err != nil {
-			return // it ends
+			return // the loop has ended
 		}
 		err = h.writeList()
-		if now := newSavedLearned(l); !now.nearlyEqual(last) {
-			raw, failed := json.Marshal(now)
-			if failed == nil {
-				failed = h.store.Keep(sectionLearned, singleKey, raw)
+		if current := newSavedLearned(l); !current.nearlyEqual(last) {
+			raw, writeErr := json.Marshal(current)
+			if writeErr == nil {
+				writeErr = h.store.Keep(sectionLearned, singleKey, raw)
 			}
-			if failed == nil {
-				last = now
+			if writeErr == nil {
+				last = current
 			}
-			err = errors.Join(err, failed)
+			err = errors.Join(err, writeErr)
 		}
-		if time.Since(synced) >= syncInterval {
+		if time.Since(syncedAt) >= syncInterval {
 			err = errors.Join(err, h.store.Sync())
-			synced = time.Now()
+			syncedAt = time.Now()
 		}
-		told(err)
+		logFailure(err)
 	}
 }
 
-// damageCount says in how many places the state was found damaged and no operator has confirmed it since.
+// damageCount returns in how many places the state was found damaged without an operator having confirmed it since.
 func (h *handover) damageCount() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -393,12 +402,12 @@
 	return n
 }
 
-// confirmDamage takes an operator's word that the servers that are out now are the right ones.
+// confirmDamage records an operator's confirmation that the right servers are disabled although the state was damaged.
 func (h *handover) confirmDamage() error {
 	if h.store == nil {
 		return errors.New("there is no state")
 	}
-	if err := h.store.Confirm(); err != nil { // it may wait for a disk: not under the lock of the figures
+	if err := h.store.Confirm(); err != nil { // may wait for the disk, so the lock is not held
 		return errNotDurable{err}
 	}
 	h.mu.Lock()
@@ -407,7 +416,7 @@
 	return nil
 }
 
-// stateSize is the size of the state's file.
+// stateSize returns the size of the state file in bytes.
 func (h *handover) stateSize() int {
 	if h.store == nil {
 		return 0
@@ -415,8 +424,8 @@
 	return h.store.Size()
 }
 
-// saveCall saves a call by hand, and waits for that only as long as a caller at the console may be kept waiting.
-func (h *handover) saveCall(instance string, out bool, at time.Time) error {
+// saveCall stores an operator call. It waits for the disk no longer than saveTimeout, as the caller waits at the console.
+func (h *handover) saveCall(instance string, disabled bool, at time.Time) error {
 	select {
 	case h.saves <- struct{}{}:
 	default:
@@ -425,7 +434,7 @@
 	done := make(chan error, 1)
 	go func() {
 		defer func() { <-h.saves }()
-		done <- h.save(instance, out, at)
+		done <- h.save(instance, disabled, at)
 	}()
 	select {
 	case err := <-done:
@@ -438,7 +447,7 @@
 	}
 }
 
-// calls returns the calls in force.
+// callsInForce returns the operator calls in force, by instanceId.
 func (h *handover) callsInForce() map[string]handed {
 	if h.store == nil {
 		return maps.Clone(h.handed)
