--- a/internal/sidecar/hollow.go
+++ b/internal/sidecar/hollow.go
@@ -10,21 +10,22 @@
 	"arrowgw/internal/rules"
 )
 
-// killTimeout is how long the end of a killed process may take: what it has begun with others ends by then.
+// killTimeout limits how long Kill waits for the calls that the sidecar has open to its peers.
 const killTimeout = 2 * time.Second
 
-// Hollow is a sidecar without a path of requests: control alone, as in a whole one, with a name, a state folder and addresses of
-// its own. Many may run in one process of the machine. What a whole sidecar has besides is not there: a front, a
-// console, the decision module, connections to upstreams, limits on memory and processor. As no module asks for the
-// list, discovery is called as where lists are pushed. Its methods are safe for concurrent use.
+// Hollow is a sidecar that runs the control plane and carries no client traffic. It has a name, a state folder and addresses
+// of its own, and many can run in one process. Compared with a whole sidecar it lacks the client listener, the console, the
+// decision module, the connections to upstreams and the limits on memory and processor. As no module subscribes to the
+// list, discovery is called as if lists were pushed. Its methods are safe for concurrent use.
 type Hollow struct {
 	control *control
 	stop    context.CancelFunc
-	saved   chan struct{}
+	saved   chan struct{} // closed once the state is saved
 }
 
-// StartHollow starts one by a sidecar's configuration file and a folder for its state. rate is the traffic that it tells the
-// others, in requests a second. It runs until Stop or Kill. An error says which of the configuration can't be used.
+// StartHollow starts a hollow sidecar from a sidecar's configuration file and a folder for its state. rate is the traffic
+// that it reports to its peers, in requests a second. It runs until Stop or Kill. An error says what in the configuration
+// is unusable.
 func StartHollow(config, shared string, rate float64) (*Hollow, error) {
 	cfg, err := readConfig(config, func(name string) string {
 		if name == "TMPDIR" {
@@ -51,7 +52,8 @@
 	return h, nil
 }
 
-// Kill ends it without a word to the others, as if its process had been killed; but that what it has just learned is kept.
+// Kill ends the sidecar without announcing it to its peers, as if its process had been killed, except that its latest state
+// is saved.
 func (h *Hollow) Kill() {
 	closed := make(chan struct{})
 	go func() {
@@ -67,7 +69,7 @@
 	h.shutDown()
 }
 
-// Stop ends it as a planned stop does: duties are passed on, and the others are told.
+// Stop ends the sidecar as a planned stop does: it passes its duties on and announces that it leaves.
 func (h *Hollow) Stop() {
 	left := make(chan struct{})
 	go func() {
@@ -82,6 +84,7 @@
 	h.shutDown()
 }
 
+// shutDown stops the control plane and waits up to saveTimeout for the state to be saved.
 func (h *Hollow) shutDown() {
 	h.stop()
 	select {
@@ -90,13 +93,13 @@
 	}
 }
 
-// SetDiscovery has it go on with discovery at another address, as a reload of the configuration does.
+// SetDiscovery switches to another address of discovery, as a reload of the configuration does.
 func (h *Hollow) SetDiscovery(discovery string) { h.control.discovery.setAddress(discovery) }
 
-// ReadRules has it read its file of rules again, as a reload does.
+// ReadRules reads the file of rules again, as a reload of the configuration does.
 func (h *Hollow) ReadRules() { h.control.sets.read() }
 
-// Members is what it sees of its fleet, without the members one by one.
+// Members returns the sidecar's view of its fleet, without the list of members.
 func (h *Hollow) Members() (v member.View) {
 	if g := h.control.peers.group; g != nil {
 		v = g.Brief()
@@ -104,13 +107,13 @@
 	return v
 }
 
-// Sees says whether it holds a member for present.
+// Sees reports whether the sidecar considers a member present.
 func (h *Hollow) Sees(name string) bool {
 	g := h.control.peers.group
 	return g != nil && g.Sees(name)
 }
 
-// Rules is how its rule set stands.
+// Rules returns the status of the sidecar's rule set.
 func (h *Hollow) Rules() (s rules.Status) {
 	if n := h.control.sets.node; n != nil {
 		s = n.Status()
@@ -118,7 +121,7 @@
 	return s
 }
 
-// DiscoveryCounts counts discovery's answers so far: whole lists that it was given, and calls that failed.
+// DiscoveryCounts returns how many whole lists discovery has given so far, and how many calls to it failed.
 func (h *Hollow) DiscoveryCounts() (whole, failed int) {
 	d := h.control.discovery
 	d.mu.Lock()
@@ -126,13 +129,13 @@
 	return d.counts.wholeAnswers, d.counts.failed
 }
 
-// Traffic is what its control has sent and was sent so far.
+// Traffic returns what the control plane has sent and received so far.
 func (h *Hollow) Traffic() meter.Traffic { return h.control.meter.Traffic() }
 
-// noRequestPath is the path of requests of a process that has none.
+// noRequestPath implements requests for a sidecar that carries no client traffic.
 type noRequestPath struct {
 	clock clock
-	rate  float64
+	rate  float64 // requests a second that learnedState reports
 }
 
 func (noRequestPath) applyListing(listing)                                  {}
