--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -15,13 +15,13 @@
 // Settings are the start-up settings of an instance, by path.
 type Settings struct {
 	values map[string]string
-	err    error // the first value that could not be read
+	err    error // the first value that could not be parsed
 }
 
-// ParseSettings reads path=value lines. Unknown keys are kept and passed over.
-func ParseSettings(info []byte) (*Settings, error) {
+// ParseSettings parses lines of the form path=value. Unknown paths are kept and have no effect.
+func ParseSettings(text []byte) (*Settings, error) {
 	s := &Settings{values: make(map[string]string, 128)}
-	for n, line := range bytes.Split(info, []byte{'\n'}) {
+	for n, line := range bytes.Split(text, []byte{'\n'}) {
 		if line = bytes.TrimSpace(line); len(line) == 0 {
 			continue
 		}
@@ -34,12 +34,12 @@
 	return s, nil
 }
 
-// SettingsFromJSON reads the same settings as nested JSON, by bringing them into the path=value form:
-// lists of plain values are joined by commas, lists of objects put their length under .count and
-// their items under .0, .1 and so on. A null counts as absent.
+// SettingsFromJSON parses the same settings as nested JSON and converts them to paths: the items of a list of plain values
+// are joined by commas, a list of objects puts its length under .count and its items under .0, .1 and so on. A null
+// counts as absent.
 func SettingsFromJSON(raw []byte) (*Settings, error) {
 	d := json.NewDecoder(bytes.NewReader(raw))
-	d.UseNumber() // figures keep their own text
+	d.UseNumber() // numbers keep their text
 	var root map[string]any
 	if err := d.Decode(&root); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
@@ -49,6 +49,7 @@
 	return s, nil
 }
 
+// flatten enters a JSON value under a path.
 func (s *Settings) flatten(path string, v any) {
 	switch v := v.(type) {
 	case map[string]any:
@@ -75,19 +76,19 @@
 	}
 }
 
-// Text returns a value as it was given, or "".
+// Text returns a value as text, or "" if it is absent.
 func (s *Settings) Text(key string) string { return s.text(key) }
 
-// Count returns a whole number, or 0 where there is none; see Err.
+// Count returns a value as a whole number, or 0 if it is absent or malformed; see Err.
 func (s *Settings) Count(key string) int { return s.count(key) }
 
-// Duration returns a figure in milliseconds, or 0 where there is none; see Err.
+// Duration returns a value in milliseconds as a duration, or 0 if it is absent or malformed; see Err.
 func (s *Settings) Duration(key string) time.Duration { return FromMillis(s.number(key, 0)) }
 
-// Number returns a figure, or 0 where there is none; see Err.
+// Number returns a value as a number, or 0 if it is absent or malformed; see Err.
 func (s *Settings) Number(key string) float64 { return s.number(key, 0) }
 
-// Err returns the first value that could not be read so far.
+// Err returns the error of the first value that could not be parsed.
 func (s *Settings) Err() error { return s.err }
 
 func (s *Settings) text(key string) string { return s.values[key] }
@@ -107,19 +108,19 @@
 }
 
 func (s *Settings) count(key string) int {
-	const most = 1 << 16 // far above any real list; a guard against a broken figure
+	const maxCount = 1 << 16 // far above any real list; guards against a corrupt number
 	n := s.number(key, 0)
-	if (n < 0 || n > most || n != float64(int(n))) && s.err == nil {
+	if (n < 0 || n > maxCount || n != float64(int(n))) && s.err == nil {
 		s.err = fmt.Errorf("settings: %s: %v is not a count", key, n)
 		return 0
 	}
 	return int(n)
 }
 
-// Columns are the fields of a load report in their order on the wire; 0 stands for one not known.
+// Columns are the fields of a load report in their order on the wire; 0 stands for an unknown field.
 type Columns []balance.LoadFields
 
-// Columns tells what the load reports hold.
+// Columns returns the fields that load reports contain.
 func (s *Settings) Columns() Columns {
 	var c Columns
 	for name := range strings.SplitSeq(s.text("telemetry.columns"), ",") {
@@ -135,7 +136,7 @@
 	return c
 }
 
-// fields is the set of all columns.
+// fields returns the set of all columns.
 func (c Columns) fields() (all balance.LoadFields) {
 	for _, f := range c {
 		all |= f
@@ -143,7 +144,7 @@
 	return all
 }
 
-// Load reads a report by its columns. A value that is no usable number counts as absent.
+// Load converts a report according to its columns. Values that are negative, infinite or NaN count as absent.
 func (c Columns) Load(r Report) balance.Load {
 	var l balance.Load
 	for i := range min(r.N, len(c)) {
@@ -170,7 +171,7 @@
 	return l
 }
 
-// Config turns the settings into the module's own.
+// Config converts the settings to the configuration of the decision module.
 func (s *Settings) Config() (balance.Config, error) {
 	c := balance.Config{
 		Balancers:      s.count("balancers"),
@@ -197,7 +198,7 @@
 		},
 	}
 	if s.text("caps.retry_after") == "false" {
-		c.MaxRetryAfter = 0 // clients are given no advice
+		c.MaxRetryAfter = 0 // clients are not told when to retry
 	}
 	if s.text("telemetry.how") != "silent" {
 		c.Reports = s.Columns().fields()
@@ -211,7 +212,7 @@
 			LateShare:  s.number(p+"late_share", 0),
 			Worth:      s.number(p+"worth", 0),
 			Window:     FromMillis(s.number(p+"window_ms", 0)),
-			Effect:     balance.Unsafe, // an unknown word is taken for the strictest
+			Effect:     balance.Unsafe, // an unknown value means the strictest effect
 			Scope:      balance.ScopeCell,
 			InOrder:    s.flag(p + "fifo_by_key"),
 		}
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -16,6 +16,7 @@
 	"arrowgw/internal/balance"
 )
 
+// unhex decodes hexadecimal text with white space.
 func unhex(t testing.TB, s string) []byte {
 	t.Helper()
 	b, err := hex.DecodeString(strings.NewReplacer(" ", "", "\n", "", "\t", "").Replace(s))
@@ -25,8 +26,8 @@
 	return b
 }
 
-// The records are examples of the protocol page.
-func TestReadsABatch(t *testing.T) {
+// The records are the examples of the protocol's description.
+func TestReadBatch(t *testing.T) {
 	frame := unhex(t, `0c000000 03000000 4d000000 00000000206ec040
 		3804 27000000 03000000 c4913a5d 0100 640ad2557c3bf091 00000000 0000000000006e40 0000000000002840 00
 		2e04 0c000000 03000000 4d00000000000000
@@ -59,7 +60,7 @@
 	}
 }
 
-func TestReadsListsAndOutcomes(t *testing.T) {
+func TestReadListsAndOutcomes(t *testing.T) {
 	rec, _, err := Next(unhex(t, `f203 34000000 0000 02000000
 		0a124a07 931f 00 00 0000 01 0000803f 0000000000000000
 		0a9011f2 bc1f 00 00 0000 01 0000c03f 0000000000d4b740`))
@@ -105,10 +106,10 @@
 	}
 }
 
-func TestWritesActions(t *testing.T) {
+func TestWriteActions(t *testing.T) {
 	var to Upstream
 	rec, _, _ := Next(unhex(t, "1a04 0a000000 03000000 0a124a07 931f"))
-	c := cursor{b: rec.Fields[4:]}
+	c := cursor{rest: rec.Fields[4:]}
 	to = c.addr()
 	var p Reply
 	p.Begin(12)
@@ -142,6 +143,7 @@
 	}
 }
 
+// frame builds a frame whose header need not match its body.
 func frame(records, size uint32, clock float64, body string) []byte {
 	b := binary.LittleEndian.AppendUint32(nil, 1)
 	b = binary.LittleEndian.AppendUint32(b, records)
@@ -152,10 +154,10 @@
 
 func TestMalformedFrames(t *testing.T) {
 	for name, in := range map[string][]byte{
-		"header cut off":        {1, 2, 3},
-		"body cut off":          frame(1, 100, 0, "short"),
+		"truncated header":      {1, 2, 3},
+		"truncated body":        frame(1, 100, 0, "short"),
 		"oversized":             frame(1, 1<<31, 0, ""),
-		"large and cut off":     frame(1, maxFrame, 0, "short"),
+		"large and truncated":   frame(1, maxBodyLen, 0, "short"),
 		"more records than fit": frame(100, 6, 0, "abcdef"),
 		"clock not a number":    frame(0, 0, math.NaN(), ""),
 	} {
@@ -164,8 +166,8 @@
 		}
 	}
 	for name, in := range map[string]string{
-		"record header cut off": "e803",
-		"record longer than it": "e803 ff000000 03000000",
+		"truncated record header":        "e803",
+		"record shorter than its length": "e803 ff000000 03000000",
 	} {
 		if _, _, err := Next(unhex(t, in)); err == nil {
 			t.Errorf("%s: no error", name)
@@ -173,11 +175,11 @@
 	}
 	short := Record{Code: EvAsk, Fields: []byte{1, 0, 0, 0, 9}}
 	if _, err := short.Ask(); err == nil {
-		t.Error("fields cut off: no error")
+		t.Error("truncated fields: no error")
 	}
 	huge := Record{Code: EvManifest, Fields: []byte{0, 0, 255, 255, 255, 255}}
 	if _, _, err := huge.Manifest(); err == nil {
-		t.Error("list of four thousand million lines: no error")
+		t.Error("list of four thousand million entries: no error")
 	}
 	longer := Record{Code: EvWake, Fields: append(make([]byte, 12), "a field of a later version"...)}
 	if _, err := longer.Cookie(); err != nil {
@@ -185,18 +187,18 @@
 	}
 }
 
-func TestMillis(t *testing.T) {
+func TestMillisRoundTrip(t *testing.T) {
 	for _, d := range []time.Duration{0, time.Microsecond, 123456 * time.Microsecond, -time.Second, time.Hour} {
 		if got := FromMillis(ToMillis(d)); got != d {
-			t.Errorf("%v comes back as %v", d, got)
+			t.Errorf("%v is converted back to %v", d, got)
 		}
 	}
 	if FromMillis(math.NaN()) != 0 || FromMillis(math.Inf(1)) <= 0 || FromMillis(math.Inf(-1)) >= 0 {
-		t.Error("what is no number, or infinite, is not cut to a safe duration")
+		t.Error("NaN and infinite values are not limited to a valid duration")
 	}
 }
 
-const someSettings = `balancers=3
+const testSettings = `balancers=3
 caps.may_cancel=true
 caps.most_tries=3
 caps.probes=true
@@ -230,7 +232,7 @@
 `
 
 func TestSettings(t *testing.T) {
-	s, err := ParseSettings([]byte(someSettings))
+	s, err := ParseSettings([]byte(testSettings))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -246,7 +248,7 @@
 		t.Errorf("class 0 %+v", k)
 	}
 	if c.Classes[1].Effect != balance.Unsafe {
-		t.Error("an unknown effect is not taken for the strictest")
+		t.Error("an unknown effect is not treated as the strictest")
 	}
 	if b := (balance.RetryBudget{Span: 10 * time.Second, Free: 1, Share: 0.2}); c.Budget != b ||
 		c.CloseWithin != 300*time.Millisecond || c.OrderSettle != 250*time.Millisecond || !c.Classes[1].InOrder {
@@ -300,7 +302,7 @@
 	})
 }
 
-// Both forms of the settings are one: the same figures, names and lists.
+// Settings given as lines and as nested JSON yield the same configuration.
 func TestSettingsFromJSON(t *testing.T) {
 	const lines = "balancers=3\ncaps.may_cancel=true\ncaps.most_tries=3\ncaps.probes=true\ntelemetry.how=pull\n" +
 		"telemetry.columns=svc_ms,busy_reqs\nclasses.count=2\nclasses.0.aim_ms=500.0\nclasses.0.hard_limit_ms=1000.0\n" +
@@ -330,13 +332,13 @@
 	}
 	for _, bad := range []string{"", "[]", "5", "{"} {
 		if _, err := SettingsFromJSON([]byte(bad)); err == nil {
-			t.Errorf("%q was taken", bad)
+			t.Errorf("%q was accepted", bad)
 		}
 	}
 }
 
-// Clients that are given no advice get none; where the settings do not say, it may be given.
-func TestRetryAfterIsGivenWhereAllowed(t *testing.T) {
+// Clients get no Retry-After if the settings forbid it; without such a setting they may get it.
+func TestRetryAfterNeedsPermission(t *testing.T) {
 	for line, want := range map[string]time.Duration{
 		"": 800 * time.Millisecond, "caps.retry_after=true\n": 800 * time.Millisecond, "caps.retry_after=false\n": 0,
 	} {
