--- a/internal/sidecar/discovery_test.go
+++ b/internal/sidecar/discovery_test.go
@@ -53,7 +53,7 @@
 // A watch from the known version on; a malformed answer or a failure takes nothing away, and after a pause
 // it goes on from there. The first after that is short: the module waits for word. Only where changes are
 // not to be had is the whole list called for: those of all sidecars at once keep discovery from answering.
-func TestDiscoveryIsFollowed(t *testing.T) {
+func TestDiscoveryFollowsList(t *testing.T) {
 	queries := make(chan string, 100)
 	answers := make(chan func(http.ResponseWriter), 100)
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -132,7 +132,7 @@
 
 // Where lists are pushed, what changed while discovery was away counts as told as soon as it is back, and a drain has to be kept within
 // a second of that: no pause between calls may be as long, however long discovery was away.
-func TestPushedListIsHeardSoonAfterAnOutage(t *testing.T) {
+func TestRetryDelaysStayShortForPushedLists(t *testing.T) {
 	const most, failures = time.Second, 12
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusServiceUnavailable) }))
 	defer server.Close()
@@ -158,7 +158,7 @@
 }
 
 // Where the list must be asked for, nothing is called before the module asks.
-func TestDiscoveryIsAsked(t *testing.T) {
+func TestDiscoveryWaitsForSubscription(t *testing.T) {
 	calls := make(chan struct{}, 100)
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		calls <- struct{}{}
@@ -186,7 +186,7 @@
 
 // When discovery moves, the watch at the old address ends at once, and the whole list comes from the
 // new one: where lists are pushed, and where they are asked for without being asked again.
-func TestDiscoveryMoves(t *testing.T) {
+func TestDiscoveryChangesAddress(t *testing.T) {
 	for _, how := range []string{"push", "ask"} {
 		t.Run(how, func(t *testing.T) {
 			began, left := make(chan struct{}, 10), make(chan struct{}, 10)
@@ -232,8 +232,8 @@
 
 // A server that moves is reached where it is now, one that left is not reached at all, and a list
 // of changes leaves the others alone.
-func TestListMovesServers(t *testing.T) {
-	l := idleLoop(t, "127.0.0.1:81")
+func TestListChangesAddresses(t *testing.T) {
+	l := newTestLoop(t, "127.0.0.1:81")
 	id := serverID("s-0")
 	moved, err := parseListing([]byte(`{"generation":2,"instances":[{"instanceId":"s-0","hostPort":"127.0.0.1:82","lifecycle":"ready"}]}`), nil)
 	if err != nil {
--- a/internal/sidecar/late_test.go
+++ b/internal/sidecar/late_test.go
@@ -18,9 +18,9 @@
 	"arrowgw/internal/balance"
 )
 
-// late has connections to an address come up in the very moment in which whoever waits for one gives up, or when free
+// delayDials has connections to an address come up in the very moment in which whoever waits for one gives up, or when free
 // is closed. dialled hears of each as it is asked for.
-func (u *transport) late(address string) (dialled chan struct{}, free chan struct{}) {
+func (u *transport) delayDials(address string) (dialled chan struct{}, free chan struct{}) {
 	dialled, free = make(chan struct{}, 100), make(chan struct{})
 	dial := u.dial
 	u.dial = func(ctx context.Context, network, to string) (net.Conn, error) {
@@ -55,12 +55,12 @@
 			s := newStub(t, echo)
 			u := testTransport(t)
 			u.dialTimeout = 2 * generous
-			dialled, _ := u.late(s.address)
+			dialled, _ := u.delayDials(s.address)
 			done, now := make(chan attemptResult, 1), u.clock.now()
 			if c.by > 0 {
 				c.by += now
 			}
-			x := u.send(s.address, testMessage("1"), now+c.until, c.by, now+c.until, func(r attemptResult) { done <- r })
+			x := u.send(s.address, testRequest("1"), now+c.until, c.by, now+c.until, func(r attemptResult) { done <- r })
 			wait(t, "its call for a connection", dialled)
 			if c.happens != nil {
 				c.happens(x)
@@ -69,7 +69,7 @@
 				t.Errorf("ending %v, want %v", got.ending, c.ending)
 			}
 			u.dial = (&net.Dialer{}).DialContext
-			attempt(t, u, s.address, "2", generous)
+			runAttempt(t, u, s.address, "2", generous)
 			if r := wait(t, "the next request", s.seen); r.Header.Get("X-Request-ID") != "2" {
 				t.Errorf("request %s went out", r.Header.Get("X-Request-ID"))
 			}
@@ -78,12 +78,12 @@
 }
 
 // What is being written, or was, is not withdrawn.
-func TestWithdrawnTooLate(t *testing.T) {
+func TestWithdrawAfterWrite(t *testing.T) {
 	answer := make(chan struct{})
 	s := newStub(t, func(c net.Conn, r received) bool { <-answer; return echo(c, r) })
 	u := testTransport(t)
 	done := make(chan attemptResult, 1)
-	x := u.send(s.address, testMessage("1"), u.clock.now()+generous, 0, u.clock.now()+generous, func(r attemptResult) { done <- r })
+	x := u.send(s.address, testRequest("1"), u.clock.now()+generous, 0, u.clock.now()+generous, func(r attemptResult) { done <- r })
 	wait(t, "the request", s.seen)
 	x.withdraw()
 	close(answer)
@@ -92,16 +92,16 @@
 	}
 }
 
-// slow is the rest of a body that comes only when a moment is over.
-type slow struct{ until time.Time }
+// delayedReader is the rest of a body that comes only when a moment is over.
+type delayedReader struct{ until time.Time }
 
-func (s slow) Read(b []byte) (int, error) {
+func (s delayedReader) Read(b []byte) (int, error) {
 	time.Sleep(time.Until(s.until))
 	return copy(b, "end"), io.EOF
 }
 
 // A request whose bound passes while it is written is cut short: its server never has its last byte.
-func TestCutShortAtItsBound(t *testing.T) {
+func TestRequestIsCutShortAtSendBy(t *testing.T) {
 	for _, name := range []string{"held", "long"} {
 		t.Run(name, func(t *testing.T) {
 			least := func(_, _ string, c syscall.RawConn) error { // the least buffer that the kernel gives
@@ -123,10 +123,10 @@
 				}
 				return c, err
 			}
-			m, by := testMessage("1"), u.clock.now()+50*time.Millisecond
+			m, by := testRequest("1"), u.clock.now()+50*time.Millisecond
 			m.body, m.length = patternedBody(maxBufferedBody), maxBufferedBody
 			if name == "long" {
-				body := &pacedBody{body: slow{u.clock.at(by + time.Millisecond)}, setReadDeadline: func(time.Time) error { return nil }}
+				body := &pacedBody{body: delayedReader{u.clock.at(by + time.Millisecond)}, setReadDeadline: func(time.Time) error { return nil }}
 				m.upload, m.length = newUpload(body), maxBufferedBody+3
 				m.upload.onSent = func() { t.Error("the last byte went out") }
 			}
@@ -157,21 +157,21 @@
 
 // A request that waits for its connection when its server is told to drain goes to another, and the connection that
 // comes up then carries nothing.
-func TestDrainMeetsALateConnection(t *testing.T) {
+func TestDrainWhileConnecting(t *testing.T) {
 	late, other := newStub(t, echo), newStub(t, echo)
-	l := idleLoop(t, late.address)
+	l := newTestLoop(t, late.address)
 	l.upstream.dialTimeout = 2 * generous
-	dialled, _ := l.upstream.late(late.address)
+	dialled, _ := l.upstream.delayDials(late.address)
 	reply := make(chan answer, 1)
-	l.submit(balance.Request{Class: 1}, testMessage("1"), l.now+generous, reply)
-	l.next(t)
+	l.submit(balance.Request{Class: 1}, testRequest("1"), l.now+generous, reply)
+	l.runNextEvent(t)
 	wait(t, "its call for a connection", dialled)
 	l.applyList(listing{servers: []balance.Server{{ID: serverID("s-0"), State: balance.Draining, Weight: 1},
 		{ID: serverID("s-1"), State: balance.Ready, Weight: 1}},
 		addresses: map[balance.ServerID]string{serverID("s-0"): late.address, serverID("s-1"): other.address}}, balance.ListDelta)
-	l.next(t) // its attempt ends
+	l.runNextEvent(t) // its attempt ends
 	wait(t, "the request at the other server", other.seen)
-	l.next(t)
+	l.runNextEvent(t)
 	if a := wait(t, "its answer", reply); a.status != http.StatusOK || len(late.seen) > 0 {
 		t.Errorf("status %d, %d requests at the server that drains", a.status, len(late.seen))
 	}
@@ -207,7 +207,7 @@
 
 // A client that leaves while its request waits for a connection is sent nowhere, be cancelling allowed or not, and
 // whatever it has sent that is still to be read: a close behind that shows to no reader.
-func TestClientLeavesWhileItWaits(t *testing.T) {
+func TestClientLeavesWhileConnecting(t *testing.T) {
 	body := string(patternedBody(maxBufferedBody + 4<<10))
 	short := head("1", "Content-Length: 0")
 	for name, sends := range map[string][2]string{ // at once, and when its attempt waits
@@ -226,7 +226,7 @@
 					entry["aim_ms"], entry["hard_limit_ms"] = 10*generous.Milliseconds(), 10*generous.Milliseconds()
 				})
 				f.loop.upstream.dialTimeout = 2 * generous
-				dialled, free := f.loop.upstream.late(s.address)
+				dialled, free := f.loop.upstream.delayDials(s.address)
 				serve()
 				c := side.dial(t)
 				if _, err := io.WriteString(c, strings.Replace(sends[0], "20000m", "200000m", 1)); err != nil {
@@ -237,9 +237,9 @@
 					t.Fatal(err)
 				}
 				c.Close()
-				f.until(t, "the request to be let go", func() bool { return f.held.Load() == 0 })
+				f.waitOnLoop(t, "the request to be let go", func() bool { return f.held.Load() == 0 })
 				close(free)
-				f.until(t, "its attempt to end", func() bool { return len(f.loop.requests) == 0 })
+				f.waitOnLoop(t, "its attempt to end", func() bool { return len(f.loop.requests) == 0 })
 				if len(s.seen) > 0 {
 					t.Errorf("request %s was sent on", wait(t, "it", s.seen).Header.Get("X-Request-ID"))
 				}
@@ -248,8 +248,8 @@
 	}
 }
 
-// until waits for something that the loop's goroutine tells.
-func (f *front) until(t *testing.T, what string, holds func() bool) {
+// waitOnLoop waits for something that the loop's goroutine tells.
+func (f *front) waitOnLoop(t *testing.T, what string, holds func() bool) {
 	t.Helper()
 	for end, there := time.Now().Add(generous), false; !there; time.Sleep(time.Millisecond) {
 		if err := f.loop.postAndWait(context.Background(), func(time.Duration) { there = holds() }); err != nil {
@@ -262,7 +262,7 @@
 }
 
 // A client that had left before its request was read is sent nowhere.
-func TestClientLeftBeforeItWasRead(t *testing.T) {
+func TestClientLeftBeforeRequestWasRead(t *testing.T) {
 	s := newStub(t, echo)
 	f, side, serve := newTestFront(t, s.address, nil)
 	c := side.dial(t)
@@ -271,7 +271,7 @@
 	}
 	c.Close()
 	serve()
-	f.until(t, "its connection to come and go", func() bool {
+	f.waitOnLoop(t, "its connection to come and go", func() bool {
 		f.clients.mu.Lock()
 		defer f.clients.mu.Unlock()
 		return f.clients.peak > 0 && len(f.clients.conns) == 0
@@ -281,8 +281,8 @@
 	}
 }
 
-// occupy keeps the loop's goroutine from what is posted behind this until free is called.
-func (l *loop) occupy() (free func()) {
+// block keeps the loop's goroutine from what is posted behind this until free is called.
+func (l *loop) block() (free func()) {
 	held := make(chan struct{})
 	l.post(func(time.Duration) { <-held })
 	return sync.OnceFunc(func() { close(held) })
@@ -290,7 +290,7 @@
 
 // A client whose leaving is still behind other events as an attempt is about to be written is sent nowhere: the kernel
 // is asked before each. The loop stands still from the attempt's beginning on, so that nobody else can tell.
-func TestClientLeavesUnheard(t *testing.T) {
+func TestClientLeavesBeforeLoopKnows(t *testing.T) {
 	leaves := map[string]func(c *net.TCPConn) error{
 		"closes":  (*net.TCPConn).Close,
 		"resets":  func(c *net.TCPConn) error { return errors.Join(c.SetLinger(0), c.Close()) },
@@ -320,11 +320,11 @@
 				dialled, free := make(chan struct{}, 1), make(chan struct{})
 				if at == "connecting" {
 					l.upstream.dialTimeout = 2 * generous
-					dialled, free = l.upstream.late(one.address)
+					dialled, free = l.upstream.delayDials(one.address)
 				}
 				serve()
 				c := side.dial(t).(*net.TCPConn)
-				begin := l.occupy()
+				begin := l.block()
 				defer begin()
 				eventually(t, "the loop to stand still", func() bool { return len(l.events) == 0 })
 				send := func() {
@@ -345,7 +345,7 @@
 					case <-time.After(generous):
 						t.Fatal("no first attempt")
 					}
-					begin = l.occupy()
+					begin = l.block()
 					eventually(t, "the loop to stand still", func() bool { return len(l.events) == 0 })
 					close(held)
 					eventually(t, "the first attempt's end to be posted", posted(1))
@@ -354,7 +354,7 @@
 					send()
 					wait(t, "its call for a connection", dialled)
 				}
-				end := l.occupy()
+				end := l.block()
 				defer end()
 				if err := leave(c); err != nil {
 					t.Fatal(err)
@@ -369,7 +369,7 @@
 					})
 				}
 				end()
-				f.until(t, "its attempt to end", func() bool { return len(l.requests) == 0 })
+				f.waitOnLoop(t, "its attempt to end", func() bool { return len(l.requests) == 0 })
 				if n := len(one.seen) + len(other.seen); n > 0 {
 					t.Errorf("%d attempts behind the client's leaving", n)
 				}
@@ -379,11 +379,11 @@
 }
 
 // What an attempt tells its server is what is left once its connection has come up, for a long body too, all of which may have come long before.
-func TestToldTime(t *testing.T) {
-	for name, m := range map[string]*outboundRequest{"held": testMessage("1"), "long": testMessage("1")} {
+func TestTimeoutHeaderAfterSlowConnect(t *testing.T) {
+	for name, m := range map[string]*outboundRequest{"held": testRequest("1"), "long": testRequest("1")} {
 		t.Run(name, func(t *testing.T) {
 			s, u := newStub(t, echo), testTransport(t)
-			dialled, free := u.late(s.address)
+			dialled, free := u.delayDials(s.address)
 			if m.timeLeft = 4 * time.Second; name == "long" {
 				m.upload = newUpload(&pacedBody{body: strings.NewReader("end"), setReadDeadline: func(time.Time) error { return nil }})
 				m.upload.onSent, m.length = func() {}, int64(len(m.body))+3
@@ -403,7 +403,7 @@
 
 // A connection that is late has others dialled beside it, dialsMost in all and only where there is room. The first to
 // come up carries the request, once; what comes up all the same is the pool's.
-func TestAnotherIsDialledBesideALateOne(t *testing.T) {
+func TestLateDialsAreHedged(t *testing.T) {
 	refused := errors.New("refused")
 	for name, c := range map[string]struct {
 		late    int  // so many dials, the first ones, end only as they are called off,
@@ -457,7 +457,7 @@
 				}
 				return (&net.Dialer{}).DialContext(context.WithoutCancel(ctx), network, to)
 			}
-			if got := attempt(t, u, s.address, "1", generous); got.ending != c.ending {
+			if got := runAttempt(t, u, s.address, "1", generous); got.ending != c.ending {
 				t.Errorf("ending %v, want %v", got.ending, c.ending)
 			}
 			open, idle := -1, -1 // those called off end by themselves
@@ -476,10 +476,10 @@
 }
 
 // A further attempt of a long body tells no more than what was left as it was sent.
-func TestToldTimeOfAFurtherAttempt(t *testing.T) {
+func TestTimeoutHeaderOfRetry(t *testing.T) {
 	s := newStub(t, echo)
-	l := idleLoop(t, s.address)
-	r, _ := l.hold(7)
+	l := newTestLoop(t, s.address)
+	r, _ := l.addRequest(7)
 	r.outbound.timeLeft = generous
 	r.outbound.upload = newUpload(&pacedBody{body: strings.NewReader("end"), setReadDeadline: func(time.Time) error { return nil }})
 	r.outbound.upload.onSent, r.outbound.length = func() {}, int64(len(r.outbound.body))+3
@@ -488,13 +488,13 @@
 	if told, _ := duration(wait(t, "the request", s.seen).Header.Get("X-Timeout")); told > generous/2 {
 		t.Errorf("it tells %v, want %v at most", told, generous/2)
 	}
-	l.next(t)
+	l.runNextEvent(t)
 }
 
 // A client that has left as the last byte of its long body is about to go out is sent nowhere: its server never has that.
-func TestClientLeavesAtItsLastByte(t *testing.T) {
+func TestClientLeavesBeforeLastByte(t *testing.T) {
 	s, u, asked := newStub(t, echo), testTransport(t), 0
-	m := testMessage("1")
+	m := testRequest("1")
 	m.upload = newUpload(&pacedBody{body: strings.NewReader("end"), setReadDeadline: func(time.Time) error { return nil }})
 	m.upload.onSent = func() { t.Error("the last byte went out") }
 	m.length = int64(len(m.body)) + 3
--- a/internal/sidecar/loop_test.go
+++ b/internal/sidecar/loop_test.go
@@ -10,8 +10,8 @@
 	"arrowgw/internal/guard"
 )
 
-// idleLoop is a loop whose goroutine is the test itself, with one server in its list.
-func idleLoop(t *testing.T, address string) *loop {
+// newTestLoop is a loop whose goroutine is the test itself, with one server in its list.
+func newTestLoop(t *testing.T, address string) *loop {
 	t.Helper()
 	cfg := testConfig(t, listed(1, "ready", address), nil)
 	c := newClock()
@@ -26,8 +26,8 @@
 	return l
 }
 
-// next runs the next event and what it owes.
-func (l *loop) next(t *testing.T) {
+// runNextEvent runs the next event and what it owes.
+func (l *loop) runNextEvent(t *testing.T) {
 	t.Helper()
 	event := wait(t, "an event", l.events)
 	l.now = l.clock.now()
@@ -35,18 +35,18 @@
 	l.reportUnsent()
 }
 
-// hold enters a request that the module does not know, so that the test can decide for it.
-func (l *loop) hold(id balance.RequestID) (*request, chan answer) {
+// addRequest enters a request that the module does not know, so that the test can decide for it.
+func (l *loop) addRequest(id balance.RequestID) (*request, chan answer) {
 	reply := make(chan answer, 1)
 	l.guard.Take(id, guard.Request{Name: "held", Deadline: l.now + generous, Effect: balance.Safe})
-	r := &request{outbound: testMessage("1"), reply: reply, deadline: l.now + generous}
+	r := &request{outbound: testRequest("1"), reply: reply, deadline: l.now + generous}
 	l.requests[id] = r
 	return r, reply
 }
 
 // The first served attempt answers at once; what the module says of the request after that, and
 // what other attempts bring, changes nothing. Each attempt has one Outcome, then the entry goes.
-func TestOneAnswerForEachRequest(t *testing.T) {
+func TestOneAnswerPerRequest(t *testing.T) {
 	release := make(chan struct{})
 	s := newStub(t, func(c net.Conn, r received) bool {
 		if r.conn > 0 {
@@ -54,11 +54,11 @@
 		}
 		return ok(c, "first")
 	})
-	l := idleLoop(t, s.address)
-	r, reply := l.hold(7)
+	l := newTestLoop(t, s.address)
+	r, reply := l.addRequest(7)
 	to := serverID("s-0")
 	l.Send(7, to, 0, 0)
-	l.next(t)
+	l.runNextEvent(t)
 	if a := wait(t, "the answer", reply); a.status != http.StatusOK || string(a.body) != "first" {
 		t.Fatalf("answer %+v", a)
 	}
@@ -80,10 +80,10 @@
 }
 
 // An Outcome comes after the answer too, for an attempt that is called off.
-func TestOutcomeAfterTheAnswer(t *testing.T) {
+func TestOutcomeAfterAnswer(t *testing.T) {
 	s := newStub(t, silent)
-	l := idleLoop(t, s.address)
-	r, reply := l.hold(7)
+	l := newTestLoop(t, s.address)
+	r, reply := l.addRequest(7)
 	l.Send(7, serverID("s-0"), 0, 0)
 	wait(t, "the request", s.seen)
 	l.Fail(7, balance.OutOfTime)
@@ -95,23 +95,23 @@
 	}
 	l.Cancel(7, 0)
 	l.Cancel(7, 5)
-	l.next(t)
+	l.runNextEvent(t)
 	if len(l.requests) != 0 {
 		t.Error("the request is still in the table")
 	}
 }
 
 // Sends past caps.most_tries, past the deadline or to a server that is not listed are not carried out.
-func TestNotSent(t *testing.T) {
+func TestImpossibleSends(t *testing.T) {
 	s := newStub(t, silent)
-	l := idleLoop(t, s.address)
-	l.hold(7)
+	l := newTestLoop(t, s.address)
+	l.addRequest(7)
 	to := serverID("s-0")
 	for range 3 {
 		l.Send(7, to, 0, 0)
 	}
 	l.Send(7, to, 0, 0)
-	l.hold(8)
+	l.addRequest(8)
 	l.Send(8, serverID("unheard of"), 0, 0)
 	l.Send(8, to, -time.Second, 0)
 	l.now += 2 * generous
@@ -133,21 +133,21 @@
 	}
 	for i := range 3 {
 		l.Cancel(7, i)
-		l.next(t)
+		l.runNextEvent(t)
 	}
 }
 
 // A client that closes its connection is owed nothing more; its attempts are called off.
 func TestClientGone(t *testing.T) {
 	s := newStub(t, silent)
-	l := idleLoop(t, s.address)
+	l := newTestLoop(t, s.address)
 	reply := make(chan answer, 1)
-	id := l.submit(balance.Request{Class: 0}, testMessage("1"), l.now+generous, reply)
-	l.next(t)
+	id := l.submit(balance.Request{Class: 0}, testRequest("1"), l.now+generous, reply)
+	l.runNextEvent(t)
 	wait(t, "the request", s.seen)
 	l.clientGone(id)
-	l.next(t)
-	l.next(t) // the end of its attempt
+	l.runNextEvent(t)
+	l.runNextEvent(t) // the end of its attempt
 	wait(t, "the connection to close", s.closed)
 	if len(l.requests) != 0 || len(reply) != 0 {
 		t.Errorf("%d requests in the table, %d answers, want none", len(l.requests), len(reply))
@@ -156,7 +156,7 @@
 
 // Timers due at one moment share one call, the rest wait for theirs.
 func TestWakesAreMerged(t *testing.T) {
-	l := idleLoop(t, "127.0.0.1:1")
+	l := newTestLoop(t, "127.0.0.1:1")
 	l.wakeTimes = nil
 	now := l.now
 	for _, d := range []time.Duration{30, 10, 20, 10, -5} {
@@ -192,7 +192,7 @@
 
 // The guard lets nothing go to a server that has drained for longer than the grace, and lets a ready one have its
 // requests where another that drains is listed at the same address.
-func TestGuardKnowsTheList(t *testing.T) {
+func TestGuardFollowsList(t *testing.T) {
 	const grace = time.Second
 	for name, c := range map[string]struct {
 		states []balance.State // of s-0 and of another server there
@@ -205,10 +205,10 @@
 		"draining beside a ready one":  {[]balance.State{balance.Draining, balance.Ready}, 2 * grace, true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			l := idleLoop(t, "127.0.0.1:1")
+			l := newTestLoop(t, "127.0.0.1:1")
 			l.guard = guard.New(func(guard.Violation) {}, grace)
 			l.guard.Start()
-			_, _ = l.hold(7)
+			_, _ = l.addRequest(7)
 			news := listing{whole: true, addresses: make(map[balance.ServerID]string)}
 			for i, state := range c.states {
 				id := serverID([]string{"s-0", "s-1"}[i])
--- a/internal/sidecar/state_test.go
+++ b/internal/sidecar/state_test.go
@@ -18,7 +18,7 @@
 )
 
 // What a process kept is what the next one goes by: the list, what was learned, and who is out.
-func TestNextProcessGoesByWhatWasKept(t *testing.T) {
+func TestNextProcessRestoresState(t *testing.T) {
 	dir := t.TempDir()
 	cfg := testConfig(t, listed(1, "ready", "127.0.0.1:1"), nil)
 	h, now := newHandover(dir, "n0"), newClock().now()
@@ -69,7 +69,7 @@
 		cfg.Known.version, cfg.Discovery = c.known, c.source
 		at := newClock().now() + c.later
 		v := next.loadServerList(cfg, at)
-		if got := wording(v.effectiveListing()); got != c.want || v.version != c.top {
+		if got := describeServers(v.effectiveListing()); got != c.want || v.version != c.top {
 			t.Errorf("%s: version %d, %s, want %d, %s", name, v.version, got, c.top, c.want)
 		}
 	}
@@ -77,7 +77,7 @@
 
 // Programs from before the state have a file without a sum: what they write is taken over, and what they read goes on
 // to be written. A damaged one is told where it is all there was.
-func TestOlderPrograms(t *testing.T) {
+func TestStateFileOfOlderPrograms(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, "sidecar-n0.state")
 	write := func(text string) {
@@ -139,7 +139,7 @@
 }
 
 // On the console: a damaged state is told until it is confirmed, and a call that is not kept is told apart.
-func TestConsoleTellsOfTheState(t *testing.T) {
+func TestConsoleReportsState(t *testing.T) {
 	s := newStub(t, echo)
 	side := start(t, nil, s.address)
 	if got := side.call(t, "show-stat\n"); !strings.Contains(got, "app.state_damaged=0\n") || strings.Contains(got, "app.state_bytes=0\n") {
@@ -159,18 +159,18 @@
 // stuckDisk is a disk whose syncs begin to wait at some moment, until it is let go.
 type stuckDisk struct {
 	store.OS
-	stuck atomic.Bool
-	free  chan struct{} // closed: it is let go
-	waits chan struct{} // a sync waits
+	stuck    atomic.Bool
+	released chan struct{} // closed: it is let go
+	waiting  chan struct{} // a sync waits
 }
 
 func (d *stuckDisk) sync() {
 	if d.stuck.Load() {
 		select {
-		case d.waits <- struct{}{}:
+		case d.waiting <- struct{}{}:
 		default:
 		}
-		<-d.free
+		<-d.released
 	}
 }
 
@@ -200,9 +200,9 @@
 
 // While a sync hangs, requests, ready and the figures are answered all the same, and a call by hand is told that it
 // holds and is not kept. Once the disk goes on it is kept, said again.
-func TestStuckDiskHoldsNothingUp(t *testing.T) {
+func TestStuckDiskBlocksNothing(t *testing.T) {
 	s := newStub(t, echo)
-	d := &stuckDisk{free: make(chan struct{}), waits: make(chan struct{}, 1)}
+	d := &stuckDisk{released: make(chan struct{}), waiting: make(chan struct{}, 1)}
 	side := startOn(t, d, nil, s.address)
 	if got := side.call(t, "ready\n"); !strings.HasPrefix(got, "200 ") {
 		t.Fatalf("ready: %q", got)
@@ -214,7 +214,7 @@
 	if got := side.call(t, "disable-server s-0\n"); !strings.HasPrefix(got, "202 ") {
 		t.Errorf("not kept: %q", got)
 	}
-	wait(t, "a sync that hangs", d.waits)
+	wait(t, "a sync that hangs", d.waiting)
 	if got := side.call(t, "enable-server s-0\n"); !strings.HasPrefix(got, "202 ") {
 		t.Errorf("not kept: %q", got)
 	}
@@ -230,7 +230,7 @@
 		t.Errorf("figures while the disk hangs: %q", got)
 	}
 	d.stuck.Store(false)
-	close(d.free)
+	close(d.released)
 	for got := ""; !strings.HasPrefix(got, "200 "); {
 		got = side.call(t, "disable-server s-0\n")
 	}
@@ -240,21 +240,21 @@
 	}
 }
 
-// blindFS is a file system whose folders can't be listed for now.
-type blindFS struct {
+// unlistableFS is a file system whose folders can't be listed for now.
+type unlistableFS struct {
 	store.OS
-	blind *atomic.Bool
+	failing *atomic.Bool
 }
 
-func (f blindFS) List(dir string) ([]string, error) {
-	if f.blind.Load() {
+func (f unlistableFS) List(dir string) ([]string, error) {
+	if f.failing.Load() {
 		return nil, syscall.EIO
 	}
 	return f.OS.List(dir)
 }
 
 // Calls in a folder that can't be read as a process begins are taken in once it can be.
-func TestUnreadCallsAreTakenInLater(t *testing.T) {
+func TestUnreadableCallsAreAppliedLater(t *testing.T) {
 	dir := t.TempDir()
 	before := newHandover(dir, "n0")
 	if err := before.save("s-1", true, time.Now()); err != nil {
@@ -264,8 +264,8 @@
 	if err := os.Remove(filepath.Join(dir, "sidecar-n0.state")); err != nil { // the copy for older programs
 		t.Fatal(err)
 	}
-	disk := blindFS{blind: new(atomic.Bool)}
-	disk.blind.Store(true)
+	disk := unlistableFS{failing: new(atomic.Bool)}
+	disk.failing.Store(true)
 	h := openHandover(dir, "n0", store.Options{FS: disk})
 	if len(h.known()) > 0 {
 		t.Fatal("the folder could be read")
@@ -274,7 +274,7 @@
 	defer cancel()
 	heard := make(chan map[string]handed, 100)
 	go h.watch(ctx, 1, func(int) {}, func(calls map[string]handed) { heard <- calls })
-	disk.blind.Store(false)
+	disk.failing.Store(false)
 	for !wait(t, "the call", heard)["s-1"].Out {
 	}
 }
--- a/internal/sidecar/stream_test.go
+++ b/internal/sidecar/stream_test.go
@@ -26,8 +26,8 @@
 	return b
 }
 
-// chunked writes a body as chunks of a size that divides nothing.
-func chunked(w io.Writer, body []byte) error {
+// writeChunked writes a body as chunks of a size that divides nothing.
+func writeChunked(w io.Writer, body []byte) error {
 	for len(body) > 0 {
 		n := min(len(body), 4999)
 		if _, err := fmt.Fprintf(w, "%x;extension=1\r\n%s\r\n", n, body[:n]); err != nil {
@@ -49,7 +49,7 @@
 		},
 		"in chunks": func(c net.Conn, b string) error {
 			_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nTrailer: X-Trailer\r\n\r\n")
-			return chunked(c, []byte(b))
+			return writeChunked(c, []byte(b))
 		},
 		"to the end": func(c net.Conn, b string) error {
 			_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\n\r\n"+b)
@@ -71,7 +71,7 @@
 			if res, err := http.ReadResponse(r, nil); err != nil || res.StatusCode != http.StatusContinue {
 				t.Fatalf("before the body: %+v, error %v, want 100", res, err)
 			}
-			if err := chunked(c, body); err != nil {
+			if err := writeChunked(c, body); err != nil {
 				t.Fatal(err)
 			}
 			res, err := http.ReadResponse(r, nil)
@@ -87,7 +87,7 @@
 }
 
 // A long answer reaches its client as it comes, and one that its server never ends is seen to be broken.
-func TestAnswersComeAsTheyAreGiven(t *testing.T) {
+func TestLongAnswersAreStreamed(t *testing.T) {
 	for name, c := range map[string]struct{ head, first, rest string }{
 		"by length": {"Content-Length: 100000", "first", strings.Repeat("x", 100000-5)},
 		"in chunks": {"Transfer-Encoding: chunked", "5\r\nfirst\r\n", "4\r\nrest\r\n0\r\n\r\n"},
@@ -130,7 +130,7 @@
 }
 
 // A client that leaves in the middle of a long answer ends it at its server too, whose answer has no end.
-func TestClientLeavesLongAnswer(t *testing.T) {
+func TestClientLeavesDuringStream(t *testing.T) {
 	ended := make(chan struct{})
 	s := newStub(t, func(c net.Conn, r received) bool {
 		_, err := io.WriteString(c, "HTTP/1.1 200 OK\r\n\r\n")
@@ -197,7 +197,7 @@
 }
 
 // A request refused while its body still comes has its whole answer at once.
-func TestRefusedInTheMiddleOfItsBody(t *testing.T) {
+func TestRefusedDuringUpload(t *testing.T) {
 	side := start(t, func(_, settings map[string]any) {
 		settings["caps"].(map[string]any)["max_open"] = 1.0
 	}, newStub(t, silent).address)
@@ -252,7 +252,7 @@
 }
 
 // The slow and the stopped are told apart by how much has come, not by how long it takes.
-func TestPaceOfBodies(t *testing.T) {
+func TestBodyReadDeadline(t *testing.T) {
 	now := time.Now()
 	for name, c := range map[string]struct {
 		p    pacedBody
@@ -272,7 +272,7 @@
 }
 
 // After a storm of connections cut at every point, nothing of them is left.
-func TestNothingStaysBehindAStorm(t *testing.T) {
+func TestAbortedConnectionsLeaveNothing(t *testing.T) {
 	s := newStub(t, func(c net.Conn, r received) bool {
 		_, err := fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: 300000\r\n\r\n%s", patternedBody(300000))
 		return err == nil
--- a/internal/sidecar/upstream_test.go
+++ b/internal/sidecar/upstream_test.go
@@ -20,23 +20,23 @@
 	return newTransport(testConfig(t, listed(1, "ready"), nil), newClock())
 }
 
-func testMessage(id string) *outboundRequest {
+func testRequest(id string) *outboundRequest {
 	return &outboundRequest{
 		method: http.MethodPost, url: &url.URL{Path: "/reading"}, host: "service.internal", body: []byte("weight"),
 		header: http.Header{"X-Request-Id": {id}, "Idempotency-Key": {"k" + id}},
 	}
 }
 
-// attempt sends one and waits for its end.
-func attempt(t *testing.T, u *transport, address, id string, limit time.Duration) attemptResult {
+// runAttempt sends one and waits for its end.
+func runAttempt(t *testing.T, u *transport, address, id string, limit time.Duration) attemptResult {
 	t.Helper()
 	done := make(chan attemptResult, 2)
-	u.send(address, testMessage(id), u.clock.now()+limit, 0, u.clock.now()+limit, func(r attemptResult) { done <- r })
+	u.send(address, testRequest(id), u.clock.now()+limit, 0, u.clock.now()+limit, func(r attemptResult) { done <- r })
 	return wait(t, "the end of an attempt", done)
 }
 
 // Every kind of answer has its ending; a connection is kept only behind a whole and clean one.
-func TestEndings(t *testing.T) {
+func TestAttemptEndings(t *testing.T) {
 	long := strings.Repeat("x", maxBufferedBody+1)
 	atLimit := "HTTP/1.0 500 No\r\nX-A: " + strings.Repeat("x", maxAnswerBytes-29) + "\r\n\r\n" // but for two bytes of its body
 	for name, c := range map[string]struct {
@@ -85,7 +85,7 @@
 				return c.kept || name == "bytes left over" || name == "to be closed" || name == "headers without end"
 			})
 			u := testTransport(t)
-			if got := attempt(t, u, s.address, "1", generous); got.ending != c.ending {
+			if got := runAttempt(t, u, s.address, "1", generous); got.ending != c.ending {
 				t.Fatalf("ending %v, want %v", got.ending, c.ending)
 			} else if got.ending == balance.Served && string(got.body) != "hi" {
 				t.Fatalf("body %q, want hi", got.body)
@@ -102,13 +102,13 @@
 
 // A kept connection that breaks behind the request's last byte: it may have run, so it must not be
 // sent again by anything but the module. http.Transport does, also for a POST with Idempotency-Key.
-func TestNothingIsSentAgain(t *testing.T) {
+func TestBrokenReusedConnectionIsNotRetried(t *testing.T) {
 	s := newStub(t, func(c net.Conn, r received) bool {
 		return r.Header.Get("X-Request-ID") == "1" && ok(c, "hi")
 	})
 	u := testTransport(t)
-	attempt(t, u, s.address, "1", generous)
-	if got := attempt(t, u, s.address, "2", generous); got.ending != balance.Broken {
+	runAttempt(t, u, s.address, "1", generous)
+	if got := runAttempt(t, u, s.address, "2", generous); got.ending != balance.Broken {
 		t.Fatalf("ending %v, want %v", got.ending, balance.Broken)
 	}
 	if first, second := wait(t, "1", s.seen), wait(t, "2", s.seen); first.conn != second.conn || len(s.seen) > 0 {
@@ -131,8 +131,8 @@
 		return answered && r.conn > 0
 	})
 	u := testTransport(t)
-	u.unrested() // nobody waits for one that is closed to rest
-	attempt(t, u, s.address, "1", generous)
+	u.blockReuse() // nobody waits for one that is closed to rest
+	runAttempt(t, u, s.address, "1", generous)
 	close(hangUp)
 	wait(t, "the server to close", gone)
 	for end := time.Now().Add(generous); u.idle[s.address][0].usable(); time.Sleep(time.Millisecond) {
@@ -140,7 +140,7 @@
 			t.Fatal("the closed connection passes for usable")
 		}
 	}
-	if got := attempt(t, u, s.address, "2", generous); got.ending != balance.Served {
+	if got := runAttempt(t, u, s.address, "2", generous); got.ending != balance.Served {
 		t.Fatalf("ending %v, want %v", got.ending, balance.Served)
 	}
 	if u.stale != 1 || u.dialled != 2 || u.open != 1 {
@@ -148,16 +148,16 @@
 	}
 }
 
-// unrested has a request wait until quiet is closed wherever no connection has rested; waits hears of it.
-func (u *transport) unrested() (waits chan time.Duration, quiet chan time.Time) {
+// blockReuse has a request wait until quiet is closed wherever no connection has rested; waits hears of it.
+func (u *transport) blockReuse() (waits chan time.Duration, quiet chan time.Time) {
 	waits, quiet = make(chan time.Duration, 10), make(chan time.Time)
 	u.waitTimer = func(d time.Duration) <-chan time.Time { waits <- d; return quiet }
 	u.reuseDelay = u.maxIdle // however long the test is held up, it has not passed
 	return waits, quiet
 }
 
-// untilIdle waits until so many connections to an address are idle.
-func (u *transport) untilIdle(t *testing.T, address string, n int) {
+// waitIdle waits until so many connections to an address are idle.
+func (u *transport) waitIdle(t *testing.T, address string, n int) {
 	t.Helper()
 	for end, there := time.Now().Add(generous), -1; there != n; time.Sleep(time.Millisecond) {
 		u.mu.Lock()
@@ -172,7 +172,7 @@
 // A second answer that comes some milliseconds late, when the next request is waiting for that connection, is found
 // and passed on to nobody: a 503 among them would have what runs once sent again. That request goes over the spare
 // connection that was opened meanwhile, or over a new one.
-func TestSecondAnswerIsNobodys(t *testing.T) {
+func TestSecondAnswerIsDiscarded(t *testing.T) {
 	const more = "HTTP/1.1 503 No\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n"
 	for _, spare := range []bool{true, false} {
 		first := make(chan net.Conn, 1)
@@ -186,14 +186,14 @@
 		})
 		u := testTransport(t)
 		u.hasRoom = func(int) bool { return spare }
-		waits, quiet := u.unrested()
-		attempt(t, u, s.address, "1", generous)
+		waits, quiet := u.blockReuse()
+		runAttempt(t, u, s.address, "1", generous)
 		kept, done := u.idle[s.address][0], make(chan attemptResult, 2)
-		u.send(s.address, testMessage("2"), u.clock.now()+generous, 0, u.clock.now()+generous, func(r attemptResult) { done <- r })
+		u.send(s.address, testRequest("2"), u.clock.now()+generous, 0, u.clock.now()+generous, func(r attemptResult) { done <- r })
 		select {
 		case <-waits:
 			if spare {
-				u.untilIdle(t, s.address, 1)
+				u.waitIdle(t, s.address, 1)
 			}
 			if _, err := wait(t, "the first connection", first).Write([]byte(more)); err != nil {
 				t.Fatal(err)
@@ -238,8 +238,8 @@
 		t.Run(name, func(t *testing.T) {
 			s := newStub(t, echo)
 			u := testTransport(t)
-			waits, quiet := u.unrested()
-			attempt(t, u, s.address, "1", generous)
+			waits, quiet := u.blockReuse()
+			runAttempt(t, u, s.address, "1", generous)
 			wait(t, "1", s.seen)
 			first := u.idle[s.address][0]
 			dialled, up := make(chan struct{}, 10), make(chan error, 10)
@@ -255,7 +255,7 @@
 				c.edit(u)
 			}
 			done := make(chan attemptResult, 2)
-			x := u.send(s.address, testMessage("2"), u.clock.now()+generous, 0, u.clock.now()+generous, func(r attemptResult) { done <- r })
+			x := u.send(s.address, testRequest("2"), u.clock.now()+generous, 0, u.clock.now()+generous, func(r attemptResult) { done <- r })
 			wait(t, "the request to wait", waits)
 			want := balance.Served
 			if c.dialled > 1 {
@@ -264,8 +264,8 @@
 			switch c.happens {
 			case "opened": // the next request goes over it, before the one that waits
 				up <- nil
-				u.untilIdle(t, s.address, 1)
-				if got := attempt(t, u, s.address, "3", generous); got.ending != balance.Served || wait(t, "3", s.seen).conn != 1 {
+				u.waitIdle(t, s.address, 1)
+				if got := runAttempt(t, u, s.address, "3", generous); got.ending != balance.Served || wait(t, "3", s.seen).conn != 1 {
 					t.Errorf("the next request: ending %v, want it served over the spare connection", got.ending)
 				}
 			case "fails":
@@ -284,7 +284,7 @@
 				t.Errorf("ending %v, want %v", got.ending, want)
 			}
 			up <- nil // or it has come up, or nobody asks
-			u.untilIdle(t, s.address, c.open)
+			u.waitIdle(t, s.address, c.open)
 			u.mu.Lock()
 			defer u.mu.Unlock()
 			if u.dialled != c.dialled || u.open != c.open || len(dialled) > 0 || !slices.Contains(u.idle[s.address], first) {
@@ -298,11 +298,11 @@
 }
 
 // Two requests that wait at once have one spare connection between them; the next wait has another.
-func TestOneSpareAtATime(t *testing.T) {
+func TestOneSpareConnectionAtATime(t *testing.T) {
 	s := newStub(t, echo)
 	u := testTransport(t)
-	waits, quiet := u.unrested()
-	attempt(t, u, s.address, "1", generous)
+	waits, quiet := u.blockReuse()
+	runAttempt(t, u, s.address, "1", generous)
 	u.mu.Lock()
 	u.open++
 	u.mu.Unlock()
@@ -311,10 +311,10 @@
 		t.Fatal(err)
 	}
 	u.putIdle(s.address, c, false)
-	dialled, free := u.late(s.address)
+	dialled, free := u.delayDials(s.address)
 	done := make(chan attemptResult, 3)
 	for _, id := range []string{"2", "3"} {
-		u.send(s.address, testMessage(id), u.clock.now()+generous, 0, u.clock.now()+generous, func(r attemptResult) { done <- r })
+		u.send(s.address, testRequest(id), u.clock.now()+generous, 0, u.clock.now()+generous, func(r attemptResult) { done <- r })
 		wait(t, "the request to wait", waits)
 	}
 	wait(t, "the call for a spare connection", dialled)
@@ -323,9 +323,9 @@
 	}
 	u.mu.Unlock()
 	close(free)
-	u.untilIdle(t, s.address, 1)
-	attempt(t, u, s.address, "4", generous)
-	u.send(s.address, testMessage("5"), u.clock.now()+generous, 0, u.clock.now()+generous, func(r attemptResult) { done <- r })
+	u.waitIdle(t, s.address, 1)
+	runAttempt(t, u, s.address, "4", generous)
+	u.send(s.address, testRequest("5"), u.clock.now()+generous, 0, u.clock.now()+generous, func(r attemptResult) { done <- r })
 	wait(t, "the request to wait", waits)
 	wait(t, "the call for a second spare connection", dialled)
 	close(quiet)
@@ -339,7 +339,7 @@
 // Of several idle connections the one that was used last is taken, of those that have been idle for long enough, so
 // that the others can end; else the one that will have been first. One that was given back unused has been idle all
 // the while: its server counts on.
-func TestWhichConnectionIsTaken(t *testing.T) {
+func TestTakeIdleOrder(t *testing.T) {
 	u := testTransport(t)
 	now := u.clock.now()
 	for name, c := range map[string]struct {
@@ -380,20 +380,20 @@
 }
 
 // Nor is one used, or kept open, that has been idle for nearly as long as its server allows.
-func TestOldConnectionsAreRetired(t *testing.T) {
+func TestOldConnectionsAreClosed(t *testing.T) {
 	s := newStub(t, echo)
 	u := testTransport(t)
-	attempt(t, u, s.address, "1", generous)
+	runAttempt(t, u, s.address, "1", generous)
 	u.mu.Lock()
 	u.idle[s.address][0].idleSince -= u.maxIdle
 	u.mu.Unlock()
 	u.closeExpired()
 	wait(t, "the old connection to close", s.closed)
-	attempt(t, u, s.address, "2", generous)
+	runAttempt(t, u, s.address, "2", generous)
 	u.mu.Lock()
 	u.idle[s.address][0].idleSince -= u.maxIdle
 	u.mu.Unlock()
-	attempt(t, u, s.address, "3", generous)
+	runAttempt(t, u, s.address, "3", generous)
 	if u.dialled != 3 || u.open != 1 {
 		t.Errorf("dialled %d, open %d, want 3, 1", u.dialled, u.open)
 	}
@@ -404,7 +404,7 @@
 	u := testTransport(t)
 	u.reuseDelay = 0 // each has rested when the next request comes
 	for i := range 5 {
-		attempt(t, u, s.address, fmt.Sprint(i), generous)
+		runAttempt(t, u, s.address, fmt.Sprint(i), generous)
 	}
 	if u.dialled != 1 {
 		t.Errorf("%d connections for five requests one after the other, want 1", u.dialled)
@@ -413,18 +413,18 @@
 
 // At the limit on descriptors an idle connection to another server makes room; where there is
 // none, nothing is sent.
-func TestConnectionsStayUnderTheLimit(t *testing.T) {
+func TestConnectionLimit(t *testing.T) {
 	a, b, mute := newStub(t, echo), newStub(t, echo), newStub(t, silent)
 	u := testTransport(t)
 	u.maxOpen = 1
-	attempt(t, u, a.address, "1", generous)
-	if got := attempt(t, u, b.address, "2", generous); got.ending != balance.Served || u.open != 1 {
+	runAttempt(t, u, a.address, "1", generous)
+	if got := runAttempt(t, u, b.address, "2", generous); got.ending != balance.Served || u.open != 1 {
 		t.Errorf("ending %v, %d open, want served over the one connection", got.ending, u.open)
 	}
 	done := make(chan attemptResult, 1)
-	x := u.send(mute.address, testMessage("3"), u.clock.now()+generous, 0, u.clock.now()+generous, func(r attemptResult) { done <- r })
+	x := u.send(mute.address, testRequest("3"), u.clock.now()+generous, 0, u.clock.now()+generous, func(r attemptResult) { done <- r })
 	wait(t, "the request", mute.seen)
-	if got := attempt(t, u, a.address, "4", generous); got.ending != balance.NoConnection {
+	if got := runAttempt(t, u, a.address, "4", generous); got.ending != balance.NoConnection {
 		t.Errorf("ending %v, want %v", got.ending, balance.NoConnection)
 	}
 	x.cancel()
@@ -439,7 +439,7 @@
 	address := l.Addr().String()
 	l.Close()
 	u := testTransport(t)
-	if got := attempt(t, u, address, "1", generous); got.ending != balance.NoConnection || u.open != 0 {
+	if got := runAttempt(t, u, address, "1", generous); got.ending != balance.NoConnection || u.open != 0 {
 		t.Fatalf("ending %v, %d open, want %v and none", got.ending, u.open, balance.NoConnection)
 	}
 }
@@ -458,7 +458,7 @@
 	})
 	u := testTransport(t)
 	for _, id := range []string{"break", "good", "break", "cut"} {
-		attempt(t, u, s.address, id, generous)
+		runAttempt(t, u, s.address, id, generous)
 	}
 	if want := (failures{reset: 1, resetReused: 1, unreadable: 1}); u.failed != want {
 		t.Errorf("counted %+v, want %+v", u.failed, want)
@@ -466,10 +466,10 @@
 }
 
 // A machine that vanished says nothing: only the time-out ends the attempt, and its connection goes.
-func TestSilentServer(t *testing.T) {
+func TestUnresponsiveServer(t *testing.T) {
 	s := newStub(t, silent)
 	u := testTransport(t)
-	if got := attempt(t, u, s.address, "1", 30*time.Millisecond); got.ending != balance.TimedOut {
+	if got := runAttempt(t, u, s.address, "1", 30*time.Millisecond); got.ending != balance.TimedOut {
 		// where the machine was too busy to send at all in that time, it never ran
 		if got.ending != balance.NoConnection || len(s.seen) > 0 {
 			t.Fatalf("ending %v, want %v", got.ending, balance.TimedOut)
@@ -485,7 +485,7 @@
 	s := newStub(t, silent)
 	u := testTransport(t)
 	done := make(chan attemptResult, 2)
-	x := u.send(s.address, testMessage("1"), u.clock.now()+generous, 0, u.clock.now()+generous, func(r attemptResult) { done <- r })
+	x := u.send(s.address, testRequest("1"), u.clock.now()+generous, 0, u.clock.now()+generous, func(r attemptResult) { done <- r })
 	wait(t, "the request", s.seen)
 	x.cancel()
 	x.cancel()
@@ -500,15 +500,15 @@
 
 // After the final answer nothing more goes out for a request, also if its attempt was still
 // waiting for a connection when it was cancelled.
-func TestCancelledBeforeItIsWritten(t *testing.T) {
+func TestCancelBeforeWrite(t *testing.T) {
 	s := newStub(t, echo)
 	u := testTransport(t)
-	attempt(t, u, s.address, "1", generous)
+	runAttempt(t, u, s.address, "1", generous)
 	x := new(exchange)
 	x.cancel()
 	req := &http.Request{Method: http.MethodGet, URL: &url.URL{Path: "/look"}, Header: http.Header{"X-Request-Id": {"2"}}}
 	for i := range 2 { // over the kept connection, then over a new one
-		if _, _, ending := u.roundTrip(x, s.address, req, testMessage("2"), u.clock.now()+generous, nil); ending != balance.Cancelled {
+		if _, _, ending := u.roundTrip(x, s.address, req, testRequest("2"), u.clock.now()+generous, nil); ending != balance.Cancelled {
 			t.Errorf("ending %v, want %v", ending, balance.Cancelled)
 		}
 		x.cancel() // once more: the connection is not its own any more
@@ -517,7 +517,7 @@
 		}
 		u.closeIdle(s.address)
 	}
-	attempt(t, u, s.address, "3", generous)
+	runAttempt(t, u, s.address, "3", generous)
 	if wait(t, "1", s.seen); wait(t, "3", s.seen).Header.Get("X-Request-ID") != "3" {
 		t.Error("the cancelled request went out")
 	}
@@ -526,7 +526,7 @@
 // What the upstream must have unchanged, and the time-out, which it must be told anew.
 func TestWhatGoesOn(t *testing.T) {
 	s := newStub(t, echo)
-	attempt(t, testTransport(t), s.address, "7", generous)
+	runAttempt(t, testTransport(t), s.address, "7", generous)
 	r := wait(t, "the request", s.seen)
 	left, ok := duration(r.Header.Get("X-Timeout"))
 	if r.Method != http.MethodPost || r.uri != "/reading" || r.body != "weight" || r.Host != "service.internal" ||
--- a/internal/sidecar/versions_test.go
+++ b/internal/sidecar/versions_test.go
@@ -17,8 +17,8 @@
 	"arrowgw/internal/store"
 )
 
-// wording tells a list of servers that are named s-0 to s-9, for comparison.
-func wording(l listing) string {
+// describeServers tells a list of servers that are named s-0 to s-9, for comparison.
+func describeServers(l listing) string {
 	var words []string
 	for i := range 10 {
 		name := fmt.Sprintf("s-%d", i)
@@ -33,7 +33,7 @@
 
 // A sidecar that is told that a server drains, is killed and starts again sends it nothing, though a stale replica of
 // discovery has it ready.
-func TestRestartBringsNoDrainedServerBack(t *testing.T) {
+func TestRestartKeepsServerDrained(t *testing.T) {
 	a, b := newStub(t, echo), newStub(t, echo)
 	entries := func(version int, first string) string {
 		return strings.Replace(listed(version, "ready", a.address, b.address), `"ready"`, `"`+first+`"`, 1)
@@ -97,46 +97,46 @@
 	}
 }
 
-// fact is one server of the oracle's truth.
-type fact struct {
+// referenceServer is one server of the oracle's truth.
+type referenceServer struct {
 	state   balance.State
 	started time.Duration
 }
 
-// truth is discovery as it really is: what it had at each version. A replica may answer with any of them.
-type truth struct {
-	rng      *rand.Rand
-	versions []map[int]fact // the list at each version from first on
-	first    int64
+// referenceDiscovery is discovery as it really is: what it had at each version. A replica may answer with any of them.
+type referenceDiscovery struct {
+	rng          *rand.Rand
+	lists        []map[int]referenceServer // the list at each version from first on
+	firstVersion int64
 }
 
-func (h *truth) now() map[int]fact { return h.versions[len(h.versions)-1] }
+func (h *referenceDiscovery) current() map[int]referenceServer { return h.lists[len(h.lists)-1] }
 
-func (h *truth) newest() int64 { return h.first + int64(len(h.versions)) - 1 }
+func (h *referenceDiscovery) newestVersion() int64 { return h.firstVersion + int64(len(h.lists)) - 1 }
 
 // change gives one server another life.
-func (h *truth) change(at time.Duration) {
-	list := maps.Clone(h.now())
+func (h *referenceDiscovery) change(at time.Duration) {
+	list := maps.Clone(h.current())
 	i := h.rng.IntN(10)
 	switch f, listed := list[i]; {
 	case !listed || h.rng.IntN(3) == 0: // it has started, since it was last told of or just now
-		list[i] = fact{balance.Ready, at - time.Duration(h.rng.IntN(2000))*time.Millisecond}
+		list[i] = referenceServer{balance.Ready, at - time.Duration(h.rng.IntN(2000))*time.Millisecond}
 	case f.state == balance.Ready && h.rng.IntN(4) > 0:
-		list[i] = fact{balance.Draining, f.started}
+		list[i] = referenceServer{balance.Draining, f.started}
 	case f.state == balance.Draining && h.rng.IntN(4) == 0: // thought better of
-		list[i] = fact{balance.Ready, f.started}
+		list[i] = referenceServer{balance.Ready, f.started}
 	default:
 		delete(list, i)
 	}
-	h.versions = append(h.versions, list)
+	h.lists = append(h.lists, list)
 }
 
 // answer is the list at a version, whole, or what changed in it since another.
-func (h *truth) answer(version, since int64) listing {
+func (h *referenceDiscovery) answer(version, since int64) listing {
 	var entries []string
-	list, old := h.versions[version-h.first], map[int]fact{}
+	list, old := h.lists[version-h.firstVersion], map[int]referenceServer{}
 	if since != unknownVersion {
-		old = h.versions[since-h.first]
+		old = h.lists[since-h.firstVersion]
 	}
 	for i := range 10 {
 		name := fmt.Sprintf("s-%d", i)
@@ -157,12 +157,12 @@
 
 // Over generated histories of discovery and its replicas, of ends and starts of the process, of moves and of new
 // beginnings: what is acted on against what it may be. Each seed is one history, the same at each run.
-func TestVersionsOnlyMoveForward(t *testing.T) {
+func TestListNeverMovesBack(t *testing.T) {
 	begun, older, restarts := 0, 0, 0
 	for seed := range uint64(200) {
 		rng := rand.New(rand.NewPCG(seed, 1))
 		now := time.Duration(1_700_000_000) * time.Second
-		h := &truth{rng: rng, versions: []map[int]fact{{}}, first: 40 + rng.Int64N(20)}
+		h := &referenceDiscovery{rng: rng, lists: []map[int]referenceServer{{}}, firstVersion: 40 + rng.Int64N(20)}
 		for range 8 {
 			h.change(now)
 		}
@@ -239,7 +239,7 @@
 				}
 			}
 		}
-		take(h.answer(h.newest(), unknownVersion))
+		take(h.answer(h.newestVersion(), unknownVersion))
 		for range 120 {
 			now += time.Duration(500+rng.IntN(1500)) * time.Millisecond
 			if rng.IntN(3) > 0 {
@@ -247,11 +247,11 @@
 			}
 			switch n := rng.IntN(40); {
 			case n == 0 && renewed == 0: // discovery begins anew, from what is there
-				h.versions, h.first = []map[int]fact{maps.Clone(h.now())}, 1+rng.Int64N(10)
+				h.lists, h.firstVersion = []map[int]referenceServer{maps.Clone(h.current())}, 1+rng.Int64N(10)
 				renewed = now
 			case n == 1: // the process ends and starts; what it kept is what there is
 				restarts++
-				s := &handover{store: memoryStore(t), news: make(chan struct{}, 1)}
+				s := &handover{store: newTestStore(t), news: make(chan struct{}, 1)}
 				s.queueList(v, true)
 				if err := s.writeList(); err != nil {
 					t.Fatal(err)
@@ -273,19 +273,19 @@
 				v.setSource(cfg.Discovery, now)
 				renewed = 0
 			}
-			version, since := h.newest(), unknownVersion
+			version, since := h.newestVersion(), unknownVersion
 			stale := rng.IntN(4) == 0 && renewed == 0
 			if stale {
-				version = h.first + rng.Int64N(h.newest()-h.first+1)
+				version = h.firstVersion + rng.Int64N(h.newestVersion()-h.firstVersion+1)
 			}
-			if v.canWatch() && renewed == 0 && version >= v.version && v.version >= h.first {
+			if v.canWatch() && renewed == 0 && version >= v.version && v.version >= h.firstVersion {
 				since = v.version
 			}
-			if from, yes := v.watchDuringReset(now); yes && from >= h.first && from <= version {
+			if from, yes := v.watchDuringReset(now); yes && from >= h.firstVersion && from <= version {
 				since = from
 			}
 			take(h.answer(version, since))
-			if renewed > 0 && v.version <= h.newest() && v.epoch > 0 && !v.reset.suspected {
+			if renewed > 0 && v.version <= h.newestVersion() && v.epoch > 0 && !v.reset.suspected {
 				renewed = 0
 			}
 			if renewed > 0 && now-renewed > 2*resetMinAge+4*time.Second {
@@ -294,16 +294,16 @@
 		}
 		for range 3 { // in the end, with the truth alone and time enough, the list is the true one
 			now += 2 * carryOverTime
-			take(h.answer(h.newest(), unknownVersion))
-			take(h.answer(h.newest(), unknownVersion))
-			take(h.answer(h.newest(), unknownVersion))
+			take(h.answer(h.newestVersion(), unknownVersion))
+			take(h.answer(h.newestVersion(), unknownVersion))
+			take(h.answer(h.newestVersion(), unknownVersion))
 		}
 		if !v.canWatch() || len(v.carriedOver) > 0 {
 			t.Errorf("seed %d: in the end the whole list is still needed, or %d servers are held", seed, len(v.carriedOver))
 		}
 		for i := range 10 {
 			id := serverID(fmt.Sprintf("s-%d", i))
-			if f := h.now()[i]; acted[id].State != f.state {
+			if f := h.current()[i]; acted[id].State != f.state {
 				t.Errorf("seed %d: in the end server %d is %v, and truly %v", seed, i, acted[id].State, f.state)
 			}
 		}
@@ -313,8 +313,8 @@
 	}
 }
 
-// memoryStore is a state of this test alone.
-func memoryStore(t *testing.T) *store.Store {
+// newTestStore is a state of this test alone.
+func newTestStore(t *testing.T) *store.Store {
 	t.Helper()
 	s, err := store.Open(store.Options{Dir: t.TempDir()})
 	if err != nil {
@@ -325,7 +325,7 @@
 }
 
 // Of two processes' lists the newer is kept, whichever writes last; a line that began later goes before its versions.
-func TestNewerOfTwoListsIsKept(t *testing.T) {
+func TestNewerListIsKept(t *testing.T) {
 	dir, now := t.TempDir(), newClock().now()
 	cfg := testConfig(t, listed(1, "ready", "127.0.0.1:1"), nil)
 	word := func(version int64) listing {
@@ -364,7 +364,7 @@
 
 // What decides whether an older word is a new beginning, and how long what was known before it holds: s-0 drained at
 // version 50, which came at 0 s.
-func TestNewBeginnings(t *testing.T) {
+func TestDiscoveryReset(t *testing.T) {
 	type word struct {
 		at      time.Duration
 		version int64  // 0: none; -1: the process starts again; -2: discovery moves
@@ -403,7 +403,7 @@
 			now := zero + w.at
 			switch {
 			case w.version == -1:
-				s := &handover{store: memoryStore(t), news: make(chan struct{}, 1)}
+				s := &handover{store: newTestStore(t), news: make(chan struct{}, 1)}
 				s.queueList(v, true)
 				if err := s.writeList(); err != nil {
 					t.Fatal(err)
@@ -429,15 +429,15 @@
 				v.apply(l, now)
 			}
 		}
-		if out := wording(v.effectiveListing()) == "s-0@127.0.0.1:80 out"; out != c.out || v.epoch != c.line {
-			t.Errorf("%s: %s, line %d, want out %v, line %d", name, wording(v.effectiveListing()), v.epoch, c.out, c.line)
+		if out := describeServers(v.effectiveListing()) == "s-0@127.0.0.1:80 out"; out != c.out || v.epoch != c.line {
+			t.Errorf("%s: %s, line %d, want out %v, line %d", name, describeServers(v.effectiveListing()), v.epoch, c.out, c.line)
 		}
 	}
 }
 
 // What the other process of an upgrade was told against a server holds in this one too, until this one's own word is as new: a list
 // in between doesn't bring the server back, and that version's does as it says.
-func TestOtherProcessDrains(t *testing.T) {
+func TestOtherProcessWithholdsServer(t *testing.T) {
 	dir, now := t.TempDir(), newClock().now()
 	cfg := testConfig(t, listed(50, "ready", "127.0.0.1:1", "127.0.0.1:2"), nil)
 	whole := func(version int, first string) listing {
@@ -485,17 +485,17 @@
 		} else if again := d.applyAnswer(step.ours) > 0; again != step.whole {
 			t.Errorf("version %d: the whole list is asked for: %v", step.ours.version, again)
 		}
-		if got := wording(d.list.effectiveListing()); got != step.want {
+		if got := describeServers(d.list.effectiveListing()); got != step.want {
 			t.Errorf("after %d and %d: %s, want %s", step.theirs.version, step.ours.version, got, step.want)
 		}
 	}
-	if got := wording(<-heard); got != "s-0@127.0.0.1:1 out" {
+	if got := describeServers(<-heard); got != "s-0@127.0.0.1:1 out" {
 		t.Errorf("the module hears %s first", got)
 	}
 }
 
 // Two processes of a sidecar stand side by side, and discovery tells only one of them that a server drains: both leave it.
-func TestBothProcessesLeaveADrainedServer(t *testing.T) {
+func TestBothProcessesStopUsingDrainedServer(t *testing.T) {
 	s := newStub(t, echo)
 	one := make(chan struct{}, 1)
 	d := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -531,7 +531,7 @@
 
 // Of a list too long to be kept whole the version and the servers that are not ready are kept: the next process goes by the
 // configuration's list, without those, and asks for the whole.
-func TestLongListIsKeptInShort(t *testing.T) {
+func TestLongListIsSavedShort(t *testing.T) {
 	var addresses []string
 	for i := range 3000 {
 		addresses = append(addresses, fmt.Sprintf("127.0.0.1:%d", 1+i))
@@ -541,7 +541,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	h, now := &handover{store: memoryStore(t), news: make(chan struct{}, 1)}, newClock().now()
+	h, now := &handover{store: newTestStore(t), news: make(chan struct{}, 1)}, newClock().now()
 	v := newServerList(cfg.Discovery)
 	v.apply(l, now)
 	h.queueList(v, true)
@@ -552,11 +552,11 @@
 		t.Errorf("%d bytes are kept", len(e.Value))
 	}
 	next := h.loadServerList(cfg, now)
-	if got := wording(next.effectiveListing()); next.version != 50 || next.canWatch() || !strings.HasPrefix(got, "s-0@127.0.0.1:1 out, s-1@127.0.0.1:2, ") || len(next.entries) != 3000 {
+	if got := describeServers(next.effectiveListing()); next.version != 50 || next.canWatch() || !strings.HasPrefix(got, "s-0@127.0.0.1:1 out, s-1@127.0.0.1:2, ") || len(next.entries) != 3000 {
 		t.Errorf("version %d with %d servers: %s", next.version, len(next.entries), got)
 	}
 	next.apply(l, now)
-	if got := wording(next.effectiveListing()); !next.canWatch() || !strings.HasPrefix(got, "s-0@127.0.0.1:1 out, s-1@127.0.0.1:2, ") {
+	if got := describeServers(next.effectiveListing()); !next.canWatch() || !strings.HasPrefix(got, "s-0@127.0.0.1:1 out, s-1@127.0.0.1:2, ") {
 		t.Errorf("after the whole list: %s", got)
 	}
 }
--- a/internal/sidecar/watch_test.go
+++ b/internal/sidecar/watch_test.go
@@ -18,8 +18,8 @@
 	"time"
 )
 
-// follower is a sidecar's discovery with its loop and module, for a synctest bubble: dial is its network.
-func follower(t *testing.T, cfg *Config, dial func(ctx context.Context, network, address string) (net.Conn, error), heard func(listing)) (d *discovery, stop func()) {
+// startFollower is a sidecar's discovery with its loop and module, for a synctest bubble: dial is its network.
+func startFollower(t *testing.T, cfg *Config, dial func(ctx context.Context, network, address string) (net.Conn, error), heard func(listing)) (d *discovery, stop func()) {
 	t.Helper()
 	c := newClock()
 	l, err := newLoop(cfg, c, newTransport(cfg, c))
@@ -34,15 +34,15 @@
 	return d, cancel
 }
 
-// quiet keeps what a test's sidecars log to itself.
-func quiet(t *testing.T) {
+// discardLogs keeps what a test's sidecars log to itself.
+func discardLogs(t *testing.T) {
 	before := slog.Default()
 	slog.SetDefault(slog.New(slog.DiscardHandler))
 	t.Cleanup(func() { slog.SetDefault(before) })
 }
 
-// query is what a call asked for: changes since a version, for so long, or (-1) the whole list.
-func query(r *http.Request) (since int64, wait time.Duration) {
+// parseQuery is what a call asked for: changes since a version, for so long, or (-1) the whole list.
+func parseQuery(r *http.Request) (since int64, wait time.Duration) {
 	since, err := strconv.ParseInt(r.URL.Query().Get("index"), 10, 64)
 	if err != nil {
 		since = unknownVersion
@@ -54,7 +54,7 @@
 // Whatever one call for the list meets, the next one brings the news before they count as told and the grace of a drain is over:
 // on virtual time, and over the module's own pauses.
 func TestNewsAreHeardBeforeTheyCount(t *testing.T) {
-	quiet(t)
+	discardLogs(t)
 	const (
 		waited = 2 * time.Second // behind a watch's wait its news count
 		silent = 6 * time.Second // and so long after a call without one fell silent
@@ -169,7 +169,7 @@
 							if err != nil {
 								return
 							}
-							since, wait := query(r)
+							since, wait := parseQuery(r)
 							what := meets(wait)
 							switch what {
 							case "none":
@@ -212,7 +212,7 @@
 					}
 					mu.Lock()
 					var stop func()
-					d, stop = follower(t, cfg, dial, func(l listing) {
+					d, stop = startFollower(t, cfg, dial, func(l listing) {
 						mu.Lock()
 						defer mu.Unlock()
 						if l.version == 2 && at.IsZero() {
@@ -236,8 +236,8 @@
 // All watches of a fleet begin together, as a change of the list ends them, and fall silent together. Discovery bears so many new ones
 // in turn, no more: each sidecar hears before the news count for it, and asks once. Where discovery was down for all, or refused all
 // from their start, each hears within 6 s of its return, and of its calls few are refused.
-func TestFleetOpensSilentWatchesInTurn(t *testing.T) {
-	quiet(t)
+func TestFleetReopensWatchesInTurn(t *testing.T) {
+	discardLogs(t)
 	const timeout, grace, again = time.Second, 250 * time.Millisecond, 200 * time.Millisecond
 	for _, fleet := range []struct {
 		n    int
@@ -274,7 +274,7 @@
 						if err != nil {
 							return
 						}
-						since, wait := query(r)
+						since, wait := parseQuery(r)
 						begun, turn, late := time.Now(), time.Time{}, false
 						if begun.Sub(last) > again { // no watch that goes on
 							locked(func() {
@@ -309,7 +309,7 @@
 							if fleet.down > 0 {
 								return
 							}
-							locked(func() { told[i] = later(time.Now().Add(6*time.Second), begun.Add(wait+2*time.Second)) })
+							locked(func() { told[i] = laterOf(time.Now().Add(6*time.Second), begun.Add(wait+2*time.Second)) })
 							_, _ = io.Copy(io.Discard, in)
 							return
 						}
@@ -337,7 +337,7 @@
 						})
 						return c, err
 					}
-					_, stop := follower(t, cfg, dial, func(l listing) {
+					_, stop := startFollower(t, cfg, dial, func(l listing) {
 						locked(func() {
 							if l.version == 3 && heard[i].IsZero() {
 								heard[i] = time.Now()
@@ -390,7 +390,7 @@
 	}
 }
 
-func later(a, b time.Time) time.Time {
+func laterOf(a, b time.Time) time.Time {
 	if a.After(b) {
 		return a
 	}
@@ -399,8 +399,8 @@
 
 // What the module asked for while a call was out is settled by that call's end: behind a failure the next call comes no sooner than the
 // module asks again.
-func TestFailureSettlesWhatWasAsked(t *testing.T) {
-	quiet(t)
+func TestFailureSettlesSubscription(t *testing.T) {
+	discardLogs(t)
 	synctest.Test(t, func(t *testing.T) {
 		cfg := testConfig(t, listed(0, "ready"), func(_, settings map[string]any) { settings["discovery"] = "ask" })
 		calls, end := make(chan struct{}, 10), make(chan struct{})
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -335,7 +335,7 @@
 type Ask struct {
 	Job    uint32 // number of the request
 	Bits   uint16 // BitHint and BitRepeat
-	Key    uint64
+	Key    uint64 // routing key; 0 if there is none
 	Tenant uint32
 	Left   time.Duration // until the client's deadline
 	Hint   time.Duration // expected work; valid with BitHint
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -95,7 +95,7 @@
 	}
 	report.Values[0] = float32(math.NaN())
 	if l := columns.Load(report); l.Has&balance.HasBusy != 0 {
-		t.Fatalf("load %+v: a value that is no number counts", l)
+		t.Fatalf("load %+v: a NaN value counts", l)
 	}
 	if l := columns.Load(Report{}); l != (balance.Load{}) {
 		t.Fatalf("absent load %+v, want it unknown", l)
