--- a/internal/sidecar/discovery_test.go
+++ b/internal/sidecar/discovery_test.go
@@ -45,14 +45,14 @@
 		`{"generation":1,"instances":[{"instanceId":"s","hostPort":"127.0.0.1:80","startedAtMs":1e300}]}`,
 	} {
 		if _, err := parseListing([]byte(bad), nil); err == nil {
-			t.Errorf("%q was taken", bad)
+			t.Errorf("%q was accepted", bad)
 		}
 	}
 }
 
-// A watch from the known version on; a malformed answer or a failure takes nothing away, and after a pause
-// it goes on from there. The first after that is short: the module waits for word. Only where changes are
-// not to be had is the whole list called for: those of all sidecars at once keep discovery from answering.
+// The client watches from the version it has. A malformed answer or a failure changes nothing, and after a delay the next
+// watch starts from the same version; it is short, as the module waits for an answer. The whole list is requested only if
+// changes are not available: whole lists for all sidecars at once would keep discovery from answering.
 func TestDiscoveryFollowsList(t *testing.T) {
 	queries := make(chan string, 100)
 	answers := make(chan func(http.ResponseWriter), 100)
@@ -65,14 +65,14 @@
 		}
 	}))
 	defer server.Close()
-	say := func(body string) func(http.ResponseWriter) {
+	respond := func(body string) func(http.ResponseWriter) {
 		return func(w http.ResponseWriter) { _, _ = io.WriteString(w, body) }
 	}
 	cfg := testConfig(t, listed(40, "ready", "127.0.0.1:80"), func(file, _ map[string]any) {
 		file["discovery"] = server.Listener.Addr().String()
 	})
-	heard, failed := make(chan listing, 100), make(chan struct{}, 100)
-	d := newDiscovery(cfg, func(l listing) { heard <- l }, func() { failed <- struct{}{} })
+	listings, failures := make(chan listing, 100), make(chan struct{}, 100)
+	d := newDiscovery(cfg, func(l listing) { listings <- l }, func() { failures <- struct{}{} })
 	var clock atomic.Int64
 	d.now, d.sleep = func() time.Duration { return time.Duration(clock.Load()) }, func(_ context.Context, by time.Duration) { clock.Add(int64(by)) }
 	d.random = func() float64 { return 1 }
@@ -87,39 +87,39 @@
 			t.Fatalf("query %q, want %q", got, query)
 		}
 	}
-	news := func(version int64, whole bool) {
+	expectListing := func(version int64, whole bool) {
 		t.Helper()
-		if l := wait(t, "a list", heard); l.version != version || l.whole != whole {
+		if l := wait(t, "a list", listings); l.version != version || l.whole != whole {
 			t.Fatalf("version %d, whole %v, want %d, %v", l.version, l.whole, version, whole)
 		}
 	}
-	step("index=40&wait=1", say(`{"generation":41,"reset":false,"instances":[]}`))
-	news(41, false)
-	step("index=41&wait=20000", say(`{"generation":43,"reset":false,"instances":[]}`))
-	news(43, false)
-	step("index=43&wait=20000", say(`{"generation":44,"instances":[{"instanceId":""}]}`))
-	wait(t, "the failure", failed)
+	step("index=40&wait=1", respond(`{"generation":41,"reset":false,"instances":[]}`))
+	expectListing(41, false)
+	step("index=41&wait=20000", respond(`{"generation":43,"reset":false,"instances":[]}`))
+	expectListing(43, false)
+	step("index=43&wait=20000", respond(`{"generation":44,"instances":[{"instanceId":""}]}`))
+	wait(t, "the failure", failures)
 	step("index=43&wait=1", func(w http.ResponseWriter) { w.WriteHeader(http.StatusServiceUnavailable) })
-	wait(t, "the failure", failed)
-	step("index=43&wait=1", say(listed(45, "ready", "127.0.0.1:80")))
-	news(45, true)
-	step("index=45&wait=20000", say(`{"generation":7,"reset":false,"instances":[]}`)) // stale, or begun anew
-	news(45, false)
-	step("", say(listed(8, "ready", "127.0.0.1:80"))) // 0.5 s later
-	news(45, false)
+	wait(t, "the failure", failures)
+	step("index=43&wait=1", respond(listed(45, "ready", "127.0.0.1:80")))
+	expectListing(45, true)
+	step("index=45&wait=20000", respond(`{"generation":7,"reset":false,"instances":[]}`)) // stale, or after a restart of discovery
+	expectListing(45, false)
+	step("", respond(listed(8, "ready", "127.0.0.1:80"))) // 0.5 s later
+	expectListing(45, false)
 	for range 2 { // 1 s and 3.5 s later
 		step("index=8&wait=2000", func(w http.ResponseWriter) {
 			clock.Add(int64(staleListDelay))
 			_, _ = io.WriteString(w, `{"generation":8,"reset":false,"instances":[]}`)
 		})
-		news(45, false)
+		expectListing(45, false)
 	}
-	step("", say(listed(8, "ready", "127.0.0.1:80")))
-	news(8, true)
-	step("index=8&wait=20000", say(listed(9, "ready", "127.0.0.1:80")))
-	news(9, true)
-	if len(heard)+len(failed) > 0 {
-		t.Errorf("%d more lists, %d more failures", len(heard), len(failed))
+	step("", respond(listed(8, "ready", "127.0.0.1:80")))
+	expectListing(8, true)
+	step("index=8&wait=20000", respond(listed(9, "ready", "127.0.0.1:80")))
+	expectListing(9, true)
+	if len(listings)+len(failures) > 0 {
+		t.Errorf("%d more lists, %d more failures", len(listings), len(failures))
 	}
 	cancel()
 	wait(t, "the end", ended)
@@ -130,10 +130,10 @@
 	}
 }
 
-// Where lists are pushed, what changed while discovery was away counts as told as soon as it is back, and a drain has to be kept within
-// a second of that: no pause between calls may be as long, however long discovery was away.
+// If lists are pushed, changes made while discovery was away count as soon as it is back, and a drain has to be obeyed within
+// a second. No delay between calls may reach that, however long discovery was away.
 func TestRetryDelaysStayShortForPushedLists(t *testing.T) {
-	const most, failures = time.Second, 12
+	const limit, failures = time.Second, 12
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusServiceUnavailable) }))
 	defer server.Close()
 	cfg := testConfig(t, listed(40, "ready", "127.0.0.1:80"), func(file, _ map[string]any) { file["discovery"] = server.Listener.Addr().String() })
@@ -148,7 +148,7 @@
 	}
 	d.run(ctx)
 	for i, by := range pauses {
-		if longest := by * 3 / 2; longest >= most*8/10 || by <= 0 { // jitter makes it half as long again; the call takes time too
+		if longest := by * 3 / 2; longest >= limit*8/10 || by <= 0 { // jitter adds up to a half, and the call itself takes time
 			t.Errorf("after %d failures the next call may be %v away", i+1, longest)
 		}
 	}
@@ -157,7 +157,7 @@
 	}
 }
 
-// Where the list must be asked for, nothing is called before the module asks.
+// If the list has to be requested, discovery is not called before the module subscribes.
 func TestDiscoveryWaitsForSubscription(t *testing.T) {
 	calls := make(chan struct{}, 100)
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -176,7 +176,7 @@
 	go d.run(ctx)
 	for range 2 {
 		if len(calls) > 0 {
-			t.Fatal("called unasked")
+			t.Fatal("discovery was called without a request")
 		}
 		d.subscribe()
 		wait(t, "the failure", failed)
@@ -184,44 +184,44 @@
 	}
 }
 
-// When discovery moves, the watch at the old address ends at once, and the whole list comes from the
-// new one: where lists are pushed, and where they are asked for without being asked again.
+// When discovery's address changes, the watch at the old address ends at once and the whole list is fetched from the new one.
+// If lists have to be requested this happens without a new request of the module.
 func TestDiscoveryChangesAddress(t *testing.T) {
-	for _, how := range []string{"push", "ask"} {
-		t.Run(how, func(t *testing.T) {
-			began, left := make(chan struct{}, 10), make(chan struct{}, 10)
-			place := func(generation int) string {
+	for _, mode := range []string{"push", "ask"} {
+		t.Run(mode, func(t *testing.T) {
+			watchBegan, watchEnded := make(chan struct{}, 10), make(chan struct{}, 10)
+			startDiscovery := func(generation int) string {
 				s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 					if r.URL.RawQuery == "" {
 						_, _ = io.WriteString(w, listed(generation, "ready"))
 						return
 					}
-					began <- struct{}{}
-					<-r.Context().Done() // a watch, which nothing comes of
-					left <- struct{}{}
+					watchBegan <- struct{}{}
+					<-r.Context().Done() // a watch without changes
+					watchEnded <- struct{}{}
 				}))
 				t.Cleanup(s.Close)
 				return s.Listener.Addr().String()
 			}
 			cfg := testConfig(t, listed(0, "ready"), func(file, settings map[string]any) {
-				file["discovery"], settings["discovery"] = place(1), how
+				file["discovery"], settings["discovery"] = startDiscovery(1), mode
 			})
-			heard := make(chan listing, 10)
-			d := newDiscovery(cfg, func(l listing) { heard <- l }, func() { t.Error("a move passes for a failure") })
+			listings := make(chan listing, 10)
+			d := newDiscovery(cfg, func(l listing) { listings <- l }, func() { t.Error("a change of address is reported as a failure") })
 			ctx, cancel := context.WithCancel(context.Background())
 			ended := make(chan struct{})
 			go func() { d.run(ctx); close(ended) }()
 			d.subscribe()
 			for generation := int64(1); generation <= 3; generation++ {
-				if l := wait(t, "a list", heard); l.version != generation || !l.whole {
+				if l := wait(t, "a list", listings); l.version != generation || !l.whole {
 					t.Fatalf("version %d, whole %v, want all of %d", l.version, l.whole, generation)
 				}
 				if generation > 1 {
-					wait(t, "the watch at the old address to end", left)
+					wait(t, "the watch at the old address to end", watchEnded)
 				}
-				wait(t, "the watch", began)
+				wait(t, "the watch", watchBegan)
 				if generation < 3 {
-					d.setAddress(place(int(generation) + 1))
+					d.setAddress(startDiscovery(int(generation) + 1))
 				}
 			}
 			cancel()
@@ -230,8 +230,8 @@
 	}
 }
 
-// A server that moves is reached where it is now, one that left is not reached at all, and a list
-// of changes leaves the others alone.
+// A server that changes its address is reached at the new one, a removed server is not reached, and a list of changes leaves
+// the other servers alone.
 func TestListChangesAddresses(t *testing.T) {
 	l := newTestLoop(t, "127.0.0.1:81")
 	id := serverID("s-0")
@@ -241,7 +241,7 @@
 	}
 	l.applyList(moved, balance.ListDelta)
 	if l.addresses[id] != "127.0.0.1:82" {
-		t.Errorf("address %q after the move", l.addresses[id])
+		t.Errorf("address %q after the change of address", l.addresses[id])
 	}
 	l.applyList(listing{}, balance.ListDelta)
 	if len(l.addresses) != 1 {
@@ -254,6 +254,6 @@
 	l.applyList(moved, balance.ListDelta)
 	l.applyList(listing{whole: true}, balance.ListFull)
 	if len(l.addresses) != 0 {
-		t.Errorf("addresses %v after a whole list of none", l.addresses)
+		t.Errorf("addresses %v after an empty whole list", l.addresses)
 	}
 }
--- a/internal/sidecar/upstream_test.go
+++ b/internal/sidecar/upstream_test.go
@@ -16,10 +16,12 @@
 	"arrowgw/internal/balance"
 )
 
+// testTransport returns a transport of the test configuration.
 func testTransport(t *testing.T) *transport {
 	return newTransport(testConfig(t, listed(1, "ready"), nil), newClock())
 }
 
+// testRequest returns a request with an ID and a buffered body.
 func testRequest(id string) *outboundRequest {
 	return &outboundRequest{
 		method: http.MethodPost, url: &url.URL{Path: "/reading"}, host: "service.internal", body: []byte("weight"),
@@ -27,7 +29,7 @@
 	}
 }
 
-// runAttempt sends one and waits for its end.
+// runAttempt sends a test request and waits for the result of the attempt.
 func runAttempt(t *testing.T, u *transport, address, id string, limit time.Duration) attemptResult {
 	t.Helper()
 	done := make(chan attemptResult, 2)
@@ -35,10 +37,10 @@
 	return wait(t, "the end of an attempt", done)
 }
 
-// Every kind of answer has its ending; a connection is kept only behind a whole and clean one.
+// Every kind of answer has its ending. A connection is reused only after a complete answer without extra bytes.
 func TestAttemptEndings(t *testing.T) {
 	long := strings.Repeat("x", maxBufferedBody+1)
-	atLimit := "HTTP/1.0 500 No\r\nX-A: " + strings.Repeat("x", maxAnswerBytes-29) + "\r\n\r\n" // but for two bytes of its body
+	atLimit := "HTTP/1.0 500 No\r\nX-A: " + strings.Repeat("x", maxAnswerBytes-29) + "\r\n\r\n" // the limit falls after two bytes of the body
 	for name, c := range map[string]struct {
 		answer string
 		ending balance.Ending
@@ -78,9 +80,9 @@
 				if r.conn > 0 {
 					return ok(conn, "again")
 				}
-				_, _ = conn.Write([]byte(c.answer)) // fails where the sidecar has had enough of it
+				_, _ = conn.Write([]byte(c.answer)) // fails if the sidecar has closed the connection
 				if strings.HasSuffix(name, ", reset") {
-					_ = conn.(*net.TCPConn).SetLinger(0) // it only makes the end a reset
+					_ = conn.(*net.TCPConn).SetLinger(0) // makes the close a reset
 				}
 				return c.kept || name == "bytes left over" || name == "to be closed" || name == "headers without end"
 			})
@@ -100,8 +102,8 @@
 	}
 }
 
-// A kept connection that breaks behind the request's last byte: it may have run, so it must not be
-// sent again by anything but the module. http.Transport does, also for a POST with Idempotency-Key.
+// A reused connection breaks after the last byte of the request: the request may have run, so that only the module may
+// send it again. http.Transport resends it, even a POST with Idempotency-Key.
 func TestBrokenReusedConnectionIsNotRetried(t *testing.T) {
 	s := newStub(t, func(c net.Conn, r received) bool {
 		return r.Header.Get("X-Request-ID") == "1" && ok(c, "hi")
@@ -116,8 +118,8 @@
 	}
 }
 
-// One that its server closed while it was idle (idle time-out, drain, restart) is found out before
-// a request is written to it.
+// An idle connection that its server closed (at its idle time-out, when it drains or restarts) is detected before a request
+// is written to it.
 func TestStaleConnectionIsNotUsed(t *testing.T) {
 	hangUp := make(chan struct{})
 	gone := make(chan struct{})
@@ -131,13 +133,13 @@
 		return answered && r.conn > 0
 	})
 	u := testTransport(t)
-	u.blockReuse() // nobody waits for one that is closed to rest
+	u.blockReuse() // a closed connection is detected without a wait
 	runAttempt(t, u, s.address, "1", generous)
 	close(hangUp)
 	wait(t, "the server to close", gone)
 	for end := time.Now().Add(generous); u.idle[s.address][0].usable(); time.Sleep(time.Millisecond) {
-		if time.Now().After(end) { // the news has long crossed the loopback
-			t.Fatal("the closed connection passes for usable")
+		if time.Now().After(end) { // the close has long arrived
+			t.Fatal("the closed connection counts as usable")
 		}
 	}
 	if got := runAttempt(t, u, s.address, "2", generous); got.ending != balance.Served {
@@ -148,15 +150,15 @@
 	}
 }
 
-// blockReuse has a request wait until quiet is closed wherever no connection has rested; waits hears of it.
+// blockReuse makes every connection wait before its reuse until quiet is closed; waits receives each such wait.
 func (u *transport) blockReuse() (waits chan time.Duration, quiet chan time.Time) {
 	waits, quiet = make(chan time.Duration, 10), make(chan time.Time)
 	u.waitTimer = func(d time.Duration) <-chan time.Time { waits <- d; return quiet }
-	u.reuseDelay = u.maxIdle // however long the test is held up, it has not passed
+	u.reuseDelay = u.maxIdle // so that it does not pass by itself, however long the test is held up
 	return waits, quiet
 }
 
-// waitIdle waits until so many connections to an address are idle.
+// waitIdle waits until an address has n idle connections.
 func (u *transport) waitIdle(t *testing.T, address string, n int) {
 	t.Helper()
 	for end, there := time.Now().Add(generous), -1; there != n; time.Sleep(time.Millisecond) {
@@ -169,9 +171,9 @@
 	}
 }
 
-// A second answer that comes some milliseconds late, when the next request is waiting for that connection, is found
-// and passed on to nobody: a 503 among them would have what runs once sent again. That request goes over the spare
-// connection that was opened meanwhile, or over a new one.
+// A second answer that arrives some milliseconds after the first, while the next request waits for that connection, is
+// detected and passed to nobody: a second 503 would make the module resend a request that is running. The next request goes
+// over the spare connection opened in the meantime, or over a new one.
 func TestSecondAnswerIsDiscarded(t *testing.T) {
 	const more = "HTTP/1.1 503 No\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n"
 	for _, spare := range []bool{true, false} {
@@ -179,8 +181,8 @@
 		s := newStub(t, func(c net.Conn, r received) bool {
 			if r.conn == 0 && r.Header.Get("X-Request-ID") == "1" {
 				first <- c
-			} else if r.conn == 0 { // with no pause the request is here before the second answer
-				_, _ = c.Write([]byte(more)) // fails only where the sidecar has gone, which it has not
+			} else if r.conn == 0 { // without the delay the request arrives before the second answer
+				_, _ = c.Write([]byte(more)) // fails only if the sidecar has closed the connection, which it has not
 			}
 			return echo(c, r)
 		})
@@ -218,12 +220,12 @@
 	}
 }
 
-// Where no connection to a server has rested, a spare one is opened beside the request that waits, for those after it:
-// one at a time, and only where there is room. Whatever becomes of it, that request goes on over its own.
+// If no connection to a server may be reused yet, a spare one is opened for later requests while the current request waits:
+// one at a time and only if there is room. Whatever happens to the spare one, the waiting request uses its own connection.
 func TestSpareConnection(t *testing.T) {
 	for name, c := range map[string]struct {
 		edit    func(u *transport)
-		happens string // to the spare one or the request while both are awaited
+		happens string // to the spare connection or to the request while both are waited for
 		dialled int
 		open    int
 	}{
@@ -262,7 +264,7 @@
 				wait(t, "the call for a spare connection", dialled)
 			}
 			switch c.happens {
-			case "opened": // the next request goes over it, before the one that waits
+			case "opened": // the next request uses it, before the waiting one is sent
 				up <- nil
 				u.waitIdle(t, s.address, 1)
 				if got := runAttempt(t, u, s.address, "3", generous); got.ending != balance.Served || wait(t, "3", s.seen).conn != 1 {
@@ -283,7 +285,7 @@
 			if got := wait(t, "its end", done); got.ending != want {
 				t.Errorf("ending %v, want %v", got.ending, want)
 			}
-			up <- nil // or it has come up, or nobody asks
+			up <- nil // ends the dial of the spare connection if it is still waiting
 			u.waitIdle(t, s.address, c.open)
 			u.mu.Lock()
 			defer u.mu.Unlock()
@@ -291,13 +293,13 @@
 				t.Errorf("dialled %d and %d more, open %d, want %d and %d with the first kept", u.dialled, len(dialled), u.open, c.dialled, c.open)
 			}
 			if want == balance.Served && wait(t, "2", s.seen).conn != 0 || len(s.seen) > 0 {
-				t.Error("the request that waited was not sent over its own connection, or one given up was sent")
+				t.Error("the waiting request was not sent over its own connection, or a cancelled one was sent")
 			}
 		})
 	}
 }
 
-// Two requests that wait at once have one spare connection between them; the next wait has another.
+// Two requests that wait at the same time share one spare connection; a later wait opens another.
 func TestOneSpareConnectionAtATime(t *testing.T) {
 	s := newStub(t, echo)
 	u := testTransport(t)
@@ -336,16 +338,15 @@
 	}
 }
 
-// Of several idle connections the one that was used last is taken, of those that have been idle for long enough, so
-// that the others can end; else the one that will have been first. One that was given back unused has been idle all
-// the while: its server counts on.
+// takeIdle returns the most recently used of the reusable connections, so that the others can expire, else the one that will
+// be reusable first. A connection returned unused keeps its idle time, as it does for its server.
 func TestTakeIdleOrder(t *testing.T) {
 	u := testTransport(t)
 	now := u.clock.now()
 	for name, c := range map[string]struct {
 		ages  []time.Duration
-		spare []int // places of those that have carried nothing
-		want  int   // by its place in ages; -1: a new one
+		spare []int // indices of connections that have carried no exchange
+		want  int   // index in ages; -1: a new connection
 	}{
 		"all quiet":       {[]time.Duration{3 * time.Second, 2 * time.Second, time.Second}, nil, 2},
 		"last too new":    {[]time.Duration{3 * time.Second, 2 * time.Second, 0}, nil, 1},
@@ -353,11 +354,11 @@
 		"old and new":     {[]time.Duration{u.maxIdle, 0}, nil, 1},
 		"too old":         {[]time.Duration{u.maxIdle}, nil, -1},
 		"a new spare":     {[]time.Duration{2 * time.Millisecond, time.Millisecond, 0}, []int{1}, 1},
-		"a spare in need": {[]time.Duration{3 * time.Second, 2 * time.Second, 0}, []int{0}, 1}, // as it is there for that alone
+		"a spare in need": {[]time.Duration{3 * time.Second, 2 * time.Second, 0}, []int{0}, 1}, // it is spare for exactly this case
 		"a spare too old": {[]time.Duration{u.maxIdle, 0}, []int{0}, 1},
 	} {
 		u.idle, u.open = map[string][]*conn{}, len(c.ages)
-		u.reuseDelay = time.Second / 2 // the test may be held up
+		u.reuseDelay = time.Second / 2 // long enough for a test that is held up
 		var all []*conn
 		for i, age := range c.ages {
 			a, b := net.Pipe()
@@ -367,19 +368,19 @@
 		u.idle["a"] = slices.Clone(all)
 		got, err := u.takeIdle("a")
 		if at := slices.Index(all, got); err != nil || at != c.want {
-			t.Errorf("%s: took the one at %d (%v), want %d", name, at, err, c.want)
+			t.Errorf("%s: got index %d (%v), want %d", name, at, err, c.want)
 		}
 		if got != nil {
 			since := got.idleSince
 			u.putIdle("a", got, true)
 			if list := u.idle["a"]; got.idleSince != since || !slices.IsSortedFunc(list, func(a, b *conn) int { return cmp.Compare(a.idleSince, b.idleSince) }) {
-				t.Errorf("%s: given back unused, it is not where it was", name)
+				t.Errorf("%s: returned unused, it is not in its old place", name)
 			}
 		}
 	}
 }
 
-// Nor is one used, or kept open, that has been idle for nearly as long as its server allows.
+// A connection that has been idle for almost as long as its server allows is neither used nor kept open.
 func TestOldConnectionsAreClosed(t *testing.T) {
 	s := newStub(t, echo)
 	u := testTransport(t)
@@ -402,17 +403,16 @@
 func TestConnectionsAreReused(t *testing.T) {
 	s := newStub(t, echo)
 	u := testTransport(t)
-	u.reuseDelay = 0 // each has rested when the next request comes
+	u.reuseDelay = 0 // every connection is reusable at once
 	for i := range 5 {
 		runAttempt(t, u, s.address, fmt.Sprint(i), generous)
 	}
 	if u.dialled != 1 {
-		t.Errorf("%d connections for five requests one after the other, want 1", u.dialled)
+		t.Errorf("%d connections for five consecutive requests, want 1", u.dialled)
 	}
 }
 
-// At the limit on descriptors an idle connection to another server makes room; where there is
-// none, nothing is sent.
+// At the limit an idle connection to another server is closed for a new one; if there is none, nothing is sent.
 func TestConnectionLimit(t *testing.T) {
 	a, b, mute := newStub(t, echo), newStub(t, echo), newStub(t, silent)
 	u := testTransport(t)
@@ -444,8 +444,8 @@
 	}
 }
 
-// What went wrong is counted by its kind, so that the log tells a server that closes what was kept
-// from one that breaks new connections or answers nonsense.
+// Failures are counted by kind, so that the log distinguishes a server that closes reused connections from one that breaks new
+// connections or sends malformed answers.
 func TestFailuresAreCounted(t *testing.T) {
 	s := newStub(t, func(c net.Conn, r received) bool {
 		switch id := r.Header.Get("X-Request-ID"); id {
@@ -465,12 +465,12 @@
 	}
 }
 
-// A machine that vanished says nothing: only the time-out ends the attempt, and its connection goes.
+// A machine that vanished sends nothing: the attempt ends by its time-out, and its connection is closed.
 func TestUnresponsiveServer(t *testing.T) {
 	s := newStub(t, silent)
 	u := testTransport(t)
 	if got := runAttempt(t, u, s.address, "1", 30*time.Millisecond); got.ending != balance.TimedOut {
-		// where the machine was too busy to send at all in that time, it never ran
+		// a busy machine may not have sent the request in that time, which then never ran
 		if got.ending != balance.NoConnection || len(s.seen) > 0 {
 			t.Fatalf("ending %v, want %v", got.ending, balance.TimedOut)
 		}
@@ -480,7 +480,7 @@
 	}
 }
 
-// A cancelled attempt closes its connection, which tells the upstream, and still has its one end.
+// A cancelled attempt closes its connection, which tells the upstream, and ends exactly once.
 func TestCancelClosesTheConnection(t *testing.T) {
 	s := newStub(t, silent)
 	u := testTransport(t)
@@ -498,8 +498,7 @@
 	}
 }
 
-// After the final answer nothing more goes out for a request, also if its attempt was still
-// waiting for a connection when it was cancelled.
+// A request is not written after its attempt was cancelled, even if the attempt was still waiting for a connection.
 func TestCancelBeforeWrite(t *testing.T) {
 	s := newStub(t, echo)
 	u := testTransport(t)
@@ -507,11 +506,11 @@
 	x := new(exchange)
 	x.cancel()
 	req := &http.Request{Method: http.MethodGet, URL: &url.URL{Path: "/look"}, Header: http.Header{"X-Request-Id": {"2"}}}
-	for i := range 2 { // over the kept connection, then over a new one
+	for i := range 2 { // over the reused connection, then over a new one
 		if _, _, ending := u.roundTrip(x, s.address, req, testRequest("2"), u.clock.now()+generous, nil); ending != balance.Cancelled {
 			t.Errorf("ending %v, want %v", ending, balance.Cancelled)
 		}
-		x.cancel() // once more: the connection is not its own any more
+		x.cancel() // a second cancel: the connection is no longer the exchange's
 		if list := u.idle[s.address]; i == 0 && (len(list) != 1 || !list[0].usable()) {
 			t.Fatal("the connection, which nothing was written to, is not kept")
 		}
@@ -523,7 +522,7 @@
 	}
 }
 
-// What the upstream must have unchanged, and the time-out, which it must be told anew.
+// The upstream receives the request unchanged, with the time that is left in X-Timeout.
 func TestWhatGoesOn(t *testing.T) {
 	s := newStub(t, echo)
 	runAttempt(t, testTransport(t), s.address, "7", generous)
