--- a/internal/sidecar/late_test.go
+++ b/internal/sidecar/late_test.go
@@ -18,10 +18,10 @@
 	"arrowgw/internal/balance"
 )
 
-// delayDials has connections to an address come up in the very moment in which whoever waits for one gives up, or when free
-// is closed. dialled hears of each as it is asked for.
-func (u *transport) delayDials(address string) (dialled chan struct{}, free chan struct{}) {
-	dialled, free = make(chan struct{}, 100), make(chan struct{})
+// delayDials makes connections to an address come up only when the dial is cancelled or release is closed. dialled receives
+// each dial as it starts.
+func (u *transport) delayDials(address string) (dialled chan struct{}, release chan struct{}) {
+	dialled, release = make(chan struct{}, 100), make(chan struct{})
 	dial := u.dial
 	u.dial = func(ctx context.Context, network, to string) (net.Conn, error) {
 		c, err := dial(context.Background(), network, to)
@@ -29,15 +29,15 @@
 			dialled <- struct{}{}
 			select {
 			case <-ctx.Done():
-			case <-free:
+			case <-release:
 			}
 		}
 		return c, err
 	}
-	return dialled, free
+	return dialled, release
 }
 
-// A connection that comes up when its attempt may not be written any more does not carry it.
+// A connection that comes up after its attempt may no longer be written does not carry the request.
 func TestLateConnections(t *testing.T) {
 	for name, c := range map[string]struct {
 		until, by time.Duration
@@ -61,11 +61,11 @@
 				c.by += now
 			}
 			x := u.send(s.address, testRequest("1"), now+c.until, c.by, now+c.until, func(r attemptResult) { done <- r })
-			wait(t, "its call for a connection", dialled)
+			wait(t, "the dial", dialled)
 			if c.happens != nil {
 				c.happens(x)
 			}
-			if got := wait(t, "its end", done); got.ending != c.ending {
+			if got := wait(t, "the end of the attempt", done); got.ending != c.ending {
 				t.Errorf("ending %v, want %v", got.ending, c.ending)
 			}
 			u.dial = (&net.Dialer{}).DialContext
@@ -77,7 +77,7 @@
 	}
 }
 
-// What is being written, or was, is not withdrawn.
+// An attempt whose request is being written, or has been, is not withdrawn.
 func TestWithdrawAfterWrite(t *testing.T) {
 	answer := make(chan struct{})
 	s := newStub(t, func(c net.Conn, r received) bool { <-answer; return echo(c, r) })
@@ -87,29 +87,29 @@
 	wait(t, "the request", s.seen)
 	x.withdraw()
 	close(answer)
-	if got := wait(t, "its end", done); got.ending != balance.Served {
+	if got := wait(t, "the end of the attempt", done); got.ending != balance.Served {
 		t.Errorf("ending %v, want %v", got.ending, balance.Served)
 	}
 }
 
-// delayedReader is the rest of a body that comes only when a moment is over.
-type delayedReader struct{ until time.Time }
+// delayedReader is the rest of a body that arrives at a set moment.
+type delayedReader struct{ at time.Time }
 
 func (s delayedReader) Read(b []byte) (int, error) {
-	time.Sleep(time.Until(s.until))
+	time.Sleep(time.Until(s.at))
 	return copy(b, "end"), io.EOF
 }
 
-// A request whose bound passes while it is written is cut short: its server never has its last byte.
+// A request that is not written completely by sendBy is cut short: its server never receives the last byte.
 func TestRequestIsCutShortAtSendBy(t *testing.T) {
-	for _, name := range []string{"held", "long"} {
+	for _, name := range []string{"buffered", "upload"} {
 		t.Run(name, func(t *testing.T) {
-			least := func(_, _ string, c syscall.RawConn) error { // the least buffer that the kernel gives
+			minBuffer := func(_, _ string, c syscall.RawConn) error { // sets the smallest receive buffer that the kernel allows
 				var failed error
 				err := c.Control(func(fd uintptr) { failed = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, 1) })
 				return errors.Join(err, failed)
 			}
-			l, err := (&net.ListenConfig{Control: least}).Listen(context.Background(), "tcp", "127.0.0.1:0")
+			l, err := (&net.ListenConfig{Control: minBuffer}).Listen(context.Background(), "tcp", "127.0.0.1:0")
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -125,10 +125,10 @@
 			}
 			m, by := testRequest("1"), u.clock.now()+50*time.Millisecond
 			m.body, m.length = patternedBody(maxBufferedBody), maxBufferedBody
-			if name == "long" {
+			if name == "upload" {
 				body := &pacedBody{body: delayedReader{u.clock.at(by + time.Millisecond)}, setReadDeadline: func(time.Time) error { return nil }}
 				m.upload, m.length = newUpload(body), maxBufferedBody+3
-				m.upload.onSent = func() { t.Error("the last byte went out") }
+				m.upload.onSent = func() { t.Error("the last byte was written") }
 			}
 			accepted := make(chan net.Conn, 1)
 			go func() {
@@ -140,23 +140,23 @@
 			u.send(l.Addr().String(), m, u.clock.now()+2*generous, by, u.clock.now()+2*generous, func(r attemptResult) { done <- r })
 			server := wait(t, "the connection", accepted)
 			defer server.Close()
-			if name == "long" { // it reads, and the client is slow; else the client is quick, and nobody reads
+			if name == "upload" { // the server reads and the client is slow; otherwise the client is fast and the server does not read
 				go func() { _, _ = io.Copy(io.Discard, server) }()
 			}
-			if got := wait(t, "its end", done); got.ending != balance.NoConnection {
+			if got := wait(t, "the end of the attempt", done); got.ending != balance.NoConnection {
 				t.Errorf("ending %v, want %v", got.ending, balance.NoConnection)
 			}
-			if name == "held" {
+			if name == "buffered" {
 				if n, _ := io.Copy(io.Discard, server); n >= maxBufferedBody {
-					t.Errorf("%d bytes went out, all of it", n)
+					t.Errorf("all of it was written, %d bytes", n)
 				}
 			}
 		})
 	}
 }
 
-// A request that waits for its connection when its server is told to drain goes to another, and the connection that
-// comes up then carries nothing.
+// A request that waits for a connection to a server that begins to drain goes to another server, and the connection that comes up
+// afterwards carries nothing.
 func TestDrainWhileConnecting(t *testing.T) {
 	late, other := newStub(t, echo), newStub(t, echo)
 	l := newTestLoop(t, late.address)
@@ -165,19 +165,19 @@
 	reply := make(chan answer, 1)
 	l.submit(balance.Request{Class: 1}, testRequest("1"), l.now+generous, reply)
 	l.runNextEvent(t)
-	wait(t, "its call for a connection", dialled)
+	wait(t, "the dial", dialled)
 	l.applyList(listing{servers: []balance.Server{{ID: serverID("s-0"), State: balance.Draining, Weight: 1},
 		{ID: serverID("s-1"), State: balance.Ready, Weight: 1}},
 		addresses: map[balance.ServerID]string{serverID("s-0"): late.address, serverID("s-1"): other.address}}, balance.ListDelta)
-	l.runNextEvent(t) // its attempt ends
+	l.runNextEvent(t) // the attempt ends
 	wait(t, "the request at the other server", other.seen)
 	l.runNextEvent(t)
-	if a := wait(t, "its answer", reply); a.status != http.StatusOK || len(late.seen) > 0 {
+	if a := wait(t, "the answer", reply); a.status != http.StatusOK || len(late.seen) > 0 {
 		t.Errorf("status %d, %d requests at the server that drains", a.status, len(late.seen))
 	}
 }
 
-// newTestFront is the application's side before one server, with a listener that nobody serves yet.
+// newTestFront returns a front with one server and a listener that is served only once the returned function is called.
 func newTestFront(t *testing.T, address string, edit func(file, settings map[string]any)) (*front, *running, func()) {
 	t.Helper()
 	cfg := testConfig(t, listed(1, "ready", address), edit)
@@ -205,12 +205,12 @@
 	}
 }
 
-// A client that leaves while its request waits for a connection is sent nowhere, be cancelling allowed or not, and
-// whatever it has sent that is still to be read: a close behind that shows to no reader.
+// If a client leaves while its request waits for a connection, the request is not sent, whether or not attempts may be
+// cancelled and whatever the client has sent that is still unread: a reader does not notice a close behind unread bytes.
 func TestClientLeavesWhileConnecting(t *testing.T) {
 	body := string(patternedBody(maxBufferedBody + 4<<10))
 	short := head("1", "Content-Length: 0")
-	for name, sends := range map[string][2]string{ // at once, and when its attempt waits
+	for name, input := range map[string][2]string{ // sent at once, and while the attempt waits
 		"nothing more":    {short, ""},
 		"one byte more":   {short, "G"},
 		"requests behind": {short, strings.Repeat(head("2", "Content-Length: 0"), 40)},
@@ -220,7 +220,7 @@
 		for _, mayCancel := range []bool{true, false} {
 			t.Run(fmt.Sprintf("%s, cancel %v", name, mayCancel), func(t *testing.T) {
 				s := newStub(t, echo)
-				f, side, serve := newTestFront(t, s.address, func(_, settings map[string]any) {
+				f, sidecar, serve := newTestFront(t, s.address, func(_, settings map[string]any) {
 					settings["caps"].(map[string]any)["may_cancel"] = mayCancel
 					entry := settings["classes"].([]any)[1].(map[string]any) // no time-out may end it before the test does
 					entry["aim_ms"], entry["hard_limit_ms"] = 10*generous.Milliseconds(), 10*generous.Milliseconds()
@@ -228,18 +228,18 @@
 				f.loop.upstream.dialTimeout = 2 * generous
 				dialled, free := f.loop.upstream.delayDials(s.address)
 				serve()
-				c := side.dial(t)
-				if _, err := io.WriteString(c, strings.Replace(sends[0], "20000m", "200000m", 1)); err != nil {
+				c := sidecar.dial(t)
+				if _, err := io.WriteString(c, strings.Replace(input[0], "20000m", "200000m", 1)); err != nil {
 					t.Fatal(err)
 				}
-				wait(t, "its call for a connection", dialled)
-				if _, err := io.WriteString(c, sends[1]); err != nil {
+				wait(t, "the dial", dialled)
+				if _, err := io.WriteString(c, input[1]); err != nil {
 					t.Fatal(err)
 				}
 				c.Close()
-				f.waitOnLoop(t, "the request to be let go", func() bool { return f.held.Load() == 0 })
+				f.waitOnLoop(t, "the request to end", func() bool { return f.held.Load() == 0 })
 				close(free)
-				f.waitOnLoop(t, "its attempt to end", func() bool { return len(f.loop.requests) == 0 })
+				f.waitOnLoop(t, "the attempt to end", func() bool { return len(f.loop.requests) == 0 })
 				if len(s.seen) > 0 {
 					t.Errorf("request %s was sent on", wait(t, "it", s.seen).Header.Get("X-Request-ID"))
 				}
@@ -248,7 +248,7 @@
 	}
 }
 
-// waitOnLoop waits for something that the loop's goroutine tells.
+// waitOnLoop waits for a condition that is evaluated on the loop's goroutine.
 func (f *front) waitOnLoop(t *testing.T, what string, holds func() bool) {
 	t.Helper()
 	for end, there := time.Now().Add(generous), false; !there; time.Sleep(time.Millisecond) {
@@ -261,17 +261,17 @@
 	}
 }
 
-// A client that had left before its request was read is sent nowhere.
+// A request whose client had left before it was read is not sent.
 func TestClientLeftBeforeRequestWasRead(t *testing.T) {
 	s := newStub(t, echo)
-	f, side, serve := newTestFront(t, s.address, nil)
-	c := side.dial(t)
+	f, sidecar, serve := newTestFront(t, s.address, nil)
+	c := sidecar.dial(t)
 	if _, err := io.WriteString(c, head("1", "Content-Length: 0")); err != nil {
 		t.Fatal(err)
 	}
 	c.Close()
 	serve()
-	f.waitOnLoop(t, "its connection to come and go", func() bool {
+	f.waitOnLoop(t, "the connection to be accepted and closed", func() bool {
 		f.clients.mu.Lock()
 		defer f.clients.mu.Unlock()
 		return f.clients.peak > 0 && len(f.clients.conns) == 0
@@ -281,25 +281,26 @@
 	}
 }
 
-// block keeps the loop's goroutine from what is posted behind this until free is called.
+// block keeps the loop's goroutine from running events posted after it until free is called.
 func (l *loop) block() (free func()) {
 	held := make(chan struct{})
 	l.post(func(time.Duration) { <-held })
 	return sync.OnceFunc(func() { close(held) })
 }
 
-// A client whose leaving is still behind other events as an attempt is about to be written is sent nowhere: the kernel
-// is asked before each. The loop stands still from the attempt's beginning on, so that nobody else can tell.
+// A client leaves while the event that reports this is queued behind others, and an attempt is about to be written: it must not
+// be sent. The kernel is asked before each write. The loop is blocked from the beginning of the attempt, so that nothing else
+// can report that the client has left.
 func TestClientLeavesBeforeLoopKnows(t *testing.T) {
-	leaves := map[string]func(c *net.TCPConn) error{
+	departures := map[string]func(c *net.TCPConn) error{
 		"closes":  (*net.TCPConn).Close,
 		"resets":  func(c *net.TCPConn) error { return errors.Join(c.SetLinger(0), c.Close()) },
 		"no more": (*net.TCPConn).CloseWrite,
 	}
-	for _, at := range []string{"first", "further", "connecting"} {
-		for how, leave := range leaves {
-			t.Run(at+" "+how, func(t *testing.T) {
-				held, turnAway := make(chan struct{}), at == "further"
+	for _, phase := range []string{"first", "further", "connecting"} {
+		for kind, leave := range departures {
+			t.Run(phase+" "+kind, func(t *testing.T) {
+				held, turnAway := make(chan struct{}), phase == "further"
 				answer := func(c net.Conn, r received) bool {
 					if !turnAway {
 						return echo(c, r)
@@ -310,29 +311,29 @@
 					return err == nil
 				}
 				one, other := newStub(t, answer), newStub(t, answer)
-				f, side, serve := newTestFront(t, one.address, func(file, settings map[string]any) {
-					if at != "connecting" {
+				f, sidecar, serve := newTestFront(t, one.address, func(file, settings map[string]any) {
+					if phase != "connecting" {
 						file["known"] = json.RawMessage(listed(1, "ready", one.address, other.address))
 					}
 					settings["caps"].(map[string]any)["may_cancel"] = false
 				})
 				l, posted := f.loop, func(n int) func() bool { return func() bool { return len(f.loop.events) >= n } }
 				dialled, free := make(chan struct{}, 1), make(chan struct{})
-				if at == "connecting" {
+				if phase == "connecting" {
 					l.upstream.dialTimeout = 2 * generous
 					dialled, free = l.upstream.delayDials(one.address)
 				}
 				serve()
-				c := side.dial(t).(*net.TCPConn)
+				c := sidecar.dial(t).(*net.TCPConn)
 				begin := l.block()
 				defer begin()
-				eventually(t, "the loop to stand still", func() bool { return len(l.events) == 0 })
+				eventually(t, "the loop to be blocked", func() bool { return len(l.events) == 0 })
 				send := func() {
 					if _, err := io.WriteString(c, head("1", "Content-Length: 0")); err != nil {
 						t.Fatal(err)
 					}
 				}
-				switch at {
+				switch phase {
 				case "first":
 					send()
 					eventually(t, "the request to be posted", posted(1))
@@ -346,13 +347,13 @@
 						t.Fatal("no first attempt")
 					}
 					begin = l.block()
-					eventually(t, "the loop to stand still", func() bool { return len(l.events) == 0 })
+					eventually(t, "the loop to be blocked", func() bool { return len(l.events) == 0 })
 					close(held)
 					eventually(t, "the first attempt's end to be posted", posted(1))
 				case "connecting":
 					begin()
 					send()
-					wait(t, "its call for a connection", dialled)
+					wait(t, "the dial", dialled)
 				}
 				end := l.block()
 				defer end()
@@ -361,68 +362,69 @@
 				}
 				begin()
 				close(free)
-				if at == "connecting" { // else the guard has it not even connect
-					eventually(t, "its connection to be put back", func() bool {
+				if phase == "connecting" { // otherwise the guard prevents the dial
+					eventually(t, "the connection to be returned to the pool", func() bool {
 						l.upstream.mu.Lock()
 						defer l.upstream.mu.Unlock()
 						return len(l.upstream.idle[one.address]) == 1
 					})
 				}
 				end()
-				f.waitOnLoop(t, "its attempt to end", func() bool { return len(l.requests) == 0 })
+				f.waitOnLoop(t, "the attempt to end", func() bool { return len(l.requests) == 0 })
 				if n := len(one.seen) + len(other.seen); n > 0 {
-					t.Errorf("%d attempts behind the client's leaving", n)
+					t.Errorf("%d attempts after the client left", n)
 				}
 			})
 		}
 	}
 }
 
-// What an attempt tells its server is what is left once its connection has come up, for a long body too, all of which may have come long before.
+// The X-Timeout header tells the server what is left after its connection has come up, even for a long body all of which may
+// have arrived long before.
 func TestTimeoutHeaderAfterSlowConnect(t *testing.T) {
-	for name, m := range map[string]*outboundRequest{"held": testRequest("1"), "long": testRequest("1")} {
+	for name, m := range map[string]*outboundRequest{"buffered": testRequest("1"), "upload": testRequest("1")} {
 		t.Run(name, func(t *testing.T) {
 			s, u := newStub(t, echo), testTransport(t)
 			dialled, free := u.delayDials(s.address)
-			if m.timeLeft = 4 * time.Second; name == "long" {
+			if m.timeLeft = 4 * time.Second; name == "upload" {
 				m.upload = newUpload(&pacedBody{body: strings.NewReader("end"), setReadDeadline: func(time.Time) error { return nil }})
 				m.upload.onSent, m.length = func() {}, int64(len(m.body))+3
 			}
 			u.send(s.address, m, u.clock.now()+m.timeLeft, 0, u.clock.now()+m.timeLeft, func(attemptResult) {})
-			wait(t, "its call for a connection", dialled)
+			wait(t, "the dial", dialled)
 			begun := u.clock.now()
 			time.Sleep(30 * time.Millisecond)
-			most := m.timeLeft - (u.clock.now() - begun)
+			limit := m.timeLeft - (u.clock.now() - begun)
 			close(free)
-			if told, _ := duration(wait(t, "the request", s.seen).Header.Get("X-Timeout")); told > most {
-				t.Errorf("it tells %v, want %v at most", told, most)
+			if timeout, _ := duration(wait(t, "the request", s.seen).Header.Get("X-Timeout")); timeout > limit {
+				t.Errorf("X-Timeout is %v, want %v at most", timeout, limit)
 			}
 		})
 	}
 }
 
-// A connection that is late has others dialled beside it, dialsMost in all and only where there is room. The first to
-// come up carries the request, once; what comes up all the same is the pool's.
+// While a dial is late others are started, up to maxParallelDials and only if there is room. The first connection to come up
+// carries the request, once; a later one goes to the pool.
 func TestLateDialsAreHedged(t *testing.T) {
 	refused := errors.New("refused")
 	for name, c := range map[string]struct {
-		late    int  // so many dials, the first ones, end only as they are called off,
-		comesUp bool // with a connection or without
-		fails   error
-		edit    func(u *transport)
-		ending  balance.Ending
-		dials   int
-		open    int // connections that are left
+		lateDials int   // this many dials, from the first, end only when they are cancelled
+		connects  bool  // a late dial that is cancelled yields a connection
+		fails     error // error of the dials that are not late
+		edit      func(u *transport)
+		ending    balance.Ending
+		dials     int
+		open      int // connections left at the end
 	}{
 		"none late":         {ending: balance.Served, dials: 1, open: 1},
-		"one":               {late: 1, ending: balance.Served, dials: 2, open: 1},
-		"one, up after all": {late: 1, comesUp: true, ending: balance.Served, dials: 2, open: 2},
-		"two":               {late: 2, ending: balance.Served, dials: 3, open: 1},
-		"all":               {late: maxParallelDials + 1, ending: balance.NoConnection, dials: maxParallelDials},
-		"one, at the limit": {late: 1, edit: func(u *transport) { u.maxOpen = 1 }, ending: balance.NoConnection, dials: 1},
-		"one, with no room": {late: 1, edit: func(u *transport) { u.hasRoom = func(n int) bool { return n < 1 } },
+		"one":               {lateDials: 1, ending: balance.Served, dials: 2, open: 1},
+		"one, up after all": {lateDials: 1, connects: true, ending: balance.Served, dials: 2, open: 2},
+		"two":               {lateDials: 2, ending: balance.Served, dials: 3, open: 1},
+		"all":               {lateDials: maxParallelDials + 1, ending: balance.NoConnection, dials: maxParallelDials},
+		"one, at the limit": {lateDials: 1, edit: func(u *transport) { u.maxOpen = 1 }, ending: balance.NoConnection, dials: 1},
+		"one, with no room": {lateDials: 1, edit: func(u *transport) { u.hasRoom = func(n int) bool { return n < 1 } },
 			ending: balance.NoConnection, dials: 1},
-		"one, then refused": {late: 1, fails: refused, ending: balance.NoConnection, dials: 2},
+		"one, then refused": {lateDials: 1, fails: refused, ending: balance.NoConnection, dials: 2},
 		"refused":           {fails: refused, ending: balance.NoConnection, dials: 1},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -437,8 +439,8 @@
 			var dials atomic.Int32
 			dialled, over := make(chan int, 2*maxParallelDials), make(chan time.Time)
 			close(over)
-			u.lateDialTimer = func(time.Duration) <-chan time.Time { // over for each late one, once that has begun
-				if <-dialled <= c.late {
+			u.lateDialTimer = func(time.Duration) <-chan time.Time { // fires for each late dial once it has begun
+				if <-dialled <= c.lateDials {
 					return over
 				}
 				return nil
@@ -446,12 +448,12 @@
 			u.dial = func(ctx context.Context, network, to string) (net.Conn, error) {
 				n := int(dials.Add(1))
 				dialled <- n
-				if n > c.late && c.fails != nil {
+				if n > c.lateDials && c.fails != nil {
 					return nil, c.fails
 				}
-				if n <= c.late {
+				if n <= c.lateDials {
 					<-ctx.Done()
-					if !c.comesUp {
+					if !c.connects {
 						return nil, ctx.Err()
 					}
 				}
@@ -460,7 +462,7 @@
 			if got := runAttempt(t, u, s.address, "1", generous); got.ending != c.ending {
 				t.Errorf("ending %v, want %v", got.ending, c.ending)
 			}
-			open, idle := -1, -1 // those called off end by themselves
+			open, idle := -1, -1 // cancelled dials end by themselves
 			for end := time.Now().Add(generous); (open != c.open || idle != c.open) && time.Now().Before(end); {
 				time.Sleep(time.Millisecond)
 				u.mu.Lock()
@@ -475,7 +477,7 @@
 	}
 }
 
-// A further attempt of a long body tells no more than what was left as it was sent.
+// The X-Timeout header of a retry with a long body tells no more than what was left when the retry was sent.
 func TestTimeoutHeaderOfRetry(t *testing.T) {
 	s := newStub(t, echo)
 	l := newTestLoop(t, s.address)
@@ -483,20 +485,20 @@
 	r.outbound.timeLeft = generous
 	r.outbound.upload = newUpload(&pacedBody{body: strings.NewReader("end"), setReadDeadline: func(time.Time) error { return nil }})
 	r.outbound.upload.onSent, r.outbound.length = func() {}, int64(len(r.outbound.body))+3
-	l.now += generous / 2 // as if others had failed
+	l.now += generous / 2 // as if earlier attempts had failed
 	l.Send(7, serverID("s-0"), 0, 0)
-	if told, _ := duration(wait(t, "the request", s.seen).Header.Get("X-Timeout")); told > generous/2 {
-		t.Errorf("it tells %v, want %v at most", told, generous/2)
+	if timeout, _ := duration(wait(t, "the request", s.seen).Header.Get("X-Timeout")); timeout > generous/2 {
+		t.Errorf("X-Timeout is %v, want %v at most", timeout, generous/2)
 	}
 	l.runNextEvent(t)
 }
 
-// A client that has left as the last byte of its long body is about to go out is sent nowhere: its server never has that.
+// A client leaves when the last byte of its long body is about to be written: the server must not receive that byte.
 func TestClientLeavesBeforeLastByte(t *testing.T) {
 	s, u, asked := newStub(t, echo), testTransport(t), 0
 	m := testRequest("1")
 	m.upload = newUpload(&pacedBody{body: strings.NewReader("end"), setReadDeadline: func(time.Time) error { return nil }})
-	m.upload.onSent = func() { t.Error("the last byte went out") }
+	m.upload.onSent = func() { t.Error("the last byte was written") }
 	m.length = int64(len(m.body)) + 3
 	m.clientPresence = func() presence {
 		if asked++; asked > 1 {
@@ -506,16 +508,16 @@
 	}
 	done := make(chan attemptResult, 1)
 	u.send(s.address, m, u.clock.now()+generous, 0, u.clock.now()+generous, func(r attemptResult) { done <- r })
-	if got := wait(t, "its end", done); got.ending != balance.Cancelled {
+	if got := wait(t, "the end of the attempt", done); got.ending != balance.Cancelled {
 		t.Errorf("ending %v, want %v", got.ending, balance.Cancelled)
 	}
-	wait(t, "its connection to close", s.closed)
+	wait(t, "the connection to close", s.closed)
 	if len(s.seen) > 0 {
-		t.Error("its server had it whole")
+		t.Error("the server received the whole request")
 	}
 }
 
-// eventually waits for something to hold.
+// eventually waits for a condition.
 func eventually(t *testing.T, what string, holds func() bool) {
 	t.Helper()
 	for end := time.Now().Add(generous); !holds(); time.Sleep(time.Millisecond) {
--- a/internal/sidecar/loop_test.go
+++ b/internal/sidecar/loop_test.go
@@ -10,7 +10,7 @@
 	"arrowgw/internal/guard"
 )
 
-// newTestLoop is a loop whose goroutine is the test itself, with one server in its list.
+// newTestLoop returns a loop with one listed server. The test itself acts as its goroutine.
 func newTestLoop(t *testing.T, address string) *loop {
 	t.Helper()
 	cfg := testConfig(t, listed(1, "ready", address), nil)
@@ -26,7 +26,7 @@
 	return l
 }
 
-// runNextEvent runs the next event and what it owes.
+// runNextEvent runs the next event and reports the sends that it left undone.
 func (l *loop) runNextEvent(t *testing.T) {
 	t.Helper()
 	event := wait(t, "an event", l.events)
@@ -44,8 +44,8 @@
 	return r, reply
 }
 
-// The first served attempt answers at once; what the module says of the request after that, and
-// what other attempts bring, changes nothing. Each attempt has one Outcome, then the entry goes.
+// The first served attempt answers at once. What the module decides for the request after that, and the results of other
+// attempts, change nothing. Every attempt has one Outcome, and then the entry is removed.
 func TestOneAnswerPerRequest(t *testing.T) {
 	release := make(chan struct{})
 	s := newStub(t, func(c net.Conn, r received) bool {
@@ -65,7 +65,7 @@
 	if len(l.requests) != 0 {
 		t.Fatal("the request is still in the table")
 	}
-	l.requests[7] = r // as if another attempt were out
+	l.requests[7] = r // as if another attempt were in flight
 	l.Refuse(7, time.Second, balance.OutOfTime)
 	l.Fail(7, balance.OutOfTime)
 	l.Send(7, to, 0, 0)
@@ -74,12 +74,12 @@
 	}
 	l.reportUnsent()
 	if len(l.requests) != 0 || r.attemptsInFlight != 0 {
-		t.Errorf("%d requests in the table, %d attempts out, want none", len(l.requests), r.attemptsInFlight)
+		t.Errorf("%d requests in the table, %d attempts in flight, want none", len(l.requests), r.attemptsInFlight)
 	}
 	close(release)
 }
 
-// An Outcome comes after the answer too, for an attempt that is called off.
+// The Outcome of a cancelled attempt is reported even after the request's answer.
 func TestOutcomeAfterAnswer(t *testing.T) {
 	s := newStub(t, silent)
 	l := newTestLoop(t, s.address)
@@ -91,7 +91,7 @@
 		t.Errorf("status %d, want 504", a.status)
 	}
 	if l.requests[7] != r {
-		t.Fatal("the request has left the table with an attempt out")
+		t.Fatal("the request has left the table with an attempt in flight")
 	}
 	l.Cancel(7, 0)
 	l.Cancel(7, 5)
@@ -101,7 +101,7 @@
 	}
 }
 
-// Sends past caps.most_tries, past the deadline or to a server that is not listed are not carried out.
+// Sends beyond caps.most_tries, after the deadline, or to a server that is not listed are not carried out.
 func TestImpossibleSends(t *testing.T) {
 	s := newStub(t, silent)
 	l := newTestLoop(t, s.address)
@@ -137,7 +137,7 @@
 	}
 }
 
-// A client that closes its connection is owed nothing more; its attempts are called off.
+// A client that closes its connection gets no answer, and its attempts are cancelled.
 func TestClientGone(t *testing.T) {
 	s := newStub(t, silent)
 	l := newTestLoop(t, s.address)
@@ -154,7 +154,7 @@
 	}
 }
 
-// Timers due at one moment share one call, the rest wait for theirs.
+// Wakes due at the same moment share one call; later ones wait for their time.
 func TestWakesAreMerged(t *testing.T) {
 	l := newTestLoop(t, "127.0.0.1:1")
 	l.wakeTimes = nil
@@ -175,13 +175,13 @@
 func TestClockNeverGoesBack(t *testing.T) {
 	c := newClock()
 	last := c.now()
-	if off := last - time.Duration(time.Now().UnixNano()); off > time.Minute || off < -time.Minute {
-		t.Fatalf("%v off Unix time", off)
+	if offset := last - time.Duration(time.Now().UnixNano()); offset > time.Minute || offset < -time.Minute {
+		t.Fatalf("%v off Unix time", offset)
 	}
 	for range 1000 {
 		now := c.now()
 		if now < last {
-			t.Fatalf("went back by %v", last-now)
+			t.Fatalf("the clock went back by %v", last-now)
 		}
 		last = now
 	}
@@ -190,12 +190,12 @@
 	}
 }
 
-// The guard lets nothing go to a server that has drained for longer than the grace, and lets a ready one have its
-// requests where another that drains is listed at the same address.
+// The guard stops sends to a server that has drained for longer than the grace period, and allows sends to a ready server even
+// if a draining one is listed at the same address.
 func TestGuardFollowsList(t *testing.T) {
 	const grace = time.Second
 	for name, c := range map[string]struct {
-		states []balance.State // of s-0 and of another server there
+		states []balance.State // of s-0, and of a second server at the same address
 		after  time.Duration
 		sent   bool
 	}{
@@ -209,13 +209,13 @@
 			l.guard = guard.New(func(guard.Violation) {}, grace)
 			l.guard.Start()
 			_, _ = l.addRequest(7)
-			news := listing{whole: true, addresses: make(map[balance.ServerID]string)}
+			list := listing{whole: true, addresses: make(map[balance.ServerID]string)}
 			for i, state := range c.states {
 				id := serverID([]string{"s-0", "s-1"}[i])
-				news.servers = append(news.servers, balance.Server{ID: id, State: state})
-				news.addresses[id] = "127.0.0.1:1"
+				list.servers = append(list.servers, balance.Server{ID: id, State: state})
+				list.addresses[id] = "127.0.0.1:1"
 			}
-			l.applyList(news, balance.ListFull)
+			l.applyList(list, balance.ListFull)
 			l.now += c.after
 			l.Send(7, serverID("s-0"), 0, 0)
 			if sent := len(l.unsentOutcomes) == 0; sent != c.sent {
--- a/internal/sidecar/stream_test.go
+++ b/internal/sidecar/stream_test.go
@@ -225,7 +225,7 @@
 
 // A client's time begins with the last byte of its request, however long that takes to come.
 func TestTimeBeginsWithTheLastByte(t *testing.T) {
-	for name, size := range map[string]int{"held": 100, "long": 200 << 10} {
+	for name, size := range map[string]int{"buffered": 100, "upload": 200 << 10} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			s := newStub(t, func(c net.Conn, r received) bool { return ok(c, fmt.Sprint(len(r.body))) })
--- a/internal/sidecar/upstream_test.go
+++ b/internal/sidecar/upstream_test.go
@@ -211,7 +211,7 @@
 		case <-time.After(generous):
 			t.Fatal("the second request neither waits nor ends")
 		}
-		if r := wait(t, "its end", done); r.ending != balance.Served || string(r.body) != "done 2" {
+		if r := wait(t, "the end of the attempt", done); r.ending != balance.Served || string(r.body) != "done 2" {
 			t.Fatalf("spare %v: ending %v, body %q, want its own answer", spare, r.ending, r.body)
 		}
 		if u.dialled != 2 || u.stale != 1 || u.open != 1 {
@@ -261,7 +261,7 @@
 			wait(t, "the request to wait", waits)
 			want := balance.Served
 			if c.dialled > 1 {
-				wait(t, "the call for a spare connection", dialled)
+				wait(t, "the dial of a spare connection", dialled)
 			}
 			switch c.happens {
 			case "opened": // the next request uses it, before the waiting one is sent
@@ -282,7 +282,7 @@
 			if want == balance.Served {
 				close(quiet)
 			}
-			if got := wait(t, "its end", done); got.ending != want {
+			if got := wait(t, "the end of the attempt", done); got.ending != want {
 				t.Errorf("ending %v, want %v", got.ending, want)
 			}
 			up <- nil // ends the dial of the spare connection if it is still waiting
@@ -319,7 +319,7 @@
 		u.send(s.address, testRequest(id), u.clock.now()+generous, 0, u.clock.now()+generous, func(r attemptResult) { done <- r })
 		wait(t, "the request to wait", waits)
 	}
-	wait(t, "the call for a spare connection", dialled)
+	wait(t, "the dial of a spare connection", dialled)
 	if u.mu.Lock(); u.dialled != 2 || len(dialled) > 0 {
 		t.Errorf("%d connections dialled, want the first and one spare", u.dialled)
 	}
@@ -329,7 +329,7 @@
 	runAttempt(t, u, s.address, "4", generous)
 	u.send(s.address, testRequest("5"), u.clock.now()+generous, 0, u.clock.now()+generous, func(r attemptResult) { done <- r })
 	wait(t, "the request to wait", waits)
-	wait(t, "the call for a second spare connection", dialled)
+	wait(t, "the dial of a second spare connection", dialled)
 	close(quiet)
 	for range 3 {
 		if r := wait(t, "an end", done); r.ending != balance.Served {
@@ -489,7 +489,7 @@
 	wait(t, "the request", s.seen)
 	x.cancel()
 	x.cancel()
-	if got := wait(t, "its end", done); got.ending != balance.Cancelled {
+	if got := wait(t, "the end of the attempt", done); got.ending != balance.Cancelled {
 		t.Errorf("ending %v, want %v", got.ending, balance.Cancelled)
 	}
 	wait(t, "the connection to close", s.closed)
