--- a/internal/sidecar/state_test.go
+++ b/internal/sidecar/state_test.go
@@ -17,7 +17,7 @@
 	"arrowgw/internal/store"
 )
 
-// What a process kept is what the next one goes by: the list, what was learned, and who is out.
+// A process starts from what the previous one saved: the list, the learned state and the operator calls.
 func TestNextProcessRestoresState(t *testing.T) {
 	dir := t.TempDir()
 	cfg := testConfig(t, listed(1, "ready", "127.0.0.1:1"), nil)
@@ -33,30 +33,30 @@
 	v.apply(l, now)
 	v.apply(listing{version: 8, servers: []balance.Server{{ID: serverID("s-0"), State: balance.Gone}}}, now)
 	h.queueList(v, true)
-	told := balance.Learned{At: time.Duration(time.Now().UnixMilli()) * time.Millisecond, Rate: 120, Servers: []balance.LearnedServer{
+	learnedBefore := balance.Learned{At: time.Duration(time.Now().UnixMilli()) * time.Millisecond, Rate: 120, Servers: []balance.LearnedServer{
 		{ID: serverID("s-1"), Fails: 3, Silent: 5 * time.Second, WarmAt: 9 * time.Second, Strain: 7.5},
 	}}
 	ctx, stop := context.WithCancel(context.Background())
-	asked := make(chan bool, 100)
+	calls := make(chan bool, 100)
 	done := make(chan bool)
 	go func() {
-		h.persist(ctx, func(context.Context) (balance.Learned, error) { asked <- true; return told, nil })
+		h.persist(ctx, func(context.Context) (balance.Learned, error) { calls <- true; return learnedBefore, nil })
 		close(done)
 	}()
-	wait(t, "the module is asked", asked)
-	wait(t, "the module is asked again", asked) // so that the first answer is kept
+	wait(t, "the module to be asked", calls)
+	wait(t, "the module to be asked again", calls) // so that the first answer is saved
 	stop()
 	<-done
 	h.die()
 
 	next := newHandover(dir, "n0")
-	if learned, ok := next.loadLearned(); !ok || !reflect.DeepEqual(learned, told) {
-		t.Errorf("learned %+v, %v, want %+v", learned, ok, told)
+	if learned, ok := next.loadLearned(); !ok || !reflect.DeepEqual(learned, learnedBefore) {
+		t.Errorf("learned %+v, %v, want %+v", learned, ok, learnedBefore)
 	}
 	for name, c := range map[string]struct {
-		known  int64 // the configuration's version
+		known  int64 // version of the configuration's list
 		source string
-		later  time.Duration
+		later  time.Duration // between the save and the start of the next process
 		top    int64
 		want   string
 	}{
@@ -75,8 +75,8 @@
 	}
 }
 
-// Programs from before the state have a file without a sum: what they write is taken over, and what they read goes on
-// to be written. A damaged one is told where it is all there was.
+// Older programs use a file without a checksum. What they write is taken over, and the file that they read is still written. A
+// damaged file is reported if there is no other state.
 func TestStateFileOfOlderPrograms(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, "sidecar-n0.state")
@@ -93,22 +93,22 @@
 		t.Errorf("known %v", got)
 	}
 	write(fmt.Sprintf(`{"version":1,"servers":{"a":{"out":false,"atMs":%d},"b":{"out":true,"atMs":%d}}}`, now+1000, now+1000))
-	if got := h.known(); got["a"].Out || !got["b"].Out { // an older process beside this one was told
+	if got := h.known(); got["a"].Out || !got["b"].Out { // a process of an older program has stored calls
 		t.Errorf("known %v", got)
 	}
 	if err := h.save("c", true, time.Now()); err != nil {
 		t.Fatal(err)
 	}
 	raw, err := os.ReadFile(path)
-	var old struct { // as an older program reads it
+	var old struct { // as an older program reads the file
 		Version int               `json:"version"`
 		Servers map[string]handed `json:"servers"`
 	}
 	if err != nil || json.Unmarshal(raw, &old) != nil || old.Version != 1 || !old.Servers["b"].Out || !old.Servers["c"].Out {
-		t.Errorf("written for older programs: %s, error %v", raw, err)
+		t.Errorf("the file for older programs: %s, error %v", raw, err)
 	}
 	h.die()
-	for bit := range len(raw) * 8 { // its own file damaged takes nobody in or out, as the state has the truth
+	for bit := range len(raw) * 8 { // damage to the file changes nothing, as the state has the calls
 		flipped := append([]byte(nil), raw...)
 		flipped[bit/8] ^= 1 << (bit % 8)
 		write(string(flipped))
@@ -126,10 +126,10 @@
 		}
 		next.die()
 	}
-	bare := t.TempDir()
-	path = filepath.Join(bare, "sidecar-n0.state")
+	emptyDir := t.TempDir()
+	path = filepath.Join(emptyDir, "sidecar-n0.state")
 	write(strings.Replace(string(raw), `"b"`, `"x"`, 1))
-	h = newHandover(bare, "n0")
+	h = newHandover(emptyDir, "n0")
 	if h.damageCount() != 1 || len(h.known()) != 0 {
 		t.Errorf("damaged %d, known %v", h.damageCount(), h.known())
 	}
@@ -138,14 +138,14 @@
 	}
 }
 
-// On the console: a damaged state is told until it is confirmed, and a call that is not kept is told apart.
+// The console reports a damaged state until it is confirmed, and answers a call that could not be stored differently.
 func TestConsoleReportsState(t *testing.T) {
 	s := newStub(t, echo)
-	side := start(t, nil, s.address)
-	if got := side.call(t, "show-stat\n"); !strings.Contains(got, "app.state_damaged=0\n") || strings.Contains(got, "app.state_bytes=0\n") {
+	sidecar := start(t, nil, s.address)
+	if got := sidecar.call(t, "show-stat\n"); !strings.Contains(got, "app.state_damaged=0\n") || strings.Contains(got, "app.state_bytes=0\n") {
 		t.Errorf("figures %q", got)
 	}
-	if got := side.call(t, "confirm-state\n"); !strings.HasPrefix(got, "200 ") {
+	if got := sidecar.call(t, "confirm-state\n"); !strings.HasPrefix(got, "200 ") {
 		t.Errorf("confirmed: %q", got)
 	}
 	c := &console{server: func(context.Context, string, bool) error { return errNotDurable{os.ErrDeadlineExceeded} }}
@@ -156,12 +156,12 @@
 	}
 }
 
-// stuckDisk is a disk whose syncs begin to wait at some moment, until it is let go.
+// stuckDisk is a disk whose syncs block while stuck is set, until released is closed.
 type stuckDisk struct {
 	store.OS
 	stuck    atomic.Bool
-	released chan struct{} // closed: it is let go
-	waiting  chan struct{} // a sync waits
+	released chan struct{} // closed to let waiting syncs go on
+	waiting  chan struct{} // receives a value when a sync blocks
 }
 
 func (d *stuckDisk) sync() {
@@ -191,6 +191,7 @@
 	return d.OS.Linked(path, f.(stuckFile).File)
 }
 
+// stuckFile is a file on a stuckDisk.
 type stuckFile struct {
 	store.File
 	disk *stuckDisk
@@ -198,49 +199,49 @@
 
 func (f stuckFile) Sync() error { f.disk.sync(); return f.File.Sync() }
 
-// While a sync hangs, requests, ready and the figures are answered all the same, and a call by hand is told that it
-// holds and is not kept. Once the disk goes on it is kept, said again.
+// While a sync hangs, requests, ready and the figures are answered, and an operator call is answered as in force but not stored.
+// Once the disk goes on, the call is stored when it is repeated.
 func TestStuckDiskBlocksNothing(t *testing.T) {
 	s := newStub(t, echo)
 	d := &stuckDisk{released: make(chan struct{}), waiting: make(chan struct{}, 1)}
-	side := startOn(t, d, nil, s.address)
-	if got := side.call(t, "ready\n"); !strings.HasPrefix(got, "200 ") {
+	sidecar := startOn(t, d, nil, s.address)
+	if got := sidecar.call(t, "ready\n"); !strings.HasPrefix(got, "200 ") {
 		t.Fatalf("ready: %q", got)
 	}
 	d.stuck.Store(true)
-	if got := side.call(t, "disable-server s-9\n"); !strings.HasPrefix(got, "400 ") {
+	if got := sidecar.call(t, "disable-server s-9\n"); !strings.HasPrefix(got, "400 ") {
 		t.Errorf("of a server that there is not: %q", got)
 	}
-	if got := side.call(t, "disable-server s-0\n"); !strings.HasPrefix(got, "202 ") {
+	if got := sidecar.call(t, "disable-server s-0\n"); !strings.HasPrefix(got, "202 ") {
 		t.Errorf("not kept: %q", got)
 	}
 	wait(t, "a sync that hangs", d.waiting)
-	if got := side.call(t, "enable-server s-0\n"); !strings.HasPrefix(got, "202 ") {
+	if got := sidecar.call(t, "enable-server s-0\n"); !strings.HasPrefix(got, "202 ") {
 		t.Errorf("not kept: %q", got)
 	}
 	for range 20 {
-		if res, _ := do(t, side.request(t, "GET", "/look", "")); res.StatusCode != 200 {
+		if res, _ := do(t, sidecar.request(t, "GET", "/look", "")); res.StatusCode != 200 {
 			t.Errorf("a request while the disk hangs: %d", res.StatusCode)
 		}
 	}
-	if got := side.call(t, "ready\n"); !strings.HasPrefix(got, "200 ") {
+	if got := sidecar.call(t, "ready\n"); !strings.HasPrefix(got, "200 ") {
 		t.Errorf("ready while the disk hangs: %q", got)
 	}
-	if got := side.call(t, "show-stat\n"); !strings.Contains(got, "app.members=1\napp.members_unavailable=0\n") {
+	if got := sidecar.call(t, "show-stat\n"); !strings.Contains(got, "app.members=1\napp.members_unavailable=0\n") {
 		t.Errorf("figures while the disk hangs: %q", got)
 	}
 	d.stuck.Store(false)
 	close(d.released)
 	for got := ""; !strings.HasPrefix(got, "200 "); {
-		got = side.call(t, "disable-server s-0\n")
+		got = sidecar.call(t, "disable-server s-0\n")
 	}
-	side.stop()
-	if err := wait(t, "the end", side.ended); err != nil {
+	sidecar.stop()
+	if err := wait(t, "the end", sidecar.ended); err != nil {
 		t.Error(err)
 	}
 }
 
-// unlistableFS is a file system whose folders can't be listed for now.
+// unlistableFS is a file system whose directories can't be listed while failing is set.
 type unlistableFS struct {
 	store.OS
 	failing *atomic.Bool
@@ -253,7 +254,7 @@
 	return f.OS.List(dir)
 }
 
-// Calls in a folder that can't be read as a process begins are taken in once it can be.
+// Operator calls in a folder that can't be read when the process starts are applied once it can be read.
 func TestUnreadableCallsAreAppliedLater(t *testing.T) {
 	dir := t.TempDir()
 	before := newHandover(dir, "n0")
@@ -261,7 +262,7 @@
 		t.Fatal(err)
 	}
 	before.die()
-	if err := os.Remove(filepath.Join(dir, "sidecar-n0.state")); err != nil { // the copy for older programs
+	if err := os.Remove(filepath.Join(dir, "sidecar-n0.state")); err != nil { // the copy for older programs is not to be used
 		t.Fatal(err)
 	}
 	disk := unlistableFS{failing: new(atomic.Bool)}
--- a/internal/sidecar/stream_test.go
+++ b/internal/sidecar/stream_test.go
@@ -17,7 +17,7 @@
 	"time"
 )
 
-// patternedBody is a body of n bytes that differ, so that none can be lost or moved unseen.
+// patternedBody returns a body of n bytes in a pattern that shows lost or moved bytes.
 func patternedBody(n int) []byte {
 	b := make([]byte, n)
 	for i := range b {
@@ -26,7 +26,7 @@
 	return b
 }
 
-// writeChunked writes a body as chunks of a size that divides nothing.
+// writeChunked writes a body in chunks whose size divides neither the body nor a buffer.
 func writeChunked(w io.Writer, body []byte) error {
 	for len(body) > 0 {
 		n := min(len(body), 4999)
@@ -39,7 +39,7 @@
 	return err
 }
 
-// Bodies far longer than what is held of them pass whole, in every framing, and both ways.
+// Bodies much longer than what is buffered of them pass unchanged in both directions, in every framing.
 func TestLongBodies(t *testing.T) {
 	body := patternedBody(3 << 20)
 	for name, answer := range map[string]func(c net.Conn, b string) error{
@@ -53,17 +53,17 @@
 		},
 		"to the end": func(c net.Conn, b string) error {
 			_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\n\r\n"+b)
-			return errors.New("this ends it")
+			return errors.New("ends the connection")
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			s := newStub(t, func(c net.Conn, r received) bool { return answer(c, r.body) == nil })
-			side := start(t, nil, s.address)
-			if res, got := do(t, side.request(t, "POST", "/entry", string(body))); res.StatusCode != 200 || got != string(body) {
+			sidecar := start(t, nil, s.address)
+			if res, got := do(t, sidecar.request(t, "POST", "/entry", string(body))); res.StatusCode != 200 || got != string(body) {
 				t.Errorf("by length: %s with %d bytes, want the %d sent", res.Status, len(got), len(body))
 			}
-			c := side.dial(t)
+			c := sidecar.dial(t)
 			if _, err := io.WriteString(c, head("1", "Transfer-Encoding: chunked\r\nExpect: 100-continue")); err != nil {
 				t.Fatal(err)
 			}
@@ -81,12 +81,12 @@
 			if got, err := io.ReadAll(res.Body); err != nil || !bytes.Equal(got, body) {
 				t.Errorf("in chunks: %s with %d bytes, error %v, want the %d sent", res.Status, len(got), err, len(body))
 			}
-			side.figures(t, map[string]string{"downstream_requests.entry.completed": "2", "pending": "0"})
+			sidecar.figures(t, map[string]string{"downstream_requests.entry.completed": "2", "pending": "0"})
 		})
 	}
 }
 
-// A long answer reaches its client as it comes, and one that its server never ends is seen to be broken.
+// A long answer reaches its client as it arrives, and one that its server does not finish is visibly incomplete.
 func TestLongAnswersAreStreamed(t *testing.T) {
 	for name, c := range map[string]struct{ head, first, rest string }{
 		"by length": {"Content-Length: 100000", "first", strings.Repeat("x", 100000-5)},
@@ -95,10 +95,10 @@
 		for _, whole := range []bool{true, false} {
 			t.Run(fmt.Sprint(name, " whole ", whole), func(t *testing.T) {
 				t.Parallel()
-				heard := make(chan struct{})
+				firstPartRead := make(chan struct{})
 				s := newStub(t, func(conn net.Conn, r received) bool {
 					_, _ = fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\n%s\r\n\r\n%s", c.head, c.first)
-					<-heard
+					<-firstPartRead
 					_, err := io.WriteString(conn, c.rest[:len(c.rest)-1])
 					if whole && err == nil {
 						_, err = io.WriteString(conn, c.rest[len(c.rest)-1:])
@@ -106,9 +106,9 @@
 					}
 					return false
 				})
-				// The deadline passes while the answer is under way: that doesn't end it.
-				side := start(t, nil, s.address)
-				res, err := http.DefaultClient.Do(side.request(t, "POST", "/entry", "1"))
+				// The deadline passes during the answer, which does not end it.
+				sidecar := start(t, nil, s.address)
+				res, err := http.DefaultClient.Do(sidecar.request(t, "POST", "/entry", "1"))
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -117,19 +117,19 @@
 				if _, err := io.ReadFull(res.Body, first); err != nil || string(first) != "first" {
 					t.Fatalf("%q, error %v", first, err)
 				}
-				side.figures(t, map[string]string{"pending": "1"})
-				close(heard)
+				sidecar.figures(t, map[string]string{"pending": "1"})
+				close(firstPartRead)
 				if _, err := io.ReadAll(res.Body); (err == nil) != whole {
 					t.Errorf("the answer ends with %v", err)
 				}
 				outcome := map[bool]string{true: "completed", false: "failed"}[whole]
-				side.figures(t, map[string]string{"downstream_requests.entry." + outcome: "1", "pending": "0"})
+				sidecar.figures(t, map[string]string{"downstream_requests.entry." + outcome: "1", "pending": "0"})
 			})
 		}
 	}
 }
 
-// A client that leaves in the middle of a long answer ends it at its server too, whose answer has no end.
+// A client that leaves during a long answer ends the answer at its server too, even one without an end.
 func TestClientLeavesDuringStream(t *testing.T) {
 	ended := make(chan struct{})
 	s := newStub(t, func(c net.Conn, r received) bool {
@@ -140,8 +140,8 @@
 		close(ended)
 		return false
 	})
-	side := start(t, nil, s.address)
-	c := side.dial(t)
+	sidecar := start(t, nil, s.address)
+	c := sidecar.dial(t)
 	if _, err := io.WriteString(c, head("1", "Content-Length: 0")); err != nil {
 		t.Fatal(err)
 	}
@@ -150,13 +150,13 @@
 	}
 	c.Close()
 	wait(t, "the end at its server", ended)
-	side.figures(t, map[string]string{"pending": "0"})
+	sidecar.figures(t, map[string]string{"pending": "0"})
 }
 
-// A body that can't be sent again is sent once; one of which nothing has gone by is sent to the next server.
+// A body of which a part has been read is sent once; a request none of which has been read is sent to the next server.
 func TestLongBodyIsNotSentTwice(t *testing.T) {
 	var reached atomic.Int32
-	breaks := func() string {
+	startBreakingServer := func() string {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
@@ -175,37 +175,37 @@
 		}()
 		return l.Addr().String()
 	}
-	side := start(t, nil, breaks(), breaks())
+	sidecar := start(t, nil, startBreakingServer(), startBreakingServer())
 	body := string(patternedBody(8 << 20))
-	res, _ := do(t, side.request(t, "POST", "/entry", body))
+	res, _ := do(t, sidecar.request(t, "POST", "/entry", body))
 	if res.StatusCode != http.StatusServiceUnavailable || reached.Load() != 1 {
 		t.Errorf("%s after %d attempts, want 503 after one: it was never written whole", res.Status, reached.Load())
 	}
 
-	refuses, err := net.Listen("tcp", "127.0.0.1:0")
+	refusing, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	refuses.Close()
+	refusing.Close()
 	s := newStub(t, func(c net.Conn, r received) bool { return ok(c, fmt.Sprint(len(r.body))) })
-	side = start(t, nil, refuses.Addr().String(), s.address)
-	for range 4 { // the turns reach both
-		if res, got := do(t, side.request(t, "POST", "/entry", body)); res.StatusCode != 200 || got != fmt.Sprint(len(body)) {
+	sidecar = start(t, nil, refusing.Addr().String(), s.address)
+	for range 4 { // enough for the round robin to reach both servers
+		if res, got := do(t, sidecar.request(t, "POST", "/entry", body)); res.StatusCode != 200 || got != fmt.Sprint(len(body)) {
 			t.Errorf("%s %q, want 200 and %d", res.Status, got, len(body))
 		}
 	}
 }
 
-// A request refused while its body still comes has its whole answer at once.
+// A request that is refused while its body still arrives gets its complete answer at once.
 func TestRefusedDuringUpload(t *testing.T) {
-	side := start(t, func(_, settings map[string]any) {
+	sidecar := start(t, func(_, settings map[string]any) {
 		settings["caps"].(map[string]any)["max_open"] = 1.0
 	}, newStub(t, silent).address)
-	c, first := side.dial(t), side.dial(t)
+	c, first := sidecar.dial(t), sidecar.dial(t)
 	if _, err := io.WriteString(first, head("1", "Content-Length: 0")); err != nil {
 		t.Fatal(err)
 	}
-	side.figures(t, map[string]string{"pending": "1"})
+	sidecar.figures(t, map[string]string{"pending": "1"})
 	body := patternedBody(1 << 20)
 	if _, err := io.WriteString(c, head("2", fmt.Sprintf("Content-Length: %d", len(body)))+string(body[:maxBufferedBody])); err != nil {
 		t.Fatal(err)
@@ -215,22 +215,22 @@
 	if err != nil || res.StatusCode != http.StatusServiceUnavailable || res.ContentLength != 0 || !res.Close {
 		t.Fatalf("%+v, error %v, want a whole 503 and a close", res, err)
 	}
-	if _, err := c.Write(body[maxBufferedBody:]); err != nil { // a client may not have heard yet
+	if _, err := c.Write(body[maxBufferedBody:]); err != nil { // the client may not have received the answer yet
 		t.Fatal(err)
 	}
 	if more, err := io.ReadAll(r); err != nil || len(more) > 0 {
-		t.Errorf("behind the answer: %q, error %v, want a close", more, err)
+		t.Errorf("after the answer: %q, error %v, want a close", more, err)
 	}
 }
 
-// A client's time begins with the last byte of its request, however long that takes to come.
+// A client's deadline counts from the last byte of its request, however long that takes to arrive.
 func TestTimeBeginsWithTheLastByte(t *testing.T) {
 	for name, size := range map[string]int{"buffered": 100, "upload": 200 << 10} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			s := newStub(t, func(c net.Conn, r received) bool { return ok(c, fmt.Sprint(len(r.body))) })
-			side := start(t, nil, s.address)
-			c := side.dial(t)
+			sidecar := start(t, nil, s.address)
+			c := sidecar.dial(t)
 			first := strings.Replace(head("1", fmt.Sprintf("Content-Length: %d", size)), "X-Timeout: 20000m", "X-Timeout: 1300m", 1)
 			if !strings.Contains(first, "1300m") {
 				t.Fatalf("head %q", first)
@@ -239,7 +239,7 @@
 			if _, err := io.WriteString(c, first+string(body[:size-1])); err != nil {
 				t.Fatal(err)
 			}
-			time.Sleep(1500 * time.Millisecond) // past X-Timeout, but no standstill yet
+			time.Sleep(1500 * time.Millisecond) // longer than X-Timeout, and shorter than bodyStallTimeout
 			if _, err := c.Write(body[size-1:]); err != nil {
 				t.Fatal(err)
 			}
@@ -251,7 +251,7 @@
 	}
 }
 
-// The slow and the stopped are told apart by how much has come, not by how long it takes.
+// A slow client is distinguished from a stalled one by how much has arrived, not by how long it takes.
 func TestBodyReadDeadline(t *testing.T) {
 	now := time.Now()
 	for name, c := range map[string]struct {
@@ -271,13 +271,13 @@
 	}
 }
 
-// After a storm of connections cut at every point, nothing of them is left.
+// After many connections that were cut at arbitrary points no goroutine, descriptor or request remains.
 func TestAbortedConnectionsLeaveNothing(t *testing.T) {
 	s := newStub(t, func(c net.Conn, r received) bool {
 		_, err := fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: 300000\r\n\r\n%s", patternedBody(300000))
 		return err == nil
 	})
-	side := start(t, nil, s.address)
+	sidecar := start(t, nil, s.address)
 	descriptors := func() int {
 		all, err := os.ReadDir("/proc/self/fd")
 		if err != nil {
@@ -285,11 +285,11 @@
 		}
 		return len(all)
 	}
-	do(t, side.request(t, "POST", "/entry", "1"))
+	do(t, sidecar.request(t, "POST", "/entry", "1"))
 	goroutines, files := runtime.NumGoroutine(), descriptors()
 	whole := head("1", "Content-Length: 200000") + string(patternedBody(200000))
 	for i := range 60 {
-		c := side.dial(t)
+		c := sidecar.dial(t)
 		part := whole
 		if i%2 == 0 {
 			part = whole[:len(whole)*(i+1)/61]
@@ -297,32 +297,32 @@
 		if _, err := io.WriteString(c, part); err != nil {
 			t.Fatal(err)
 		}
-		if i%2 == 1 { // cut in its answer, or before
+		if i%2 == 1 { // cut during the answer or before it
 			_, _ = io.CopyN(io.Discard, c, int64(i/4*10000))
 		}
 		_ = c.(*net.TCPConn).SetLinger(0)
 		c.Close()
 	}
-	const some = 12 // kept connections to the server, timers
+	const slack = 12 // idle connections to the server, timers
 	for end := time.Now().Add(generous); ; time.Sleep(20 * time.Millisecond) {
 		g, f := runtime.NumGoroutine(), descriptors()
-		if g <= goroutines+some && f <= files+some {
+		if g <= goroutines+slack && f <= files+slack {
 			break
 		}
 		if time.Now().After(end) {
 			t.Fatalf("%d goroutines and %d descriptors, %d and %d before", g, f, goroutines, files)
 		}
 	}
-	side.figures(t, map[string]string{"pending": "0"})
+	sidecar.figures(t, map[string]string{"pending": "0"})
 	ctx, cancel := context.WithTimeout(context.Background(), generous)
 	defer cancel()
 	for status := 0; status != http.StatusOK; {
-		res, err := http.DefaultClient.Do(side.request(t, "POST", "/entry", "1").WithContext(ctx))
+		res, err := http.DefaultClient.Do(sidecar.request(t, "POST", "/entry", "1").WithContext(ctx))
 		if err != nil {
 			t.Fatalf("error %v, want 200", err)
 		}
 		res.Body.Close()
-		// Admission goes by how attempts ended of late, and may refuse some for a while; nothing else will do.
+		// Admission depends on recent endings and may refuse some requests for a while; any other status is an error.
 		if status = res.StatusCode; status != http.StatusOK && status != http.StatusServiceUnavailable {
 			t.Fatalf("%+v, want 200", res)
 		}
