--- a/internal/sidecar/versions_test.go
+++ b/internal/sidecar/versions_test.go
@@ -17,7 +17,7 @@
 	"arrowgw/internal/store"
 )
 
-// describeServers tells a list of servers that are named s-0 to s-9, for comparison.
+// describeServers returns the servers s-0 to s-9 of a listing as text, for comparison.
 func describeServers(l listing) string {
 	var words []string
 	for i := range 10 {
@@ -31,8 +31,8 @@
 	return strings.Join(words, ", ")
 }
 
-// A sidecar that is told that a server drains, is killed and starts again sends it nothing, though a stale replica of
-// discovery has it ready.
+// A sidecar learns that a server drains, is killed and starts again. It must send that server nothing, even though a stale
+// replica of discovery lists it as ready.
 func TestRestartKeepsServerDrained(t *testing.T) {
 	a, b := newStub(t, echo), newStub(t, echo)
 	entries := func(version int, first string) string {
@@ -51,31 +51,31 @@
 		}
 		select {
 		case asked <- struct{}{}:
-		default: // nobody counts them
+		default: // enough calls are counted already
 		}
 		_, _ = io.WriteString(w, now)
 	}))
 	t.Cleanup(d.Close)
-	configured := func(file, _ map[string]any) { file["discovery"] = d.Listener.Addr().String() }
-	run := func(dir string) *running {
-		cfg := testConfig(t, entries(45, "ready"), configured)
+	useDiscovery := func(file, _ map[string]any) { file["discovery"] = d.Listener.Addr().String() }
+	startIn := func(dir string) *running {
+		cfg := testConfig(t, entries(45, "ready"), useDiscovery)
 		cfg.Shared = dir
 		return startWith(t, cfg)
 	}
-	dir, killed := t.TempDir(), t.TempDir()
-	first := run(dir)
-	for got := ""; !strings.Contains(got, "app.members_unavailable=1\n"); { // acted on
+	dir, dirAfterKill := t.TempDir(), t.TempDir()
+	first := startIn(dir)
+	for got := ""; !strings.Contains(got, "app.members_unavailable=1\n"); { // the drain has been applied
 		got = first.call(t, "show-stat\n")
 	}
 	for {
-		h := newHandover(dir, "n0") // as another process: the first still runs
-		v := h.loadServerList(testConfig(t, entries(45, "ready"), configured), newClock().now())
+		h := newHandover(dir, "n0") // acts as another process; the first still runs
+		v := h.loadServerList(testConfig(t, entries(45, "ready"), useDiscovery), newClock().now())
 		h.die()
 		if v.version == 50 {
 			break
 		}
 	}
-	if err := os.CopyFS(killed, os.DirFS(dir)); err != nil { // what a kill leaves
+	if err := os.CopyFS(dirAfterKill, os.DirFS(dir)); err != nil { // the state that a kill leaves
 		t.Fatal(err)
 	}
 	for len(asked) > 0 {
@@ -84,9 +84,9 @@
 	mu.Lock()
 	answer = entries(45, "ready")
 	mu.Unlock()
-	second := run(killed)
+	second := startIn(dirAfterKill)
 	wait(t, "a call", asked)
-	wait(t, "the next call: the answer is acted on", asked)
+	wait(t, "the next call, as the answer has then been applied,", asked)
 	for i := range 20 {
 		if res, _ := do(t, second.request(t, "GET", "/look", "")); res.StatusCode != 200 {
 			t.Errorf("request %d: %d", i, res.StatusCode)
@@ -97,46 +97,48 @@
 	}
 }
 
-// referenceServer is one server of the oracle's truth.
+// referenceServer is the true state of a server in TestListNeverMovesBack.
 type referenceServer struct {
 	state   balance.State
 	started time.Duration
 }
 
-// referenceDiscovery is discovery as it really is: what it had at each version. A replica may answer with any of them.
+// referenceDiscovery is the true history of discovery: its list at each version. A replica may answer with any of them.
 type referenceDiscovery struct {
 	rng          *rand.Rand
-	lists        []map[int]referenceServer // the list at each version from first on
+	lists        []map[int]referenceServer // by version, from firstVersion on
 	firstVersion int64
 }
 
-func (h *referenceDiscovery) current() map[int]referenceServer { return h.lists[len(h.lists)-1] }
+// current returns the newest list.
+func (d *referenceDiscovery) current() map[int]referenceServer { return d.lists[len(d.lists)-1] }
 
-func (h *referenceDiscovery) newestVersion() int64 { return h.firstVersion + int64(len(h.lists)) - 1 }
+// newestVersion returns the version of the newest list.
+func (d *referenceDiscovery) newestVersion() int64 { return d.firstVersion + int64(len(d.lists)) - 1 }
 
-// change gives one server another life.
-func (h *referenceDiscovery) change(at time.Duration) {
-	list := maps.Clone(h.current())
-	i := h.rng.IntN(10)
+// change adds a version in which one server changes its state.
+func (d *referenceDiscovery) change(now time.Duration) {
+	list := maps.Clone(d.current())
+	i := d.rng.IntN(10)
 	switch f, listed := list[i]; {
-	case !listed || h.rng.IntN(3) == 0: // it has started, since it was last told of or just now
-		list[i] = referenceServer{balance.Ready, at - time.Duration(h.rng.IntN(2000))*time.Millisecond}
-	case f.state == balance.Ready && h.rng.IntN(4) > 0:
+	case !listed || d.rng.IntN(3) == 0: // it has started, recently or just now
+		list[i] = referenceServer{balance.Ready, now - time.Duration(d.rng.IntN(2000))*time.Millisecond}
+	case f.state == balance.Ready && d.rng.IntN(4) > 0:
 		list[i] = referenceServer{balance.Draining, f.started}
-	case f.state == balance.Draining && h.rng.IntN(4) == 0: // thought better of
+	case f.state == balance.Draining && d.rng.IntN(4) == 0: // the drain is cancelled
 		list[i] = referenceServer{balance.Ready, f.started}
 	default:
 		delete(list, i)
 	}
-	h.lists = append(h.lists, list)
+	d.lists = append(d.lists, list)
 }
 
-// answer is the list at a version, whole, or what changed in it since another.
-func (h *referenceDiscovery) answer(version, since int64) listing {
+// answer returns the list at a version, or the changes between since and that version.
+func (d *referenceDiscovery) answer(version, since int64) listing {
 	var entries []string
-	list, old := h.lists[version-h.firstVersion], map[int]referenceServer{}
+	list, old := d.lists[version-d.firstVersion], map[int]referenceServer{}
 	if since != unknownVersion {
-		old = h.lists[since-h.firstVersion]
+		old = d.lists[since-d.firstVersion]
 	}
 	for i := range 10 {
 		name := fmt.Sprintf("s-%d", i)
@@ -150,48 +152,48 @@
 	}
 	l, err := parseListing(fmt.Appendf(nil, `{"generation":%d,"reset":%v,"instances":[%s]}`, version, since == unknownVersion, strings.Join(entries, ",")), nil)
 	if err != nil {
-		panic(err) // of the test's own making
+		panic(err) // a fault of the test
 	}
 	return l
 }
 
-// Over generated histories of discovery and its replicas, of ends and starts of the process, of moves and of new
-// beginnings: what is acted on against what it may be. Each seed is one history, the same at each run.
+// The list in force is checked against what it may be, over generated histories of discovery with stale replicas, restarts of
+// the process, changes of address and restarts of discovery. Each seed yields the same history in every run.
 func TestListNeverMovesBack(t *testing.T) {
-	begun, older, restarts := 0, 0, 0
+	resets, olderAnswers, restarts := 0, 0, 0
 	for seed := range uint64(200) {
 		rng := rand.New(rand.NewPCG(seed, 1))
 		now := time.Duration(1_700_000_000) * time.Second
-		h := &referenceDiscovery{rng: rng, lists: []map[int]referenceServer{{}}, firstVersion: 40 + rng.Int64N(20)}
+		truth := &referenceDiscovery{rng: rng, lists: []map[int]referenceServer{{}}, firstVersion: 40 + rng.Int64N(20)}
 		for range 8 {
-			h.change(now)
+			truth.change(now)
 		}
 		cfg := &Config{Discovery: "127.0.0.1:1"}
 		v := newServerList(cfg.Discovery)
-		acted := make(map[balance.ServerID]balance.Server) // as the module has it
+		inForce := make(map[balance.ServerID]balance.Server) // as the module has it
 		starts := make(map[balance.ServerID]time.Duration)
-		out := make(map[balance.ServerID]time.Duration) // drained or gone as of the newest word of its line: since when
-		taken := make(map[balance.ServerID]bool)        // out by an older word since the last one that was not
-		var renewed time.Duration                       // discovery began anew then, and the node does not know; 0: it does
-		take := func(l listing) {
+		removed := make(map[balance.ServerID]time.Duration) // draining or gone by the newest answer of its epoch: the start time then
+		withheld := make(map[balance.ServerID]bool)         // removed by an older answer since the last one that was not older
+		var resetAt time.Duration                           // when discovery restarted, while the list does not know; 0 if it does
+		apply := func(l listing) {
 			was := v.epoch
 			news, isOlder := v.apply(l, now)
 			if isOlder {
-				older++
+				olderAnswers++
 			} else if l.whole {
-				clear(taken)
+				clear(withheld)
 			}
 			for _, s := range l.servers {
 				if !isOlder {
-					delete(taken, s.ID)
+					delete(withheld, s.ID)
 				}
 			}
 			if news.whole {
-				clear(acted)
+				clear(inForce)
 			}
 			for _, s := range news.servers {
-				if acted[s.ID] = s; s.State == balance.Gone {
-					delete(acted, s.ID)
+				if inForce[s.ID] = s; s.State == balance.Gone {
+					delete(inForce, s.ID)
 				}
 				if s.Started < starts[s.ID] {
 					t.Fatalf("seed %d: the start of a server goes from %v back to %v", seed, starts[s.ID], s.Started)
@@ -199,57 +201,57 @@
 				starts[s.ID] = s.Started
 			}
 			named := make(map[balance.ServerID]bool)
-			for _, s := range l.servers { // any word that takes away binds
+			for _, s := range l.servers { // every removal is obeyed, however old the answer
 				named[s.ID] = true
-				if s.State != balance.Ready && acted[s.ID].State == balance.Ready {
+				if s.State != balance.Ready && inForce[s.ID].State == balance.Ready {
 					t.Fatalf("seed %d: a server that discovery has draining at %d is ready", seed, l.version)
 				}
 			}
-			for id, s := range acted {
+			for id, s := range inForce {
 				if l.whole && !named[id] && s.State == balance.Ready {
 					t.Fatalf("seed %d: a server that the whole list %d does not have is ready", seed, l.version)
 				}
 			}
-			if !isOlder && v.epoch == was { // its line's newest word
+			if !isOlder && v.epoch == was { // the newest answer of its epoch
 				for _, s := range l.servers {
-					if delete(out, s.ID); s.State != balance.Ready {
-						out[s.ID] = s.Started
+					if delete(removed, s.ID); s.State != balance.Ready {
+						removed[s.ID] = s.Started
 					}
 				}
 			}
 			if was != v.epoch {
-				begun++
+				resets++
 			}
-			for id := range acted {
-				if isOlder && acted[id].State != balance.Ready {
-					taken[id] = true
+			for id := range inForce {
+				if isOlder && inForce[id].State != balance.Ready {
+					withheld[id] = true
 				}
-				if taken[id] && acted[id].State == balance.Ready {
+				if withheld[id] && inForce[id].State == balance.Ready {
 					t.Fatalf("seed %d: a server is back without a newer list that has it, by version %d", seed, l.version)
 				}
 			}
-			for id, started := range out { // undone by time alone, or by a later start
-				if s := acted[id]; s.State == balance.Ready && s.Started <= started && now < v.carriedUntil {
-					t.Fatalf("seed %d: a server that was out is back by version %d", seed, l.version)
+			for id, started := range removed { // undone only by time or by a later start
+				if s := inForce[id]; s.State == balance.Ready && s.Started <= started && now < v.carriedUntil {
+					t.Fatalf("seed %d: a removed server is back by version %d", seed, l.version)
 				}
 			}
-			for id := range acted {
+			for id := range inForce {
 				if _, known := starts[id]; !known {
-					t.Fatalf("seed %d: a server out of nowhere", seed)
+					t.Fatalf("seed %d: a server that was never listed", seed)
 				}
 			}
 		}
-		take(h.answer(h.newestVersion(), unknownVersion))
+		apply(truth.answer(truth.newestVersion(), unknownVersion))
 		for range 120 {
 			now += time.Duration(500+rng.IntN(1500)) * time.Millisecond
 			if rng.IntN(3) > 0 {
-				h.change(now)
+				truth.change(now)
 			}
 			switch n := rng.IntN(40); {
-			case n == 0 && renewed == 0: // discovery begins anew, from what is there
-				h.lists, h.firstVersion = []map[int]referenceServer{maps.Clone(h.current())}, 1+rng.Int64N(10)
-				renewed = now
-			case n == 1: // the process ends and starts; what it kept is what there is
+			case n == 0 && resetAt == 0: // discovery restarts with its current list
+				truth.lists, truth.firstVersion = []map[int]referenceServer{maps.Clone(truth.current())}, 1+rng.Int64N(10)
+				resetAt = now
+			case n == 1: // the process restarts with what it stored
 				restarts++
 				s := &handover{store: newTestStore(t), news: make(chan struct{}, 1)}
 				s.queueList(v, true)
@@ -258,62 +260,62 @@
 				}
 				kept, _, ok := readSection[savedList](s.store, sectionList)
 				if !ok {
-					t.Fatal("nothing was kept")
+					t.Fatal("nothing was stored")
 				}
-				v, renewed = restoreServerList(cfg, kept, time.Unix(0, int64(now)), now), min(renewed, 1)*now // it counts from the start again
-				clear(acted)
+				v, resetAt = restoreServerList(cfg, kept, time.Unix(0, int64(now)), now), min(resetAt, 1)*now // the time counts from the start again
+				clear(inForce)
 				for _, e := range v.effectiveListing().servers {
-					acted[e.ID] = e
-					if taken[e.ID] && e.State == balance.Ready {
-						t.Fatalf("seed %d: a restart brings back a server that an older word took away", seed)
+					inForce[e.ID] = e
+					if withheld[e.ID] && e.State == balance.Ready {
+						t.Fatalf("seed %d: a restart brings back a server that an older answer removed", seed)
 					}
 				}
-			case n == 2: // discovery moves
+			case n == 2: // discovery's address changes
 				cfg.Discovery = fmt.Sprintf("127.0.0.1:%d", 1+rng.IntN(1000))
 				v.setSource(cfg.Discovery, now)
-				renewed = 0
+				resetAt = 0
 			}
-			version, since := h.newestVersion(), unknownVersion
-			stale := rng.IntN(4) == 0 && renewed == 0
+			version, since := truth.newestVersion(), unknownVersion
+			stale := rng.IntN(4) == 0 && resetAt == 0
 			if stale {
-				version = h.firstVersion + rng.Int64N(h.newestVersion()-h.firstVersion+1)
+				version = truth.firstVersion + rng.Int64N(truth.newestVersion()-truth.firstVersion+1)
 			}
-			if v.canWatch() && renewed == 0 && version >= v.version && v.version >= h.firstVersion {
+			if v.canWatch() && resetAt == 0 && version >= v.version && v.version >= truth.firstVersion {
 				since = v.version
 			}
-			if from, yes := v.watchDuringReset(now); yes && from >= h.firstVersion && from <= version {
+			if from, yes := v.watchDuringReset(now); yes && from >= truth.firstVersion && from <= version {
 				since = from
 			}
-			take(h.answer(version, since))
-			if renewed > 0 && v.version <= h.newestVersion() && v.epoch > 0 && !v.reset.suspected {
-				renewed = 0
+			apply(truth.answer(version, since))
+			if resetAt > 0 && v.version <= truth.newestVersion() && v.epoch > 0 && !v.reset.suspected {
+				resetAt = 0
 			}
-			if renewed > 0 && now-renewed > 2*resetMinAge+4*time.Second {
-				t.Fatalf("seed %d: discovery has begun anew %v ago, and is not believed", seed, now-renewed)
+			if resetAt > 0 && now-resetAt > 2*resetMinAge+4*time.Second {
+				t.Fatalf("seed %d: discovery restarted %v ago, and that is not recognised", seed, now-resetAt)
 			}
 		}
-		for range 3 { // in the end, with the truth alone and time enough, the list is the true one
+		for range 3 { // in the end, with true answers and enough time, the list is the true one
 			now += 2 * carryOverTime
-			take(h.answer(h.newestVersion(), unknownVersion))
-			take(h.answer(h.newestVersion(), unknownVersion))
-			take(h.answer(h.newestVersion(), unknownVersion))
+			apply(truth.answer(truth.newestVersion(), unknownVersion))
+			apply(truth.answer(truth.newestVersion(), unknownVersion))
+			apply(truth.answer(truth.newestVersion(), unknownVersion))
 		}
 		if !v.canWatch() || len(v.carriedOver) > 0 {
-			t.Errorf("seed %d: in the end the whole list is still needed, or %d servers are held", seed, len(v.carriedOver))
+			t.Errorf("seed %d: in the end the whole list is still needed, or %d servers are carried over", seed, len(v.carriedOver))
 		}
 		for i := range 10 {
 			id := serverID(fmt.Sprintf("s-%d", i))
-			if f := h.current()[i]; acted[id].State != f.state {
-				t.Errorf("seed %d: in the end server %d is %v, and truly %v", seed, i, acted[id].State, f.state)
+			if f := truth.current()[i]; inForce[id].State != f.state {
+				t.Errorf("seed %d: in the end server %d is %v, want %v", seed, i, inForce[id].State, f.state)
 			}
 		}
 	}
-	if begun < 100 || older < 500 || restarts < 400 {
-		t.Errorf("%d beginnings, %d older answers, %d restarts: too few to show anything", begun, older, restarts)
+	if resets < 100 || olderAnswers < 500 || restarts < 400 {
+		t.Errorf("%d restarts of discovery, %d older answers, %d restarts of the process: too few to show anything", resets, olderAnswers, restarts)
 	}
 }
 
-// newTestStore is a state of this test alone.
+// newTestStore returns a store of this test alone.
 func newTestStore(t *testing.T) *store.Store {
 	t.Helper()
 	s, err := store.Open(store.Options{Dir: t.TempDir()})
@@ -324,82 +326,83 @@
 	return s
 }
 
-// Of two processes' lists the newer is kept, whichever writes last; a line that began later goes before its versions.
+// Of the lists of two processes the newer one is stored, whichever process writes last. A later epoch comes before a higher
+// version.
 func TestNewerListIsKept(t *testing.T) {
 	dir, now := t.TempDir(), newClock().now()
 	cfg := testConfig(t, listed(1, "ready", "127.0.0.1:1"), nil)
-	word := func(version int64) listing {
+	wholeList := func(version int64) listing {
 		l, err := parseListing([]byte(listed(int(version), "ready", "127.0.0.1:2")), nil)
 		if err != nil {
 			t.Fatal(err)
 		}
 		return l
 	}
-	old, next := newHandover(dir, "n0"), newHandover(dir, "n0")
-	a, b := old.loadServerList(cfg, now), next.loadServerList(cfg, now)
+	first, second := newHandover(dir, "n0"), newHandover(dir, "n0")
+	a, b := first.loadServerList(cfg, now), second.loadServerList(cfg, now)
 	for i, step := range []struct {
 		by      *handover
 		v       *serverList
 		version int64
 		kept    int64
 	}{
-		{old, a, 60, 60}, {next, b, 55, 60}, {next, b, 61, 61}, {old, a, 61, 61},
-		{next, b, 7, 7}, {old, a, 70, 7}, {next, b, 8, 8},
+		{first, a, 60, 60}, {second, b, 55, 60}, {second, b, 61, 61}, {first, a, 61, 61},
+		{second, b, 7, 7}, {first, a, 70, 7}, {second, b, 8, 8},
 	} {
-		if step.version == 7 { // discovery has begun anew, and only one of them knows
+		if step.version == 7 { // discovery has restarted, and only one of the processes knows
 			step.v.startEpoch(now)
 		}
-		step.v.apply(word(step.version), now)
+		step.v.apply(wholeList(step.version), now)
 		step.by.queueList(step.v, true)
 		if err := step.by.writeList(); err != nil {
 			t.Fatal(err)
 		}
 		last := newHandover(dir, "n0")
 		if got := last.loadServerList(cfg, now).version; got != step.kept {
-			t.Errorf("step %d: version %d is kept, want %d", i, got, step.kept)
+			t.Errorf("step %d: version %d is stored, want %d", i, got, step.kept)
 		}
 		last.die()
 	}
 }
 
-// What decides whether an older word is a new beginning, and how long what was known before it holds: s-0 drained at
-// version 50, which came at 0 s.
+// What decides whether an older answer means that discovery has restarted, and how long earlier removals hold: s-0 drained at
+// version 50, which arrived at 0 s.
 func TestDiscoveryReset(t *testing.T) {
-	type word struct {
+	type answer struct {
 		at      time.Duration
-		version int64  // 0: none; -1: the process starts again; -2: discovery moves
-		s0      string // lifecycle; "": a change of nothing
+		version int64  // -1: the process restarts; -2: discovery's address changes
+		s0      string // lifecycle; empty: no change
 		started time.Duration
 		whole   bool
 	}
 	at := func(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 	zero := time.Duration(1_700_000_000) * time.Second
 	for name, c := range map[string]struct {
-		words []word
-		line  int64
-		out   bool
+		answers []answer
+		epoch   int64
+		drained bool
 	}{
-		"one older list":            {[]word{{at(9), 45, "ready", 0, true}}, 0, true},
-		"older lists for 6 s":       {[]word{{at(1), 45, "ready", 0, true}, {at(4), 45, "ready", 0, true}, {at(7), 45, "ready", 0, true}}, 1, true},
-		"for less":                  {[]word{{at(1), 45, "ready", 0, true}, {at(4), 45, "ready", 0, true}, {at(6.9), 45, "ready", 0, true}}, 0, true},
-		"two":                       {[]word{{at(1), 45, "ready", 0, true}, {at(9), 45, "ready", 0, true}}, 0, true},
-		"changes":                   {[]word{{at(1), 45, "", 0, false}, {at(5), 45, "", 0, false}, {at(9), 45, "", 0, false}}, 0, true},
-		"one that is older still":   {[]word{{at(1), 45, "ready", 0, true}, {at(4), 45, "ready", 0, true}, {at(7), 44, "ready", 0, true}}, 0, true},
-		"a newer one between":       {[]word{{at(1), 45, "ready", 0, true}, {at(4), 45, "ready", 0, true}, {at(5), 50, "draining", 0, true}, {at(7), 45, "ready", 0, true}}, 0, true},
-		"a later start":             {[]word{{at(20), 45, "ready", at(6), true}}, 1, false},
-		"within the clocks' margin": {[]word{{at(20), 45, "ready", at(5), true}}, 0, true},
-		"a start in the future":     {[]word{{at(20), 45, "ready", at(90), true}}, 0, true},
-		"a move":                    {[]word{{at(1), -2, "", 0, false}, {at(2), 9, "ready", 0, true}}, 1, true},
-		"and a change":              {[]word{{at(1), -2, "", 0, false}, {at(2), 9, "ready", 0, true}, {at(3), 10, "ready", 0, false}}, 1, false},
-		"and a minute less":         {[]word{{at(1), -2, "", 0, false}, {at(2), 9, "ready", 0, true}, {at(60), 10, "ready", 0, true}}, 1, true},
-		"and a minute":              {[]word{{at(1), -2, "", 0, false}, {at(2), 9, "ready", 0, true}, {at(61), 9, "", 0, false}}, 1, false},
-		"a start again in it":       {[]word{{at(1), -2, "", 0, false}, {at(2), 9, "ready", 0, true}, {at(60), -1, "", 0, false}}, 1, true},
-		"and after it":              {[]word{{at(1), -2, "", 0, false}, {at(2), 9, "ready", 0, true}, {at(61), -1, "", 0, false}}, 1, false},
-		"a start again":             {[]word{{at(1), -1, "", 0, false}, {at(2), 45, "ready", 0, true}}, 0, true},
+		"one older list":                {[]answer{{at(9), 45, "ready", 0, true}}, 0, true},
+		"older lists for 6 s":           {[]answer{{at(1), 45, "ready", 0, true}, {at(4), 45, "ready", 0, true}, {at(7), 45, "ready", 0, true}}, 1, true},
+		"older lists for less":          {[]answer{{at(1), 45, "ready", 0, true}, {at(4), 45, "ready", 0, true}, {at(6.9), 45, "ready", 0, true}}, 0, true},
+		"two older lists":               {[]answer{{at(1), 45, "ready", 0, true}, {at(9), 45, "ready", 0, true}}, 0, true},
+		"older changes":                 {[]answer{{at(1), 45, "", 0, false}, {at(5), 45, "", 0, false}, {at(9), 45, "", 0, false}}, 0, true},
+		"a list that is older still":    {[]answer{{at(1), 45, "ready", 0, true}, {at(4), 45, "ready", 0, true}, {at(7), 44, "ready", 0, true}}, 0, true},
+		"a newer list in between":       {[]answer{{at(1), 45, "ready", 0, true}, {at(4), 45, "ready", 0, true}, {at(5), 50, "draining", 0, true}, {at(7), 45, "ready", 0, true}}, 0, true},
+		"a server started later":        {[]answer{{at(20), 45, "ready", at(6), true}}, 1, false},
+		"started within the clock skew": {[]answer{{at(20), 45, "ready", at(5), true}}, 0, true},
+		"started in the future":         {[]answer{{at(20), 45, "ready", at(90), true}}, 0, true},
+		"change of address":             {[]answer{{at(1), -2, "", 0, false}, {at(2), 9, "ready", 0, true}}, 1, true},
+		"address, then a change":        {[]answer{{at(1), -2, "", 0, false}, {at(2), 9, "ready", 0, true}, {at(3), 10, "ready", 0, false}}, 1, false},
+		"address, then 59 s":            {[]answer{{at(1), -2, "", 0, false}, {at(2), 9, "ready", 0, true}, {at(60), 10, "ready", 0, true}}, 1, true},
+		"address, then a minute":        {[]answer{{at(1), -2, "", 0, false}, {at(2), 9, "ready", 0, true}, {at(61), 9, "", 0, false}}, 1, false},
+		"address, restart after 59 s":   {[]answer{{at(1), -2, "", 0, false}, {at(2), 9, "ready", 0, true}, {at(60), -1, "", 0, false}}, 1, true},
+		"address, restart after 1 min":  {[]answer{{at(1), -2, "", 0, false}, {at(2), 9, "ready", 0, true}, {at(61), -1, "", 0, false}}, 1, false},
+		"restart of the process":        {[]answer{{at(1), -1, "", 0, false}, {at(2), 45, "ready", 0, true}}, 0, true},
 	} {
 		cfg := &Config{Discovery: "127.0.0.1:1"}
 		v := newServerList(cfg.Discovery)
-		for _, w := range append([]word{{0, 50, "draining", 0, true}}, c.words...) {
+		for _, w := range append([]answer{{0, 50, "draining", 0, true}}, c.answers...) {
 			now := zero + w.at
 			switch {
 			case w.version == -1:
@@ -429,14 +432,14 @@
 				v.apply(l, now)
 			}
 		}
-		if out := describeServers(v.effectiveListing()) == "s-0@127.0.0.1:80 out"; out != c.out || v.epoch != c.line {
-			t.Errorf("%s: %s, line %d, want out %v, line %d", name, describeServers(v.effectiveListing()), v.epoch, c.out, c.line)
+		if out := describeServers(v.effectiveListing()) == "s-0@127.0.0.1:80 out"; out != c.drained || v.epoch != c.epoch {
+			t.Errorf("%s: %s, epoch %d, want draining %v, epoch %d", name, describeServers(v.effectiveListing()), v.epoch, c.drained, c.epoch)
 		}
 	}
 }
 
-// What the other process of an upgrade was told against a server holds in this one too, until this one's own word is as new: a list
-// in between doesn't bring the server back, and that version's does as it says.
+// If the other process of an upgrade learns that a server drains, this process withholds it too until it has a list as new: a list
+// of a version in between does not bring the server back, one of that version decides.
 func TestOtherProcessWithholdsServer(t *testing.T) {
 	dir, now := t.TempDir(), newClock().now()
 	cfg := testConfig(t, listed(50, "ready", "127.0.0.1:1", "127.0.0.1:2"), nil)
@@ -448,7 +451,7 @@
 		}
 		return l
 	}
-	changes := func(version int64) listing { return listing{version: version} }
+	noChange := func(version int64) listing { return listing{version: version} }
 	other, h := newHandover(dir, "n0"), newHandover(dir, "n0")
 	theirs := other.loadServerList(cfg, now)
 	heard := make(chan listing, 10)
@@ -456,15 +459,15 @@
 	d.list = h.loadServerList(cfg, now)
 	var last []byte
 	for _, step := range []struct {
-		theirs listing // what the other process is told, if anything
-		ours   listing // and this one
+		theirs listing // received by the other process, if any
+		ours   listing // received by this one
 		want   string
 		whole  bool // the whole list is asked for next
 	}{
 		{theirs: whole(60, "draining"), want: "s-0@127.0.0.1:1 out, s-1@127.0.0.1:2"},
 		{ours: whole(57, "ready"), want: "s-0@127.0.0.1:1 out, s-1@127.0.0.1:2"},
-		{ours: changes(58), want: "s-0@127.0.0.1:1 out, s-1@127.0.0.1:2"},
-		{ours: changes(61), want: "s-0@127.0.0.1:1 out, s-1@127.0.0.1:2", whole: true},
+		{ours: noChange(58), want: "s-0@127.0.0.1:1 out, s-1@127.0.0.1:2"},
+		{ours: noChange(61), want: "s-0@127.0.0.1:1 out, s-1@127.0.0.1:2", whole: true},
 		{ours: whole(61, "ready"), want: "s-0@127.0.0.1:1, s-1@127.0.0.1:2"},
 		{theirs: whole(62, "gone"), want: "s-0@127.0.0.1:1 out, s-1@127.0.0.1:2"},
 		{ours: whole(62, "draining"), want: "s-0@127.0.0.1:1 out, s-1@127.0.0.1:2"},
@@ -477,7 +480,7 @@
 			if err := other.writeList(); err != nil {
 				t.Fatal(err)
 			}
-			h.known() // as it looks for calls by hand
+			h.known() // reads the state, as looking for operator calls does
 			k, l, raw, news := h.changedList(last, nil)
 			if last = raw; news {
 				d.applyOtherProcessList(k, l)
@@ -490,47 +493,47 @@
 		}
 	}
 	if got := describeServers(<-heard); got != "s-0@127.0.0.1:1 out" {
-		t.Errorf("the module hears %s first", got)
+		t.Errorf("the module receives %s first", got)
 	}
 }
 
-// Two processes of a sidecar stand side by side, and discovery tells only one of them that a server drains: both leave it.
+// Of the two processes of an upgrade discovery tells only one that a server drains: both must stop using it.
 func TestBothProcessesStopUsingDrainedServer(t *testing.T) {
 	s := newStub(t, echo)
-	one := make(chan struct{}, 1)
+	drainForOne := make(chan struct{}, 1)
 	d := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		select {
-		case <-one:
+		case <-drainForOne:
 			_, _ = io.WriteString(w, listed(60, "draining", s.address))
 		case <-r.Context().Done():
 		}
 	}))
 	t.Cleanup(d.Close)
 	dir := t.TempDir()
-	run := func() *running {
+	startProcess := func() *running {
 		cfg := testConfig(t, listed(50, "ready", s.address), func(file, _ map[string]any) { file["discovery"] = d.Listener.Addr().String() })
 		cfg.Shared = dir
 		return startWith(t, cfg)
 	}
-	both := []*running{run(), run()}
+	processes := []*running{startProcess(), startProcess()}
 	end := time.Now().Add(generous)
-	see := func(figures string) {
+	waitForFigures := func(figures string) {
 		t.Helper()
-		for _, side := range both {
+		for _, process := range processes {
 			for got := ""; !strings.Contains(got, figures); {
-				if got = side.call(t, "show-stat\n"); time.Now().After(end) {
+				if got = process.call(t, "show-stat\n"); time.Now().After(end) {
 					t.Fatalf("waited in vain for %q: %s", figures, got)
 				}
 			}
 		}
 	}
-	see("app.members=1\napp.members_unavailable=0\n")
-	one <- struct{}{}
-	see("app.members=1\napp.members_unavailable=1\n")
+	waitForFigures("app.members=1\napp.members_unavailable=0\n")
+	drainForOne <- struct{}{}
+	waitForFigures("app.members=1\napp.members_unavailable=1\n")
 }
 
-// Of a list too long to be kept whole the version and the servers that are not ready are kept: the next process goes by the
-// configuration's list, without those, and asks for the whole.
+// Of a list that is too long only the version and the servers that are not ready are stored: the next process starts from the
+// configuration's list without those servers, and asks for the whole list.
 func TestLongListIsSavedShort(t *testing.T) {
 	var addresses []string
 	for i := range 3000 {
@@ -549,7 +552,7 @@
 		t.Fatal(err)
 	}
 	if e, _ := h.store.Get(sectionList, singleKey); len(e.Value) > 1000 {
-		t.Errorf("%d bytes are kept", len(e.Value))
+		t.Errorf("%d bytes are stored", len(e.Value))
 	}
 	next := h.loadServerList(cfg, now)
 	if got := describeServers(next.effectiveListing()); next.version != 50 || next.canWatch() || !strings.HasPrefix(got, "s-0@127.0.0.1:1 out, s-1@127.0.0.1:2, ") || len(next.entries) != 3000 {
