--- a/internal/sidecar/watch_test.go
+++ b/internal/sidecar/watch_test.go
@@ -18,15 +18,15 @@
 	"time"
 )
 
-// startFollower is a sidecar's discovery with its loop and module, for a synctest bubble: dial is its network.
-func startFollower(t *testing.T, cfg *Config, dial func(ctx context.Context, network, address string) (net.Conn, error), heard func(listing)) (d *discovery, stop func()) {
+// startFollower runs a discovery client with its loop and module in a synctest bubble, with dial as its network.
+func startFollower(t *testing.T, cfg *Config, dial func(ctx context.Context, network, address string) (net.Conn, error), onListing func(listing)) (d *discovery, stop func()) {
 	t.Helper()
 	c := newClock()
 	l, err := newLoop(cfg, c, newTransport(cfg, c))
 	if err != nil {
 		t.Fatal(err)
 	}
-	d = newDiscovery(cfg, func(news listing) { heard(news); l.applyListing(news) }, l.discoveryFailed)
+	d = newDiscovery(cfg, func(news listing) { onListing(news); l.applyListing(news) }, l.discoveryFailed)
 	d.now, d.dial, d.random, l.subscribe = c.now, dial, rand.New(rand.NewPCG(cfg.Seed, 0)).Float64, d.subscribe
 	ctx, cancel := context.WithCancel(context.Background())
 	go l.run(ctx, cfg.Known)
@@ -34,106 +34,110 @@
 	return d, cancel
 }
 
-// discardLogs keeps what a test's sidecars log to itself.
+// discardLogs discards what the test's sidecars log.
 func discardLogs(t *testing.T) {
 	before := slog.Default()
 	slog.SetDefault(slog.New(slog.DiscardHandler))
 	t.Cleanup(func() { slog.SetDefault(before) })
 }
 
-// parseQuery is what a call asked for: changes since a version, for so long, or (-1) the whole list.
+// parseQuery returns what a call asked for: changes since a version, held for wait, or the whole list (unknownVersion, 0).
 func parseQuery(r *http.Request) (since int64, wait time.Duration) {
 	since, err := strconv.ParseInt(r.URL.Query().Get("index"), 10, 64)
 	if err != nil {
 		since = unknownVersion
 	}
-	ms, _ := strconv.Atoi(r.URL.Query().Get("wait")) // none: no wait
+	ms, _ := strconv.Atoi(r.URL.Query().Get("wait")) // 0 if absent
 	return since, time.Duration(ms) * time.Millisecond
 }
 
-// Whatever one call for the list meets, the next one brings the news before they count as told and the grace of a drain is over:
-// on virtual time, and over the module's own pauses.
+// Whatever a call for the list encounters, a later call has to deliver a change before it must be known and the grace period of
+// a drain is over. The clock is virtual, and the module's own delays count.
 func TestNewsAreHeardBeforeTheyCount(t *testing.T) {
 	discardLogs(t)
 	const (
-		waited = 2 * time.Second // behind a watch's wait its news count
-		silent = 6 * time.Second // and so long after a call without one fell silent
-		moved  = 4 * time.Second // and so long after a SIGHUP
-		reach  = 6 * time.Second // and so long after discovery could be reached, whatever failed before
+		afterWait    = 2 * time.Second // after the end of the wait of an unanswered watch
+		afterTimeout = 6 * time.Second // after any other call stopped being answered
+		afterReload  = 4 * time.Second // after a SIGHUP
+		afterReturn  = 6 * time.Second // after discovery became reachable again, whatever failed before
 	)
-	away := func(what string, n int) string { return strings.Repeat(what+" ", n) + what + "!" }
-	for _, row := range []struct {
-		name, how string
-		grace     time.Duration
-		calls     string        // what they meet, one after the other; "!": from then (a watch: from its wait's end) news count
-		by        time.Duration // after so long
+	unreachable := func(what string, n int) string { return strings.Repeat(what+" ", n) + what + "!" }
+	for _, c := range []struct {
+		name, mode string
+		grace      time.Duration // in milliseconds
+		// What the connections and calls encounter, in order. The time limit counts from the one marked "!", from a watch's end of
+		// wait. "none" is an answer without changes, "hold" no answer, "hang" a connection that does not come up, "refuse" one that is
+		// refused, "busy" a 503, "full" a 503 after a second, "half" an answer cut off, "stuck" one that stalls, "late" one at the
+		// time-out, "cut" a closed connection; "+move", "+twice" and "+back" change discovery's address.
+		behaviours string
+		within     time.Duration // when the change must be known, before the grace period is added
 	}{
-		{"a watch falls silent", "ask", 250, "none hold!", waited},
-		{"and the next connection does not come up", "ask", 250, "none hold! hang", waited},
-		{"and the next call is refused", "ask", 250, "none hold! busy", waited},
-		{"and the next call waits in vain for its turn", "ask", 1000, "none hold! full", waited},
-		{"a first call falls silent", "ask", 250, "hold!", silent},
-		{"and the next waits in vain", "ask", 250, "hold! full", silent},
-		{"two connections hang, and a call falls silent", "ask", 250, "hang hang hold!", silent},
-		{"a watch falls silent, pushed", "push", 250, "none hold! hang", waited},
-		{"a watch ends, pushed", "push", 250, "none cut!", 0},
-		{"and the next connection hangs, pushed", "push", 250, "none cut! hang", 0},
-		{"a process starts, and a connection hangs, pushed", "push", 250, "hang!", 0},
-		{"discovery was away, pushed", "push", 250, "none " + strings.Repeat("refuse ", 40) + "refuse!", 0},
-		{"discovery was off, pushed", "push", 600, "none cut " + strings.Repeat("refuse ", 40) + "refuse!", 0},
-		{"discovery was away", "ask", 250, "none " + away("refuse", 12), reach},
-		{"and the next call is refused", "ask", 250, "none " + away("refuse", 12) + " busy", reach},
-		{"and the next call waits in vain", "ask", 250, "none " + away("refuse", 12) + " full", reach},
-		{"and the next two are refused", "ask", 250, "none " + away("refuse", 12) + " busy busy", reach},
-		{"and its first word is half a line", "ask", 250, "none " + away("refuse", 12) + " half", reach},
-		{"and stands still in half a line", "ask", 250, "none " + away("refuse", 12) + " stuck", reach},
-		{"it was busy", "ask", 250, "none cut " + away("busy", 12), reach},
-		{"its machine was off", "ask", 250, "none cut " + away("hang", 8), reach},
-		{"and the next call waits in vain", "ask", 250, "none cut " + away("hang", 8) + " full", reach},
-		{"it was silent", "ask", 250, "none hold " + away("hold", 4), reach},
-		{"and the next call waits in vain", "ask", 1000, "none hold " + away("hold", 4) + " full", reach},
-		{"two calls fall silent", "ask", 250, "none cut hold! hold", reach},
-		{"two answers stand still", "ask", 250, "none cut stuck! stuck", reach},
-		{"off, then silent", "ask", 250, "none cut " + strings.Repeat("hang ", 8) + "hold!", reach},
-		{"away from the start", "ask", 250, away("refuse", 12), reach},
-		{"off from the start", "ask", 250, away("hang", 8), reach},
-		{"an answer is cut off", "ask", 250, "none half!", reach},
-		{"an answer comes as it is given up", "ask", 250, "none late!", waited},
-		{"off, pushed", "push", 250, "none cut " + away("hang", 12), reach},
-		{"silent, pushed", "push", 250, "none hold " + away("hold", 4), reach},
-		{"away, and its first word is half a line, pushed", "push", 250, "none " + away("refuse", 12) + " half", 0},
-		{"off from the start, pushed", "push", 250, away("hang", 12), reach},
-		{"two answers stand still, pushed", "push", 250, "none cut stuck! stuck", reach},
-		{"moved after it was off", "ask", 250, "none cut " + strings.Repeat("hang ", 8) + "hang+move! hang full", moved},
-		{"moved after it was silent", "ask", 250, "none hold hold hold hold hold+move! hold", moved},
-		{"moved after it was away", "ask", 250, "none cut " + strings.Repeat("busy ", 8) + "busy+move! hang full", moved},
-		{"moved while a watch is open", "ask", 250, "none hold+move!", moved},
-		{"and the new address is silent", "ask", 250, "none hold+move! hold", moved},
-		{"and its connection hangs, and it is busy", "ask", 250, "none hold+move! hang full", moved},
-		{"moved while a connection hangs", "ask", 250, "hang+move! hold", moved},
-		{"moved while a first call is silent", "ask", 250, "hold+move! hang busy", moved},
-		{"moved in the pause after a failure", "ask", 250, "busy+move! hold", moved},
-		{"moved in the pause after a failure, pushed", "push", 250, "busy+move! hold", moved},
-		{"moved twice", "ask", 250, "none hold+move hold+move! hold", moved},
-		{"moved twice at once", "ask", 250, "none hold+twice! hold", moved},
-		{"moved and back at once", "ask", 250, "none hold+back! hold", moved},
+		{"a watch is not answered", "ask", 250, "none hold!", afterWait},
+		{"a watch is not answered, the next connection hangs", "ask", 250, "none hold! hang", afterWait},
+		{"a watch is not answered, the next call is refused", "ask", 250, "none hold! busy", afterWait},
+		{"a watch is not answered, the next call is refused late", "ask", 1000, "none hold! full", afterWait},
+		{"a first call is not answered", "ask", 250, "hold!", afterTimeout},
+		{"a first call is not answered, the next is refused late", "ask", 250, "hold! full", afterTimeout},
+		{"two connections hang, a call is not answered", "ask", 250, "hang hang hold!", afterTimeout},
+		{"a watch is not answered, the next connection hangs, pushed", "push", 250, "none hold! hang", afterWait},
+		{"a watch is cut off, pushed", "push", 250, "none cut!", 0},
+		{"a watch is cut off, the next connection hangs, pushed", "push", 250, "none cut! hang", 0},
+		{"the first connection hangs, pushed", "push", 250, "hang!", 0},
+		{"connections were refused, pushed", "push", 250, "none " + strings.Repeat("refuse ", 40) + "refuse!", 0},
+		{"a watch is cut off, connections were refused, pushed", "push", 600, "none cut " + strings.Repeat("refuse ", 40) + "refuse!", 0},
+		{"connections were refused", "ask", 250, "none " + unreachable("refuse", 12), afterReturn},
+		{"connections were refused, then a call", "ask", 250, "none " + unreachable("refuse", 12) + " busy", afterReturn},
+		{"connections were refused, then a call late", "ask", 250, "none " + unreachable("refuse", 12) + " full", afterReturn},
+		{"connections were refused, then two calls", "ask", 250, "none " + unreachable("refuse", 12) + " busy busy", afterReturn},
+		{"connections were refused, half an answer", "ask", 250, "none " + unreachable("refuse", 12) + " half", afterReturn},
+		{"connections were refused, an answer stalls", "ask", 250, "none " + unreachable("refuse", 12) + " stuck", afterReturn},
+		{"calls were refused", "ask", 250, "none cut " + unreachable("busy", 12), afterReturn},
+		{"connections hung", "ask", 250, "none cut " + unreachable("hang", 8), afterReturn},
+		{"connections hung, a call is refused late", "ask", 250, "none cut " + unreachable("hang", 8) + " full", afterReturn},
+		{"calls were not answered", "ask", 250, "none hold " + unreachable("hold", 4), afterReturn},
+		{"calls were not answered, one is refused late", "ask", 1000, "none hold " + unreachable("hold", 4) + " full", afterReturn},
+		{"two calls are not answered", "ask", 250, "none cut hold! hold", afterReturn},
+		{"two answers stall", "ask", 250, "none cut stuck! stuck", afterReturn},
+		{"connections hung, a call is not answered", "ask", 250, "none cut " + strings.Repeat("hang ", 8) + "hold!", afterReturn},
+		{"connections refused from the start", "ask", 250, unreachable("refuse", 12), afterReturn},
+		{"connections hang from the start", "ask", 250, unreachable("hang", 8), afterReturn},
+		{"an answer is cut off", "ask", 250, "none half!", afterReturn},
+		{"an answer arrives at the time-out", "ask", 250, "none late!", afterWait},
+		{"connections hung, pushed", "push", 250, "none cut " + unreachable("hang", 12), afterReturn},
+		{"calls were not answered, pushed", "push", 250, "none hold " + unreachable("hold", 4), afterReturn},
+		{"connections were refused, half an answer, pushed", "push", 250, "none " + unreachable("refuse", 12) + " half", 0},
+		{"connections hang from the start, pushed", "push", 250, unreachable("hang", 12), afterReturn},
+		{"two answers stall, pushed", "push", 250, "none cut stuck! stuck", afterReturn},
+		{"address changed after connections hung", "ask", 250, "none cut " + strings.Repeat("hang ", 8) + "hang+move! hang full", afterReload},
+		{"address changed after calls were not answered", "ask", 250, "none hold hold hold hold hold+move! hold", afterReload},
+		{"address changed after calls were refused", "ask", 250, "none cut " + strings.Repeat("busy ", 8) + "busy+move! hang full", afterReload},
+		{"address changed during a watch", "ask", 250, "none hold+move!", afterReload},
+		{"address changed during a watch, no answer at the new one", "ask", 250, "none hold+move! hold", afterReload},
+		{"address changed during a watch, the connection hangs, a call is refused late", "ask", 250, "none hold+move! hang full", afterReload},
+		{"address changed while a connection hangs", "ask", 250, "hang+move! hold", afterReload},
+		{"address changed during a first call", "ask", 250, "hold+move! hang busy", afterReload},
+		{"address changed in the delay after a failure", "ask", 250, "busy+move! hold", afterReload},
+		{"address changed in the delay after a failure, pushed", "push", 250, "busy+move! hold", afterReload},
+		{"address changed twice", "ask", 250, "none hold+move hold+move! hold", afterReload},
+		{"address changed twice at once", "ask", 250, "none hold+twice! hold", afterReload},
+		{"address changed and back at once", "ask", 250, "none hold+back! hold", afterReload},
 	} {
-		t.Run(row.name, func(t *testing.T) {
+		t.Run(c.name, func(t *testing.T) {
 			for seed := range 20 {
 				synctest.Test(t, func(t *testing.T) {
 					cfg := testConfig(t, listed(1, "ready", "127.0.0.1:80"), func(file, settings map[string]any) {
-						file["seed"], settings["discovery"] = strconv.Itoa(seed+1), row.how
+						file["seed"], settings["discovery"] = strconv.Itoa(seed+1), c.mode
 						rules := settings["rules"].(map[string]any)
-						rules["stop_sending_within_ms"], rules["ask_within_ms"] = float64(row.grace), 10000.0
+						rules["stop_sending_within_ms"], rules["ask_within_ms"] = float64(c.grace), 10000.0
 					})
 					var (
-						mu       sync.Mutex
-						d        *discovery
-						from, at time.Time
-						n        int
+						mu               sync.Mutex
+						d                *discovery
+						counted, heardAt time.Time
+						n                int
 					)
-					calls := strings.Fields(row.calls)
-					meets := func(wait time.Duration, only ...string) string { // the next call; of these kinds only
+					calls := strings.Fields(c.behaviours)
+					nextBehaviour := func(wait time.Duration, only ...string) string { // of the next call, if it is one of only (or only is empty)
 						mu.Lock()
 						defer mu.Unlock()
 						if n >= len(calls) && len(only) == 0 {
@@ -146,15 +150,15 @@
 						what, counts := strings.CutSuffix(calls[n-1], "!")
 						what, move, _ := strings.Cut(what, "+")
 						if counts {
-							from = time.Now().Add(wait)
+							counted = time.Now().Add(wait)
 						}
 						to := map[string][]string{"move": {strconv.Itoa(n) + ":80"}, "twice": {"x:80", "y:80"}, "back": {"x:80", cfg.Discovery}}[move]
 						if len(to) > 0 {
 							go func() {
-								time.Sleep(50 * time.Millisecond) // into the pause after a failure
+								time.Sleep(50 * time.Millisecond) // into the delay after a failure
 								mu.Lock()
 								defer mu.Unlock()
-								from = time.Now()
+								counted = time.Now()
 								for _, address := range to {
 									d.setAddress(address)
 								}
@@ -170,14 +174,14 @@
 								return
 							}
 							since, wait := parseQuery(r)
-							what := meets(wait)
+							what := nextBehaviour(wait)
 							switch what {
 							case "none":
 								ok(c, `{"generation":1,"reset":false,"instances":[]}`)
 							case "news":
 								ok(c, strings.Replace(listed(2, "draining", "127.0.0.1:80"), "true", strconv.FormatBool(since == unknownVersion), 1))
 							case "hold":
-								_, _ = io.Copy(io.Discard, in) // until the other side gives up
+								_, _ = io.Copy(io.Discard, in) // until the client gives up
 							case "full":
 								time.Sleep(time.Second)
 								fallthrough
@@ -199,7 +203,7 @@
 						}
 					}
 					dial := func(ctx context.Context, _, _ string) (net.Conn, error) {
-						switch meets(0, "refuse", "hang", "hang+move") {
+						switch nextBehaviour(0, "refuse", "hang", "hang+move") {
 						case "refuse":
 							return nil, io.ErrUnexpectedEOF
 						case "hang":
@@ -215,8 +219,8 @@
 					d, stop = startFollower(t, cfg, dial, func(l listing) {
 						mu.Lock()
 						defer mu.Unlock()
-						if l.version == 2 && at.IsZero() {
-							at = time.Now()
+						if l.version == 2 && heardAt.IsZero() {
+							heardAt = time.Now()
 						}
 					})
 					mu.Unlock()
@@ -224,8 +228,8 @@
 					time.Sleep(2 * time.Minute)
 					mu.Lock()
 					defer mu.Unlock()
-					if late := at.Sub(from) - row.by - row.grace*time.Millisecond; from.IsZero() || at.IsZero() || late > 0 {
-						t.Errorf("seed %d: heard %v after the bound, at %v, after %d calls", seed, late, at, n)
+					if late := heardAt.Sub(counted) - c.within - c.grace*time.Millisecond; counted.IsZero() || heardAt.IsZero() || late > 0 {
+						t.Errorf("seed %d: the change is known %v after the limit, at %v, after %d calls", seed, late, heardAt, n)
 					}
 				})
 			}
@@ -233,17 +237,17 @@
 	}
 }
 
-// All watches of a fleet begin together, as a change of the list ends them, and fall silent together. Discovery bears so many new ones
-// in turn, no more: each sidecar hears before the news count for it, and asks once. Where discovery was down for all, or refused all
-// from their start, each hears within 6 s of its return, and of its calls few are refused.
+// All watches of a fleet begin together, after a change of the list, and stop being answered together. Discovery can handle only
+// so many new ones at a time: each sidecar must learn of the change in time, with one call. After an outage for all, during
+// operation or from their start, each must learn of it within 6 s of discovery's return, and only few calls may be refused.
 func TestFleetReopensWatchesInTurn(t *testing.T) {
 	discardLogs(t)
-	const timeout, grace, again = time.Second, 250 * time.Millisecond, 200 * time.Millisecond
+	const timeout, grace, continued = time.Second, 250 * time.Millisecond, 200 * time.Millisecond
 	for _, fleet := range []struct {
-		n    int
-		each time.Duration // discovery's work for a call
-		down time.Duration // how long it refuses all, instead of falling silent
-		at   time.Duration // and from when: 0 is the start
+		n           int
+		workPerCall time.Duration // time that discovery needs for a call
+		downFor     time.Duration // how long it refuses connections; 0: it stops answering instead
+		failsAt     time.Duration // when that begins; 0 is the start
 	}{
 		{6, 229 * time.Millisecond, 0, 9 * time.Second}, {300, 9 * time.Millisecond, 0, 9 * time.Second},
 		{300, 19 * time.Millisecond, 0, 9 * time.Second}, {6, 229 * time.Millisecond, 12 * time.Second, 9 * time.Second},
@@ -254,15 +258,15 @@
 			synctest.Test(t, func(t *testing.T) {
 				var (
 					mu            sync.Mutex
-					free          time.Time // discovery has worked off what it took
-					calls, failed int       // since the silence
+					busyUntil     time.Time // when discovery has handled the calls accepted so far
+					calls, failed int       // since the failure began
 					version       = int64(1)
 					down          bool
 					changed       = make(chan struct{})
 					silenced      = make(chan struct{})
 					stops         []func()
-					told          = make([]time.Time, fleet.n)
-					heard         = make([]time.Time, fleet.n)
+					due           = make([]time.Time, fleet.n)
+					heardAt       = make([]time.Time, fleet.n)
 				)
 				locked := func(f func()) { mu.Lock(); defer mu.Unlock(); f() }
 				change := func() { version++; close(changed); changed = make(chan struct{}) }
@@ -275,19 +279,19 @@
 							return
 						}
 						since, wait := parseQuery(r)
-						begun, turn, late := time.Now(), time.Time{}, false
-						if begun.Sub(last) > again { // no watch that goes on
+						start, turn, late := time.Now(), time.Time{}, false
+						if start.Sub(last) > continued { // a new watch, not the continuation of one
 							locked(func() {
-								at := begun
-								if free.After(at) {
-									at = free
+								at := start
+								if busyUntil.After(at) {
+									at = busyUntil
 								}
 								calls++
-								if late = at.Add(fleet.each).Sub(begun) > timeout; late {
+								if late = at.Add(fleet.workPerCall).Sub(start) > timeout; late {
 									failed++
 								} else {
-									turn = at.Add(fleet.each)
-									free = turn
+									turn = at.Add(fleet.workPerCall)
+									busyUntil = turn
 								}
 							})
 							if late {
@@ -298,7 +302,7 @@
 						}
 						var news, silence chan struct{}
 						locked(func() { news, silence, late = changed, silenced, version > since })
-						ends := time.After(wait - time.Since(begun))
+						ends := time.After(wait - time.Since(start))
 						if late {
 							ends = time.After(0)
 						}
@@ -306,10 +310,10 @@
 						case <-news:
 						case <-ends:
 						case <-silence:
-							if fleet.down > 0 {
+							if fleet.downFor > 0 {
 								return
 							}
-							locked(func() { told[i] = laterOf(time.Now().Add(6*time.Second), begun.Add(wait+2*time.Second)) })
+							locked(func() { due[i] = laterOf(time.Now().Add(6*time.Second), start.Add(wait+2*time.Second)) })
 							_, _ = io.Copy(io.Discard, in)
 							return
 						}
@@ -339,30 +343,30 @@
 					}
 					_, stop := startFollower(t, cfg, dial, func(l listing) {
 						locked(func() {
-							if l.version == 3 && heard[i].IsZero() {
-								heard[i] = time.Now()
+							if l.version == 3 && heardAt[i].IsZero() {
+								heardAt[i] = time.Now()
 							}
 						})
 					})
 					stops = append(stops, stop)
 				}
-				if fleet.at > time.Second {
-					time.Sleep(fleet.at - time.Second)
+				if fleet.failsAt > time.Second {
+					time.Sleep(fleet.failsAt - time.Second)
 					locked(change)
 					time.Sleep(time.Second)
 				}
 				locked(func() {
 					close(silenced)
-					silenced, down = make(chan struct{}), fleet.down > 0
+					silenced, down = make(chan struct{}), fleet.downFor > 0
 					calls, failed, version = 0, 0, 2
 					change()
 				})
 				if down {
-					time.Sleep(fleet.down)
+					time.Sleep(fleet.downFor)
 					locked(func() {
 						down = false
-						for i := range told {
-							told[i] = time.Now().Add(6 * time.Second)
+						for i := range due {
+							due[i] = time.Now().Add(6 * time.Second)
 						}
 					})
 				}
@@ -370,26 +374,27 @@
 				for _, stop := range stops {
 					stop()
 				}
-				time.Sleep(time.Minute) // what discovery still holds ends
-				silent, worst := 0, -time.Hour
+				time.Sleep(time.Minute) // for the calls that discovery still holds to end
+				unanswered, worst := 0, -time.Hour
 				for i := range fleet.n {
-					if !told[i].IsZero() {
-						silent++
-						worst = max(worst, heard[i].Sub(told[i]))
+					if !due[i].IsZero() {
+						unanswered++
+						worst = max(worst, heardAt[i].Sub(due[i]))
 					}
 				}
 				allowed := 0
-				if fleet.down > 0 {
+				if fleet.downFor > 0 {
 					allowed = 2 * fleet.n
 				}
-				if silent < fleet.n*9/10 || worst > grace || failed > allowed {
-					t.Errorf("%d watches were silent, of %d; the last news %v behind their bound; %d calls, %d in vain", silent, fleet.n, worst, calls, failed)
+				if unanswered < fleet.n*9/10 || worst > grace || failed > allowed {
+					t.Errorf("%d of %d watches were unanswered; the last change %v after its limit; %d calls, %d refused", unanswered, fleet.n, worst, calls, failed)
 				}
 			})
 		})
 	}
 }
 
+// laterOf returns the later of two moments.
 func laterOf(a, b time.Time) time.Time {
 	if a.After(b) {
 		return a
@@ -397,7 +402,7 @@
 	return b
 }
 
-// What the module asked for while a call was out is settled by that call's end: behind a failure the next call comes no sooner than the
+// A subscription requested during a call is settled by the end of that call: after a failure the next call is made only when the
 // module asks again.
 func TestFailureSettlesSubscription(t *testing.T) {
 	discardLogs(t)
@@ -423,10 +428,10 @@
 		for range 2 {
 			d.subscribe()
 			<-calls
-			d.subscribe() // it takes long
+			d.subscribe() // requested again during the call
 			end <- struct{}{}
 			if synctest.Wait(); len(calls) > 0 {
-				t.Fatal("called unasked")
+				t.Fatal("discovery was called without a request")
 			}
 		}
 	})
