--- a/internal/sidecar/discovery.go
+++ b/internal/sidecar/discovery.go
@@ -21,7 +21,7 @@
 
 const (
 	minWatchWait   = 10 * time.Second // shortest time for which discovery is asked to hold a watch
-	maxWatchWait   = 20 * time.Second // longest; drawn anew for each watch, so that watches that stop answering together are not reopened together
+	maxWatchWait   = 20 * time.Second // longest; drawn anew for each watch, so that watches that time out together are not reopened together
 	firstWatchWait = time.Millisecond // for the first watch after a start or a failure: the module waits for an answer
 
 	// Limits of calls. A change that an unanswered call misses must be known 2 s after the end of that watch's wait, or 6 s
@@ -322,13 +322,13 @@
 	d.applyMu.Lock()
 	defer d.applyMu.Unlock()
 	before := d.list.version
-	news, older := d.list.apply(l, d.now())
-	d.onListing(news)
-	if l.whole || len(news.servers) > 0 {
-		d.saveList(d.list, l.whole || !allReady(news))
+	changes, older := d.list.apply(l, d.now())
+	d.onListing(changes)
+	if l.whole || len(changes.servers) > 0 {
+		d.saveList(d.list, l.whole || !allReady(changes))
 	}
 	if older {
-		slog.Warn("discovery is older than what is held", "version", l.version, "held", before, "whole", l.whole, "out", len(news.servers))
+		slog.Warn("discovery is older than what is held", "version", l.version, "held", before, "whole", l.whole, "out", len(changes.servers))
 	}
 	_, suspected := d.list.watchDuringReset(d.now())
 	switch {
@@ -344,9 +344,9 @@
 func (d *discovery) applyOtherProcessList(saved savedList, l listing) {
 	d.applyMu.Lock()
 	defer d.applyMu.Unlock()
-	if news := d.list.applyOtherProcess(saved, l); len(news.servers) > 0 {
-		slog.Info("out by the other process", "version", l.version, "held", d.list.version, "out", len(news.servers))
-		d.onListing(news)
+	if changes := d.list.applyOtherProcess(saved, l); len(changes.servers) > 0 {
+		slog.Info("out by the other process", "version", l.version, "held", d.list.version, "out", len(changes.servers))
+		d.onListing(changes)
 	}
 }
 
--- a/internal/sidecar/late_test.go
+++ b/internal/sidecar/late_test.go
@@ -40,16 +40,16 @@
 // A connection that comes up after its attempt may no longer be written does not carry the request.
 func TestLateConnections(t *testing.T) {
 	for name, c := range map[string]struct {
-		until, by time.Duration
-		happens   func(x *exchange)
-		ending    balance.Ending
+		abandonAfter, sendWithin time.Duration
+		happens                  func(x *exchange)
+		ending                   balance.Ending
 	}{
-		"time-out":          {until: 20 * time.Millisecond, ending: balance.NoConnection},
-		"bound":             {until: generous, by: 20 * time.Millisecond, ending: balance.NoConnection},
-		"bound behind both": {until: 20 * time.Millisecond, by: generous, ending: balance.NoConnection},
-		"withdrawn":         {until: generous, happens: (*exchange).withdraw, ending: balance.NotSent},
-		"then cancelled":    {until: generous, happens: func(x *exchange) { x.withdraw(); x.cancel() }, ending: balance.NotSent},
-		"cancelled":         {until: generous, happens: (*exchange).cancel, ending: balance.Cancelled},
+		"time-out":          {abandonAfter: 20 * time.Millisecond, ending: balance.NoConnection},
+		"sendBy":            {abandonAfter: generous, sendWithin: 20 * time.Millisecond, ending: balance.NoConnection},
+		"sendBy after both": {abandonAfter: 20 * time.Millisecond, sendWithin: generous, ending: balance.NoConnection},
+		"withdrawn":         {abandonAfter: generous, happens: (*exchange).withdraw, ending: balance.NotSent},
+		"then cancelled":    {abandonAfter: generous, happens: func(x *exchange) { x.withdraw(); x.cancel() }, ending: balance.NotSent},
+		"cancelled":         {abandonAfter: generous, happens: (*exchange).cancel, ending: balance.Cancelled},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := newStub(t, echo)
@@ -57,10 +57,10 @@
 			u.dialTimeout = 2 * generous
 			dialled, _ := u.delayDials(s.address)
 			done, now := make(chan attemptResult, 1), u.clock.now()
-			if c.by > 0 {
-				c.by += now
+			if c.sendWithin > 0 {
+				c.sendWithin += now
 			}
-			x := u.send(s.address, testRequest("1"), now+c.until, c.by, now+c.until, func(r attemptResult) { done <- r })
+			x := u.send(s.address, testRequest("1"), now+c.abandonAfter, c.sendWithin, now+c.abandonAfter, func(r attemptResult) { done <- r })
 			wait(t, "the dial", dialled)
 			if c.happens != nil {
 				c.happens(x)
@@ -123,10 +123,10 @@
 				}
 				return c, err
 			}
-			m, by := testRequest("1"), u.clock.now()+50*time.Millisecond
+			m, sendBy := testRequest("1"), u.clock.now()+50*time.Millisecond
 			m.body, m.length = patternedBody(maxBufferedBody), maxBufferedBody
 			if name == "upload" {
-				body := &pacedBody{body: delayedReader{u.clock.at(by + time.Millisecond)}, setReadDeadline: func(time.Time) error { return nil }}
+				body := &pacedBody{body: delayedReader{u.clock.at(sendBy + time.Millisecond)}, setReadDeadline: func(time.Time) error { return nil }}
 				m.upload, m.length = newUpload(body), maxBufferedBody+3
 				m.upload.onSent = func() { t.Error("the last byte was written") }
 			}
@@ -137,7 +137,7 @@
 				}
 			}()
 			done := make(chan attemptResult, 1)
-			u.send(l.Addr().String(), m, u.clock.now()+2*generous, by, u.clock.now()+2*generous, func(r attemptResult) { done <- r })
+			u.send(l.Addr().String(), m, u.clock.now()+2*generous, sendBy, u.clock.now()+2*generous, func(r attemptResult) { done <- r })
 			server := wait(t, "the connection", accepted)
 			defer server.Close()
 			if name == "upload" { // the server reads and the client is slow; otherwise the client is fast and the server does not read
@@ -211,11 +211,11 @@
 	body := string(patternedBody(maxBufferedBody + 4<<10))
 	short := head("1", "Content-Length: 0")
 	for name, input := range map[string][2]string{ // sent at once, and while the attempt waits
-		"nothing more":    {short, ""},
-		"one byte more":   {short, "G"},
-		"requests behind": {short, strings.Repeat(head("2", "Content-Length: 0"), 40)},
-		"a long body":     {head("1", fmt.Sprintf("Content-Length: %d", len(body))) + body, ""},
-		"half of one":     {head("1", fmt.Sprintf("Content-Length: %d", len(body)+1<<10)) + body, ""},
+		"nothing more":  {short, ""},
+		"one byte more": {short, "G"},
+		"more requests": {short, strings.Repeat(head("2", "Content-Length: 0"), 40)},
+		"a long body":   {head("1", fmt.Sprintf("Content-Length: %d", len(body))) + body, ""},
+		"half of one":   {head("1", fmt.Sprintf("Content-Length: %d", len(body)+1<<10)) + body, ""},
 	} {
 		for _, mayCancel := range []bool{true, false} {
 			t.Run(fmt.Sprintf("%s, cancel %v", name, mayCancel), func(t *testing.T) {
@@ -283,9 +283,9 @@
 
 // block keeps the loop's goroutine from running events posted after it until free is called.
 func (l *loop) block() (free func()) {
-	held := make(chan struct{})
-	l.post(func(time.Duration) { <-held })
-	return sync.OnceFunc(func() { close(held) })
+	blocked := make(chan struct{})
+	l.post(func(time.Duration) { <-blocked })
+	return sync.OnceFunc(func() { close(blocked) })
 }
 
 // A client leaves while the event that reports this is queued behind others, and an attempt is about to be written: it must not
@@ -300,13 +300,13 @@
 	for _, phase := range []string{"first", "further", "connecting"} {
 		for kind, leave := range departures {
 			t.Run(phase+" "+kind, func(t *testing.T) {
-				held, turnAway := make(chan struct{}), phase == "further"
+				answerNow, turnAway := make(chan struct{}), phase == "further"
 				answer := func(c net.Conn, r received) bool {
 					if !turnAway {
 						return echo(c, r)
 					}
 					turnAway = false
-					<-held
+					<-answerNow
 					_, err := io.WriteString(c, "HTTP/1.1 503 Full\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n")
 					return err == nil
 				}
@@ -348,7 +348,7 @@
 					}
 					begin = l.block()
 					eventually(t, "the loop to be blocked", func() bool { return len(l.events) == 0 })
-					close(held)
+					close(answerNow)
 					eventually(t, "the first attempt's end to be posted", posted(1))
 				case "connecting":
 					begin()
--- a/internal/sidecar/loop.go
+++ b/internal/sidecar/loop.go
@@ -280,12 +280,12 @@
 }
 
 // applyListing queues an answer of discovery, a whole list or changes.
-func (l *loop) applyListing(news listing) {
+func (l *loop) applyListing(update listing) {
 	kind := balance.ListDelta
-	if news.whole {
+	if update.whole {
 		kind = balance.ListFull
 	}
-	l.post(func(time.Duration) { l.applyList(news, kind) })
+	l.post(func(time.Duration) { l.applyList(update, kind) })
 }
 
 // discoveryFailed tells the module that a call to discovery failed.
@@ -295,23 +295,23 @@
 
 // applyList updates the addresses of the listed servers, closes idle connections to addresses that are no longer
 // listed, and passes the list to the module.
-func (l *loop) applyList(news listing, kind balance.ListKind) {
+func (l *loop) applyList(update listing, kind balance.ListKind) {
 	gone := make(map[string]bool) // addresses that are no longer listed
-	if news.whole {
+	if update.whole {
 		for _, address := range l.addresses {
 			gone[address] = true
 		}
 		clear(l.addresses)
 		clear(l.readyServers)
 	}
-	for _, s := range news.servers {
+	for _, s := range update.servers {
 		if old, ok := l.addresses[s.ID]; ok {
 			gone[old] = true
 			delete(l.addresses, s.ID)
 			delete(l.readyServers, s.ID)
 		}
 		if s.State != balance.Gone {
-			l.addresses[s.ID] = news.addresses[s.ID]
+			l.addresses[s.ID] = update.addresses[s.ID]
 			l.readyServers[s.ID] = s.State == balance.Ready
 		}
 	}
@@ -324,12 +324,12 @@
 		l.upstream.closeIdle(address)
 		l.guard.Listed(l.now, address, balance.Gone)
 	}
-	for _, s := range news.servers {
+	for _, s := range update.servers {
 		if address, listed := l.addresses[s.ID]; listed {
 			l.guard.Listed(l.now, address, addressState(ready[address]))
 		}
 	}
-	l.balancer.List(l.now, kind, news.servers)
+	l.balancer.List(l.now, kind, update.servers)
 }
 
 // addressState returns the state of an address: ready if any server listed there is ready, else draining.
--- a/internal/sidecar/loop_test.go
+++ b/internal/sidecar/loop_test.go
@@ -200,9 +200,9 @@
 		sent   bool
 	}{
 		"draining within the grace":    {[]balance.State{balance.Draining}, grace / 2, true},
-		"draining for long":            {[]balance.State{balance.Draining}, 2 * grace, false},
-		"ready beside one that drains": {[]balance.State{balance.Ready, balance.Draining}, 2 * grace, true},
-		"draining beside a ready one":  {[]balance.State{balance.Draining, balance.Ready}, 2 * grace, true},
+		"draining for longer":          {[]balance.State{balance.Draining}, 2 * grace, false},
+		"ready next to a draining one": {[]balance.State{balance.Ready, balance.Draining}, 2 * grace, true},
+		"draining next to a ready one": {[]balance.State{balance.Draining, balance.Ready}, 2 * grace, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			l := newTestLoop(t, "127.0.0.1:1")
--- a/internal/sidecar/state_test.go
+++ b/internal/sidecar/state_test.go
@@ -23,7 +23,7 @@
 	cfg := testConfig(t, listed(1, "ready", "127.0.0.1:1"), nil)
 	h, now := newHandover(dir, "n0"), newClock().now()
 	if v := h.loadServerList(cfg, now); v.version != 1 || !v.canWatch() {
-		t.Errorf("without a kept list: version %d", v.version)
+		t.Errorf("without a stored list: version %d", v.version)
 	}
 	l, err := parseListing([]byte(listed(7, "ready", "127.0.0.1:2", "127.0.0.1:3")), cfg.Zones)
 	if err != nil {
@@ -60,11 +60,11 @@
 		top    int64
 		want   string
 	}{
-		"kept":                      {1, cfg.Discovery, 0, 8, "s-1@127.0.0.1:3"},
+		"stored":                    {1, cfg.Discovery, 0, 8, "s-1@127.0.0.1:3"},
 		"the configuration's newer": {9, cfg.Discovery, 0, 9, "s-0@127.0.0.1:1"},
 		"of another discovery":      {1, "127.0.0.1:9", 0, 1, "s-0@127.0.0.1:1 out"},
-		"kept long ago":             {1, cfg.Discovery, 2 * maxSavedListAge, 8, "s-0@127.0.0.1:1 out"},
-		"kept in the future":        {1, cfg.Discovery, -2 * maxSavedListAge, 8, "s-0@127.0.0.1:1 out"},
+		"stored long ago":           {1, cfg.Discovery, 2 * maxSavedListAge, 8, "s-0@127.0.0.1:1 out"},
+		"stored in the future":      {1, cfg.Discovery, -2 * maxSavedListAge, 8, "s-0@127.0.0.1:1 out"},
 	} {
 		cfg.Known.version, cfg.Discovery = c.known, c.source
 		at := newClock().now() + c.later
@@ -152,7 +152,7 @@
 	var out strings.Builder
 	c.call(context.Background(), &out, []string{"disable-server", "x"})
 	if !strings.HasPrefix(out.String(), "202 ") || strings.Count(out.String(), "\n") != 1 {
-		t.Errorf("not kept: %q", &out)
+		t.Errorf("not stored: %q", &out)
 	}
 }
 
@@ -213,11 +213,11 @@
 		t.Errorf("of a server that there is not: %q", got)
 	}
 	if got := sidecar.call(t, "disable-server s-0\n"); !strings.HasPrefix(got, "202 ") {
-		t.Errorf("not kept: %q", got)
+		t.Errorf("not stored: %q", got)
 	}
 	wait(t, "a sync that hangs", d.waiting)
 	if got := sidecar.call(t, "enable-server s-0\n"); !strings.HasPrefix(got, "202 ") {
-		t.Errorf("not kept: %q", got)
+		t.Errorf("not stored: %q", got)
 	}
 	for range 20 {
 		if res, _ := do(t, sidecar.request(t, "GET", "/look", "")); res.StatusCode != 200 {
@@ -273,9 +273,9 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	heard := make(chan map[string]handed, 100)
-	go h.watch(ctx, 1, func(int) {}, func(calls map[string]handed) { heard <- calls })
+	applied := make(chan map[string]handed, 100)
+	go h.watch(ctx, 1, func(int) {}, func(calls map[string]handed) { applied <- calls })
 	disk.failing.Store(false)
-	for !wait(t, "the call", heard)["s-1"].Out {
+	for !wait(t, "the call", applied)["s-1"].Out {
 	}
 }
--- a/internal/sidecar/stream_test.go
+++ b/internal/sidecar/stream_test.go
@@ -259,7 +259,7 @@
 		want time.Duration
 	}{
 		"at first":                         {pacedBody{}, bodyStallTimeout},
-		"behind a head of 2 s":             {pacedBody{clientTime: 2 * time.Second}, 700 * time.Millisecond},
+		"after a head of 2 s":              {pacedBody{clientTime: 2 * time.Second}, 700 * time.Millisecond},
 		"64 kB a second for 30 s":          {pacedBody{clientTime: 30 * time.Second, bytesRead: 30 * 64 << 10}, bodyStallTimeout},
 		"a byte a second":                  {pacedBody{clientTime: 2600 * time.Millisecond, bytesRead: 3}, 100 * time.Millisecond},
 		"much at once, then nothing":       {pacedBody{bytesRead: 20 << 20}, bodyStallTimeout},
--- a/internal/sidecar/upstream_test.go
+++ b/internal/sidecar/upstream_test.go
@@ -44,7 +44,7 @@
 	for name, c := range map[string]struct {
 		answer string
 		ending balance.Ending
-		kept   bool
+		reused bool
 	}{
 		"served":              {"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi", balance.Served, true},
 		"chunked":             {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\n\r\n", balance.Served, true},
@@ -84,7 +84,7 @@
 				if strings.HasSuffix(name, ", reset") {
 					_ = conn.(*net.TCPConn).SetLinger(0) // makes the close a reset
 				}
-				return c.kept || name == "bytes left over" || name == "to be closed" || name == "headers without end"
+				return c.reused || name == "bytes left over" || name == "to be closed" || name == "headers without end"
 			})
 			u := testTransport(t)
 			if got := runAttempt(t, u, s.address, "1", generous); got.ending != c.ending {
@@ -92,8 +92,8 @@
 			} else if got.ending == balance.Served && string(got.body) != "hi" {
 				t.Fatalf("body %q, want hi", got.body)
 			}
-			if idle := len(u.idle[s.address]); idle != 0 != c.kept || u.open != idle {
-				t.Errorf("%d connections idle, %d open, want one kept: %v", idle, u.open, c.kept)
+			if idle := len(u.idle[s.address]); idle != 0 != c.reused || u.open != idle {
+				t.Errorf("%d connections idle, %d open, want one reusable: %v", idle, u.open, c.reused)
 			}
 			if len(s.seen) != 1 {
 				t.Errorf("the upstream had %d requests, want one", len(s.seen))
@@ -188,19 +188,19 @@
 		})
 		u := testTransport(t)
 		u.hasRoom = func(int) bool { return spare }
-		waits, quiet := u.blockReuse()
+		waits2, quiet := u.blockReuse()
 		runAttempt(t, u, s.address, "1", generous)
-		kept, done := u.idle[s.address][0], make(chan attemptResult, 2)
+		firstConn, done := u.idle[s.address][0], make(chan attemptResult, 2)
 		u.send(s.address, testRequest("2"), u.clock.now()+generous, 0, u.clock.now()+generous, func(r attemptResult) { done <- r })
 		select {
-		case <-waits:
+		case <-waits2:
 			if spare {
 				u.waitIdle(t, s.address, 1)
 			}
 			if _, err := wait(t, "the first connection", first).Write([]byte(more)); err != nil {
 				t.Fatal(err)
 			}
-			for end := time.Now().Add(generous); kept.usable(); time.Sleep(time.Millisecond) {
+			for end := time.Now().Add(generous); firstConn.usable(); time.Sleep(time.Millisecond) {
 				if time.Now().After(end) {
 					t.Fatal("the second answer has not come")
 				}
--- a/internal/sidecar/versions_test.go
+++ b/internal/sidecar/versions_test.go
@@ -176,8 +176,8 @@
 		withheld := make(map[balance.ServerID]bool)         // removed by an older answer since the last one that was not older
 		var resetAt time.Duration                           // when discovery restarted, while the list does not know; 0 if it does
 		apply := func(l listing) {
-			was := v.epoch
-			news, isOlder := v.apply(l, now)
+			epochBefore := v.epoch
+			changes, isOlder := v.apply(l, now)
 			if isOlder {
 				olderAnswers++
 			} else if l.whole {
@@ -188,10 +188,10 @@
 					delete(withheld, s.ID)
 				}
 			}
-			if news.whole {
+			if changes.whole {
 				clear(inForce)
 			}
-			for _, s := range news.servers {
+			for _, s := range changes.servers {
 				if inForce[s.ID] = s; s.State == balance.Gone {
 					delete(inForce, s.ID)
 				}
@@ -212,14 +212,14 @@
 					t.Fatalf("seed %d: a server that the whole list %d does not have is ready", seed, l.version)
 				}
 			}
-			if !isOlder && v.epoch == was { // the newest answer of its epoch
+			if !isOlder && v.epoch == epochBefore { // the newest answer of its epoch
 				for _, s := range l.servers {
 					if delete(removed, s.ID); s.State != balance.Ready {
 						removed[s.ID] = s.Started
 					}
 				}
 			}
-			if was != v.epoch {
+			if epochBefore != v.epoch {
 				resets++
 			}
 			for id := range inForce {
@@ -258,11 +258,11 @@
 				if err := s.writeList(); err != nil {
 					t.Fatal(err)
 				}
-				kept, _, ok := readSection[savedList](s.store, sectionList)
+				saved, _, ok := readSection[savedList](s.store, sectionList)
 				if !ok {
 					t.Fatal("nothing was stored")
 				}
-				v, resetAt = restoreServerList(cfg, kept, time.Unix(0, int64(now)), now), min(resetAt, 1)*now // the time counts from the start again
+				v, resetAt = restoreServerList(cfg, saved, time.Unix(0, int64(now)), now), min(resetAt, 1)*now // the time counts from the start again
 				clear(inForce)
 				for _, e := range v.effectiveListing().servers {
 					inForce[e.ID] = e
@@ -344,7 +344,7 @@
 		by      *handover
 		v       *serverList
 		version int64
-		kept    int64
+		stored  int64
 	}{
 		{first, a, 60, 60}, {second, b, 55, 60}, {second, b, 61, 61}, {first, a, 61, 61},
 		{second, b, 7, 7}, {first, a, 70, 7}, {second, b, 8, 8},
@@ -358,8 +358,8 @@
 			t.Fatal(err)
 		}
 		last := newHandover(dir, "n0")
-		if got := last.loadServerList(cfg, now).version; got != step.kept {
-			t.Errorf("step %d: version %d is stored, want %d", i, got, step.kept)
+		if got := last.loadServerList(cfg, now).version; got != step.stored {
+			t.Errorf("step %d: version %d is stored, want %d", i, got, step.stored)
 		}
 		last.die()
 	}
@@ -411,8 +411,8 @@
 				if err := s.writeList(); err != nil {
 					t.Fatal(err)
 				}
-				kept, _, _ := readSection[savedList](s.store, sectionList)
-				v = restoreServerList(cfg, kept, time.Unix(0, int64(now)), now)
+				saved, _, _ := readSection[savedList](s.store, sectionList)
+				v = restoreServerList(cfg, saved, time.Unix(0, int64(now)), now)
 			case w.version == -2:
 				cfg.Discovery = "127.0.0.1:2"
 				v.setSource(cfg.Discovery, now)
@@ -454,8 +454,8 @@
 	noChange := func(version int64) listing { return listing{version: version} }
 	other, h := newHandover(dir, "n0"), newHandover(dir, "n0")
 	theirs := other.loadServerList(cfg, now)
-	heard := make(chan listing, 10)
-	d := newDiscovery(cfg, func(l listing) { heard <- l }, func() {})
+	listings := make(chan listing, 10)
+	d := newDiscovery(cfg, func(l listing) { listings <- l }, func() {})
 	d.list = h.loadServerList(cfg, now)
 	var last []byte
 	for _, step := range []struct {
@@ -481,8 +481,8 @@
 				t.Fatal(err)
 			}
 			h.known() // reads the state, as looking for operator calls does
-			k, l, raw, news := h.changedList(last, nil)
-			if last = raw; news {
+			k, l, raw, changed := h.changedList(last, nil)
+			if last = raw; changed {
 				d.applyOtherProcessList(k, l)
 			}
 		} else if again := d.applyAnswer(step.ours) > 0; again != step.whole {
@@ -492,7 +492,7 @@
 			t.Errorf("after %d and %d: %s, want %s", step.theirs.version, step.ours.version, got, step.want)
 		}
 	}
-	if got := describeServers(<-heard); got != "s-0@127.0.0.1:1 out" {
+	if got := describeServers(<-listings); got != "s-0@127.0.0.1:1 out" {
 		t.Errorf("the module receives %s first", got)
 	}
 }
