--- a/internal/sidecar/discovery_test.go
+++ b/internal/sidecar/discovery_test.go
@@ -14,6 +14,7 @@
 	"arrowgw/internal/balance"
 )
 
+// An answer of discovery with known and unknown zones and lifecycles is parsed; a malformed one is rejected.
 func TestParseListing(t *testing.T) {
 	l, err := parseListing([]byte(`{"generation":41,"reset":false,"further":1,"instances":[
 		{"instanceId":"s-1","hostPort":"127.0.0.1:80","zone":"b","machineType":"m2","cell":3,"lifecycle":"ready","weight":1.5,"startedAtMs":1500.5},
--- a/internal/sidecar/late_test.go
+++ b/internal/sidecar/late_test.go
@@ -95,6 +95,7 @@
 // delayedReader is the rest of a body that arrives at a set moment.
 type delayedReader struct{ at time.Time }
 
+// Read returns the last bytes of the body at the set moment.
 func (s delayedReader) Read(b []byte) (int, error) {
 	time.Sleep(time.Until(s.at))
 	return copy(b, "end"), io.EOF
--- a/internal/sidecar/loop_test.go
+++ b/internal/sidecar/loop_test.go
@@ -172,6 +172,7 @@
 	}
 }
 
+// The clock is monotonic, close to Unix time, and its moments convert back to times of the system.
 func TestClockNeverGoesBack(t *testing.T) {
 	c := newClock()
 	last := c.now()
--- a/internal/sidecar/state_test.go
+++ b/internal/sidecar/state_test.go
@@ -164,6 +164,7 @@
 	waiting  chan struct{} // receives a value when a sync blocks
 }
 
+// sync blocks while the disk is stuck.
 func (d *stuckDisk) sync() {
 	if d.stuck.Load() {
 		select {
@@ -180,6 +181,7 @@
 
 func (d *stuckDisk) Open(path string) (store.File, error) { return d.file(d.OS.Open(path)) }
 
+// file wraps a file so that its syncs block too.
 func (d *stuckDisk) file(f store.File, err error) (store.File, error) {
 	if err != nil {
 		return nil, err
--- a/internal/sidecar/upstream_test.go
+++ b/internal/sidecar/upstream_test.go
@@ -400,6 +400,7 @@
 	}
 }
 
+// Consecutive requests to a server share one connection.
 func TestConnectionsAreReused(t *testing.T) {
 	s := newStub(t, echo)
 	u := testTransport(t)
@@ -431,6 +432,7 @@
 	wait(t, "the cancelled attempt", done)
 }
 
+// An attempt to a server that refuses connections ends with NoConnection and leaves no connection open.
 func TestRefusedConnection(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -534,6 +536,7 @@
 	}
 }
 
+// A probe returns the load report, and succeeds only with status 200. Unknown and malformed fields count as absent.
 func TestProbe(t *testing.T) {
 	type told struct {
 		ok   bool
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -95,6 +95,7 @@
 
 func (s *Settings) flag(key string) bool { return s.values[key] == "true" }
 
+// number returns a value as a number, or absent if there is none. A malformed value sets err.
 func (s *Settings) number(key string, absent float64) float64 {
 	v, ok := s.values[key]
 	if !ok || v == "" {
@@ -107,6 +108,7 @@
 	return f
 }
 
+// count returns a value as a whole number from 0 to maxCount. Any other value sets err.
 func (s *Settings) count(key string) int {
 	const maxCount = 1 << 16 // far above any real list; guards against a corrupt number
 	n := s.number(key, 0)
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -60,6 +60,7 @@
 	}
 }
 
+// Server lists, outcomes of attempts and results of probes are decoded, with load reports by their columns.
 func TestReadListsAndOutcomes(t *testing.T) {
 	rec, _, err := Next(unhex(t, `f203 34000000 0000 02000000
 		0a124a07 931f 00 00 0000 01 0000803f 0000000000000000
@@ -106,6 +107,7 @@
 	}
 }
 
+// Every action is encoded as the protocol describes it.
 func TestWriteActions(t *testing.T) {
 	var to Upstream
 	rec, _, _ := Next(unhex(t, "1a04 0a000000 03000000 0a124a07 931f"))
@@ -152,6 +154,7 @@
 	return append(b, body...)
 }
 
+// Truncated and inconsistent frames and records are errors; extra fields are not.
 func TestMalformedFrames(t *testing.T) {
 	for name, in := range map[string][]byte{
 		"truncated header":      {1, 2, 3},
@@ -187,6 +190,7 @@
 	}
 }
 
+// Durations survive the conversion to milliseconds and back, and values out of range are limited.
 func TestMillisRoundTrip(t *testing.T) {
 	for _, d := range []time.Duration{0, time.Microsecond, 123456 * time.Microsecond, -time.Second, time.Hour} {
 		if got := FromMillis(ToMillis(d)); got != d {
@@ -231,6 +235,7 @@
 zone=2
 `
 
+// Settings are converted to the module's configuration. Unknown paths have no effect and malformed values are errors.
 func TestSettings(t *testing.T) {
 	s, err := ParseSettings([]byte(testSettings))
 	if err != nil {
@@ -275,6 +280,7 @@
 	}
 }
 
+// Arbitrary input causes no panic in the decoding of frames and records.
 func FuzzReader(f *testing.F) {
 	f.Add(frame(1, 10, 1, "\x2e\x04\x04\x00\x00\x00\x01\x00\x00\x00"))
 	f.Add(frame(0, 0, 0, ""))
