--- a/internal/sidecar/hollow.go
+++ b/internal/sidecar/hollow.go
@@ -143,6 +143,7 @@
 func (noRequestPath) updateFleet(context.Context, balance.Fleet) error      { return nil }
 func (noRequestPath) applyRules(context.Context, *rules.Set) error          { return nil }
 func (noRequestPath) applyOperatorCalls(context.Context, map[string]handed) {}
+
 // learnedState returns no learned servers and the request rate that StartHollow was given.
 func (a noRequestPath) learnedState(context.Context) (balance.Learned, error) {
 	return balance.Learned{At: a.clock.now(), Rate: a.rate}, nil
