--- a/internal/sidecar/upstream.go
+++ b/internal/sidecar/upstream.go
@@ -521,7 +521,7 @@
 	}
 }
 
-// localErrors are the errors of socket and connect that are caused by this machine. They say nothing about the server,
+// localErrors are the errors of socket and connect that are caused by this machine. They must not count against the server,
 // and most of them are transient.
 var localErrors = []error{
 	syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.ENOSPC, syscall.EADDRNOTAVAIL, syscall.EADDRINUSE, syscall.EAGAIN, syscall.EINTR, syscall.ENETUNREACH, syscall.ENETDOWN,
