--- a/internal/sidecar/discovery_test.go
+++ b/internal/sidecar/discovery_test.go
@@ -69,7 +69,7 @@
 	respond := func(body string) func(http.ResponseWriter) {
 		return func(w http.ResponseWriter) { _, _ = io.WriteString(w, body) }
 	}
-	cfg := testConfig(t, listed(40, "ready", "127.0.0.1:80"), func(file, _ map[string]any) {
+	cfg := testConfig(t, listAnswer(40, "ready", "127.0.0.1:80"), func(file, _ map[string]any) {
 		file["discovery"] = server.Listener.Addr().String()
 	})
 	listings, failures := make(chan listing, 100), make(chan struct{}, 100)
@@ -102,11 +102,11 @@
 	wait(t, "the failure", failures)
 	step("index=43&wait=1", func(w http.ResponseWriter) { w.WriteHeader(http.StatusServiceUnavailable) })
 	wait(t, "the failure", failures)
-	step("index=43&wait=1", respond(listed(45, "ready", "127.0.0.1:80")))
+	step("index=43&wait=1", respond(listAnswer(45, "ready", "127.0.0.1:80")))
 	expectListing(45, true)
 	step("index=45&wait=20000", respond(`{"generation":7,"reset":false,"instances":[]}`)) // stale, or after a restart of discovery
 	expectListing(45, false)
-	step("", respond(listed(8, "ready", "127.0.0.1:80"))) // 0.5 s later
+	step("", respond(listAnswer(8, "ready", "127.0.0.1:80"))) // 0.5 s later
 	expectListing(45, false)
 	for range 2 { // 1 s and 3.5 s later
 		step("index=8&wait=2000", func(w http.ResponseWriter) {
@@ -115,9 +115,9 @@
 		})
 		expectListing(45, false)
 	}
-	step("", respond(listed(8, "ready", "127.0.0.1:80")))
+	step("", respond(listAnswer(8, "ready", "127.0.0.1:80")))
 	expectListing(8, true)
-	step("index=8&wait=20000", respond(listed(9, "ready", "127.0.0.1:80")))
+	step("index=8&wait=20000", respond(listAnswer(9, "ready", "127.0.0.1:80")))
 	expectListing(9, true)
 	if len(listings)+len(failures) > 0 {
 		t.Errorf("%d more lists, %d more failures", len(listings), len(failures))
@@ -137,7 +137,7 @@
 	const limit, failures = time.Second, 12
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusServiceUnavailable) }))
 	defer server.Close()
-	cfg := testConfig(t, listed(40, "ready", "127.0.0.1:80"), func(file, _ map[string]any) { file["discovery"] = server.Listener.Addr().String() })
+	cfg := testConfig(t, listAnswer(40, "ready", "127.0.0.1:80"), func(file, _ map[string]any) { file["discovery"] = server.Listener.Addr().String() })
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	d := newDiscovery(cfg, func(listing) {}, func() {})
@@ -166,7 +166,7 @@
 		w.WriteHeader(http.StatusServiceUnavailable)
 	}))
 	defer server.Close()
-	cfg := testConfig(t, listed(0, "ready"), func(file, settings map[string]any) {
+	cfg := testConfig(t, listAnswer(0, "ready"), func(file, settings map[string]any) {
 		file["discovery"] = server.Listener.Addr().String()
 		settings["discovery"] = "ask"
 	})
@@ -194,7 +194,7 @@
 			startDiscovery := func(generation int) string {
 				s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 					if r.URL.RawQuery == "" {
-						_, _ = io.WriteString(w, listed(generation, "ready"))
+						_, _ = io.WriteString(w, listAnswer(generation, "ready"))
 						return
 					}
 					watchBegan <- struct{}{}
@@ -204,7 +204,7 @@
 				t.Cleanup(s.Close)
 				return s.Listener.Addr().String()
 			}
-			cfg := testConfig(t, listed(0, "ready"), func(file, settings map[string]any) {
+			cfg := testConfig(t, listAnswer(0, "ready"), func(file, settings map[string]any) {
 				file["discovery"], settings["discovery"] = startDiscovery(1), mode
 			})
 			listings := make(chan listing, 10)
--- a/internal/sidecar/hollow.go
+++ b/internal/sidecar/hollow.go
@@ -44,7 +44,7 @@
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	h.stop = stop
-	if err := h.control.begin(ctx, h.saved, func(int) {}); err != nil {
+	if err := h.control.start(ctx, h.saved, func(int) {}); err != nil {
 		stop()
 		return nil, err
 	}
@@ -74,11 +74,11 @@
 	left := make(chan struct{})
 	go func() {
 		defer close(left)
-		h.control.peers.draining(false, h.control.work)
+		h.control.peers.startDraining(false, h.control.duties)
 	}()
 	select {
 	case <-left:
-	case <-time.After(leaveWait):
+	case <-time.After(leaveTimeout):
 	}
 	h.control.peers.leave()
 	h.shutDown()
@@ -97,12 +97,12 @@
 func (h *Hollow) SetDiscovery(discovery string) { h.control.discovery.setAddress(discovery) }
 
 // ReadRules reads the file of rules again, as a reload of the configuration does.
-func (h *Hollow) ReadRules() { h.control.sets.read() }
+func (h *Hollow) ReadRules() { h.control.ruleSets.pushFile() }
 
 // Members returns the sidecar's view of its fleet, without the list of members.
 func (h *Hollow) Members() (v member.View) {
 	if g := h.control.peers.group; g != nil {
-		v = g.Brief()
+		v = g.Summary()
 	}
 	return v
 }
@@ -110,12 +110,12 @@
 // Sees reports whether the sidecar considers a member present.
 func (h *Hollow) Sees(name string) bool {
 	g := h.control.peers.group
-	return g != nil && g.Sees(name)
+	return g != nil && g.IsPresent(name)
 }
 
 // Rules returns the status of the sidecar's rule set.
 func (h *Hollow) Rules() (s rules.Status) {
-	if n := h.control.sets.node; n != nil {
+	if n := h.control.ruleSets.node; n != nil {
 		s = n.Status()
 	}
 	return s
@@ -138,11 +138,11 @@
 	rate  float64 // requests a second that learnedState reports
 }
 
-func (noRequestPath) applyListing(listing)                                  {}
-func (noRequestPath) discoveryFailed()                                      {}
-func (noRequestPath) updateFleet(context.Context, balance.Fleet) error      { return nil }
-func (noRequestPath) applyRules(context.Context, *rules.Set) error          { return nil }
-func (noRequestPath) applyOperatorCalls(context.Context, map[string]handed) {}
+func (noRequestPath) applyListing(listing)                                        {}
+func (noRequestPath) discoveryFailed()                                            {}
+func (noRequestPath) updateFleet(context.Context, balance.Fleet) error            { return nil }
+func (noRequestPath) applyRules(context.Context, *rules.Set) error                { return nil }
+func (noRequestPath) applyOperatorCalls(context.Context, map[string]operatorCall) {}
 
 // learnedState returns no learned servers and the request rate that StartHollow was given.
 func (a noRequestPath) learnedState(context.Context) (balance.Learned, error) {
--- a/internal/sidecar/late_test.go
+++ b/internal/sidecar/late_test.go
@@ -45,16 +45,16 @@
 		ending                   balance.Ending
 	}{
 		"time-out":          {abandonAfter: 20 * time.Millisecond, ending: balance.NoConnection},
-		"sendBy":            {abandonAfter: generous, sendWithin: 20 * time.Millisecond, ending: balance.NoConnection},
-		"sendBy after both": {abandonAfter: 20 * time.Millisecond, sendWithin: generous, ending: balance.NoConnection},
-		"withdrawn":         {abandonAfter: generous, happens: (*exchange).withdraw, ending: balance.NotSent},
-		"then cancelled":    {abandonAfter: generous, happens: func(x *exchange) { x.withdraw(); x.cancel() }, ending: balance.NotSent},
-		"cancelled":         {abandonAfter: generous, happens: (*exchange).cancel, ending: balance.Cancelled},
+		"sendBy":            {abandonAfter: testTimeout, sendWithin: 20 * time.Millisecond, ending: balance.NoConnection},
+		"sendBy after both": {abandonAfter: 20 * time.Millisecond, sendWithin: testTimeout, ending: balance.NoConnection},
+		"withdrawn":         {abandonAfter: testTimeout, happens: (*exchange).withdraw, ending: balance.NotSent},
+		"then cancelled":    {abandonAfter: testTimeout, happens: func(x *exchange) { x.withdraw(); x.cancel() }, ending: balance.NotSent},
+		"cancelled":         {abandonAfter: testTimeout, happens: (*exchange).cancel, ending: balance.Cancelled},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := newStub(t, echo)
 			u := testTransport(t)
-			u.dialTimeout = 2 * generous
+			u.dialTimeout = 2 * testTimeout
 			dialled, _ := u.delayDials(s.address)
 			done, now := make(chan attemptResult, 1), u.clock.now()
 			if c.sendWithin > 0 {
@@ -69,8 +69,8 @@
 				t.Errorf("ending %v, want %v", got.ending, c.ending)
 			}
 			u.dial = (&net.Dialer{}).DialContext
-			runAttempt(t, u, s.address, "2", generous)
-			if r := wait(t, "the next request", s.seen); r.Header.Get("X-Request-ID") != "2" {
+			runAttempt(t, u, s.address, "2", testTimeout)
+			if r := wait(t, "the next request", s.requests); r.Header.Get("X-Request-ID") != "2" {
 				t.Errorf("request %s went out", r.Header.Get("X-Request-ID"))
 			}
 		})
@@ -80,11 +80,11 @@
 // An attempt whose request is being written, or has been, is not withdrawn.
 func TestWithdrawAfterWrite(t *testing.T) {
 	answer := make(chan struct{})
-	s := newStub(t, func(c net.Conn, r received) bool { <-answer; return echo(c, r) })
+	s := newStub(t, func(c net.Conn, r stubRequest) bool { <-answer; return echo(c, r) })
 	u := testTransport(t)
 	done := make(chan attemptResult, 1)
-	x := u.send(s.address, testRequest("1"), u.clock.now()+generous, 0, u.clock.now()+generous, func(r attemptResult) { done <- r })
-	wait(t, "the request", s.seen)
+	x := u.send(s.address, testRequest("1"), u.clock.now()+testTimeout, 0, u.clock.now()+testTimeout, func(r attemptResult) { done <- r })
+	wait(t, "the request", s.requests)
 	x.withdraw()
 	close(answer)
 	if got := wait(t, "the end of the attempt", done); got.ending != balance.Served {
@@ -127,7 +127,7 @@
 			m, sendBy := testRequest("1"), u.clock.now()+50*time.Millisecond
 			m.body, m.length = patternedBody(maxBufferedBody), maxBufferedBody
 			if name == "upload" {
-				body := &pacedBody{body: delayedReader{u.clock.at(sendBy + time.Millisecond)}, setReadDeadline: func(time.Time) error { return nil }}
+				body := &pacedBody{body: delayedReader{u.clock.toTime(sendBy + time.Millisecond)}, setReadDeadline: func(time.Time) error { return nil }}
 				m.upload, m.length = newUpload(body), maxBufferedBody+3
 				m.upload.onSent = func() { t.Error("the last byte was written") }
 			}
@@ -138,7 +138,7 @@
 				}
 			}()
 			done := make(chan attemptResult, 1)
-			u.send(l.Addr().String(), m, u.clock.now()+2*generous, sendBy, u.clock.now()+2*generous, func(r attemptResult) { done <- r })
+			u.send(l.Addr().String(), m, u.clock.now()+2*testTimeout, sendBy, u.clock.now()+2*testTimeout, func(r attemptResult) { done <- r })
 			server := wait(t, "the connection", accepted)
 			defer server.Close()
 			if name == "upload" { // the server reads and the client is slow; otherwise the client is fast and the server does not read
@@ -161,27 +161,27 @@
 func TestDrainWhileConnecting(t *testing.T) {
 	late, other := newStub(t, echo), newStub(t, echo)
 	l := newTestLoop(t, late.address)
-	l.upstream.dialTimeout = 2 * generous
+	l.upstream.dialTimeout = 2 * testTimeout
 	dialled, _ := l.upstream.delayDials(late.address)
 	reply := make(chan answer, 1)
-	l.submit(balance.Request{Class: 1}, testRequest("1"), l.now+generous, reply)
+	l.submit(balance.Request{Class: 1}, testRequest("1"), l.now+testTimeout, reply)
 	l.runNextEvent(t)
 	wait(t, "the dial", dialled)
 	l.applyList(listing{servers: []balance.Server{{ID: serverID("s-0"), State: balance.Draining, Weight: 1},
 		{ID: serverID("s-1"), State: balance.Ready, Weight: 1}},
 		addresses: map[balance.ServerID]string{serverID("s-0"): late.address, serverID("s-1"): other.address}}, balance.ListDelta)
 	l.runNextEvent(t) // the attempt ends
-	wait(t, "the request at the other server", other.seen)
+	wait(t, "the request at the other server", other.requests)
 	l.runNextEvent(t)
-	if a := wait(t, "the answer", reply); a.status != http.StatusOK || len(late.seen) > 0 {
-		t.Errorf("status %d, %d requests at the server that drains", a.status, len(late.seen))
+	if a := wait(t, "the answer", reply); a.status != http.StatusOK || len(late.requests) > 0 {
+		t.Errorf("status %d, %d requests at the server that drains", a.status, len(late.requests))
 	}
 }
 
 // newTestFront returns a front with one server and a listener that is served only once the returned function is called.
-func newTestFront(t *testing.T, address string, edit func(file, settings map[string]any)) (*front, *running, func()) {
+func newTestFront(t *testing.T, address string, edit func(file, settings map[string]any)) (*front, *testSidecar, func()) {
 	t.Helper()
-	cfg := testConfig(t, listed(1, "ready", address), edit)
+	cfg := testConfig(t, listAnswer(1, "ready", address), edit)
 	c := newClock()
 	l, err := newLoop(cfg, c, newTransport(cfg, c))
 	if err != nil {
@@ -194,14 +194,14 @@
 		t.Fatal(err)
 	}
 	k := newClients(cfg, listener, l.upstream.connectionCount)
-	k.share(8, 16)
+	k.setLimits(8, 16)
 	f := newFront(cfg, c, l, k)
 	l.guard.Start()
 	f.ready.Store(true)
 	server := f.server()
 	t.Cleanup(func() { server.Close() })
-	return f, &running{url: "http://" + listener.Addr().String()}, func() {
-		go l.run(ctx, cfg.Known)
+	return f, &testSidecar{url: "http://" + listener.Addr().String()}, func() {
+		go l.run(ctx, cfg.KnownServers)
 		go server.Serve(k)
 	}
 }
@@ -210,13 +210,13 @@
 // cancelled and whatever the client has sent that is still unread: a reader does not notice a close behind unread bytes.
 func TestClientLeavesWhileConnecting(t *testing.T) {
 	body := string(patternedBody(maxBufferedBody + 4<<10))
-	short := head("1", "Content-Length: 0")
+	short := requestHead("1", "Content-Length: 0")
 	for name, input := range map[string][2]string{ // sent at once, and while the attempt waits
 		"nothing more":  {short, ""},
 		"one byte more": {short, "G"},
-		"more requests": {short, strings.Repeat(head("2", "Content-Length: 0"), 40)},
-		"a long body":   {head("1", fmt.Sprintf("Content-Length: %d", len(body))) + body, ""},
-		"half of one":   {head("1", fmt.Sprintf("Content-Length: %d", len(body)+1<<10)) + body, ""},
+		"more requests": {short, strings.Repeat(requestHead("2", "Content-Length: 0"), 40)},
+		"a long body":   {requestHead("1", fmt.Sprintf("Content-Length: %d", len(body))) + body, ""},
+		"half of one":   {requestHead("1", fmt.Sprintf("Content-Length: %d", len(body)+1<<10)) + body, ""},
 	} {
 		for _, mayCancel := range []bool{true, false} {
 			t.Run(fmt.Sprintf("%s, cancel %v", name, mayCancel), func(t *testing.T) {
@@ -224,9 +224,9 @@
 				f, sidecar, serve := newTestFront(t, s.address, func(_, settings map[string]any) {
 					settings["caps"].(map[string]any)["may_cancel"] = mayCancel
 					entry := settings["classes"].([]any)[1].(map[string]any) // no time-out may end it before the test does
-					entry["aim_ms"], entry["hard_limit_ms"] = 10*generous.Milliseconds(), 10*generous.Milliseconds()
+					entry["aim_ms"], entry["hard_limit_ms"] = 10*testTimeout.Milliseconds(), 10*testTimeout.Milliseconds()
 				})
-				f.loop.upstream.dialTimeout = 2 * generous
+				f.loop.upstream.dialTimeout = 2 * testTimeout
 				dialled, free := f.loop.upstream.delayDials(s.address)
 				serve()
 				c := sidecar.dial(t)
@@ -238,11 +238,11 @@
 					t.Fatal(err)
 				}
 				c.Close()
-				f.waitOnLoop(t, "the request to end", func() bool { return f.held.Load() == 0 })
+				f.waitOnLoop(t, "the request to end", func() bool { return f.openRequests.Load() == 0 })
 				close(free)
 				f.waitOnLoop(t, "the attempt to end", func() bool { return len(f.loop.requests) == 0 })
-				if len(s.seen) > 0 {
-					t.Errorf("request %s was sent on", wait(t, "it", s.seen).Header.Get("X-Request-ID"))
+				if len(s.requests) > 0 {
+					t.Errorf("request %s was sent on", wait(t, "it", s.requests).Header.Get("X-Request-ID"))
 				}
 			})
 		}
@@ -252,7 +252,7 @@
 // waitOnLoop waits for a condition that is evaluated on the loop's goroutine.
 func (f *front) waitOnLoop(t *testing.T, what string, holds func() bool) {
 	t.Helper()
-	for end, there := time.Now().Add(generous), false; !there; time.Sleep(time.Millisecond) {
+	for end, there := time.Now().Add(testTimeout), false; !there; time.Sleep(time.Millisecond) {
 		if err := f.loop.postAndWait(context.Background(), func(time.Duration) { there = holds() }); err != nil {
 			t.Fatal(err)
 		}
@@ -267,7 +267,7 @@
 	s := newStub(t, echo)
 	f, sidecar, serve := newTestFront(t, s.address, nil)
 	c := sidecar.dial(t)
-	if _, err := io.WriteString(c, head("1", "Content-Length: 0")); err != nil {
+	if _, err := io.WriteString(c, requestHead("1", "Content-Length: 0")); err != nil {
 		t.Fatal(err)
 	}
 	c.Close()
@@ -302,7 +302,7 @@
 		for kind, leave := range departures {
 			t.Run(phase+" "+kind, func(t *testing.T) {
 				answerNow, turnAway := make(chan struct{}), phase == "further"
-				answer := func(c net.Conn, r received) bool {
+				answer := func(c net.Conn, r stubRequest) bool {
 					if !turnAway {
 						return echo(c, r)
 					}
@@ -314,14 +314,14 @@
 				one, other := newStub(t, answer), newStub(t, answer)
 				f, sidecar, serve := newTestFront(t, one.address, func(file, settings map[string]any) {
 					if phase != "connecting" {
-						file["known"] = json.RawMessage(listed(1, "ready", one.address, other.address))
+						file["known"] = json.RawMessage(listAnswer(1, "ready", one.address, other.address))
 					}
 					settings["caps"].(map[string]any)["may_cancel"] = false
 				})
 				l, posted := f.loop, func(n int) func() bool { return func() bool { return len(f.loop.events) >= n } }
 				dialled, free := make(chan struct{}, 1), make(chan struct{})
 				if phase == "connecting" {
-					l.upstream.dialTimeout = 2 * generous
+					l.upstream.dialTimeout = 2 * testTimeout
 					dialled, free = l.upstream.delayDials(one.address)
 				}
 				serve()
@@ -330,7 +330,7 @@
 				defer begin()
 				eventually(t, "the loop to be blocked", func() bool { return len(l.events) == 0 })
 				send := func() {
-					if _, err := io.WriteString(c, head("1", "Content-Length: 0")); err != nil {
+					if _, err := io.WriteString(c, requestHead("1", "Content-Length: 0")); err != nil {
 						t.Fatal(err)
 					}
 				}
@@ -342,9 +342,9 @@
 					begin()
 					send()
 					select {
-					case <-one.seen:
-					case <-other.seen:
-					case <-time.After(generous):
+					case <-one.requests:
+					case <-other.requests:
+					case <-time.After(testTimeout):
 						t.Fatal("no first attempt")
 					}
 					begin = l.block()
@@ -372,7 +372,7 @@
 				}
 				end()
 				f.waitOnLoop(t, "the attempt to end", func() bool { return len(l.requests) == 0 })
-				if n := len(one.seen) + len(other.seen); n > 0 {
+				if n := len(one.requests) + len(other.requests); n > 0 {
 					t.Errorf("%d attempts after the client left", n)
 				}
 			})
@@ -397,7 +397,7 @@
 			time.Sleep(30 * time.Millisecond)
 			limit := m.timeLeft - (u.clock.now() - begun)
 			close(free)
-			if timeout, _ := duration(wait(t, "the request", s.seen).Header.Get("X-Timeout")); timeout > limit {
+			if timeout, _ := parseTimeout(wait(t, "the request", s.requests).Header.Get("X-Timeout")); timeout > limit {
 				t.Errorf("X-Timeout is %v, want %v at most", timeout, limit)
 			}
 		})
@@ -460,19 +460,19 @@
 				}
 				return (&net.Dialer{}).DialContext(context.WithoutCancel(ctx), network, to)
 			}
-			if got := runAttempt(t, u, s.address, "1", generous); got.ending != c.ending {
+			if got := runAttempt(t, u, s.address, "1", testTimeout); got.ending != c.ending {
 				t.Errorf("ending %v, want %v", got.ending, c.ending)
 			}
 			open, idle := -1, -1 // cancelled dials end by themselves
-			for end := time.Now().Add(generous); (open != c.open || idle != c.open) && time.Now().Before(end); {
+			for end := time.Now().Add(testTimeout); (open != c.open || idle != c.open) && time.Now().Before(end); {
 				time.Sleep(time.Millisecond)
 				u.mu.Lock()
 				open, idle = u.open, len(u.idle[s.address])
 				u.mu.Unlock()
 			}
-			if n := int(dials.Load()); n != c.dials || open != c.open || idle != c.open || len(s.seen) > 1 {
+			if n := int(dials.Load()); n != c.dials || open != c.open || idle != c.open || len(s.requests) > 1 {
 				t.Errorf("%d dials, %d open, %d idle, %d requests, want %d, %d, all, one at most", n, open, idle,
-					len(s.seen), c.dials, c.open)
+					len(s.requests), c.dials, c.open)
 			}
 		})
 	}
@@ -483,13 +483,13 @@
 	s := newStub(t, echo)
 	l := newTestLoop(t, s.address)
 	r, _ := l.addRequest(7)
-	r.outbound.timeLeft = generous
+	r.outbound.timeLeft = testTimeout
 	r.outbound.upload = newUpload(&pacedBody{body: strings.NewReader("end"), setReadDeadline: func(time.Time) error { return nil }})
 	r.outbound.upload.onSent, r.outbound.length = func() {}, int64(len(r.outbound.body))+3
-	l.now += generous / 2 // as if earlier attempts had failed
+	l.now += testTimeout / 2 // as if earlier attempts had failed
 	l.Send(7, serverID("s-0"), 0, 0)
-	if timeout, _ := duration(wait(t, "the request", s.seen).Header.Get("X-Timeout")); timeout > generous/2 {
-		t.Errorf("X-Timeout is %v, want %v at most", timeout, generous/2)
+	if timeout, _ := parseTimeout(wait(t, "the request", s.requests).Header.Get("X-Timeout")); timeout > testTimeout/2 {
+		t.Errorf("X-Timeout is %v, want %v at most", timeout, testTimeout/2)
 	}
 	l.runNextEvent(t)
 }
@@ -503,17 +503,17 @@
 	m.length = int64(len(m.body)) + 3
 	m.clientPresence = func() presence {
 		if asked++; asked > 1 {
-			return departed
+			return clientGone
 		}
-		return present
+		return clientPresent
 	}
 	done := make(chan attemptResult, 1)
-	u.send(s.address, m, u.clock.now()+generous, 0, u.clock.now()+generous, func(r attemptResult) { done <- r })
+	u.send(s.address, m, u.clock.now()+testTimeout, 0, u.clock.now()+testTimeout, func(r attemptResult) { done <- r })
 	if got := wait(t, "the end of the attempt", done); got.ending != balance.Cancelled {
 		t.Errorf("ending %v, want %v", got.ending, balance.Cancelled)
 	}
 	wait(t, "the connection to close", s.closed)
-	if len(s.seen) > 0 {
+	if len(s.requests) > 0 {
 		t.Error("the server received the whole request")
 	}
 }
@@ -521,7 +521,7 @@
 // eventually waits for a condition.
 func eventually(t *testing.T, what string, holds func() bool) {
 	t.Helper()
-	for end := time.Now().Add(generous); !holds(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); !holds(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatalf("waited in vain for %s", what)
 		}
--- a/internal/sidecar/loop.go
+++ b/internal/sidecar/loop.go
@@ -28,7 +28,7 @@
 	clock             clock
 	balancer          *policy.Balancer
 	upstream          *transport
-	handover          *handover             // stores the operator calls
+	handover          *sharedState          // stores the operator calls
 	subscribe         func()                // subscribes to the server list
 	clientCounters    func() map[string]int // counters of the client connections, for the log
 	discoveryCounters func() map[string]int // counters of the discovery calls, for the log
@@ -84,7 +84,7 @@
 		clock: c, upstream: up, subscribe: func() {}, maxAttempts: cfg.Policy.MaxAttempts, classes: cfg.Policy.Classes,
 		clientCounters:    func() map[string]int { return nil },
 		discoveryCounters: func() map[string]int { return nil },
-		handover:          new(handover),
+		handover:          new(sharedState),
 		trace:             newTrace(),
 		guard:             guard.New(logViolation, cfg.DrainGrace),
 		limitTimeLeft:     func(_, left time.Duration) time.Duration { return left },
@@ -110,7 +110,7 @@
 	}
 	l.serverCountsAt = l.now
 	var m serverCounts
-	m.listed, m.unavailable = l.balancer.Members(l.now)
+	m.listed, m.unavailable = l.balancer.ServerCounts(l.now)
 	l.serverCounts.Store(&m)
 }
 
@@ -121,7 +121,7 @@
 	id, known := serverID(instance), make(chan bool, 1)
 	if err := l.postAndWait(ctx, func(time.Duration) {
 		_, listed := l.addresses[id]
-		known <- listed || l.balancer.Out(id)
+		known <- listed || l.balancer.Disabled(id)
 	}); err != nil {
 		return err
 	}
@@ -136,7 +136,7 @@
 	if err != nil {
 		slog.Error("by hand not kept", "server", instance, "out", disabled, "error", err)
 	}
-	if disabled && err == nil && l.handover.countWithin(countLimit) > 1 { // from the answer on the call binds the other process too
+	if disabled && err == nil && l.handover.countProcessesWithin(countTimeout) > 1 { // from the answer on the call binds the other process too
 		l.waitForOtherProcess(ctx)
 	}
 	return err
@@ -146,7 +146,7 @@
 // far, even if that process is held up.
 func (l *loop) waitForOtherProcess(ctx context.Context) {
 	select {
-	case <-time.After(alonePoll + togetherPoll + otherHeldUp):
+	case <-time.After(soloPollInterval + upgradePollInterval + processStallMargin):
 	case <-ctx.Done():
 	}
 }
@@ -159,19 +159,19 @@
 
 // updateFleet passes the current fleet membership to the module.
 func (l *loop) updateFleet(ctx context.Context, fleet balance.Fleet) error {
-	return l.postAndWait(ctx, func(now time.Duration) { l.balancer.Fleet(now, fleet) })
+	return l.postAndWait(ctx, func(now time.Duration) { l.balancer.SetFleet(now, fleet) })
 }
 
 // applyRules puts a rule set in force.
 func (l *loop) applyRules(ctx context.Context, set *rules.Set) error {
-	return l.postAndWait(ctx, func(now time.Duration) { l.balancer.Rules(now, set.Rules) })
+	return l.postAndWait(ctx, func(now time.Duration) { l.balancer.SetRules(now, set.Rules) })
 }
 
 // setProcessCount tells the module how many processes this sidecar currently has.
-func (l *loop) setProcessCount(n int) { l.post(func(time.Duration) { l.balancer.Share(n) }) }
+func (l *loop) setProcessCount(n int) { l.post(func(time.Duration) { l.balancer.SetProcessCount(n) }) }
 
 // applyOperatorCalls applies the calls that operators made at the other process.
-func (l *loop) applyOperatorCalls(ctx context.Context, calls map[string]handed) {
+func (l *loop) applyOperatorCalls(ctx context.Context, calls map[string]operatorCall) {
 	_ = l.postAndWait(ctx, func(now time.Duration) { // fails only at the end of the process
 		for instance, call := range calls {
 			l.applyOperatorCall(now, instance, call.Out, time.Duration(call.AtMs)*time.Millisecond)
@@ -182,14 +182,14 @@
 // applyOperatorCall has the module disable or enable a server, as of the moment at. A repeated call changes nothing.
 func (l *loop) applyOperatorCall(now time.Duration, instance string, disabled bool, at time.Duration) {
 	id := serverID(instance)
-	if l.balancer.Out(id) == disabled {
+	if l.balancer.Disabled(id) == disabled {
 		return
 	}
 	at = min(at, now) // the other process may have made the call before a backward step of the wall clock
 	if disabled {
-		l.balancer.TakeOut(now, id)
+		l.balancer.Disable(now, id)
 	} else {
-		l.balancer.BringBack(now, id, at)
+		l.balancer.Enable(now, id, at)
 	}
 	slog.Info("by hand", "server", instance, "out", disabled)
 	l.serverCountsAt = 0 // so that the counts are published at once
@@ -220,14 +220,14 @@
 func (l *loop) run(ctx context.Context, known listing) {
 	l.now = l.clock.now()
 	l.balancer.Start(l.now)
-	for instance, call := range l.handover.known() { // an enabled server is disabled first, so that the module treats it as cold
+	for instance, call := range l.handover.currentCalls() { // an enabled server is disabled first, so that the module treats it as cold
 		l.applyOperatorCall(l.now, instance, true, 0)
 		l.applyOperatorCall(l.now, instance, call.Out, time.Duration(call.AtMs)*time.Millisecond)
 	}
 	known.whole = true
 	l.applyList(known, balance.ListCached)
 	if learned, ok := l.handover.loadLearned(); ok {
-		l.balancer.Recall(l.now, learned)
+		l.balancer.RestoreLearned(l.now, learned)
 	}
 	counters := time.NewTicker(countersLogInterval)
 	defer counters.Stop()
@@ -290,7 +290,7 @@
 
 // discoveryFailed tells the module that a call to discovery failed.
 func (l *loop) discoveryFailed() {
-	l.post(func(now time.Duration) { l.balancer.List(now, balance.ListFailed, nil) })
+	l.post(func(now time.Duration) { l.balancer.UpdateServers(now, balance.ListFailed, nil) })
 }
 
 // applyList updates the addresses of the listed servers, closes idle connections to addresses that are no longer
@@ -322,14 +322,14 @@
 	}
 	for address := range gone {
 		l.upstream.closeIdle(address)
-		l.guard.Listed(l.now, address, balance.Gone)
+		l.guard.SetServerState(l.now, address, balance.Gone)
 	}
 	for _, s := range update.servers {
 		if address, listed := l.addresses[s.ID]; listed {
-			l.guard.Listed(l.now, address, addressState(ready[address]))
+			l.guard.SetServerState(l.now, address, addressState(ready[address]))
 		}
 	}
-	l.balancer.List(l.now, kind, update.servers)
+	l.balancer.UpdateServers(l.now, kind, update.servers)
 }
 
 // addressState returns the state of an address: ready if any server listed there is ready, else draining.
@@ -345,11 +345,11 @@
 func (l *loop) submit(q balance.Request, outbound *outboundRequest, deadline time.Duration, reply chan<- answer) balance.RequestID {
 	q.ID = balance.RequestID(l.lastID.Add(1))
 	class := l.classes[q.Class]
-	l.guard.Take(q.ID, guard.Request{Name: outbound.id, Deadline: deadline, Effect: class.Effect, Window: class.Window, Coming: outbound.upload != nil})
-	outbound.permitWrite = func(now time.Duration, address string) error { return l.guard.Write(now, q.ID, address) }
-	outbound.onWritten = func(began, now time.Duration, address string) { l.guard.Written(began, now, q.ID, address) }
+	l.guard.Admit(q.ID, guard.Request{RequestID: outbound.id, Deadline: deadline, Effect: class.Idempotency, Window: class.DedupWindow, BodyPending: outbound.upload != nil})
+	outbound.permitWrite = func(now time.Duration, address string) error { return l.guard.PermitWrite(now, q.ID, address) }
+	outbound.onWritten = func(began, now time.Duration, address string) { l.guard.AttemptWritten(began, now, q.ID, address) }
 	if outbound.upload != nil {
-		q.Coming = true
+		q.BodyPending = true
 		onSent := outbound.upload.onSent
 		outbound.upload.onSent = func() {
 			onSent()
@@ -359,15 +359,15 @@
 	if askPresence := outbound.clientPresence; askPresence != nil {
 		outbound.clientPresence = func() presence {
 			found := askPresence()
-			if found == departed {
-				l.guard.Left(l.clock.now(), q.ID)
+			if found == clientGone {
+				l.guard.ClientLeft(l.clock.now(), q.ID)
 				l.clientGone(q.ID) // posted before the end of the attempt that finds this out, or the module would retry
 			}
 			return found
 		}
 	}
 	l.post(func(now time.Duration) {
-		q.Left = deadline - now
+		q.TimeLeft = deadline - now
 		l.requests[q.ID] = &request{outbound: outbound, deadline: deadline, reply: reply}
 		l.balancer.Request(now, q)
 	})
@@ -405,8 +405,8 @@
 	r.settled = true
 	switch {
 	case a == nil:
-		l.guard.Settle(id)
-	case l.guard.Answer(l.now, id) == nil:
+		l.guard.AnswerDropped(id)
+	case l.guard.PermitAnswer(l.now, id) == nil:
 		r.reply <- *a
 	}
 	if r.attemptsInFlight == 0 {
@@ -435,20 +435,20 @@
 	}
 	r.attempts[number], r.stream = nil, result.stream
 	l.finishRequest(id, r, &answer{status: http.StatusOK, header: result.header, stream: result.stream})
-	l.balancer.StreamBegun(l.now, id, number)
+	l.balancer.StreamStarted(l.now, id, number)
 }
 
 // attemptEnded handles the end of an attempt. The first served answer goes to the client at once and settles the
 // request.
 func (l *loop) attemptEnded(id balance.RequestID, number int, sent time.Duration, result attemptResult) {
 	r := l.requests[id]
-	l.guard.End(sent, id, result.ending)
+	l.guard.AttemptEnded(sent, id, result.ending)
 	r.lastTimedOut, r.lastEnding = result.ending == balance.TimedOut, result.ending
-	l.trace.step("attempt ended", r.outbound.id, slog.Int("number", number), slog.String("ending", result.ending.String()))
+	l.trace.logStep("attempt ended", r.outbound.id, slog.Int("number", number), slog.String("ending", result.ending.String()))
 	if result.ending == balance.Served && !r.settled {
 		l.finishRequest(id, r, &answer{status: http.StatusOK, header: result.header, body: result.body})
 	}
-	l.reportOutcome(balance.Outcome{ID: id, Attempt: number, Ending: result.ending, Load: result.load, Spent: r.outbound.bodyConsumed()})
+	l.reportOutcome(balance.Outcome{ID: id, Attempt: number, Ending: result.ending, Load: result.load, BodySpent: r.outbound.bodyConsumed()})
 }
 
 // Send starts an attempt that is abandoned after timeout or at the client's deadline, whichever is earlier; 0 leaves
@@ -464,9 +464,9 @@
 	r.attemptsInFlight++
 	address := l.addresses[to]
 	forbidden := r.settled || number >= l.maxAttempts || left <= 0 || timeout < 0 || sendWithin < 0 || address == ""
-	if spent := r.outbound.bodyConsumed(); forbidden || spent || l.guard.Send(l.now, id, address) != nil {
+	if spent := r.outbound.bodyConsumed(); forbidden || spent || l.guard.PermitSend(l.now, id, address) != nil {
 		r.attempts = append(r.attempts, nil)
-		l.unsentOutcomes = append(l.unsentOutcomes, balance.Outcome{ID: id, Attempt: number, Ending: balance.NotSent, Spent: spent})
+		l.unsentOutcomes = append(l.unsentOutcomes, balance.Outcome{ID: id, Attempt: number, Ending: balance.NotSent, BodySpent: spent})
 		return
 	}
 	if timeout == 0 || timeout > left {
@@ -479,7 +479,7 @@
 		r.outbound.timeLeft = min(r.outbound.timeLeft, left)
 	}
 	sent := l.now
-	l.trace.attempt(r.outbound.id, number, r.lastEnding, address, timeout)
+	l.trace.logAttempt(r.outbound.id, number, r.lastEnding, address, timeout)
 	r.attempts = append(r.attempts, l.upstream.send(address, r.outbound, l.now+timeout, sendWithin, r.deadline, func(res attemptResult) {
 		l.post(func(time.Duration) {
 			if res.stream != nil {
@@ -494,7 +494,7 @@
 // Refuse ends a request with a 503, which promises the client that retrying is harmless.
 func (l *loop) Refuse(id balance.RequestID, retryAfter time.Duration, why balance.Reason) {
 	if r := l.requests[id]; r != nil && !r.settled {
-		l.trace.refused(r.outbound.id, why, len(r.attempts))
+		l.trace.logRefused(r.outbound.id, why, len(r.attempts))
 		l.finishRequest(id, r, &answer{status: http.StatusServiceUnavailable, retryAfter: retryAfter})
 	}
 }
@@ -509,7 +509,7 @@
 	if r.lastTimedOut || r.attemptsInFlight > 0 {
 		status = http.StatusGatewayTimeout
 	}
-	l.trace.gaveUp(r.outbound.id, why, len(r.attempts))
+	l.trace.logFailed(r.outbound.id, why, len(r.attempts))
 	l.finishRequest(id, r, &answer{status: status})
 }
 
@@ -553,7 +553,7 @@
 }
 
 // Close closes the idle connections to a server.
-func (l *loop) Close(to balance.ServerID) { l.upstream.closeIdle(l.addresses[to]) }
+func (l *loop) CloseIdle(to balance.ServerID) { l.upstream.closeIdle(l.addresses[to]) }
 
 // WatchList subscribes to the server list at discovery.
 func (l *loop) WatchList() { l.subscribe() }
--- a/internal/sidecar/loop_test.go
+++ b/internal/sidecar/loop_test.go
@@ -13,7 +13,7 @@
 // newTestLoop returns a loop with one listed server. The test itself acts as its goroutine.
 func newTestLoop(t *testing.T, address string) *loop {
 	t.Helper()
-	cfg := testConfig(t, listed(1, "ready", address), nil)
+	cfg := testConfig(t, listAnswer(1, "ready", address), nil)
 	c := newClock()
 	l, err := newLoop(cfg, c, newTransport(cfg, c))
 	if err != nil {
@@ -22,7 +22,7 @@
 	l.now = c.now()
 	l.guard.Start()
 	l.balancer.Start(l.now)
-	l.applyList(cfg.Known, balance.ListCached)
+	l.applyList(cfg.KnownServers, balance.ListCached)
 	return l
 }
 
@@ -38,8 +38,8 @@
 // addRequest enters a request that the module does not know, so that the test can decide for it.
 func (l *loop) addRequest(id balance.RequestID) (*request, chan answer) {
 	reply := make(chan answer, 1)
-	l.guard.Take(id, guard.Request{Name: "held", Deadline: l.now + generous, Effect: balance.Safe})
-	r := &request{outbound: testRequest("1"), reply: reply, deadline: l.now + generous}
+	l.guard.Admit(id, guard.Request{RequestID: "held", Deadline: l.now + testTimeout, Effect: balance.Safe})
+	r := &request{outbound: testRequest("1"), reply: reply, deadline: l.now + testTimeout}
 	l.requests[id] = r
 	return r, reply
 }
@@ -48,7 +48,7 @@
 // attempts, change nothing. Every attempt has one Outcome, and then the entry is removed.
 func TestOneAnswerPerRequest(t *testing.T) {
 	release := make(chan struct{})
-	s := newStub(t, func(c net.Conn, r received) bool {
+	s := newStub(t, func(c net.Conn, r stubRequest) bool {
 		if r.conn > 0 {
 			<-release
 		}
@@ -81,11 +81,11 @@
 
 // The Outcome of a cancelled attempt is reported even after the request's answer.
 func TestOutcomeAfterAnswer(t *testing.T) {
-	s := newStub(t, silent)
+	s := newStub(t, neverAnswer)
 	l := newTestLoop(t, s.address)
 	r, reply := l.addRequest(7)
 	l.Send(7, serverID("s-0"), 0, 0)
-	wait(t, "the request", s.seen)
+	wait(t, "the request", s.requests)
 	l.Fail(7, balance.OutOfTime)
 	if a := wait(t, "the answer", reply); a.status != http.StatusGatewayTimeout {
 		t.Errorf("status %d, want 504", a.status)
@@ -103,7 +103,7 @@
 
 // Sends beyond caps.most_tries, after the deadline, or to a server that is not listed are not carried out.
 func TestImpossibleSends(t *testing.T) {
-	s := newStub(t, silent)
+	s := newStub(t, neverAnswer)
 	l := newTestLoop(t, s.address)
 	l.addRequest(7)
 	to := serverID("s-0")
@@ -114,7 +114,7 @@
 	l.addRequest(8)
 	l.Send(8, serverID("unheard of"), 0, 0)
 	l.Send(8, to, -time.Second, 0)
-	l.now += 2 * generous
+	l.now += 2 * testTimeout
 	l.Send(8, to, 0, 0)
 	want := []balance.Outcome{
 		{ID: 7, Attempt: 3, Ending: balance.NotSent}, {ID: 8, Attempt: 0, Ending: balance.NotSent},
@@ -129,7 +129,7 @@
 		}
 	}
 	for range 3 {
-		wait(t, "a request", s.seen)
+		wait(t, "a request", s.requests)
 	}
 	for i := range 3 {
 		l.Cancel(7, i)
@@ -139,12 +139,12 @@
 
 // A client that closes its connection gets no answer, and its attempts are cancelled.
 func TestClientGone(t *testing.T) {
-	s := newStub(t, silent)
+	s := newStub(t, neverAnswer)
 	l := newTestLoop(t, s.address)
 	reply := make(chan answer, 1)
-	id := l.submit(balance.Request{Class: 0}, testRequest("1"), l.now+generous, reply)
+	id := l.submit(balance.Request{Class: 0}, testRequest("1"), l.now+testTimeout, reply)
 	l.runNextEvent(t)
-	wait(t, "the request", s.seen)
+	wait(t, "the request", s.requests)
 	l.clientGone(id)
 	l.runNextEvent(t)
 	l.runNextEvent(t) // the end of its attempt
@@ -186,7 +186,7 @@
 		}
 		last = now
 	}
-	if got := c.at(last).Sub(c.start); got != last-time.Duration(c.start.UnixNano()) {
+	if got := c.toTime(last).Sub(c.start); got != last-time.Duration(c.start.UnixNano()) {
 		t.Errorf("the moment %v is %v after the start", last, got)
 	}
 }
--- a/internal/sidecar/state.go
+++ b/internal/sidecar/state.go
@@ -29,7 +29,7 @@
 
 // The sections of the state and, where a section has one value, its key.
 const (
-	sectionCalls   = "calls"   // operator calls (handed), by instanceId
+	sectionCalls   = "calls"   // operator calls (operatorCall), by instanceId
 	sectionList    = "list"    // savedList
 	sectionLearned = "learned" // savedLearned
 	singleKey      = "all"
@@ -104,7 +104,7 @@
 func newSavedLearned(learned balance.Learned) savedLearned {
 	saved := savedLearned{AtMs: millis(learned.At), Rate: learned.Rate}
 	for _, s := range learned.Servers {
-		saved.Servers = append(saved.Servers, savedServer{uint64(s.ID), s.Fails, millis(s.Silent), millis(s.WarmAt), s.Strain})
+		saved.Servers = append(saved.Servers, savedServer{uint64(s.ID), s.Failures, millis(s.SilentSince), millis(s.WarmAt), s.LatencyRatio})
 	}
 	return saved
 }
@@ -114,7 +114,7 @@
 	learned := balance.Learned{At: fromMillis(saved.AtMs), Rate: saved.Rate}
 	for _, s := range saved.Servers {
 		learned.Servers = append(learned.Servers, balance.LearnedServer{
-			ID: balance.ServerID(s.ID), Fails: s.Fails, Silent: fromMillis(s.SilentMs), WarmAt: fromMillis(s.WarmAtMs), Strain: s.Strain,
+			ID: balance.ServerID(s.ID), Failures: s.Fails, SilentSince: fromMillis(s.SilentMs), WarmAt: fromMillis(s.WarmAtMs), LatencyRatio: s.Strain,
 		})
 	}
 	return learned
@@ -150,7 +150,7 @@
 
 // queueList queues the list for writing; the discovery client must not wait for the disk. With durable it is made durable
 // at once, as is needed when servers were removed.
-func (h *handover) queueList(list *serverList, durable bool) {
+func (h *sharedState) queueList(list *serverList, durable bool) {
 	if h.store == nil || list.version == unknownVersion {
 		return
 	}
@@ -191,10 +191,10 @@
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	durable = durable || h.nextList != nil && h.nextList.durable
-	h.nextList = &pendingList{raw, saved, durable}
+	durable = durable || h.pendingList != nil && h.pendingList.durable
+	h.pendingList = &pendingList{raw, saved, durable}
 	select {
-	case h.news <- struct{}{}:
+	case h.listChanged <- struct{}{}:
 	default:
 	}
 }
@@ -210,15 +210,15 @@
 }
 
 // writeList writes the queued list to the store, unless another process of this sidecar has stored a newer one.
-func (h *handover) writeList() error {
+func (h *sharedState) writeList() error {
 	h.mu.Lock()
-	next := h.nextList
-	h.nextList = nil
+	next := h.pendingList
+	h.pendingList = nil
 	h.mu.Unlock()
 	if next == nil {
 		return nil
 	}
-	if _, err := h.store.Follow(); err != nil {
+	if _, err := h.store.Refresh(); err != nil {
 		return err
 	}
 	if old, _, ok := readSection[savedList](h.store, sectionList); ok {
@@ -234,15 +234,15 @@
 			return nil
 		}
 	}
-	err := h.store.Keep(sectionList, singleKey, next.raw)
+	err := h.store.PutUnsynced(sectionList, singleKey, next.raw)
 	if err == nil && next.durable {
 		err = h.store.Sync()
 	}
 	if err != nil { // the folder may fail for a while: try again with the next write, unless a newer list is queued
 		h.mu.Lock()
 		defer h.mu.Unlock()
-		if h.nextList == nil {
-			h.nextList = next
+		if h.pendingList == nil {
+			h.pendingList = next
 		}
 	}
 	return err
@@ -250,7 +250,7 @@
 
 // changedList returns the list that this sidecar's processes have stored last, and its raw form. changed is false if the raw
 // form equals previous or can't be read.
-func (h *handover) changedList(previous []byte, zones map[string]int) (saved savedList, l listing, raw []byte, changed bool) {
+func (h *sharedState) changedList(previous []byte, zones map[string]int) (saved savedList, l listing, raw []byte, changed bool) {
 	if h.store == nil {
 		return saved, l, nil, false
 	}
@@ -263,7 +263,7 @@
 }
 
 // loadServerList returns the list that an earlier process stored, or the configuration's.
-func (h *handover) loadServerList(cfg *Config, now time.Duration) *serverList {
+func (h *sharedState) loadServerList(cfg *Config, now time.Duration) *serverList {
 	var saved savedList
 	var savedAt time.Time
 	if h.store != nil {
@@ -275,7 +275,7 @@
 // restoreServerList builds the list from the newer of the stored one and the configuration's. If the stored one is too old
 // to be served from, the servers that it has as removed are still withheld.
 func restoreServerList(cfg *Config, saved savedList, savedAt time.Time, now time.Duration) *serverList {
-	list, known := newServerList(cfg.Discovery), cfg.Known
+	list, known := newServerList(cfg.Discovery), cfg.KnownServers
 	known.whole = true
 	parsed, err := listing{}, error(nil)
 	if len(saved.Answer) > 0 {
@@ -325,7 +325,7 @@
 }
 
 // loadLearned returns what an earlier process had learned. The module decides how much of it still holds.
-func (h *handover) loadLearned() (balance.Learned, bool) {
+func (h *sharedState) loadLearned() (balance.Learned, bool) {
 	if h.store == nil {
 		return balance.Learned{}, false
 	}
@@ -335,7 +335,7 @@
 
 // persist saves the queued lists and the module's learned state until ctx ends, and then makes them durable. It runs on
 // its own goroutine, so that the loop never waits for the disk.
-func (h *handover) persist(ctx context.Context, learnedState func(context.Context) (balance.Learned, error)) {
+func (h *sharedState) persist(ctx context.Context, learnedState func(context.Context) (balance.Learned, error)) {
 	if h.store == nil {
 		return
 	}
@@ -354,7 +354,7 @@
 		}
 		failing = err != nil
 	}
-	queued, listPause := h.news, (<-chan time.Time)(nil)
+	queued, listPause := h.listChanged, (<-chan time.Time)(nil)
 	for {
 		select {
 		case <-queued:
@@ -362,7 +362,7 @@
 			queued, listPause = nil, time.After(listSaveInterval)
 			continue
 		case <-listPause:
-			queued, listPause = h.news, nil
+			queued, listPause = h.listChanged, nil
 			continue
 		case <-tick.C:
 		case <-ctx.Done():
@@ -376,7 +376,7 @@
 		if current := newSavedLearned(l); !current.nearlyEqual(last) {
 			raw, writeErr := json.Marshal(current)
 			if writeErr == nil {
-				writeErr = h.store.Keep(sectionLearned, singleKey, raw)
+				writeErr = h.store.PutUnsynced(sectionLearned, singleKey, raw)
 			}
 			if writeErr == nil {
 				last = current
@@ -392,49 +392,49 @@
 }
 
 // damageCount returns in how many places the state was found damaged without an operator having confirmed it since.
-func (h *handover) damageCount() int {
+func (h *sharedState) damageCount() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	n := h.oldDamage
+	n := h.legacyDamage
 	if h.store != nil {
-		n += len(h.store.Damage().Files)
+		n += len(h.store.Damage().Findings)
 	}
 	return n
 }
 
 // confirmDamage records an operator's confirmation that the right servers are disabled although the state was damaged.
-func (h *handover) confirmDamage() error {
+func (h *sharedState) confirmDamage() error {
 	if h.store == nil {
 		return errors.New("there is no state")
 	}
-	if err := h.store.Confirm(); err != nil { // may wait for the disk, so the lock is not held
+	if err := h.store.ConfirmState(); err != nil { // may wait for the disk, so the lock is not held
 		return errNotDurable{err}
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.oldDamage = 0
+	h.legacyDamage = 0
 	return nil
 }
 
 // stateSize returns the size of the state file in bytes.
-func (h *handover) stateSize() int {
+func (h *sharedState) stateSize() int {
 	if h.store == nil {
 		return 0
 	}
-	return h.store.Size()
+	return h.store.CommittedSize()
 }
 
 // saveCall stores an operator call. It waits for the disk no longer than saveTimeout, as the caller waits at the console.
-func (h *handover) saveCall(instance string, disabled bool, at time.Time) error {
+func (h *sharedState) saveCall(instance string, disabled bool, at time.Time) error {
 	select {
-	case h.saves <- struct{}{}:
+	case h.pendingSaves <- struct{}{}:
 	default:
 		return errNotDurable{errors.New("the disk is stuck")}
 	}
 	done := make(chan error, 1)
 	go func() {
-		defer func() { <-h.saves }()
-		done <- h.save(instance, disabled, at)
+		defer func() { <-h.pendingSaves }()
+		done <- h.persistCall(instance, disabled, at)
 	}()
 	select {
 	case err := <-done:
@@ -448,13 +448,13 @@
 }
 
 // callsInForce returns the operator calls in force, by instanceId.
-func (h *handover) callsInForce() map[string]handed {
+func (h *sharedState) callsInForce() map[string]operatorCall {
 	if h.store == nil {
-		return maps.Clone(h.handed)
+		return maps.Clone(h.unsavedCalls)
 	}
-	all := make(map[string]handed)
+	all := make(map[string]operatorCall)
 	for instance, e := range h.store.All(sectionCalls) {
-		var c handed
+		var c operatorCall
 		if err := json.Unmarshal(e.Value, &c); err != nil {
 			slog.Error("state not read", "error", fmt.Errorf("section %s, key %s: %w", sectionCalls, instance, err))
 			continue
--- a/internal/sidecar/state_test.go
+++ b/internal/sidecar/state_test.go
@@ -20,12 +20,12 @@
 // A process starts from what the previous one saved: the list, the learned state and the operator calls.
 func TestNextProcessRestoresState(t *testing.T) {
 	dir := t.TempDir()
-	cfg := testConfig(t, listed(1, "ready", "127.0.0.1:1"), nil)
-	h, now := newHandover(dir, "n0"), newClock().now()
+	cfg := testConfig(t, listAnswer(1, "ready", "127.0.0.1:1"), nil)
+	h, now := newSharedState(dir, "n0"), newClock().now()
 	if v := h.loadServerList(cfg, now); v.version != 1 || !v.canWatch() {
 		t.Errorf("without a stored list: version %d", v.version)
 	}
-	l, err := parseListing([]byte(listed(7, "ready", "127.0.0.1:2", "127.0.0.1:3")), cfg.Zones)
+	l, err := parseListing([]byte(listAnswer(7, "ready", "127.0.0.1:2", "127.0.0.1:3")), cfg.Zones)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -34,7 +34,7 @@
 	v.apply(listing{version: 8, servers: []balance.Server{{ID: serverID("s-0"), State: balance.Gone}}}, now)
 	h.queueList(v, true)
 	learnedBefore := balance.Learned{At: time.Duration(time.Now().UnixMilli()) * time.Millisecond, Rate: 120, Servers: []balance.LearnedServer{
-		{ID: serverID("s-1"), Fails: 3, Silent: 5 * time.Second, WarmAt: 9 * time.Second, Strain: 7.5},
+		{ID: serverID("s-1"), Failures: 3, SilentSince: 5 * time.Second, WarmAt: 9 * time.Second, LatencyRatio: 7.5},
 	}}
 	ctx, stop := context.WithCancel(context.Background())
 	calls := make(chan bool, 100)
@@ -47,9 +47,9 @@
 	wait(t, "the module to be asked again", calls) // so that the first answer is saved
 	stop()
 	<-done
-	h.die()
+	h.exit()
 
-	next := newHandover(dir, "n0")
+	next := newSharedState(dir, "n0")
 	if learned, ok := next.loadLearned(); !ok || !reflect.DeepEqual(learned, learnedBefore) {
 		t.Errorf("learned %+v, %v, want %+v", learned, ok, learnedBefore)
 	}
@@ -66,7 +66,7 @@
 		"stored long ago":           {1, cfg.Discovery, 2 * maxSavedListAge, 8, "s-0@127.0.0.1:1 out"},
 		"stored in the future":      {1, cfg.Discovery, -2 * maxSavedListAge, 8, "s-0@127.0.0.1:1 out"},
 	} {
-		cfg.Known.version, cfg.Discovery = c.known, c.source
+		cfg.KnownServers.version, cfg.Discovery = c.known, c.source
 		at := newClock().now() + c.later
 		v := next.loadServerList(cfg, at)
 		if got := describeServers(v.effectiveListing()); got != c.want || v.version != c.top {
@@ -88,50 +88,50 @@
 	}
 	now := time.Now().UnixMilli()
 	write(fmt.Sprintf(`{"version":1,"servers":{"a":{"out":true,"atMs":%d}}}`, now))
-	h := newHandover(dir, "n0")
-	if got := h.known(); !got["a"].Out || h.damageCount() != 0 {
+	h := newSharedState(dir, "n0")
+	if got := h.currentCalls(); !got["a"].Out || h.damageCount() != 0 {
 		t.Errorf("known %v", got)
 	}
 	write(fmt.Sprintf(`{"version":1,"servers":{"a":{"out":false,"atMs":%d},"b":{"out":true,"atMs":%d}}}`, now+1000, now+1000))
-	if got := h.known(); got["a"].Out || !got["b"].Out { // a process of an older program has stored calls
+	if got := h.currentCalls(); got["a"].Out || !got["b"].Out { // a process of an older program has stored calls
 		t.Errorf("known %v", got)
 	}
-	if err := h.save("c", true, time.Now()); err != nil {
+	if err := h.persistCall("c", true, time.Now()); err != nil {
 		t.Fatal(err)
 	}
 	raw, err := os.ReadFile(path)
 	var old struct { // as an older program reads the file
-		Version int               `json:"version"`
-		Servers map[string]handed `json:"servers"`
+		Version int                     `json:"version"`
+		Servers map[string]operatorCall `json:"servers"`
 	}
 	if err != nil || json.Unmarshal(raw, &old) != nil || old.Version != 1 || !old.Servers["b"].Out || !old.Servers["c"].Out {
 		t.Errorf("the file for older programs: %s, error %v", raw, err)
 	}
-	h.die()
+	h.exit()
 	for bit := range len(raw) * 8 { // damage to the file changes nothing, as the state has the calls
 		flipped := append([]byte(nil), raw...)
 		flipped[bit/8] ^= 1 << (bit % 8)
 		write(string(flipped))
 		if bit%64 != 0 {
-			h := &handover{state: path}
-			servers, older, err := h.older()
+			h := &sharedState{legacyPath: path}
+			servers, older, err := h.readLegacy()
 			if err == nil && older || err == nil && !reflect.DeepEqual(servers, old.Servers) {
 				t.Fatalf("bit %d: read as %v, by an older program %v", bit, servers, older)
 			}
 			continue
 		}
-		next := newHandover(dir, "n0")
-		if got := next.known(); got["a"].Out || !got["b"].Out || !got["c"].Out || len(got) != 3 {
+		next := newSharedState(dir, "n0")
+		if got := next.currentCalls(); got["a"].Out || !got["b"].Out || !got["c"].Out || len(got) != 3 {
 			t.Fatalf("bit %d: known %v", bit, got)
 		}
-		next.die()
+		next.exit()
 	}
 	emptyDir := t.TempDir()
 	path = filepath.Join(emptyDir, "sidecar-n0.state")
 	write(strings.Replace(string(raw), `"b"`, `"x"`, 1))
-	h = newHandover(emptyDir, "n0")
-	if h.damageCount() != 1 || len(h.known()) != 0 {
-		t.Errorf("damaged %d, known %v", h.damageCount(), h.known())
+	h = newSharedState(emptyDir, "n0")
+	if h.damageCount() != 1 || len(h.currentCalls()) != 0 {
+		t.Errorf("damaged %d, known %v", h.damageCount(), h.currentCalls())
 	}
 	if err := h.confirmDamage(); err != nil || h.damageCount() != 0 {
 		t.Errorf("confirmed: %v, damaged %d", err, h.damageCount())
@@ -141,16 +141,16 @@
 // The console reports a damaged state until it is confirmed, and answers a call that could not be stored differently.
 func TestConsoleReportsState(t *testing.T) {
 	s := newStub(t, echo)
-	sidecar := start(t, nil, s.address)
-	if got := sidecar.call(t, "show-stat\n"); !strings.Contains(got, "app.state_damaged=0\n") || strings.Contains(got, "app.state_bytes=0\n") {
+	sidecar := startSidecar(t, nil, s.address)
+	if got := sidecar.callConsole(t, "show-stat\n"); !strings.Contains(got, "app.state_damaged=0\n") || strings.Contains(got, "app.state_bytes=0\n") {
 		t.Errorf("figures %q", got)
 	}
-	if got := sidecar.call(t, "confirm-state\n"); !strings.HasPrefix(got, "200 ") {
+	if got := sidecar.callConsole(t, "confirm-state\n"); !strings.HasPrefix(got, "200 ") {
 		t.Errorf("confirmed: %q", got)
 	}
-	c := &console{server: func(context.Context, string, bool) error { return errNotDurable{os.ErrDeadlineExceeded} }}
+	c := &console{setServer: func(context.Context, string, bool) error { return errNotDurable{os.ErrDeadlineExceeded} }}
 	var out strings.Builder
-	c.call(context.Background(), &out, []string{"disable-server", "x"})
+	c.execute(context.Background(), &out, []string{"disable-server", "x"})
 	if !strings.HasPrefix(out.String(), "202 ") || strings.Count(out.String(), "\n") != 1 {
 		t.Errorf("not stored: %q", &out)
 	}
@@ -189,8 +189,8 @@
 	return stuckFile{f, d}, nil
 }
 
-func (d *stuckDisk) Linked(path string, f store.File) bool {
-	return d.OS.Linked(path, f.(stuckFile).File)
+func (d *stuckDisk) SameFile(path string, f store.File) bool {
+	return d.OS.SameFile(path, f.(stuckFile).File)
 }
 
 // stuckFile is a file on a stuckDisk.
@@ -206,36 +206,36 @@
 func TestStuckDiskBlocksNothing(t *testing.T) {
 	s := newStub(t, echo)
 	d := &stuckDisk{released: make(chan struct{}), waiting: make(chan struct{}, 1)}
-	sidecar := startOn(t, d, nil, s.address)
-	if got := sidecar.call(t, "ready\n"); !strings.HasPrefix(got, "200 ") {
+	sidecar := startSidecarOnDisk(t, d, nil, s.address)
+	if got := sidecar.callConsole(t, "ready\n"); !strings.HasPrefix(got, "200 ") {
 		t.Fatalf("ready: %q", got)
 	}
 	d.stuck.Store(true)
-	if got := sidecar.call(t, "disable-server s-9\n"); !strings.HasPrefix(got, "400 ") {
+	if got := sidecar.callConsole(t, "disable-server s-9\n"); !strings.HasPrefix(got, "400 ") {
 		t.Errorf("of a server that there is not: %q", got)
 	}
-	if got := sidecar.call(t, "disable-server s-0\n"); !strings.HasPrefix(got, "202 ") {
+	if got := sidecar.callConsole(t, "disable-server s-0\n"); !strings.HasPrefix(got, "202 ") {
 		t.Errorf("not stored: %q", got)
 	}
 	wait(t, "a sync that hangs", d.waiting)
-	if got := sidecar.call(t, "enable-server s-0\n"); !strings.HasPrefix(got, "202 ") {
+	if got := sidecar.callConsole(t, "enable-server s-0\n"); !strings.HasPrefix(got, "202 ") {
 		t.Errorf("not stored: %q", got)
 	}
 	for range 20 {
-		if res, _ := do(t, sidecar.request(t, "GET", "/look", "")); res.StatusCode != 200 {
+		if res, _ := sendRequest(t, sidecar.newRequest(t, "GET", "/look", "")); res.StatusCode != 200 {
 			t.Errorf("a request while the disk hangs: %d", res.StatusCode)
 		}
 	}
-	if got := sidecar.call(t, "ready\n"); !strings.HasPrefix(got, "200 ") {
+	if got := sidecar.callConsole(t, "ready\n"); !strings.HasPrefix(got, "200 ") {
 		t.Errorf("ready while the disk hangs: %q", got)
 	}
-	if got := sidecar.call(t, "show-stat\n"); !strings.Contains(got, "app.members=1\napp.members_unavailable=0\n") {
+	if got := sidecar.callConsole(t, "show-stat\n"); !strings.Contains(got, "app.members=1\napp.members_unavailable=0\n") {
 		t.Errorf("figures while the disk hangs: %q", got)
 	}
 	d.stuck.Store(false)
 	close(d.released)
 	for got := ""; !strings.HasPrefix(got, "200 "); {
-		got = sidecar.call(t, "disable-server s-0\n")
+		got = sidecar.callConsole(t, "disable-server s-0\n")
 	}
 	sidecar.stop()
 	if err := wait(t, "the end", sidecar.ended); err != nil {
@@ -259,24 +259,24 @@
 // Operator calls in a folder that can't be read when the process starts are applied once it can be read.
 func TestUnreadableCallsAreAppliedLater(t *testing.T) {
 	dir := t.TempDir()
-	before := newHandover(dir, "n0")
-	if err := before.save("s-1", true, time.Now()); err != nil {
+	before := newSharedState(dir, "n0")
+	if err := before.persistCall("s-1", true, time.Now()); err != nil {
 		t.Fatal(err)
 	}
-	before.die()
+	before.exit()
 	if err := os.Remove(filepath.Join(dir, "sidecar-n0.state")); err != nil { // the copy for older programs is not to be used
 		t.Fatal(err)
 	}
 	disk := unlistableFS{failing: new(atomic.Bool)}
 	disk.failing.Store(true)
-	h := openHandover(dir, "n0", store.Options{FS: disk})
-	if len(h.known()) > 0 {
+	h := openSharedState(dir, "n0", store.Options{FS: disk})
+	if len(h.currentCalls()) > 0 {
 		t.Fatal("the folder could be read")
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	applied := make(chan map[string]handed, 100)
-	go h.watch(ctx, 1, func(int) {}, func(calls map[string]handed) { applied <- calls })
+	applied := make(chan map[string]operatorCall, 100)
+	go h.watchProcesses(ctx, 1, func(int) {}, func(calls map[string]operatorCall) { applied <- calls })
 	disk.failing.Store(false)
 	for !wait(t, "the call", applied)["s-1"].Out {
 	}
--- a/internal/sidecar/upstream.go
+++ b/internal/sidecar/upstream.go
@@ -59,7 +59,7 @@
 
 // clientAbsent reports whether the client is not known to wait for the answer, so that nothing may be sent any more.
 func (r *outboundRequest) clientAbsent() bool {
-	return r != nil && r.clientPresence != nil && r.clientPresence() != present
+	return r != nil && r.clientPresence != nil && r.clientPresence() != clientPresent
 }
 
 // bodyConsumed reports whether the request can't be sent again because part of its body has been read and dropped.
@@ -129,10 +129,10 @@
 // newTransport returns a transport without connections, for a sidecar that has one process.
 func newTransport(cfg *Config, c clock) *transport {
 	u := &transport{
-		clock: c, dialTimeout: cfg.DialTimeout, reportFields: cfg.Reports, columns: cfg.Columns,
+		clock: c, dialTimeout: cfg.DialTimeout, reportFields: cfg.LoadReportFields, columns: cfg.LoadReportColumns,
 		// A request written as the server closes the connection would end as a reset.
-		maxIdle:       cfg.ConnIdle - min(idleMargin, cfg.ConnIdle/4),
-		maxOpen:       cfg.upstreamConns(1),
+		maxIdle:       cfg.UpstreamIdleTimeout - min(idleMargin, cfg.UpstreamIdleTimeout/4),
+		maxOpen:       cfg.upstreamConnLimit(1),
 		probePath:     "/alive",
 		makeRoom:      func(int) bool { return true },
 		hasRoom:       func(int) bool { return true },
@@ -348,7 +348,7 @@
 func (u *transport) readAnswer(
 	x *exchange, c *conn, req *http.Request, deadline time.Duration, onBegin func(*http.Response, *stream),
 ) (res *http.Response, body []byte, err error) {
-	_ = c.SetDeadline(u.clock.at(deadline)) // fails only on a closed connection, as the read then does
+	_ = c.SetDeadline(u.clock.toTime(deadline)) // fails only on a closed connection, as the read then does
 	if res, err = c.readHead(req); err != nil {
 		return res, nil, err
 	}
@@ -388,7 +388,7 @@
 	if outbound != nil && outbound.upload != nil {
 		sendBy := time.Time{}
 		if x.sendBy > 0 {
-			sendBy = u.clock.at(x.sendBy)
+			sendBy = u.clock.toTime(x.sendBy)
 		}
 		out := bufio.NewWriterSize(stallWriter{c, sendBy}, chunkSize)
 		if err := req.Write(out); err != nil {
@@ -410,8 +410,8 @@
 	if err := req.Write(&out); err != nil {
 		return 0, err
 	}
-	_ = c.SetDeadline(u.clock.at(x.limitToSendBy(deadline))) // fails only on a closed connection, as the write then does
-	if _, err := writeThrough(c, out.Bytes()); err != nil {
+	_ = c.SetDeadline(u.clock.toTime(x.limitToSendBy(deadline))) // fails only on a closed connection, as the write then does
+	if _, err := writeRetrying(c, out.Bytes()); err != nil {
 		return 0, err
 	}
 	if outbound != nil {
--- a/internal/sidecar/upstream_test.go
+++ b/internal/sidecar/upstream_test.go
@@ -18,7 +18,7 @@
 
 // testTransport returns a transport of the test configuration.
 func testTransport(t *testing.T) *transport {
-	return newTransport(testConfig(t, listed(1, "ready"), nil), newClock())
+	return newTransport(testConfig(t, listAnswer(1, "ready"), nil), newClock())
 }
 
 // testRequest returns a request with an ID and a buffered body.
@@ -76,7 +76,7 @@
 		"broken":              {"", balance.Broken, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := newStub(t, func(conn net.Conn, r received) bool {
+			s := newStub(t, func(conn net.Conn, r stubRequest) bool {
 				if r.conn > 0 {
 					return ok(conn, "again")
 				}
@@ -87,7 +87,7 @@
 				return c.reused || name == "bytes left over" || name == "to be closed" || name == "headers without end"
 			})
 			u := testTransport(t)
-			if got := runAttempt(t, u, s.address, "1", generous); got.ending != c.ending {
+			if got := runAttempt(t, u, s.address, "1", testTimeout); got.ending != c.ending {
 				t.Fatalf("ending %v, want %v", got.ending, c.ending)
 			} else if got.ending == balance.Served && string(got.body) != "hi" {
 				t.Fatalf("body %q, want hi", got.body)
@@ -95,8 +95,8 @@
 			if idle := len(u.idle[s.address]); idle != 0 != c.reused || u.open != idle {
 				t.Errorf("%d connections idle, %d open, want one reusable: %v", idle, u.open, c.reused)
 			}
-			if len(s.seen) != 1 {
-				t.Errorf("the upstream had %d requests, want one", len(s.seen))
+			if len(s.requests) != 1 {
+				t.Errorf("the upstream had %d requests, want one", len(s.requests))
 			}
 		})
 	}
@@ -105,16 +105,16 @@
 // A reused connection breaks after the last byte of the request: the request may have run, so that only the module may
 // send it again. http.Transport resends it, even a POST with Idempotency-Key.
 func TestBrokenReusedConnectionIsNotRetried(t *testing.T) {
-	s := newStub(t, func(c net.Conn, r received) bool {
+	s := newStub(t, func(c net.Conn, r stubRequest) bool {
 		return r.Header.Get("X-Request-ID") == "1" && ok(c, "hi")
 	})
 	u := testTransport(t)
-	runAttempt(t, u, s.address, "1", generous)
-	if got := runAttempt(t, u, s.address, "2", generous); got.ending != balance.Broken {
+	runAttempt(t, u, s.address, "1", testTimeout)
+	if got := runAttempt(t, u, s.address, "2", testTimeout); got.ending != balance.Broken {
 		t.Fatalf("ending %v, want %v", got.ending, balance.Broken)
 	}
-	if first, second := wait(t, "1", s.seen), wait(t, "2", s.seen); first.conn != second.conn || len(s.seen) > 0 {
-		t.Fatalf("connections %d and %d, %d more requests; want one connection and no more", first.conn, second.conn, len(s.seen))
+	if first, second := wait(t, "1", s.requests), wait(t, "2", s.requests); first.conn != second.conn || len(s.requests) > 0 {
+		t.Fatalf("connections %d and %d, %d more requests; want one connection and no more", first.conn, second.conn, len(s.requests))
 	}
 }
 
@@ -123,7 +123,7 @@
 func TestStaleConnectionIsNotUsed(t *testing.T) {
 	hangUp := make(chan struct{})
 	gone := make(chan struct{})
-	s := newStub(t, func(c net.Conn, r received) bool {
+	s := newStub(t, func(c net.Conn, r stubRequest) bool {
 		answered := echo(c, r)
 		if r.conn == 0 {
 			<-hangUp
@@ -134,15 +134,15 @@
 	})
 	u := testTransport(t)
 	u.blockReuse() // a closed connection is detected without a wait
-	runAttempt(t, u, s.address, "1", generous)
+	runAttempt(t, u, s.address, "1", testTimeout)
 	close(hangUp)
 	wait(t, "the server to close", gone)
-	for end := time.Now().Add(generous); u.idle[s.address][0].usable(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); u.idle[s.address][0].usable(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) { // the close has long arrived
 			t.Fatal("the closed connection counts as usable")
 		}
 	}
-	if got := runAttempt(t, u, s.address, "2", generous); got.ending != balance.Served {
+	if got := runAttempt(t, u, s.address, "2", testTimeout); got.ending != balance.Served {
 		t.Fatalf("ending %v, want %v", got.ending, balance.Served)
 	}
 	if u.stale != 1 || u.dialled != 2 || u.open != 1 {
@@ -161,7 +161,7 @@
 // waitIdle waits until an address has n idle connections.
 func (u *transport) waitIdle(t *testing.T, address string, n int) {
 	t.Helper()
-	for end, there := time.Now().Add(generous), -1; there != n; time.Sleep(time.Millisecond) {
+	for end, there := time.Now().Add(testTimeout), -1; there != n; time.Sleep(time.Millisecond) {
 		u.mu.Lock()
 		there = len(u.idle[address])
 		u.mu.Unlock()
@@ -178,7 +178,7 @@
 	const more = "HTTP/1.1 503 No\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n"
 	for _, spare := range []bool{true, false} {
 		first := make(chan net.Conn, 1)
-		s := newStub(t, func(c net.Conn, r received) bool {
+		s := newStub(t, func(c net.Conn, r stubRequest) bool {
 			if r.conn == 0 && r.Header.Get("X-Request-ID") == "1" {
 				first <- c
 			} else if r.conn == 0 { // without the delay the request arrives before the second answer
@@ -189,9 +189,9 @@
 		u := testTransport(t)
 		u.hasRoom = func(int) bool { return spare }
 		waits2, quiet := u.blockReuse()
-		runAttempt(t, u, s.address, "1", generous)
+		runAttempt(t, u, s.address, "1", testTimeout)
 		firstConn, done := u.idle[s.address][0], make(chan attemptResult, 2)
-		u.send(s.address, testRequest("2"), u.clock.now()+generous, 0, u.clock.now()+generous, func(r attemptResult) { done <- r })
+		u.send(s.address, testRequest("2"), u.clock.now()+testTimeout, 0, u.clock.now()+testTimeout, func(r attemptResult) { done <- r })
 		select {
 		case <-waits2:
 			if spare {
@@ -200,7 +200,7 @@
 			if _, err := wait(t, "the first connection", first).Write([]byte(more)); err != nil {
 				t.Fatal(err)
 			}
-			for end := time.Now().Add(generous); firstConn.usable(); time.Sleep(time.Millisecond) {
+			for end := time.Now().Add(testTimeout); firstConn.usable(); time.Sleep(time.Millisecond) {
 				if time.Now().After(end) {
 					t.Fatal("the second answer has not come")
 				}
@@ -208,7 +208,7 @@
 			close(quiet)
 		case r := <-done:
 			done <- r
-		case <-time.After(generous):
+		case <-time.After(testTimeout):
 			t.Fatal("the second request neither waits nor ends")
 		}
 		if r := wait(t, "the end of the attempt", done); r.ending != balance.Served || string(r.body) != "done 2" {
@@ -241,8 +241,8 @@
 			s := newStub(t, echo)
 			u := testTransport(t)
 			waits, quiet := u.blockReuse()
-			runAttempt(t, u, s.address, "1", generous)
-			wait(t, "1", s.seen)
+			runAttempt(t, u, s.address, "1", testTimeout)
+			wait(t, "1", s.requests)
 			first := u.idle[s.address][0]
 			dialled, up := make(chan struct{}, 10), make(chan error, 10)
 			dial := u.dial
@@ -257,7 +257,7 @@
 				c.edit(u)
 			}
 			done := make(chan attemptResult, 2)
-			x := u.send(s.address, testRequest("2"), u.clock.now()+generous, 0, u.clock.now()+generous, func(r attemptResult) { done <- r })
+			x := u.send(s.address, testRequest("2"), u.clock.now()+testTimeout, 0, u.clock.now()+testTimeout, func(r attemptResult) { done <- r })
 			wait(t, "the request to wait", waits)
 			want := balance.Served
 			if c.dialled > 1 {
@@ -267,7 +267,7 @@
 			case "opened": // the next request uses it, before the waiting one is sent
 				up <- nil
 				u.waitIdle(t, s.address, 1)
-				if got := runAttempt(t, u, s.address, "3", generous); got.ending != balance.Served || wait(t, "3", s.seen).conn != 1 {
+				if got := runAttempt(t, u, s.address, "3", testTimeout); got.ending != balance.Served || wait(t, "3", s.requests).conn != 1 {
 					t.Errorf("the next request: ending %v, want it served over the spare connection", got.ending)
 				}
 			case "fails":
@@ -292,7 +292,7 @@
 			if u.dialled != c.dialled || u.open != c.open || len(dialled) > 0 || !slices.Contains(u.idle[s.address], first) {
 				t.Errorf("dialled %d and %d more, open %d, want %d and %d with the first kept", u.dialled, len(dialled), u.open, c.dialled, c.open)
 			}
-			if want == balance.Served && wait(t, "2", s.seen).conn != 0 || len(s.seen) > 0 {
+			if want == balance.Served && wait(t, "2", s.requests).conn != 0 || len(s.requests) > 0 {
 				t.Error("the waiting request was not sent over its own connection, or a cancelled one was sent")
 			}
 		})
@@ -304,7 +304,7 @@
 	s := newStub(t, echo)
 	u := testTransport(t)
 	waits, quiet := u.blockReuse()
-	runAttempt(t, u, s.address, "1", generous)
+	runAttempt(t, u, s.address, "1", testTimeout)
 	u.mu.Lock()
 	u.open++
 	u.mu.Unlock()
@@ -316,7 +316,7 @@
 	dialled, free := u.delayDials(s.address)
 	done := make(chan attemptResult, 3)
 	for _, id := range []string{"2", "3"} {
-		u.send(s.address, testRequest(id), u.clock.now()+generous, 0, u.clock.now()+generous, func(r attemptResult) { done <- r })
+		u.send(s.address, testRequest(id), u.clock.now()+testTimeout, 0, u.clock.now()+testTimeout, func(r attemptResult) { done <- r })
 		wait(t, "the request to wait", waits)
 	}
 	wait(t, "the dial of a spare connection", dialled)
@@ -326,8 +326,8 @@
 	u.mu.Unlock()
 	close(free)
 	u.waitIdle(t, s.address, 1)
-	runAttempt(t, u, s.address, "4", generous)
-	u.send(s.address, testRequest("5"), u.clock.now()+generous, 0, u.clock.now()+generous, func(r attemptResult) { done <- r })
+	runAttempt(t, u, s.address, "4", testTimeout)
+	u.send(s.address, testRequest("5"), u.clock.now()+testTimeout, 0, u.clock.now()+testTimeout, func(r attemptResult) { done <- r })
 	wait(t, "the request to wait", waits)
 	wait(t, "the dial of a second spare connection", dialled)
 	close(quiet)
@@ -384,17 +384,17 @@
 func TestOldConnectionsAreClosed(t *testing.T) {
 	s := newStub(t, echo)
 	u := testTransport(t)
-	runAttempt(t, u, s.address, "1", generous)
+	runAttempt(t, u, s.address, "1", testTimeout)
 	u.mu.Lock()
 	u.idle[s.address][0].idleSince -= u.maxIdle
 	u.mu.Unlock()
 	u.closeExpired()
 	wait(t, "the old connection to close", s.closed)
-	runAttempt(t, u, s.address, "2", generous)
+	runAttempt(t, u, s.address, "2", testTimeout)
 	u.mu.Lock()
 	u.idle[s.address][0].idleSince -= u.maxIdle
 	u.mu.Unlock()
-	runAttempt(t, u, s.address, "3", generous)
+	runAttempt(t, u, s.address, "3", testTimeout)
 	if u.dialled != 3 || u.open != 1 {
 		t.Errorf("dialled %d, open %d, want 3, 1", u.dialled, u.open)
 	}
@@ -406,7 +406,7 @@
 	u := testTransport(t)
 	u.reuseDelay = 0 // every connection is reusable at once
 	for i := range 5 {
-		runAttempt(t, u, s.address, fmt.Sprint(i), generous)
+		runAttempt(t, u, s.address, fmt.Sprint(i), testTimeout)
 	}
 	if u.dialled != 1 {
 		t.Errorf("%d connections for five consecutive requests, want 1", u.dialled)
@@ -415,17 +415,17 @@
 
 // At the limit an idle connection to another server is closed for a new one; if there is none, nothing is sent.
 func TestConnectionLimit(t *testing.T) {
-	a, b, mute := newStub(t, echo), newStub(t, echo), newStub(t, silent)
+	a, b, mute := newStub(t, echo), newStub(t, echo), newStub(t, neverAnswer)
 	u := testTransport(t)
 	u.maxOpen = 1
-	runAttempt(t, u, a.address, "1", generous)
-	if got := runAttempt(t, u, b.address, "2", generous); got.ending != balance.Served || u.open != 1 {
+	runAttempt(t, u, a.address, "1", testTimeout)
+	if got := runAttempt(t, u, b.address, "2", testTimeout); got.ending != balance.Served || u.open != 1 {
 		t.Errorf("ending %v, %d open, want served over the one connection", got.ending, u.open)
 	}
 	done := make(chan attemptResult, 1)
-	x := u.send(mute.address, testRequest("3"), u.clock.now()+generous, 0, u.clock.now()+generous, func(r attemptResult) { done <- r })
-	wait(t, "the request", mute.seen)
-	if got := runAttempt(t, u, a.address, "4", generous); got.ending != balance.NoConnection {
+	x := u.send(mute.address, testRequest("3"), u.clock.now()+testTimeout, 0, u.clock.now()+testTimeout, func(r attemptResult) { done <- r })
+	wait(t, "the request", mute.requests)
+	if got := runAttempt(t, u, a.address, "4", testTimeout); got.ending != balance.NoConnection {
 		t.Errorf("ending %v, want %v", got.ending, balance.NoConnection)
 	}
 	x.cancel()
@@ -441,7 +441,7 @@
 	address := l.Addr().String()
 	l.Close()
 	u := testTransport(t)
-	if got := runAttempt(t, u, address, "1", generous); got.ending != balance.NoConnection || u.open != 0 {
+	if got := runAttempt(t, u, address, "1", testTimeout); got.ending != balance.NoConnection || u.open != 0 {
 		t.Fatalf("ending %v, %d open, want %v and none", got.ending, u.open, balance.NoConnection)
 	}
 }
@@ -449,7 +449,7 @@
 // Failures are counted by kind, so that the log distinguishes a server that closes reused connections from one that breaks new
 // connections or sends malformed answers.
 func TestFailuresAreCounted(t *testing.T) {
-	s := newStub(t, func(c net.Conn, r received) bool {
+	s := newStub(t, func(c net.Conn, r stubRequest) bool {
 		switch id := r.Header.Get("X-Request-ID"); id {
 		case "good":
 			return ok(c, "hi")
@@ -460,7 +460,7 @@
 	})
 	u := testTransport(t)
 	for _, id := range []string{"break", "good", "break", "cut"} {
-		runAttempt(t, u, s.address, id, generous)
+		runAttempt(t, u, s.address, id, testTimeout)
 	}
 	if want := (failures{reset: 1, resetReused: 1, unreadable: 1}); u.failed != want {
 		t.Errorf("counted %+v, want %+v", u.failed, want)
@@ -469,11 +469,11 @@
 
 // A machine that vanished sends nothing: the attempt ends by its time-out, and its connection is closed.
 func TestUnresponsiveServer(t *testing.T) {
-	s := newStub(t, silent)
+	s := newStub(t, neverAnswer)
 	u := testTransport(t)
 	if got := runAttempt(t, u, s.address, "1", 30*time.Millisecond); got.ending != balance.TimedOut {
 		// a busy machine may not have sent the request in that time, which then never ran
-		if got.ending != balance.NoConnection || len(s.seen) > 0 {
+		if got.ending != balance.NoConnection || len(s.requests) > 0 {
 			t.Fatalf("ending %v, want %v", got.ending, balance.TimedOut)
 		}
 	}
@@ -484,11 +484,11 @@
 
 // A cancelled attempt closes its connection, which tells the upstream, and ends exactly once.
 func TestCancelClosesTheConnection(t *testing.T) {
-	s := newStub(t, silent)
+	s := newStub(t, neverAnswer)
 	u := testTransport(t)
 	done := make(chan attemptResult, 2)
-	x := u.send(s.address, testRequest("1"), u.clock.now()+generous, 0, u.clock.now()+generous, func(r attemptResult) { done <- r })
-	wait(t, "the request", s.seen)
+	x := u.send(s.address, testRequest("1"), u.clock.now()+testTimeout, 0, u.clock.now()+testTimeout, func(r attemptResult) { done <- r })
+	wait(t, "the request", s.requests)
 	x.cancel()
 	x.cancel()
 	if got := wait(t, "the end of the attempt", done); got.ending != balance.Cancelled {
@@ -504,12 +504,12 @@
 func TestCancelBeforeWrite(t *testing.T) {
 	s := newStub(t, echo)
 	u := testTransport(t)
-	runAttempt(t, u, s.address, "1", generous)
+	runAttempt(t, u, s.address, "1", testTimeout)
 	x := new(exchange)
 	x.cancel()
 	req := &http.Request{Method: http.MethodGet, URL: &url.URL{Path: "/look"}, Header: http.Header{"X-Request-Id": {"2"}}}
 	for i := range 2 { // over the reused connection, then over a new one
-		if _, _, ending := u.roundTrip(x, s.address, req, testRequest("2"), u.clock.now()+generous, nil); ending != balance.Cancelled {
+		if _, _, ending := u.roundTrip(x, s.address, req, testRequest("2"), u.clock.now()+testTimeout, nil); ending != balance.Cancelled {
 			t.Errorf("ending %v, want %v", ending, balance.Cancelled)
 		}
 		x.cancel() // a second cancel: the connection is no longer the exchange's
@@ -518,8 +518,8 @@
 		}
 		u.closeIdle(s.address)
 	}
-	runAttempt(t, u, s.address, "3", generous)
-	if wait(t, "1", s.seen); wait(t, "3", s.seen).Header.Get("X-Request-ID") != "3" {
+	runAttempt(t, u, s.address, "3", testTimeout)
+	if wait(t, "1", s.requests); wait(t, "3", s.requests).Header.Get("X-Request-ID") != "3" {
 		t.Error("the cancelled request went out")
 	}
 }
@@ -527,11 +527,11 @@
 // The upstream receives the request unchanged, with the time that is left in X-Timeout.
 func TestWhatGoesOn(t *testing.T) {
 	s := newStub(t, echo)
-	runAttempt(t, testTransport(t), s.address, "7", generous)
-	r := wait(t, "the request", s.seen)
-	left, ok := duration(r.Header.Get("X-Timeout"))
+	runAttempt(t, testTransport(t), s.address, "7", testTimeout)
+	r := wait(t, "the request", s.requests)
+	left, ok := parseTimeout(r.Header.Get("X-Timeout"))
 	if r.Method != http.MethodPost || r.uri != "/reading" || r.body != "weight" || r.Host != "service.internal" ||
-		r.Header.Get("X-Request-ID") != "7" || r.Header.Get("Idempotency-Key") != "k7" || !ok || left <= 0 || left > generous {
+		r.Header.Get("X-Request-ID") != "7" || r.Header.Get("Idempotency-Key") != "k7" || !ok || left <= 0 || left > testTimeout {
 		t.Errorf("%s %s %q for %s, headers %v", r.Method, r.uri, r.body, r.Host, r.Header)
 	}
 }
@@ -543,7 +543,7 @@
 		load balance.Load
 	}
 	for status, want := range map[int]bool{200: true, 503: false} {
-		s := newStub(t, func(c net.Conn, r received) bool {
+		s := newStub(t, func(c net.Conn, r stubRequest) bool {
 			report := "TEXT inflight=7, busy_reqs=7, served_ps=2.5, svc_ms=40, failed_ps=oops"
 			if r.uri != "/metrics/load" {
 				report = ""
--- a/internal/sidecar/versions_test.go
+++ b/internal/sidecar/versions_test.go
@@ -36,7 +36,7 @@
 func TestRestartKeepsServerDrained(t *testing.T) {
 	a, b := newStub(t, echo), newStub(t, echo)
 	entries := func(version int, first string) string {
-		return strings.Replace(listed(version, "ready", a.address, b.address), `"ready"`, `"`+first+`"`, 1)
+		return strings.Replace(listAnswer(version, "ready", a.address, b.address), `"ready"`, `"`+first+`"`, 1)
 	}
 	var mu sync.Mutex
 	answer := entries(50, "draining")
@@ -57,20 +57,20 @@
 	}))
 	t.Cleanup(d.Close)
 	useDiscovery := func(file, _ map[string]any) { file["discovery"] = d.Listener.Addr().String() }
-	startIn := func(dir string) *running {
+	startIn := func(dir string) *testSidecar {
 		cfg := testConfig(t, entries(45, "ready"), useDiscovery)
-		cfg.Shared = dir
-		return startWith(t, cfg)
+		cfg.SharedDir = dir
+		return startSidecarWith(t, cfg)
 	}
 	dir, dirAfterKill := t.TempDir(), t.TempDir()
 	first := startIn(dir)
 	for got := ""; !strings.Contains(got, "app.members_unavailable=1\n"); { // the drain has been applied
-		got = first.call(t, "show-stat\n")
+		got = first.callConsole(t, "show-stat\n")
 	}
 	for {
-		h := newHandover(dir, "n0") // acts as another process; the first still runs
+		h := newSharedState(dir, "n0") // acts as another process; the first still runs
 		v := h.loadServerList(testConfig(t, entries(45, "ready"), useDiscovery), newClock().now())
-		h.die()
+		h.exit()
 		if v.version == 50 {
 			break
 		}
@@ -88,11 +88,11 @@
 	wait(t, "a call", asked)
 	wait(t, "the next call, as the answer has then been applied,", asked)
 	for i := range 20 {
-		if res, _ := do(t, second.request(t, "GET", "/look", "")); res.StatusCode != 200 {
+		if res, _ := sendRequest(t, second.newRequest(t, "GET", "/look", "")); res.StatusCode != 200 {
 			t.Errorf("request %d: %d", i, res.StatusCode)
 		}
 	}
-	if n := len(a.seen); n > 0 {
+	if n := len(a.requests); n > 0 {
 		t.Errorf("%d of 20 requests went to the server that drains", n)
 	}
 }
@@ -253,7 +253,7 @@
 				resetAt = now
 			case n == 1: // the process restarts with what it stored
 				restarts++
-				s := &handover{store: newTestStore(t), news: make(chan struct{}, 1)}
+				s := &sharedState{store: newTestStore(t), listChanged: make(chan struct{}, 1)}
 				s.queueList(v, true)
 				if err := s.writeList(); err != nil {
 					t.Fatal(err)
@@ -330,18 +330,18 @@
 // version.
 func TestNewerListIsKept(t *testing.T) {
 	dir, now := t.TempDir(), newClock().now()
-	cfg := testConfig(t, listed(1, "ready", "127.0.0.1:1"), nil)
+	cfg := testConfig(t, listAnswer(1, "ready", "127.0.0.1:1"), nil)
 	wholeList := func(version int64) listing {
-		l, err := parseListing([]byte(listed(int(version), "ready", "127.0.0.1:2")), nil)
+		l, err := parseListing([]byte(listAnswer(int(version), "ready", "127.0.0.1:2")), nil)
 		if err != nil {
 			t.Fatal(err)
 		}
 		return l
 	}
-	first, second := newHandover(dir, "n0"), newHandover(dir, "n0")
+	first, second := newSharedState(dir, "n0"), newSharedState(dir, "n0")
 	a, b := first.loadServerList(cfg, now), second.loadServerList(cfg, now)
 	for i, step := range []struct {
-		by      *handover
+		by      *sharedState
 		v       *serverList
 		version int64
 		stored  int64
@@ -357,11 +357,11 @@
 		if err := step.by.writeList(); err != nil {
 			t.Fatal(err)
 		}
-		last := newHandover(dir, "n0")
+		last := newSharedState(dir, "n0")
 		if got := last.loadServerList(cfg, now).version; got != step.stored {
 			t.Errorf("step %d: version %d is stored, want %d", i, got, step.stored)
 		}
-		last.die()
+		last.exit()
 	}
 }
 
@@ -406,7 +406,7 @@
 			now := zero + w.at
 			switch {
 			case w.version == -1:
-				s := &handover{store: newTestStore(t), news: make(chan struct{}, 1)}
+				s := &sharedState{store: newTestStore(t), listChanged: make(chan struct{}, 1)}
 				s.queueList(v, true)
 				if err := s.writeList(); err != nil {
 					t.Fatal(err)
@@ -442,9 +442,9 @@
 // of a version in between does not bring the server back, one of that version decides.
 func TestOtherProcessWithholdsServer(t *testing.T) {
 	dir, now := t.TempDir(), newClock().now()
-	cfg := testConfig(t, listed(50, "ready", "127.0.0.1:1", "127.0.0.1:2"), nil)
+	cfg := testConfig(t, listAnswer(50, "ready", "127.0.0.1:1", "127.0.0.1:2"), nil)
 	whole := func(version int, first string) listing {
-		text := strings.Replace(listed(version, "ready", "127.0.0.1:1", "127.0.0.1:2"), `"ready"`, `"`+first+`"`, 1)
+		text := strings.Replace(listAnswer(version, "ready", "127.0.0.1:1", "127.0.0.1:2"), `"ready"`, `"`+first+`"`, 1)
 		l, err := parseListing([]byte(text), nil)
 		if err != nil {
 			t.Fatal(err)
@@ -452,7 +452,7 @@
 		return l
 	}
 	noChange := func(version int64) listing { return listing{version: version} }
-	other, h := newHandover(dir, "n0"), newHandover(dir, "n0")
+	other, h := newSharedState(dir, "n0"), newSharedState(dir, "n0")
 	theirs := other.loadServerList(cfg, now)
 	listings := make(chan listing, 10)
 	d := newDiscovery(cfg, func(l listing) { listings <- l }, func() {})
@@ -480,7 +480,7 @@
 			if err := other.writeList(); err != nil {
 				t.Fatal(err)
 			}
-			h.known() // reads the state, as looking for operator calls does
+			h.currentCalls() // reads the state, as looking for operator calls does
 			k, l, raw, changed := h.changedList(last, nil)
 			if last = raw; changed {
 				d.applyOtherProcessList(k, l)
@@ -504,24 +504,24 @@
 	d := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		select {
 		case <-drainForOne:
-			_, _ = io.WriteString(w, listed(60, "draining", s.address))
+			_, _ = io.WriteString(w, listAnswer(60, "draining", s.address))
 		case <-r.Context().Done():
 		}
 	}))
 	t.Cleanup(d.Close)
 	dir := t.TempDir()
-	startProcess := func() *running {
-		cfg := testConfig(t, listed(50, "ready", s.address), func(file, _ map[string]any) { file["discovery"] = d.Listener.Addr().String() })
-		cfg.Shared = dir
-		return startWith(t, cfg)
+	startProcess := func() *testSidecar {
+		cfg := testConfig(t, listAnswer(50, "ready", s.address), func(file, _ map[string]any) { file["discovery"] = d.Listener.Addr().String() })
+		cfg.SharedDir = dir
+		return startSidecarWith(t, cfg)
 	}
-	processes := []*running{startProcess(), startProcess()}
-	end := time.Now().Add(generous)
+	processes := []*testSidecar{startProcess(), startProcess()}
+	end := time.Now().Add(testTimeout)
 	waitForFigures := func(figures string) {
 		t.Helper()
 		for _, process := range processes {
 			for got := ""; !strings.Contains(got, figures); {
-				if got = process.call(t, "show-stat\n"); time.Now().After(end) {
+				if got = process.callConsole(t, "show-stat\n"); time.Now().After(end) {
 					t.Fatalf("waited in vain for %q: %s", figures, got)
 				}
 			}
@@ -539,12 +539,12 @@
 	for i := range 3000 {
 		addresses = append(addresses, fmt.Sprintf("127.0.0.1:%d", 1+i))
 	}
-	cfg := testConfig(t, listed(45, "ready", addresses...), nil)
-	l, err := parseListing([]byte(strings.Replace(listed(50, "ready", addresses...), `"ready"`, `"draining"`, 1)), nil)
+	cfg := testConfig(t, listAnswer(45, "ready", addresses...), nil)
+	l, err := parseListing([]byte(strings.Replace(listAnswer(50, "ready", addresses...), `"ready"`, `"draining"`, 1)), nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	h, now := &handover{store: newTestStore(t), news: make(chan struct{}, 1)}, newClock().now()
+	h, now := &sharedState{store: newTestStore(t), listChanged: make(chan struct{}, 1)}, newClock().now()
 	v := newServerList(cfg.Discovery)
 	v.apply(l, now)
 	h.queueList(v, true)
