--- a/internal/sidecar/late_test.go
+++ b/internal/sidecar/late_test.go
@@ -257,7 +257,7 @@
 			t.Fatal(err)
 		}
 		if time.Now().After(end) {
-			t.Fatalf("waited in vain for %s", what)
+			t.Fatalf("timed out waiting for %s", what)
 		}
 	}
 }
@@ -523,7 +523,7 @@
 	t.Helper()
 	for end := time.Now().Add(testTimeout); !holds(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("waited in vain for %s", what)
+			t.Fatalf("timed out waiting for %s", what)
 		}
 	}
 }
--- a/internal/sidecar/state.go
+++ b/internal/sidecar/state.go
@@ -85,11 +85,11 @@
 
 // savedServer is the stored form of what the module has learned about a server.
 type savedServer struct {
-	ID       uint64  `json:"id"`
-	Fails    int     `json:"fails,omitempty"`
-	SilentMs int64   `json:"silentMs,omitempty"`
-	WarmAtMs int64   `json:"warmAtMs,omitempty"`
-	Strain   float64 `json:"strain"`
+	ID            uint64  `json:"id"`
+	Failures      int     `json:"fails,omitempty"`
+	SilentSinceMs int64   `json:"silentMs,omitempty"`
+	WarmAtMs      int64   `json:"warmAtMs,omitempty"`
+	LatencyRatio  float64 `json:"strain"`
 }
 
 // millis returns d in whole milliseconds.
@@ -114,7 +114,7 @@
 	learned := balance.Learned{At: fromMillis(saved.AtMs), Rate: saved.Rate}
 	for _, s := range saved.Servers {
 		learned.Servers = append(learned.Servers, balance.LearnedServer{
-			ID: balance.ServerID(s.ID), Failures: s.Fails, SilentSince: fromMillis(s.SilentMs), WarmAt: fromMillis(s.WarmAtMs), LatencyRatio: s.Strain,
+			ID: balance.ServerID(s.ID), Failures: s.Failures, SilentSince: fromMillis(s.SilentSinceMs), WarmAt: fromMillis(s.WarmAtMs), LatencyRatio: s.LatencyRatio,
 		})
 	}
 	return learned
@@ -126,7 +126,7 @@
 		return false
 	}
 	for i, s := range saved.Servers {
-		s.Strain = old.Servers[i].Strain // changes with every answer
+		s.LatencyRatio = old.Servers[i].LatencyRatio // changes with every answer
 		if s != old.Servers[i] {
 			return false
 		}
--- a/internal/sidecar/versions_test.go
+++ b/internal/sidecar/versions_test.go
@@ -522,7 +522,7 @@
 		for _, process := range processes {
 			for got := ""; !strings.Contains(got, figures); {
 				if got = process.callConsole(t, "show-stat\n"); time.Now().After(end) {
-					t.Fatalf("waited in vain for %q: %s", figures, got)
+					t.Fatalf("timed out waiting for %q: %s", figures, got)
 				}
 			}
 		}
