--- a/internal/sidecar/stream.go
+++ b/internal/sidecar/stream.go
@@ -164,7 +164,7 @@
 	onBegin  func(*http.Response, *stream) // called when the answer begins to be passed on
 
 	mu              sync.Mutex
-	pace            policy.StallDetector
+	stalls            policy.StallDetector
 	begun           bool   // onBegin has been called, or will not be
 	beginOnNextByte bool   // do not wait for the end or for a full buffer
 	buffered        []byte // read before the stream began
@@ -178,7 +178,7 @@
 // newStream returns a stream of an answer whose head has been read.
 func newStream(res *http.Response, c *conn, exchange *exchange, clock clock) *stream {
 	return &stream{
-		res: res, conn: c, exchange: exchange, clock: clock, pace: policy.NewStallDetector(clock.now(), exchange.clientDeadline), beginOnNextByte: res.ContentLength > maxBufferedBody,
+		res: res, conn: c, exchange: exchange, clock: clock, stalls: policy.NewStallDetector(clock.now(), exchange.clientDeadline), beginOnNextByte: res.ContentLength > maxBufferedBody,
 		chunks: make(chan chunk, maxQueuedChunks), clientGone: make(chan struct{}),
 	}
 }
@@ -188,7 +188,7 @@
 
 // extendReadDeadline sets the moment by which the next bytes have to arrive. The caller holds the lock.
 func (s *stream) extendReadDeadline() {
-	_ = s.conn.SetReadDeadline(s.clock.toTime(s.pace.StartRead(s.clock.now()))) // fails only on a closed connection, as the read then does
+	_ = s.conn.SetReadDeadline(s.clock.toTime(s.stalls.StartRead(s.clock.now()))) // fails only on a closed connection, as the read then does
 }
 
 // run reads the answer from its connection until it ends. An answer that is complete before it is long enough to be
@@ -241,7 +241,7 @@
 func (s *stream) receive(c *chunk, err error) (begun, complete bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.pace.BytesReceived(s.clock.now(), c.n)
+	s.stalls.BytesReceived(s.clock.now(), c.n)
 	if s.begun {
 		return true, false
 	}
