--- a/internal/sidecar/stream.go
+++ b/internal/sidecar/stream.go
@@ -164,7 +164,7 @@
 	onBegin  func(*http.Response, *stream) // called when the answer begins to be passed on
 
 	mu              sync.Mutex
-	stalls            policy.StallDetector
+	stalls          policy.StallDetector
 	begun           bool   // onBegin has been called, or will not be
 	beginOnNextByte bool   // do not wait for the end or for a full buffer
 	buffered        []byte // read before the stream began
