--- a/internal/sidecar/discovery.go
+++ b/internal/sidecar/discovery.go
@@ -20,55 +20,55 @@
 )
 
 const (
-	watchLeast = 10 * time.Second // how long discovery may hold a watch, at least
-	watchMost  = 20 * time.Second // and at most: each draws its own, or watches that fall silent together would all be opened anew together
-	firstWait  = time.Millisecond // and the first after a start or a failure: the module waits for word
+	minWatchWait   = 10 * time.Second // shortest time for which discovery is asked to hold a watch
+	maxWatchWait   = 20 * time.Second // longest; drawn anew for each watch, so that watches that time out together are not reopened together
+	firstWatchWait = time.Millisecond // for the first watch after a start or a failure: the module waits for an answer
 
-	// Limits of calls. What a silent one misses counts as told 2 s after its wait, or 6 s after it fell silent, 4 s after a SIGHUP, and 6 s
-	// after discovery could be reached, whatever failed before: by then the next one has to be answered, and in turn after other sidecars'
-	// (docs/list.md).
-	answerTime  = 750 * time.Millisecond  // for the answer of a watch, behind its wait
-	firstTime   = 2500 * time.Millisecond // for that of another call,
-	againTime   = 4 * time.Second         // where two before were silent: discovery may have a long queue
-	listTime    = 6 * time.Second         // where two before were, and the last had begun to answer: lists may be long
-	connectTime = 400 * time.Millisecond  // for the connection: a lost packet or a machine that is off costs no more,
-	hungMost    = 2                       // doubled so often at most, after each that did not come up
+	// Limits of calls. A change that an unanswered call misses must be known 2 s after the end of that watch's wait, or 6 s
+	// after the call stopped answering, 4 s after a SIGHUP, or 6 s after discovery became reachable again, whatever failed
+	// before. The next call has to be answered by then, although other sidecars' calls may come first (docs/list.md).
+	watchAnswerTimeout  = 750 * time.Millisecond  // for the answer to a watch, after its wait
+	callTimeout         = 2500 * time.Millisecond // for the answer to any other call
+	retryCallTimeout    = 4 * time.Second         // instead of callTimeout after two unanswered calls: discovery may have a long queue
+	longListTimeout     = 6 * time.Second         // instead of callTimeout after two, if the second answer had begun: the list may be long
+	connectTimeout      = 400 * time.Millisecond  // for a connection; bounds the cost of a lost packet or of a machine that is off
+	maxConnectDoublings = 2                       // how often connectTimeout is doubled at most, once after each connection that timed out
 
-	firstRetry = 200 * time.Millisecond
-	lastRetry  = 500 * time.Millisecond // with jitter and a call within 1 s: what was pushed meanwhile counts once discovery is back
-	staleRetry = 2 * time.Second        // and between whole lists, or to wait for changes, where its word is older than what is held
-	listLimit  = 8 << 20                // bytes of one answer; far above any real list
+	minRetryDelay  = 200 * time.Millisecond // first delay after a failed call
+	maxRetryDelay  = 500 * time.Millisecond // a call within 1 s, jitter included: pushed changes count as soon as discovery is back
+	staleListDelay = 2 * time.Second        // between calls for whole lists while answers are older than the list held, and the wait of watches then
+	maxListBytes   = 8 << 20                // bytes of one answer; far above any real list
 )
 
-// errSilent says that a call got no answer within its limit, errCut that it got the beginning of one.
+// errNoAnswer means that a call was not answered within its limit, errAnswerIncomplete that the answer had begun.
 var (
-	errSilent = errors.New("discovery gave no answer")
-	errCut    = errors.New("the answer had begun")
+	errNoAnswer         = errors.New("no answer from discovery")
+	errAnswerIncomplete = errors.New("the answer is incomplete")
 )
 
-// unknown is no version: the whole list is needed.
-const unknown = int64(-1)
+// unknownVersion stands for no version: the whole list is needed.
+const unknownVersion = int64(-1)
 
-// listing is one answer of discovery.
+// listing is an answer of discovery: the whole list, or the changes since an earlier version.
 type listing struct {
-	version int64
-	whole   bool
-	servers []balance.Server
-	address map[balance.ServerID]string
-	raw     map[balance.ServerID]json.RawMessage // the entries as they came
+	version    int64
+	whole      bool
+	servers    []balance.Server
+	addresses  map[balance.ServerID]string
+	rawEntries map[balance.ServerID]json.RawMessage // the entries as received
 }
 
-// serverID names a server by a hash of its instanceId: the same at every sidecar and after a
-// restart, as the module spreads the sidecars over the servers by the order of their ids.
+// serverID derives a server's ID from its instanceId by a hash. The ID is the same at every sidecar and after a restart, as
+// the module distributes the sidecars over the servers by the order of their IDs.
 func serverID(instance string) balance.ServerID {
 	h := fnv.New64a()
-	_, _ = io.WriteString(h, instance) // a hash takes everything
+	_, _ = io.WriteString(h, instance) // a hash never returns an error
 	return balance.ServerID(h.Sum64())
 }
 
-// parseListing reads an answer. One malformed entry makes the whole answer unusable.
+// parseListing parses an answer of discovery. A single malformed entry makes the whole answer unusable.
 func parseListing(raw []byte, zones map[string]int) (listing, error) {
-	var answer struct {
+	var parsed struct {
 		Generation *int64
 		Reset      bool
 		Instances  []json.RawMessage
@@ -82,105 +82,106 @@
 		Weight      float64
 		StartedAtMs float64
 	}
-	if err := json.Unmarshal(raw, &answer); err != nil {
+	if err := json.Unmarshal(raw, &parsed); err != nil {
 		return listing{}, err
 	}
-	if answer.Generation == nil {
-		return listing{}, errors.New("no generation")
+	if parsed.Generation == nil {
+		return listing{}, errors.New("the answer has no generation")
 	}
-	l := listing{version: *answer.Generation, whole: answer.Reset, address: make(map[balance.ServerID]string)}
-	l.raw = make(map[balance.ServerID]json.RawMessage, len(answer.Instances))
-	for i, raw := range answer.Instances {
-		var e instance
-		if err := json.Unmarshal(raw, &e); err != nil {
+	l := listing{version: *parsed.Generation, whole: parsed.Reset, addresses: make(map[balance.ServerID]string)}
+	l.rawEntries = make(map[balance.ServerID]json.RawMessage, len(parsed.Instances))
+	for i, raw := range parsed.Instances {
+		var entry instance
+		if err := json.Unmarshal(raw, &entry); err != nil {
 			return listing{}, fmt.Errorf("instance %d: %w", i, err)
 		}
-		if e.InstanceID == "" {
+		if entry.InstanceID == "" {
 			return listing{}, fmt.Errorf("instance %d has no instanceId", i)
 		}
-		s := balance.Server{ID: serverID(e.InstanceID), Cell: e.Cell, Weight: e.Weight}
+		s := balance.Server{ID: serverID(entry.InstanceID), Cell: entry.Cell, Weight: entry.Weight}
 		var known bool
-		if s.Zone, known = zones[e.Zone]; !known { // below 0, and each its own: a repeat may be bound to a zone
-			s.Zone = -1 - int(serverID(e.Zone)>>2)
+		if s.Zone, known = zones[entry.Zone]; !known { // a negative number for each unknown zone, as a retry may be restricted to a zone
+			s.Zone = -1 - int(serverID(entry.Zone)>>2)
 		}
-		if e.StartedAtMs > math.MaxInt64/float64(time.Millisecond)/2 { // no time of this clock
-			return listing{}, fmt.Errorf("instance %s: startedAtMs is %v", e.InstanceID, e.StartedAtMs)
+		if entry.StartedAtMs > math.MaxInt64/float64(time.Millisecond)/2 { // out of the clock's range
+			return listing{}, fmt.Errorf("instance %s: startedAtMs %v is out of range", entry.InstanceID, entry.StartedAtMs)
 		}
-		s.Started = time.Duration(max(0, e.StartedAtMs) * float64(time.Millisecond))
-		switch e.Lifecycle {
+		s.Started = time.Duration(max(0, entry.StartedAtMs) * float64(time.Millisecond))
+		switch entry.Lifecycle {
 		case "ready":
 			s.State = balance.Ready
 		case "gone":
 			s.State = balance.Gone
 		default:
-			s.State = balance.Draining // nothing new, whatever it is
+			s.State = balance.Draining // an unknown lifecycle: send nothing new
 		}
-		if _, _, err := net.SplitHostPort(e.HostPort); err == nil {
-			l.address[s.ID] = e.HostPort
+		if _, _, err := net.SplitHostPort(entry.HostPort); err == nil {
+			l.addresses[s.ID] = entry.HostPort
 		} else if s.State != balance.Gone {
-			return listing{}, fmt.Errorf("instance %s: hostPort: %w", e.InstanceID, err)
+			return listing{}, fmt.Errorf("instance %s: hostPort: %w", entry.InstanceID, err)
 		}
 		l.servers = append(l.servers, s)
-		l.raw[s.ID] = raw
+		l.rawEntries[s.ID] = raw
 	}
 	return l, nil
 }
 
-// discovery follows the list of servers and hands what it learns to the loop.
+// discovery is the client of the discovery service. It follows the server list and passes what it learns to the loop.
 type discovery struct {
-	zones  map[string]int
-	asked  chan struct{} // where the list must be asked for: the module did
-	heard  func(listing)
-	failed func()
-	client http.Client
+	zones             map[string]int // zone by name
+	subscribeRequests chan struct{}  // the module's requests to subscribe; nil where lists are pushed
+	onListing         func(listing)  // called with each list or change to apply
+	onFailure         func()         // called after each failed call
+	client            http.Client
 
-	taking   sync.Mutex  // held while news go on to the loop, so that they do so in order
-	list     *serverList // of the list that the loop holds; changed only with taking held
-	now      func() time.Duration
-	draw     func() float64 // from 0 to 1: a watch's part between the shortest and the longest
-	pause    func(context.Context, time.Duration)
-	saveList func(v *serverList, durable bool)
-	dial     func(ctx context.Context, network, address string) (net.Conn, error)
-	silent   int  // calls other than watches that got no answer in time, one after the other
-	begun    bool // the last of them had begun to answer
+	applyMu            sync.Mutex  // held while a list is applied and passed on, which keeps the order
+	list               *serverList // the list that the loop has; changed only with applyMu held
+	now                func() time.Duration
+	random             func() float64                       // from 0 to 1; places a watch's wait between minWatchWait and maxWatchWait
+	sleep              func(context.Context, time.Duration) // sleepJittered, replaced in tests
+	saveList           func(v *serverList, durable bool)    // stores the list; durable means at once
+	dial               func(ctx context.Context, network, address string) (net.Conn, error)
+	timeouts           int  // unanswered calls in a row, without watches
+	lastTimeoutPartial bool // the last of them had begun to be answered
 
-	connectTime, firstRetry, lastRetry time.Duration
+	connectTimeout, minRetryDelay, maxRetryDelay time.Duration
 
-	mu      sync.Mutex
-	address string
-	leave   context.CancelFunc // ends what is under way at that address
-	calls   calls
-	hung    int // connections that did not come up in time, one after the other
+	mu              sync.Mutex
+	address         string
+	cancelCalls     context.CancelFunc // ends the calls to the current address
+	counts          callCounts
+	connectTimeouts int // connections in a row that timed out
 }
 
-// calls count what discovery was asked, for the log: all sidecars share its one capacity.
-type calls struct {
-	whole   int // calls for the whole list
-	heard   int // answers that were whole lists
-	watches int // and for changes
-	failed  int // of both
-	lines   int // entries that the answers held
+// callCounts counts the calls to discovery, for the log: all sidecars share its capacity.
+type callCounts struct {
+	wholeLists   int // calls for the whole list
+	wholeAnswers int // answers with the whole list
+	watches      int // calls for changes
+	failed       int // calls of either kind that failed
+	entries      int // entries in the answers
 }
 
-func newDiscovery(cfg *Config, heard func(listing), failed func()) *discovery {
-	d := &discovery{address: cfg.Discovery, zones: cfg.Zones, heard: heard, failed: failed, now: newClock().now, pause: pause}
-	d.list, d.saveList = recall(cfg, keptList{}, time.Time{}, d.now()), func(*serverList, bool) {}
-	d.draw, d.dial = rand.Float64, new(net.Dialer).DialContext
-	d.connectTime, d.firstRetry, d.lastRetry = connectTime, firstRetry, lastRetry
+// newDiscovery returns a discovery client that starts from the configuration's list.
+func newDiscovery(cfg *Config, onListing func(listing), onFailure func()) *discovery {
+	d := &discovery{address: cfg.Discovery, zones: cfg.Zones, onListing: onListing, onFailure: onFailure, now: newClock().now, sleep: sleepJittered}
+	d.list, d.saveList = restoreServerList(cfg, savedList{}, time.Time{}, d.now()), func(*serverList, bool) {}
+	d.random, d.dial = rand.Float64, new(net.Dialer).DialContext
+	d.connectTimeout, d.minRetryDelay, d.maxRetryDelay = connectTimeout, minRetryDelay, maxRetryDelay
 	if cfg.Policy.AskList {
-		d.asked = make(chan struct{}, 1)
-	} else if grace := cfg.DrainGrace; grace > 0 { // what is pushed counts at once, with or without a watch
-		d.connectTime, d.firstRetry, d.lastRetry = min(connectTime, grace/3), min(firstRetry, grace/6), min(lastRetry, grace/3)
+		d.subscribeRequests = make(chan struct{}, 1)
+	} else if grace := cfg.DrainGrace; grace > 0 { // pushed changes count as soon as discovery can be reached
+		d.connectTimeout, d.minRetryDelay, d.maxRetryDelay = min(connectTimeout, grace/3), min(minRetryDelay, grace/6), min(maxRetryDelay, grace/3)
 	}
-	// Calls to discovery change nothing there, so the standard client may repeat one on a new connection.
+	// Calls change nothing at discovery, so http.Transport may resend one on a new connection.
 	d.client.Transport = &http.Transport{MaxIdleConns: 1, DisableCompression: true, DialContext: d.connect}
 	return d
 }
 
-// connect opens a connection to discovery, with a limit of its own.
+// connect opens a connection to discovery with connectTimeout, doubled after connections that timed out.
 func (d *discovery) connect(ctx context.Context, network, address string) (net.Conn, error) {
 	d.mu.Lock()
-	limit := d.connectTime << d.hung
+	limit := d.connectTimeout << d.connectTimeouts
 	d.mu.Unlock()
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
@@ -188,22 +189,22 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if err == nil {
-		d.hung = 0
+		d.connectTimeouts = 0
 	} else if errors.Is(ctx.Err(), context.DeadlineExceeded) {
-		d.hung = min(d.hung+1, hungMost)
+		d.connectTimeouts = min(d.connectTimeouts+1, maxConnectDoublings)
 	}
 	return conn, err
 }
 
-// subscribe takes that the module wants to be subscribed to the list.
+// subscribe handles the module's request to subscribe to the list.
 func (d *discovery) subscribe() {
 	select {
-	case d.asked <- struct{}{}:
-	default: // already asked, or the list is pushed
+	case d.subscribeRequests <- struct{}{}:
+	default: // already requested, or the list is pushed
 	}
 }
 
-// setAddress goes on at another address, at once: what the old one is waited on for does not come there any more.
+// setAddress switches to another address of discovery at once: calls to the old one are cancelled.
 func (d *discovery) setAddress(address string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -211,208 +212,212 @@
 		return
 	}
 	slog.Info("discovery moved", "from", d.address, "to", address)
-	d.address, d.hung = address, 0
-	if d.leave != nil {
-		d.leave()
+	d.address, d.connectTimeouts = address, 0
+	if d.cancelCalls != nil {
+		d.cancelCalls()
 	}
 }
 
-// stay returns the address, and a context that ends with the stay there.
-func (d *discovery) stay(ctx context.Context) (context.Context, string) {
+// enterAddress returns the current address, and a context that ends when the address changes.
+func (d *discovery) enterAddress(ctx context.Context) (context.Context, string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	ctx, d.leave = context.WithCancel(ctx)
+	ctx, d.cancelCalls = context.WithCancel(ctx)
 	return ctx, d.address
 }
 
-// run follows the list until ctx ends, at one address after the other.
+// run follows the list until ctx ends, at one address after another.
 func (d *discovery) run(ctx context.Context) {
 	for moved := false; ctx.Err() == nil; moved = true {
-		here, address := d.stay(ctx)
-		d.taking.Lock()
-		d.list.move(address, d.now()) // whether versions are the same elsewhere is not told
-		d.silent = 0
-		d.taking.Unlock()
-		d.runAt(here, address, moved)
+		addressCtx, address := d.enterAddress(ctx)
+		d.applyMu.Lock()
+		d.list.setSource(address, d.now()) // versions of another address need not be comparable
+		d.timeouts = 0
+		d.applyMu.Unlock()
+		d.followAddress(addressCtx, address, moved)
 		d.client.CloseIdleConnections()
 	}
 }
 
-// runAt follows the list at an address until ctx ends, and again after a failure. Where lists are pushed
-// it comes back by itself after a pause; where they are asked for, the module says when, but for the first
-// time after a move: then the module holds itself for subscribed.
-func (d *discovery) runAt(ctx context.Context, address string, moved bool) {
-	pause := d.firstRetry
+// followAddress follows the list at an address until ctx ends. After a failure it retries after a delay if lists are
+// pushed; otherwise the module decides when to subscribe again, except right after a change of address, when the module
+// still considers itself subscribed.
+func (d *discovery) followAddress(ctx context.Context, address string, afterMove bool) {
+	delay := d.minRetryDelay
 	for ctx.Err() == nil {
-		if d.asked != nil && !moved {
+		if d.subscribeRequests != nil && !afterMove {
 			select {
-			case <-d.asked:
+			case <-d.subscribeRequests:
 			case <-ctx.Done():
 				return
 			}
 		}
-		moved = false
-		heard, err := d.follow(ctx, address)
+		afterMove = false
+		anySuccess, err := d.watchUntilError(ctx, address)
 		if ctx.Err() != nil {
 			return
 		}
 		slog.Warn("discovery failed", "error", err)
 		select {
-		case <-d.asked: // meanwhile: what the module makes of this failure goes before it
+		case <-d.subscribeRequests: // requested during the call: the failure settles it, and the module decides anew
 		default:
 		}
-		d.failed()
-		if d.asked != nil {
+		d.onFailure()
+		if d.subscribeRequests != nil {
 			continue
 		}
-		if heard {
-			pause = d.firstRetry
+		if anySuccess {
+			delay = d.minRetryDelay
 		}
-		d.pause(ctx, pause)
-		pause = min(2*pause, d.lastRetry)
+		d.sleep(ctx, delay)
+		delay = min(2*delay, d.maxRetryDelay)
 	}
 }
 
-// pause waits for about d. Jitter: all sidecars lose discovery at the same moment and must not come back as one.
-func pause(ctx context.Context, d time.Duration) {
+// sleepJittered waits for 0.5 to 1.5 times d. All sidecars lose discovery at the same moment, and the jitter keeps them from
+// returning at the same moment.
+func sleepJittered(ctx context.Context, d time.Duration) {
 	select {
 	case <-time.After(time.Duration(float64(d) * (0.5 + rand.Float64()))):
 	case <-ctx.Done():
 	}
 }
 
-// follow calls discovery until a call fails: watch after watch from the version that the loop holds, or
-// the whole list first where there is none. A call that fails takes nothing away from what is held, and
-// discovery is one for all sidecars: when many start or fail at once, whole lists keep it from the others. After an
-// answer older than what is held it asks for whole lists, now and then, until it knows whether that was stale or
-// discovery has begun anew. A call that has fallen silent is made anew at once: it took its time, and the time until
-// its news count as told is short. It tells whether any call went well.
-func (d *discovery) follow(ctx context.Context, address string) (heard bool, err error) {
-	for wait := firstWait; ; {
-		query, limit := d.query(wait)
-		watch := query != "" && wait != firstWait
+// watchUntilError calls discovery until a call fails, and reports whether any call succeeded. It opens one watch after
+// another from the version held, or asks for the whole list first if there is none; a failure leaves the list as it is.
+// Whole lists are asked for only when needed, as the service is shared by all sidecars and many of them may start or
+// fail at once. After an answer older than the list held, whole lists are requested every now and then until it is clear
+// whether that answer was stale or discovery has restarted with new versions. A call that times out is repeated at once,
+// because the time until its changes count is short.
+func (d *discovery) watchUntilError(ctx context.Context, address string) (anySuccess bool, err error) {
+	for wait := firstWatchWait; ; {
+		query, limit := d.nextQuery(wait)
+		watch := query != "" && wait != firstWatchWait
 		l, err := d.call(ctx, address, query, limit)
 		switch {
-		case errors.Is(err, errSilent):
+		case errors.Is(err, errNoAnswer):
 			slog.Warn("discovery is silent", "query", query, "limit", limit)
 			if !watch {
-				d.silent, d.begun = d.silent+1, errors.Is(err, errCut)
+				d.timeouts, d.lastTimeoutPartial = d.timeouts+1, errors.Is(err, errAnswerIncomplete)
 			}
-			wait = firstWait
+			wait = firstWatchWait
 			continue
 		case err != nil:
-			return heard, err
+			return anySuccess, err
 		}
-		d.silent = 0
+		d.timeouts = 0
 		l.whole = l.whole || query == ""
-		heard, wait = true, watchLeast+time.Duration(d.draw()*float64(watchMost-watchLeast))
-		if again := d.take(l); again > 0 {
-			if d.pause(ctx, again); ctx.Err() != nil {
-				return heard, ctx.Err()
+		anySuccess, wait = true, minWatchWait+time.Duration(d.random()*float64(maxWatchWait-minWatchWait))
+		if delay := d.applyAnswer(l); delay > 0 {
+			if d.sleep(ctx, delay); ctx.Err() != nil {
+				return anySuccess, ctx.Err()
 			}
 		}
 	}
 }
 
-// take acts on an answer, and returns a pause until the next call, where that is not a watch from it.
-func (d *discovery) take(l listing) (pause time.Duration) {
-	d.taking.Lock()
-	defer d.taking.Unlock()
-	held := d.list.top
-	news, older := d.list.take(l, d.now())
-	d.heard(news)
-	if l.whole || len(news.servers) > 0 {
-		d.saveList(d.list, l.whole || !allReady(news))
+// applyAnswer applies an answer and passes the resulting changes on. It returns a delay before the next call, 0 if a watch
+// can follow at once.
+func (d *discovery) applyAnswer(l listing) (delay time.Duration) {
+	d.applyMu.Lock()
+	defer d.applyMu.Unlock()
+	before := d.list.version
+	changes, older := d.list.apply(l, d.now())
+	d.onListing(changes)
+	if l.whole || len(changes.servers) > 0 {
+		d.saveList(d.list, l.whole || !allReady(changes))
 	}
 	if older {
-		slog.Warn("discovery is older than what is held", "version", l.version, "held", held, "whole", l.whole, "out", len(news.servers))
+		slog.Warn("discovery is older than what is held", "version", l.version, "held", before, "whole", l.whole, "out", len(changes.servers))
 	}
-	_, doubted := d.list.doubted(d.now())
+	_, suspected := d.list.watchDuringReset(d.now())
 	switch {
-	case d.list.watched():
+	case d.list.canWatch():
 		return 0
-	case l.whole && !doubted: // and the next is whole too
-		return staleRetry
+	case l.whole && !suspected: // the next call asks for a whole list too
+		return staleListDelay
 	}
-	return lastRetry
+	return maxRetryDelay
 }
 
-// applyOtherProcessList acts on what another process of this sidecar goes by.
-func (d *discovery) applyOtherProcessList(k keptList, l listing) {
-	d.taking.Lock()
-	defer d.taking.Unlock()
-	if news := d.list.beside(k, l); len(news.servers) > 0 {
-		slog.Info("out by the other process", "version", l.version, "held", d.list.top, "out", len(news.servers))
-		d.heard(news)
+// applyOtherProcessList applies the list that the other process of an upgrade goes by.
+func (d *discovery) applyOtherProcessList(saved savedList, l listing) {
+	d.applyMu.Lock()
+	defer d.applyMu.Unlock()
+	if changes := d.list.applyOtherProcess(saved, l); len(changes.servers) > 0 {
+		slog.Info("out by the other process", "version", l.version, "held", d.list.version, "out", len(changes.servers))
+		d.onListing(changes)
 	}
 }
 
-// query is what is asked next: changes, for so long, or the whole list.
-func (d *discovery) query(wait time.Duration) (query string, limit time.Duration) {
-	d.taking.Lock()
-	defer d.taking.Unlock()
-	since, older := d.list.doubted(d.now())
-	first := firstTime
-	if d.silent > 1 {
-		first = againTime
-		if d.begun {
-			first = listTime
+// nextQuery returns the query of the next call and its time limit: a watch from a known version that discovery holds for
+// wait, or an empty query for the whole list.
+func (d *discovery) nextQuery(wait time.Duration) (query string, limit time.Duration) {
+	d.applyMu.Lock()
+	defer d.applyMu.Unlock()
+	since, suspected := d.list.watchDuringReset(d.now())
+	timeout := callTimeout
+	if d.timeouts > 1 {
+		timeout = retryCallTimeout
+		if d.lastTimeoutPartial {
+			timeout = longListTimeout
 		}
 	}
 	switch {
-	case d.list.watched():
-		since = d.list.top
-	case older:
-		wait = staleRetry
+	case d.list.canWatch():
+		since = d.list.version
+	case suspected:
+		wait = staleListDelay
 	default:
-		return "", first
+		return "", timeout
 	}
-	limit = wait + answerTime
-	if wait == firstWait {
-		limit = wait + first
+	limit = wait + watchAnswerTimeout
+	if wait == firstWatchWait {
+		limit = wait + timeout
 	}
 	return fmt.Sprintf("?index=%d&wait=%d", since, wait.Milliseconds()), limit
 }
 
-// allReady says that a list takes no server away.
+// allReady reports whether a list or change has only ready servers, so that it takes none away.
 func allReady(l listing) bool {
 	return !slices.ContainsFunc(l.servers, func(s balance.Server) bool { return s.State != balance.Ready })
 }
 
-// counters are for the log.
+// counters returns the counts of calls for the log, by name.
 func (d *discovery) counters() map[string]int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return map[string]int{
-		"whole": d.calls.whole, "watches": d.calls.watches, "failed": d.calls.failed, "lines": d.calls.lines,
+		"whole": d.counts.wholeLists, "watches": d.counts.watches, "failed": d.counts.failed, "lines": d.counts.entries,
 	}
 }
 
-// call asks discovery, and counts that it did.
+// call makes a call to discovery and counts it.
 func (d *discovery) call(ctx context.Context, address, query string, limit time.Duration) (listing, error) {
-	l, err := d.get(ctx, address, query, limit)
+	l, err := d.fetch(ctx, address, query, limit)
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if query == "" {
-		d.calls.whole++
+		d.counts.wholeLists++
 	} else {
-		d.calls.watches++
+		d.counts.watches++
 	}
 	if err != nil {
-		d.calls.failed++
+		d.counts.failed++
 	} else if l.whole || query == "" {
-		d.calls.heard++
+		d.counts.wholeAnswers++
 	}
-	d.calls.lines += len(l.servers)
+	d.counts.entries += len(l.servers)
 	return l, err
 }
 
-func (d *discovery) get(ctx context.Context, address, query string, limit time.Duration) (l listing, err error) {
-	ctx, cancel := context.WithTimeoutCause(ctx, limit, errSilent)
+// fetch makes a call to discovery and parses the answer. If the limit passes first the error is an errNoAnswer.
+func (d *discovery) fetch(ctx context.Context, address, query string, limit time.Duration) (l listing, err error) {
+	ctx, cancel := context.WithTimeoutCause(ctx, limit, errNoAnswer)
 	defer cancel()
 	defer func() {
-		if err != nil && context.Cause(ctx) == errSilent {
-			err = fmt.Errorf("%w within %v: %w", errSilent, limit, err)
+		if err != nil && context.Cause(ctx) == errNoAnswer {
+			err = fmt.Errorf("%w within %v: %w", errNoAnswer, limit, err)
 		}
 	}()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/discovery/hosts"+query, nil)
@@ -424,14 +429,14 @@
 		return listing{}, err
 	}
 	defer res.Body.Close()
-	body, err := io.ReadAll(io.LimitReader(res.Body, listLimit+1))
+	body, err := io.ReadAll(io.LimitReader(res.Body, maxListBytes+1))
 	switch {
 	case err != nil:
-		return listing{}, fmt.Errorf("%w: %w", errCut, err)
+		return listing{}, fmt.Errorf("%w: %w", errAnswerIncomplete, err)
 	case res.StatusCode != http.StatusOK:
-		return listing{}, fmt.Errorf("answered %s", res.Status)
-	case len(body) > listLimit:
-		return listing{}, errors.New("the answer is too long")
+		return listing{}, fmt.Errorf("discovery answered %s", res.Status)
+	case len(body) > maxListBytes:
+		return listing{}, fmt.Errorf("the answer exceeds %d bytes", maxListBytes)
 	}
 	return parseListing(body, d.zones)
 }
--- a/internal/sidecar/loop.go
+++ b/internal/sidecar/loop.go
@@ -16,108 +16,112 @@
 )
 
 const (
-	countersEvery        = 5 * time.Second        // how often the module's counters go to the log
-	serverCountsInterval = 100 * time.Millisecond // and what it knows of its servers to the console
-	eventQueue           = 256
+	countersLogInterval  = 5 * time.Second        // between two log lines with the counters
+	serverCountsInterval = 100 * time.Millisecond // least time between two updates of the console's server counts
+	eventQueueLength     = 256                    // events that may wait before post blocks
 )
 
-// loop owns the Balancer. All of its events pass through one goroutine, in order; the other parts
-// hand them over with post. Everything that must happen once a request or once an attempt, the
-// final answer and the Outcome, is kept here.
+// loop owns the Balancer and implements balance.Host for it. All of its events run on one goroutine, in order;
+// other goroutines hand them over with post. The loop ensures what must happen exactly once: one final answer for
+// each request and one Outcome for each attempt.
 type loop struct {
 	clock             clock
-	b                 *policy.Balancer
+	balancer          *policy.Balancer
 	upstream          *transport
-	handover          *sharedState          // keeps the calls by hand
-	subscribe         func()                // subscribes to the list
-	clientCounters    func() map[string]int // counters of the application's side
-	discoveryCounters func() map[string]int // and of discovery's
+	handover          *sharedState          // stores the operator calls
+	subscribe         func()                // subscribes to the server list
+	clientCounters    func() map[string]int // counters of the client connections, for the log
+	discoveryCounters func() map[string]int // counters of the discovery calls, for the log
 	trace             *trace
-	guard             *guard.Guard                                // every start, send, repeat, answer and close passes it
-	limitTimeLeft     func(now, left time.Duration) time.Duration // what a stop under way leaves of a request's time
-	most              int                                         // attempts for one request at most
+	guard             *guard.Guard                                // checks every start, send, retry, answer and close
+	limitTimeLeft     func(now, left time.Duration) time.Duration // shortens a request's remaining time during a shutdown
+	maxAttempts       int                                         // for one request
 	classes           []balance.Class
 
-	serverCounts atomic.Pointer[serverCounts] // the last word on the servers, for the console
-	membersAt    time.Duration                // when it was published
+	serverCounts   atomic.Pointer[serverCounts] // last published counts, for the console
+	serverCountsAt time.Duration                // when they were published
 
-	lastID   atomic.Uint64
-	events   chan func(now time.Duration)
-	now      time.Duration // the time of the event under way
-	requests map[balance.RequestID]*request
-	address  map[balance.ServerID]string
-	ready    map[balance.ServerID]bool // of those with an address
-	notSent  []balance.Outcome         // owed once the event under way is over
-	wakes    []time.Duration           // when Wake is due, in order
-	timer    *time.Timer               // set for the first of them
+	lastID         atomic.Uint64
+	events         chan func(now time.Duration)
+	now            time.Duration // time of the event being run
+	requests       map[balance.RequestID]*request
+	addresses      map[balance.ServerID]string // of the listed servers
+	readyServers   map[balance.ServerID]bool   // whether each server in addresses is ready
+	unsentOutcomes []balance.Outcome           // of sends that were not carried out, to be reported after the current event
+	wakeTimes      []time.Duration             // when Balancer.Wake is due, in order
+	wakeTimer      *time.Timer                 // set for the first of wakeTimes
 }
 
-// serverCounts counts the servers in the list, and those that the module avoids.
+// serverCounts holds the number of listed servers and of those that the module currently avoids.
 type serverCounts struct{ listed, unavailable int }
 
-// request is one in the table. It stays until it has its answer and all its attempts have ended.
+// request is an entry of the request table. It stays until the request has its answer and all its attempts have
+// ended.
 type request struct {
-	message  *outboundRequest
-	reply    chan<- answer
-	deadline time.Duration
-	attempts []*exchange    // by number; nil: was not sent
-	out      int            // attempts with no Outcome yet
-	stream   *stream        // its answer, where that is passed on as it comes
-	over     bool           // it has its final answer, or its client has gone
-	timedOut bool           // its last attempt did: what a failure is called
-	ending   balance.Ending // of the attempt that ended last
-}
-
-// answer is the final answer of a request.
+	outbound         *outboundRequest
+	reply            chan<- answer
+	deadline         time.Duration
+	attempts         []*exchange    // by number; nil if nothing was sent or the answer has begun to stream
+	attemptsInFlight int            // attempts whose Outcome has not been reported
+	stream           *stream        // the answer, if it is passed on as it arrives
+	settled          bool           // has its final answer, or its client has left
+	lastTimedOut     bool           // the attempt that ended last timed out; decides the status of a failure
+	lastEnding       balance.Ending // of the attempt that ended last
+}
+
+// answer is the final answer to a request.
 type answer struct {
 	status     int
 	header     http.Header
 	body       []byte
-	stream     *stream       // served, and passed on as it comes
-	retryAfter time.Duration // refused: when to come back
+	stream     *stream       // set if the body is passed on as it arrives
+	retryAfter time.Duration // advice to the client of a refused request
 }
 
+// newLoop returns a loop for a configuration, with its Balancer created but not started.
 func newLoop(cfg *Config, c clock, up *transport) (*loop, error) {
 	l := &loop{
-		clock: c, upstream: up, subscribe: func() {}, most: cfg.Policy.MaxAttempts, classes: cfg.Policy.Classes,
+		clock: c, upstream: up, subscribe: func() {}, maxAttempts: cfg.Policy.MaxAttempts, classes: cfg.Policy.Classes,
 		clientCounters:    func() map[string]int { return nil },
 		discoveryCounters: func() map[string]int { return nil },
 		handover:          new(sharedState),
 		trace:             newTrace(),
 		guard:             guard.New(logViolation, cfg.DrainGrace),
 		limitTimeLeft:     func(_, left time.Duration) time.Duration { return left },
-		events:            make(chan func(time.Duration), eventQueue),
+		events:            make(chan func(time.Duration), eventQueueLength),
 		requests:          make(map[balance.RequestID]*request),
-		address:           make(map[balance.ServerID]string),
-		ready:             make(map[balance.ServerID]bool),
-		timer:             time.NewTimer(time.Hour),
+		addresses:         make(map[balance.ServerID]string),
+		readyServers:      make(map[balance.ServerID]bool),
+		wakeTimer:         time.NewTimer(time.Hour),
 	}
 	var err error
-	if l.b, err = policy.New(cfg.Policy, cfg.Seed, l); err != nil {
+	if l.balancer, err = policy.New(cfg.Policy, cfg.Seed, l); err != nil {
 		return nil, err
 	}
 	l.serverCounts.Store(new(serverCounts))
 	return l, nil
 }
 
-// publish tells the console of the servers, now and then: the module is woken more often than that.
-func (l *loop) publish() {
-	if l.now-l.membersAt < serverCountsInterval {
+// publishServerCounts updates the console's server counts, at most once per serverCountsInterval: the loop runs far
+// more events than that.
+func (l *loop) publishServerCounts() {
+	if l.now-l.serverCountsAt < serverCountsInterval {
 		return
 	}
-	l.membersAt = l.now
+	l.serverCountsAt = l.now
 	var m serverCounts
-	m.listed, m.unavailable = l.b.ServerCounts(l.now)
+	m.listed, m.unavailable = l.balancer.ServerCounts(l.now)
 	l.serverCounts.Store(&m)
 }
 
-// setServerDisabled takes a server out by hand, or brings it back, and returns once the module has done so and it is
-// durable; where it can't be made so it is an errNotDurable. One that is neither listed nor out is an error.
-func (l *loop) setServerDisabled(ctx context.Context, instance string, out bool) error {
+// setServerDisabled administratively disables or enables a server. It returns once the module has applied the call
+// and the call is durable, with an errNotDurable if it could not be stored. A server that is neither listed nor
+// disabled is an error.
+func (l *loop) setServerDisabled(ctx context.Context, instance string, disabled bool) error {
 	id, known := serverID(instance), make(chan bool, 1)
 	if err := l.postAndWait(ctx, func(time.Duration) {
-		_, listed := l.address[id]
-		known <- listed || l.b.Disabled(id)
+		_, listed := l.addresses[id]
+		known <- listed || l.balancer.Disabled(id)
 	}); err != nil {
 		return err
 	}
@@ -125,72 +129,73 @@
 		return fmt.Errorf("no server has the id %q", instance)
 	}
 	at := l.clock.now()
-	if err := l.postAndWait(ctx, func(now time.Duration) { l.byHand(now, instance, out, at) }); err != nil {
+	if err := l.postAndWait(ctx, func(now time.Duration) { l.applyOperatorCall(now, instance, disabled, at) }); err != nil {
 		return err
 	}
-	err := l.handover.saveCall(instance, out, time.Unix(0, int64(at)))
+	err := l.handover.saveCall(instance, disabled, time.Unix(0, int64(at)))
 	if err != nil {
-		slog.Error("by hand not kept", "server", instance, "out", out, "error", err)
+		slog.Error("by hand not kept", "server", instance, "out", disabled, "error", err)
 	}
-	if out && err == nil && l.handover.countProcessesWithin(countTimeout) > 1 { // it binds the other process too, from the yes on
-		l.awaitOther(ctx)
+	if disabled && err == nil && l.handover.countProcessesWithin(countTimeout) > 1 { // from the answer on the call binds the other process too
+		l.waitForOtherProcess(ctx)
 	}
 	return err
 }
 
-// awaitOther waits until the other process has taken over the calls that were kept by now, also where it may be held up.
-func (l *loop) awaitOther(ctx context.Context) {
+// waitForOtherProcess waits long enough for the other process of an upgrade to apply the operator calls stored so
+// far, even if that process is held up.
+func (l *loop) waitForOtherProcess(ctx context.Context) {
 	select {
 	case <-time.After(soloPollInterval + upgradePollInterval + processStallMargin):
 	case <-ctx.Done():
 	}
 }
 
-// learnedState asks the module what it has learned.
-func (l *loop) learnedState(ctx context.Context) (told balance.Learned, err error) {
-	err = l.postAndWait(ctx, func(now time.Duration) { told = l.b.Learned(now) })
-	return told, err
+// learnedState returns what the module has learned about its servers and traffic.
+func (l *loop) learnedState(ctx context.Context) (learned balance.Learned, err error) {
+	err = l.postAndWait(ctx, func(now time.Duration) { learned = l.balancer.Learned(now) })
+	return learned, err
 }
 
-// updateFleet tells the module who is there.
-func (l *loop) updateFleet(ctx context.Context, f balance.Fleet) error {
-	return l.postAndWait(ctx, func(now time.Duration) { l.b.SetFleet(now, f) })
+// updateFleet passes the current fleet membership to the module.
+func (l *loop) updateFleet(ctx context.Context, fleet balance.Fleet) error {
+	return l.postAndWait(ctx, func(now time.Duration) { l.balancer.SetFleet(now, fleet) })
 }
 
 // applyRules puts a rule set in force.
 func (l *loop) applyRules(ctx context.Context, set *rules.Set) error {
-	return l.postAndWait(ctx, func(now time.Duration) { l.b.SetRules(now, set.Rules) })
+	return l.postAndWait(ctx, func(now time.Duration) { l.balancer.SetRules(now, set.Rules) })
 }
 
-// setProcessCount takes how many processes this sidecar has.
-func (l *loop) setProcessCount(n int) { l.post(func(time.Duration) { l.b.SetProcessCount(n) }) }
+// setProcessCount tells the module how many processes this sidecar currently has.
+func (l *loop) setProcessCount(n int) { l.post(func(time.Duration) { l.balancer.SetProcessCount(n) }) }
 
-// applyOperatorCalls takes over what was called for at the other process.
-func (l *loop) applyOperatorCalls(ctx context.Context, handed map[string]operatorCall) {
-	_ = l.postAndWait(ctx, func(now time.Duration) { // fails only as all ends
-		for instance, s := range handed {
-			l.byHand(now, instance, s.Out, time.Duration(s.AtMs)*time.Millisecond)
+// applyOperatorCalls applies the calls that operators made at the other process.
+func (l *loop) applyOperatorCalls(ctx context.Context, calls map[string]operatorCall) {
+	_ = l.postAndWait(ctx, func(now time.Duration) { // fails only at the end of the process
+		for instance, call := range calls {
+			l.applyOperatorCall(now, instance, call.Out, time.Duration(call.AtMs)*time.Millisecond)
 		}
 	})
 }
 
-// byHand has the module take a server out or back, as of the moment at. Said again, it changes nothing.
-func (l *loop) byHand(now time.Duration, instance string, out bool, at time.Duration) {
+// applyOperatorCall has the module disable or enable a server, as of the moment at. A repeated call changes nothing.
+func (l *loop) applyOperatorCall(now time.Duration, instance string, disabled bool, at time.Duration) {
 	id := serverID(instance)
-	if l.b.Disabled(id) == out {
+	if l.balancer.Disabled(id) == disabled {
 		return
 	}
-	at = min(at, now) // another process of before a step of the wall clock may have a later one
-	if out {
-		l.b.Disable(now, id)
+	at = min(at, now) // the other process may have made the call before a backward step of the wall clock
+	if disabled {
+		l.balancer.Disable(now, id)
 	} else {
-		l.b.Enable(now, id, at)
+		l.balancer.Enable(now, id, at)
 	}
-	slog.Info("by hand", "server", instance, "out", out)
-	l.membersAt = 0 // to be published at once
+	slog.Info("by hand", "server", instance, "out", disabled)
+	l.serverCountsAt = 0 // so that the counts are published at once
 }
 
-// postAndWait has the loop's goroutine carry out an event, and returns once it has.
+// postAndWait runs an event on the loop's goroutine and returns once it has run.
 func (l *loop) postAndWait(ctx context.Context, event func(now time.Duration)) error {
 	done := make(chan struct{})
 	select {
@@ -206,37 +211,38 @@
 	}
 }
 
-// post hands over an event. It waits where many are under way; the loop itself never waits for
-// those who post.
+// post queues an event for the loop's goroutine. It blocks while the queue is full; the loop itself never waits for
+// a goroutine that posts.
 func (l *loop) post(event func(now time.Duration)) { l.events <- event }
 
-// run gives the Balancer its life: start, the servers known so far, then event after event.
+// run starts the Balancer, gives it the servers known so far and what an earlier process learned, and then runs
+// events until ctx ends.
 func (l *loop) run(ctx context.Context, known listing) {
 	l.now = l.clock.now()
-	l.b.Start(l.now)
-	for instance, s := range l.handover.currentCalls() { // one that is back is taken out first, for it is cold
-		l.byHand(l.now, instance, true, 0)
-		l.byHand(l.now, instance, s.Out, time.Duration(s.AtMs)*time.Millisecond)
+	l.balancer.Start(l.now)
+	for instance, call := range l.handover.currentCalls() { // an enabled server is disabled first, so that the module treats it as cold
+		l.applyOperatorCall(l.now, instance, true, 0)
+		l.applyOperatorCall(l.now, instance, call.Out, time.Duration(call.AtMs)*time.Millisecond)
 	}
 	known.whole = true
-	l.take(known, balance.ListCached)
-	if before, ok := l.handover.loadLearned(); ok {
-		l.b.RestoreLearned(l.now, before)
+	l.applyList(known, balance.ListCached)
+	if learned, ok := l.handover.loadLearned(); ok {
+		l.balancer.RestoreLearned(l.now, learned)
 	}
-	counters := time.NewTicker(countersEvery)
+	counters := time.NewTicker(countersLogInterval)
 	defer counters.Stop()
 	for {
-		l.settle()
-		l.publish()
+		l.reportUnsent()
+		l.publishServerCounts()
 		select {
 		case event := <-l.events:
 			l.now = l.clock.now()
 			event(l.now)
-		case <-l.timer.C:
+		case <-l.wakeTimer.C:
 			l.now = l.clock.now()
-			l.wake()
+			l.runDueWakes()
 		case <-counters.C:
-			slog.Info("counters", "module", fmt.Sprintf("%+v", l.b.Counters()),
+			slog.Info("counters", "module", fmt.Sprintf("%+v", l.balancer.Counters()),
 				"upstream", l.upstream.counters(), "clients", l.clientCounters(), "discovery", l.discoveryCounters(), "requests", l.trace.counters(), "guard", guardCounters(l.guard))
 		case <-ctx.Done():
 			return
@@ -244,127 +250,132 @@
 	}
 }
 
-// wake calls the module once for all timers that are due.
-func (l *loop) wake() {
+// runDueWakes calls Balancer.Wake once for all wake times that have passed.
+func (l *loop) runDueWakes() {
 	due := 0
-	for due < len(l.wakes) && l.wakes[due] <= l.now {
+	for due < len(l.wakeTimes) && l.wakeTimes[due] <= l.now {
 		due++
 	}
-	if l.wakes = slices.Delete(l.wakes, 0, due); due > 0 {
-		l.b.Wake(l.now)
+	if l.wakeTimes = slices.Delete(l.wakeTimes, 0, due); due > 0 {
+		l.balancer.Wake(l.now)
 	}
-	l.setTimer()
+	l.resetWakeTimer()
 }
 
-func (l *loop) setTimer() {
-	if len(l.wakes) > 0 {
-		l.timer.Reset(l.wakes[0] - l.now)
+// resetWakeTimer sets the timer for the earliest wake time.
+func (l *loop) resetWakeTimer() {
+	if len(l.wakeTimes) > 0 {
+		l.wakeTimer.Reset(l.wakeTimes[0] - l.now)
 	}
 }
 
-// settle tells the module of the sends that were not carried out. It waits until the module has
-// returned, as Host's methods must not call back.
-func (l *loop) settle() {
-	for len(l.notSent) > 0 {
-		o := l.notSent[0]
-		l.notSent = l.notSent[1:]
-		l.outcome(o)
+// reportUnsent reports to the module the sends that were not carried out. It runs after the module has returned, as
+// methods of balance.Host must not call back into it.
+func (l *loop) reportUnsent() {
+	for len(l.unsentOutcomes) > 0 {
+		o := l.unsentOutcomes[0]
+		l.unsentOutcomes = l.unsentOutcomes[1:]
+		l.reportOutcome(o)
 	}
 }
 
-// applyListing takes news from discovery.
-func (l *loop) applyListing(news listing) {
+// applyListing queues an answer of discovery, a whole list or changes.
+func (l *loop) applyListing(update listing) {
 	kind := balance.ListDelta
-	if news.whole {
+	if update.whole {
 		kind = balance.ListFull
 	}
-	l.post(func(time.Duration) { l.take(news, kind) })
+	l.post(func(time.Duration) { l.applyList(update, kind) })
 }
 
+// discoveryFailed tells the module that a call to discovery failed.
 func (l *loop) discoveryFailed() {
-	l.post(func(now time.Duration) { l.b.UpdateServers(now, balance.ListFailed, nil) })
+	l.post(func(now time.Duration) { l.balancer.UpdateServers(now, balance.ListFailed, nil) })
 }
 
-func (l *loop) take(news listing, kind balance.ListKind) {
-	gone := make(map[string]bool) // addresses that nothing can be sent to any more
-	if news.whole {
-		for _, address := range l.address {
+// applyList updates the addresses of the listed servers, closes idle connections to addresses that are no longer
+// listed, and passes the list to the module.
+func (l *loop) applyList(update listing, kind balance.ListKind) {
+	gone := make(map[string]bool) // addresses that are no longer listed
+	if update.whole {
+		for _, address := range l.addresses {
 			gone[address] = true
 		}
-		clear(l.address)
-		clear(l.ready)
+		clear(l.addresses)
+		clear(l.readyServers)
 	}
-	for _, s := range news.servers {
-		if old, ok := l.address[s.ID]; ok {
+	for _, s := range update.servers {
+		if old, ok := l.addresses[s.ID]; ok {
 			gone[old] = true
-			delete(l.address, s.ID)
-			delete(l.ready, s.ID)
+			delete(l.addresses, s.ID)
+			delete(l.readyServers, s.ID)
 		}
 		if s.State != balance.Gone {
-			l.address[s.ID] = news.address[s.ID]
-			l.ready[s.ID] = s.State == balance.Ready
+			l.addresses[s.ID] = update.addresses[s.ID]
+			l.readyServers[s.ID] = s.State == balance.Ready
 		}
 	}
-	ready := make(map[string]bool) // addresses of ready servers, though others may be listed there too
-	for id, address := range l.address {
+	ready := make(map[string]bool) // addresses with a ready server, even if others at the same address are not
+	for id, address := range l.addresses {
 		delete(gone, address)
-		ready[address] = ready[address] || l.ready[id]
+		ready[address] = ready[address] || l.readyServers[id]
 	}
 	for address := range gone {
-		l.upstream.close(address)
+		l.upstream.closeIdle(address)
 		l.guard.SetServerState(l.now, address, balance.Gone)
 	}
-	for _, s := range news.servers {
-		if address, listed := l.address[s.ID]; listed {
-			l.guard.SetServerState(l.now, address, stateAt(ready[address]))
+	for _, s := range update.servers {
+		if address, listed := l.addresses[s.ID]; listed {
+			l.guard.SetServerState(l.now, address, addressState(ready[address]))
 		}
 	}
-	l.b.UpdateServers(l.now, kind, news.servers)
+	l.balancer.UpdateServers(l.now, kind, update.servers)
 }
 
-// stateAt is what an address is: ready where any server that is listed there is.
-func stateAt(ready bool) balance.State {
+// addressState returns the state of an address: ready if any server listed there is ready, else draining.
+func addressState(ready bool) balance.State {
 	if ready {
 		return balance.Ready
 	}
 	return balance.Draining
 }
 
-// submit takes a request on. Its final answer goes to reply, which must have room for it.
-// The number that it returns names the request for gone.
-func (l *loop) submit(q balance.Request, m *outboundRequest, deadline time.Duration, reply chan<- answer) balance.RequestID {
+// submit enters a request whose final answer goes to reply, a channel with room for it. The returned ID identifies
+// the request for clientGone.
+func (l *loop) submit(q balance.Request, outbound *outboundRequest, deadline time.Duration, reply chan<- answer) balance.RequestID {
 	q.ID = balance.RequestID(l.lastID.Add(1))
 	class := l.classes[q.Class]
-	l.guard.Admit(q.ID, guard.Request{RequestID: m.id, Deadline: deadline, Effect: class.Idempotency, Window: class.DedupWindow, BodyPending: m.upload != nil})
-	m.permit = func(now time.Duration, address string) error { return l.guard.PermitWrite(now, q.ID, address) }
-	m.written = func(began, now time.Duration, address string) { l.guard.AttemptWritten(began, now, q.ID, address) }
-	if m.upload != nil {
+	l.guard.Admit(q.ID, guard.Request{RequestID: outbound.id, Deadline: deadline, Effect: class.Idempotency, Window: class.DedupWindow, BodyPending: outbound.upload != nil})
+	outbound.permitWrite = func(now time.Duration, address string) error { return l.guard.PermitWrite(now, q.ID, address) }
+	outbound.onWritten = func(began, now time.Duration, address string) { l.guard.AttemptWritten(began, now, q.ID, address) }
+	if outbound.upload != nil {
 		q.BodyPending = true
-		whole := m.upload.onSent
-		m.upload.onSent = func() {
-			whole()
-			l.post(func(now time.Duration) { l.uploaded(now, q.ID) })
+		onSent := outbound.upload.onSent
+		outbound.upload.onSent = func() {
+			onSent()
+			l.post(func(now time.Duration) { l.bodySent(now, q.ID) })
 		}
 	}
-	if look := m.clientPresence; look != nil {
-		m.clientPresence = func() presence {
-			found := look()
+	if askPresence := outbound.clientPresence; askPresence != nil {
+		outbound.clientPresence = func() presence {
+			found := askPresence()
 			if found == clientGone {
 				l.guard.ClientLeft(l.clock.now(), q.ID)
-				l.clientGone(q.ID) // ahead of the end of the attempt that finds it out, or the module would make another
+				l.clientGone(q.ID) // posted before the end of the attempt that finds this out, or the module would retry
 			}
 			return found
 		}
 	}
 	l.post(func(now time.Duration) {
 		q.TimeLeft = deadline - now
-		l.requests[q.ID] = &request{message: m, deadline: deadline, reply: reply}
-		l.b.Request(now, q)
+		l.requests[q.ID] = &request{outbound: outbound, deadline: deadline, reply: reply}
+		l.balancer.Request(now, q)
 	})
 	return q.ID
 }
 
-// clientGone takes that a request's client has closed its connection.
+// clientGone handles a client that has closed its connection: the request ends without an answer, or its answer's
+// stream is aborted.
 func (l *loop) clientGone(id balance.RequestID) {
 	l.post(func(now time.Duration) {
 		r := l.requests[id]
@@ -372,178 +383,180 @@
 		case r == nil:
 		case r.stream != nil:
 			r.stream.abort()
-		case !r.over:
-			l.finish(id, r, nil)
-			l.b.ClientGone(now, id)
+		case !r.settled:
+			l.finishRequest(id, r, nil)
+			l.balancer.ClientGone(now, id)
 		}
 	})
 }
 
-// uploaded takes that the last byte of a request's body has gone out: the client's time begins.
-func (l *loop) uploaded(now time.Duration, id balance.RequestID) {
-	if r := l.requests[id]; r != nil && !r.over {
-		left := l.limitTimeLeft(now, r.message.timeLeft)
+// bodySent handles the last byte of a request's body going out: the client's deadline counts from now.
+func (l *loop) bodySent(now time.Duration, id balance.RequestID) {
+	if r := l.requests[id]; r != nil && !r.settled {
+		left := l.limitTimeLeft(now, r.outbound.timeLeft)
 		r.deadline = now + left
 		l.guard.BodyEnded(id, r.deadline)
-		l.b.BodyEnded(now, id, left)
+		l.balancer.BodyEnded(now, id, left)
 	}
 }
 
-// finish ends a request with its one answer, or with none where the client has gone.
-func (l *loop) finish(id balance.RequestID, r *request, a *answer) {
-	r.over = true
+// finishRequest settles a request with its final answer, or with nil if its client has left.
+func (l *loop) finishRequest(id balance.RequestID, r *request, a *answer) {
+	r.settled = true
 	switch {
 	case a == nil:
 		l.guard.AnswerDropped(id)
 	case l.guard.PermitAnswer(l.now, id) == nil:
 		r.reply <- *a
 	}
-	if r.out == 0 {
+	if r.attemptsInFlight == 0 {
 		delete(l.requests, id)
 	}
 }
 
-// outcome tells the module how an attempt ended, once for each.
-func (l *loop) outcome(o balance.Outcome) {
+// reportOutcome reports to the module how an attempt ended. It is called exactly once per attempt.
+func (l *loop) reportOutcome(o balance.Outcome) {
 	r := l.requests[o.ID]
-	r.out--
-	o.Settled = r.over
-	l.b.Outcome(l.now, o)
-	if r.over && r.out == 0 {
+	r.attemptsInFlight--
+	o.Settled = r.settled
+	l.balancer.Outcome(l.now, o)
+	if r.settled && r.attemptsInFlight == 0 {
 		delete(l.requests, o.ID)
 	}
 }
 
-// began takes that an attempt's answer has begun to stream: it goes to the client as it comes, and can't be called
-// off any more.
-func (l *loop) began(id balance.RequestID, number int, res result) {
+// streamBegan handles an attempt whose answer has begun to stream: the answer goes to the client as it arrives, and
+// the attempt can no longer be cancelled.
+func (l *loop) streamBegan(id balance.RequestID, number int, result attemptResult) {
 	r := l.requests[id]
-	if r.over || r.attempts[number].givenUp() { // called off while this was on its way: its connection is closed
-		res.stream.abort()
+	if r.settled || r.attempts[number].isCancelled() { // cancelled while this event was queued: its connection is closed
+		result.stream.abort()
 		return
 	}
-	r.attempts[number], r.stream = nil, res.stream
-	l.finish(id, r, &answer{status: http.StatusOK, header: res.header, stream: res.stream})
-	l.b.StreamStarted(l.now, id, number)
+	r.attempts[number], r.stream = nil, result.stream
+	l.finishRequest(id, r, &answer{status: http.StatusOK, header: result.header, stream: result.stream})
+	l.balancer.StreamStarted(l.now, id, number)
 }
 
-// ended takes the end of an attempt. The first answer of an upstream goes to the client at once
-// and settles the request.
-func (l *loop) ended(id balance.RequestID, number int, sent time.Duration, res result) {
+// attemptEnded handles the end of an attempt. The first served answer goes to the client at once and settles the
+// request.
+func (l *loop) attemptEnded(id balance.RequestID, number int, sent time.Duration, result attemptResult) {
 	r := l.requests[id]
-	l.guard.AttemptEnded(sent, id, res.ending)
-	r.timedOut, r.ending = res.ending == balance.TimedOut, res.ending
-	l.trace.logStep("attempt ended", r.message.id, slog.Int("number", number), slog.String("ending", res.ending.String()))
-	if res.ending == balance.Served && !r.over {
-		l.finish(id, r, &answer{status: http.StatusOK, header: res.header, body: res.body})
+	l.guard.AttemptEnded(sent, id, result.ending)
+	r.lastTimedOut, r.lastEnding = result.ending == balance.TimedOut, result.ending
+	l.trace.logStep("attempt ended", r.outbound.id, slog.Int("number", number), slog.String("ending", result.ending.String()))
+	if result.ending == balance.Served && !r.settled {
+		l.finishRequest(id, r, &answer{status: http.StatusOK, header: result.header, body: result.body})
 	}
-	l.outcome(balance.Outcome{ID: id, Attempt: number, Ending: res.ending, Load: res.load, BodySpent: r.message.spent()})
+	l.reportOutcome(balance.Outcome{ID: id, Attempt: number, Ending: result.ending, Load: result.load, BodySpent: r.outbound.bodyConsumed()})
 }
 
-// Send starts an attempt, given up after timeout or at the client's deadline, and written within unsent if at all.
-// Where the request is over or out of attempts or time, or the server is not listed, nothing is sent.
-func (l *loop) Send(id balance.RequestID, to balance.ServerID, timeout, unsent time.Duration) {
+// Send starts an attempt that is abandoned after timeout or at the client's deadline, whichever is earlier; 0 leaves
+// the deadline alone. Its request is written within sendWithin or not at all, unless that is 0. Nothing is sent if
+// either is negative, if the request is settled or has used up its attempts, its body or its time, or if the server is
+// not listed.
+func (l *loop) Send(id balance.RequestID, to balance.ServerID, timeout, sendWithin time.Duration) {
 	r := l.requests[id]
 	if r == nil {
-		return // over, with all attempts ended: the module has forgotten it too
+		return // settled, with all attempts ended: the module has forgotten it too
 	}
 	number, left := len(r.attempts), r.deadline-l.now
-	r.out++
-	address := l.address[to]
-	never := r.over || number >= l.most || left <= 0 || timeout < 0 || unsent < 0 || address == ""
-	if spent := r.message.spent(); never || spent || l.guard.PermitSend(l.now, id, address) != nil {
+	r.attemptsInFlight++
+	address := l.addresses[to]
+	forbidden := r.settled || number >= l.maxAttempts || left <= 0 || timeout < 0 || sendWithin < 0 || address == ""
+	if spent := r.outbound.bodyConsumed(); forbidden || spent || l.guard.PermitSend(l.now, id, address) != nil {
 		r.attempts = append(r.attempts, nil)
-		l.notSent = append(l.notSent, balance.Outcome{ID: id, Attempt: number, Ending: balance.NotSent, BodySpent: spent})
+		l.unsentOutcomes = append(l.unsentOutcomes, balance.Outcome{ID: id, Attempt: number, Ending: balance.NotSent, BodySpent: spent})
 		return
 	}
 	if timeout == 0 || timeout > left {
 		timeout = left
 	}
-	if unsent > 0 {
-		unsent += l.now
+	if sendWithin > 0 {
+		sendWithin += l.now
 	}
-	if r.message.upload != nil { // its last byte may have come long ago, and lie unread
-		r.message.timeLeft = min(r.message.timeLeft, left)
+	if r.outbound.upload != nil { // its last byte may have arrived long ago and still be unread
+		r.outbound.timeLeft = min(r.outbound.timeLeft, left)
 	}
 	sent := l.now
-	l.trace.logAttempt(r.message.id, number, r.ending, address, timeout)
-	r.attempts = append(r.attempts, l.upstream.send(address, r.message, l.now+timeout, unsent, r.deadline, func(res result) {
+	l.trace.logAttempt(r.outbound.id, number, r.lastEnding, address, timeout)
+	r.attempts = append(r.attempts, l.upstream.send(address, r.outbound, l.now+timeout, sendWithin, r.deadline, func(res attemptResult) {
 		l.post(func(time.Duration) {
 			if res.stream != nil {
-				l.began(id, number, res)
+				l.streamBegan(id, number, res)
 			} else {
-				l.ended(id, number, sent, res)
+				l.attemptEnded(id, number, sent, res)
 			}
 		})
 	}))
 }
 
-// Refuse ends a request; trying again is harmless.
-func (l *loop) Refuse(id balance.RequestID, pause time.Duration, why balance.Reason) {
-	if r := l.requests[id]; r != nil && !r.over {
-		l.trace.logRefused(r.message.id, why, len(r.attempts))
-		l.finish(id, r, &answer{status: http.StatusServiceUnavailable, retryAfter: pause})
+// Refuse ends a request with a 503, which promises the client that retrying is harmless.
+func (l *loop) Refuse(id balance.RequestID, retryAfter time.Duration, why balance.Reason) {
+	if r := l.requests[id]; r != nil && !r.settled {
+		l.trace.logRefused(r.outbound.id, why, len(r.attempts))
+		l.finishRequest(id, r, &answer{status: http.StatusServiceUnavailable, retryAfter: retryAfter})
 	}
 }
 
-// Fail ends a request with no promise.
+// Fail ends a request with a 502 or 504, which say nothing about whether it has run.
 func (l *loop) Fail(id balance.RequestID, why balance.Reason) {
 	r := l.requests[id]
-	if r == nil || r.over {
+	if r == nil || r.settled {
 		return
 	}
 	status := http.StatusBadGateway
-	if r.timedOut || r.out > 0 {
+	if r.lastTimedOut || r.attemptsInFlight > 0 {
 		status = http.StatusGatewayTimeout
 	}
-	l.trace.logFailed(r.message.id, why, len(r.attempts))
-	l.finish(id, r, &answer{status: status})
+	l.trace.logFailed(r.outbound.id, why, len(r.attempts))
+	l.finishRequest(id, r, &answer{status: status})
 }
 
-// Cancel calls off an attempt; its Outcome still comes.
+// Cancel cancels an attempt. Its Outcome is still reported.
 func (l *loop) Cancel(id balance.RequestID, attempt int) {
 	if r := l.requests[id]; r != nil && attempt >= 0 && attempt < len(r.attempts) && r.attempts[attempt] != nil {
 		r.attempts[attempt].cancel()
 	}
 }
 
-// Withdraw calls off an attempt of which nothing has been written; another goes on.
+// Withdraw cancels an attempt unless some of its request has been written, in which case the attempt goes on.
 func (l *loop) Withdraw(id balance.RequestID, attempt int) {
 	if r := l.requests[id]; r != nil && attempt >= 0 && attempt < len(r.attempts) && r.attempts[attempt] != nil {
 		r.attempts[attempt].withdraw()
 	}
 }
 
-// Wake sees to a call of Balancer.Wake after d. Timers due at one moment share that call.
+// Wake schedules a call of Balancer.Wake after d. Wakes due at the same moment share one call.
 func (l *loop) Wake(d time.Duration) {
-	due := l.now + max(d, 0)
-	i, found := slices.BinarySearch(l.wakes, due)
+	at := l.now + max(d, 0)
+	i, found := slices.BinarySearch(l.wakeTimes, at)
 	if found {
 		return
 	}
-	if l.wakes = slices.Insert(l.wakes, i, due); i == 0 {
-		l.setTimer()
+	if l.wakeTimes = slices.Insert(l.wakeTimes, i, at); i == 0 {
+		l.resetWakeTimer()
 	}
 }
 
-// Probe asks a server for a load report.
+// Probe asks a server for a load report and passes the result to the module.
 func (l *loop) Probe(to balance.ServerID) {
-	told := func(ok bool, load balance.Load) {
-		l.post(func(now time.Duration) { l.b.Probed(now, to, ok, load) })
+	report := func(ok bool, load balance.Load) {
+		l.post(func(now time.Duration) { l.balancer.Probed(now, to, ok, load) })
 	}
-	address := l.address[to]
-	if address == "" { // no longer listed; Host's methods must not call back, so from outside
-		go told(false, balance.Load{})
+	address := l.addresses[to]
+	if address == "" { // no longer listed; reported from another goroutine, as methods of balance.Host must not call back
+		go report(false, balance.Load{})
 		return
 	}
-	l.upstream.probe(address, l.now, told)
+	l.upstream.probe(address, l.now, report)
 }
 
 // Close closes the idle connections to a server.
-func (l *loop) CloseIdle(to balance.ServerID) { l.upstream.close(l.address[to]) }
+func (l *loop) CloseIdle(to balance.ServerID) { l.upstream.closeIdle(l.addresses[to]) }
 
-// WatchList subscribes to the server list.
+// WatchList subscribes to the server list at discovery.
 func (l *loop) WatchList() { l.subscribe() }
 
-// Log writes a line for the people on call.
+// Log writes a line of the module to the log.
 func (l *loop) Log(line string) { slog.Info("module", "says", line) }
