--- a/internal/world/depth.go
+++ b/internal/world/depth.go
@@ -39,7 +39,7 @@
 )
 
 // final is the end of an attempt whose server says that its call was refused below, for its caller's sidecar to pass on.
-const final balance.Ending = 100
+const refusedBelow balance.Ending = 100
 
 // ChainSpec says what calls below one another are like: each server of a service has a sidecar of its own, through which
 // it makes one call to the next service for each request that it gets. At the top are clients, who do not try again.
@@ -76,18 +76,18 @@
 }
 
 // quarter is the time in which a peak is looked for.
-const quarter = 250 * time.Millisecond
+const peakWindow = 250 * time.Millisecond
 
 // PeakAmplification is the peak, over the calls at the top in as much time.
 func (l ChainLoad) PeakAmplification(spec ChainSpec) float64 {
-	return float64(l.PeakAttempts) / (spec.Rate * float64(spec.Width) * quarter.Seconds())
+	return float64(l.PeakAttempts) / (spec.Rate * float64(spec.Width) * peakWindow.Seconds())
 }
 
 // chainEvent is something due.
 type chainEvent struct {
-	at    time.Duration
-	order int
-	do    func()
+	at  time.Duration
+	seq int
+	run func()
 }
 
 type chainQueue []chainEvent
@@ -95,7 +95,7 @@
 func (q chainQueue) Len() int      { return len(q) }
 func (q chainQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
 func (q chainQueue) Less(i, j int) bool {
-	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].order < q[j].order
+	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].seq < q[j].seq
 }
 func (q *chainQueue) Push(e any) { *q = append(*q, e.(chainEvent)) }
 func (q *chainQueue) Pop() any {
@@ -106,139 +106,139 @@
 
 // chain is one play, in virtual time.
 type chain struct {
-	spec     ChainSpec
-	rng      *rand.Rand
-	now      time.Duration
-	due      chainQueue
-	order    int
-	quarters map[time.Duration]int // attempts at the lowest
-	load     ChainLoad
+	spec           ChainSpec
+	rng            *rand.Rand
+	now            time.Duration
+	events         chainQueue
+	lastSeq        int
+	windowAttempts map[time.Duration]int // attempts at the lowest
+	load           ChainLoad
 }
 
 // chainClient is for whom all is done.
 type chainClient struct {
-	until  time.Duration
-	counts bool // the lowest service failed as it called
+	deadline time.Duration
+	counted  bool // the lowest service failed as it called
 }
 
 // chainCall is a request at a sidecar, and who waits for it.
 type chainCall struct {
-	until    time.Duration // when who made it gives up
+	deadline time.Duration // when who made it gives up
 	client   chainClient
 	attempts int
-	over     bool
+	answered bool
 	answer   func(balance.Ending)
 }
 
 // chainSidecar is a Host: it carries out what the sidecar's module decides.
 type chainSidecar struct {
-	c     *chain
-	level int // of the service that it sends to, from 0
-	next  []*chainSidecar
-	b     Decider
-	calls map[balance.RequestID]*chainCall
-	last  balance.RequestID
+	chain      *chain
+	level      int // of the service that it sends to, from 0
+	downstream []*chainSidecar
+	decider    Decider
+	calls      map[balance.RequestID]*chainCall
+	lastID     balance.RequestID
 }
 
 // SimulateChain plays a chain. decide makes the module of each sidecar.
-func SimulateChain(spec ChainSpec, seed uint64, decide func(balance.Config, uint64, balance.Host) (Decider, error)) (ChainLoad, error) {
-	c := &chain{spec: spec, rng: rand.New(rand.NewPCG(seed, 3)), quarters: make(map[time.Duration]int)}
+func SimulateChain(spec ChainSpec, seed uint64, newDecider func(balance.Config, uint64, balance.Host) (Decider, error)) (ChainLoad, error) {
+	c := &chain{spec: spec, rng: rand.New(rand.NewPCG(seed, 3)), windowAttempts: make(map[time.Duration]int)}
 	c.load.Attempts = make([]int, spec.Depth)
 	var list []balance.Server
 	for i := range spec.Width {
 		list = append(list, balance.Server{ID: balance.ServerID(i + 1), State: balance.Ready, Weight: 1})
 	}
-	var below []*chainSidecar
+	var downstream []*chainSidecar
 	for level := spec.Depth - 1; level >= 0; level-- {
-		var all []*chainSidecar
+		var sidecars []*chainSidecar
 		for i := range spec.Width {
-			s := &chainSidecar{c: c, level: level, next: below, calls: make(map[balance.RequestID]*chainCall)}
+			s := &chainSidecar{chain: c, level: level, downstream: downstream, calls: make(map[balance.RequestID]*chainCall)}
 			cfg := spec.Config
 			cfg.Balancers, cfg.Index, cfg.Classes = spec.Width, i, []balance.Class{spec.Class}
 			var err error
-			if s.b, err = decide(cfg, seed+uint64(level*spec.Width+i), s); err != nil {
+			if s.decider, err = newDecider(cfg, seed+uint64(level*spec.Width+i), s); err != nil {
 				return c.load, fmt.Errorf("level %d: %w", level, err)
 			}
-			s.b.Start(0)
-			s.b.UpdateServers(0, balance.ListFull, list)
-			all = append(all, s)
+			s.decider.Start(0)
+			s.decider.UpdateServers(0, balance.ListFull, list)
+			sidecars = append(sidecars, s)
 		}
-		below = all
+		downstream = sidecars
 	}
-	for _, s := range below {
-		c.client(s)
+	for _, s := range downstream {
+		c.scheduleClientCall(s)
 	}
 	end := spec.FailFrom + spec.FailFor + time.Duration(spec.Depth)*spec.Class.Deadline
-	for len(c.due) > 0 && c.due[0].at <= end {
-		e := heap.Pop(&c.due).(chainEvent)
+	for len(c.events) > 0 && c.events[0].at <= end {
+		e := heap.Pop(&c.events).(chainEvent)
 		c.now = e.at
-		e.do()
+		e.run()
 	}
-	for _, n := range c.quarters {
+	for _, n := range c.windowAttempts {
 		c.load.PeakAttempts = max(c.load.PeakAttempts, n)
 	}
 	return c.load, nil
 }
 
 // after has something done later.
-func (c *chain) after(d time.Duration, do func()) {
-	c.order++
-	heap.Push(&c.due, chainEvent{c.now + max(0, d), c.order, do})
+func (c *chain) schedule(d time.Duration, do func()) {
+	c.lastSeq++
+	heap.Push(&c.events, chainEvent{c.now + max(0, d), c.lastSeq, do})
 }
 
 // client makes calls at the top, at random times.
-func (c *chain) client(s *chainSidecar) {
-	c.after(time.Duration(c.rng.ExpFloat64()/c.spec.Rate*float64(time.Second)), func() {
+func (c *chain) scheduleClientCall(s *chainSidecar) {
+	c.schedule(time.Duration(c.rng.ExpFloat64()/c.spec.Rate*float64(time.Second)), func() {
 		if c.now >= c.spec.FailFrom+c.spec.FailFor {
 			return
 		}
-		who := chainClient{c.now + c.spec.Class.Deadline, c.now >= c.spec.FailFrom}
-		if who.counts {
+		client := chainClient{c.now + c.spec.Class.Deadline, c.now >= c.spec.FailFrom}
+		if client.counted {
 			c.load.Calls++
 		}
-		s.call(who.until, who, func(e balance.Ending) {
-			if who.counts && e == balance.Served {
+		s.request(client.deadline, client, func(e balance.Ending) {
+			if client.counted && e == balance.Served {
 				c.load.Served++
 			}
 		})
-		c.client(s)
+		c.scheduleClientCall(s)
 	})
 }
 
 // call hands a request to a sidecar.
-func (s *chainSidecar) call(until time.Duration, client chainClient, answer func(balance.Ending)) {
-	s.last++
-	s.calls[s.last] = &chainCall{until: until, client: client, answer: answer}
-	s.b.Request(s.c.now, balance.Request{ID: s.last, TimeLeft: until - s.c.now})
+func (s *chainSidecar) request(deadline time.Duration, client chainClient, answer func(balance.Ending)) {
+	s.lastID++
+	s.calls[s.lastID] = &chainCall{deadline: deadline, client: client, answer: answer}
+	s.decider.Request(s.chain.now, balance.Request{ID: s.lastID, TimeLeft: deadline - s.chain.now})
 }
 
 // arrive is an attempt at a server.
-func (s *chainSidecar) arrive(server int, until time.Duration, client chainClient, answer func(balance.Ending)) {
-	c, lowest := s.c, s.level == s.c.spec.Depth-1
-	if client.counts {
+func (s *chainSidecar) handleAttempt(server int, deadline time.Duration, client chainClient, answer func(balance.Ending)) {
+	c, lowest := s.chain, s.level == s.chain.spec.Depth-1
+	if client.counted {
 		c.load.Attempts[s.level]++
 		if lowest {
-			c.quarters[c.now/quarter]++
-			if c.now >= client.until {
+			c.windowAttempts[c.now/peakWindow]++
+			if c.now >= client.deadline {
 				c.load.LateAttempts++
 			}
 		}
 	}
 	if !lowest {
-		c.after(c.spec.Work, func() {
+		c.schedule(c.spec.Work, func() {
 			if !c.spec.PropagateDeadline {
-				until = c.now + c.spec.Class.Deadline
+				deadline = c.now + c.spec.Class.Deadline
 			}
-			s.next[server].call(until, client, answer)
+			s.downstream[server].request(deadline, client, answer)
 		})
 		return
 	}
 	fails := c.now >= c.spec.FailFrom && (c.spec.FailingServers == 0 || server < c.spec.FailingServers) && c.rng.Float64() < c.spec.FailureShare
 	switch {
 	case !fails:
-		c.after(c.spec.Work, func() { answer(balance.Served) })
+		c.schedule(c.spec.Work, func() { answer(balance.Served) })
 	case c.spec.Cause == CauseError:
-		c.after(c.spec.Work, func() { answer(balance.Errored) })
+		c.schedule(c.spec.Work, func() { answer(balance.Errored) })
 	case c.spec.Cause == CauseTurnedAway:
 		answer(balance.TurnedAway)
 	}
@@ -246,53 +246,57 @@
 
 // Send implements balance.Host.
 func (s *chainSidecar) Send(id balance.RequestID, to balance.ServerID, timeout, _ time.Duration) {
-	c, q := s.c, s.calls[id]
-	number, over := q.attempts, false
+	c, q := s.chain, s.calls[id]
+	number, ended := q.attempts, false
 	q.attempts++
 	end := func(e balance.Ending) {
-		if over {
+		if ended {
 			return
 		}
-		over = true
-		settles := (e == balance.Served || e == final) && !q.over
+		ended = true
+		settles := (e == balance.Served || e == refusedBelow) && !q.answered
 		if settles {
-			s.settle(id, e)
+			s.answerCall(id, e)
 		}
-		if e == final { // to the module, a server that has answered
+		if e == refusedBelow { // to the module, a server that has answered
 			e = balance.Served
 		}
-		s.b.Outcome(c.now, balance.Outcome{ID: id, Attempt: number, Ending: e, Settled: settles})
+		s.decider.Outcome(c.now, balance.Outcome{ID: id, Attempt: number, Ending: e, Settled: settles})
 	}
-	until := q.until
+	deadline := q.deadline
 	if timeout > 0 {
-		until = min(until, c.now+timeout)
+		deadline = min(deadline, c.now+timeout)
 	}
-	c.after(until-c.now, func() { end(balance.TimedOut) })
-	c.after(c.spec.HopLatency, func() {
-		s.arrive(int(to)-1, until, q.client, func(e balance.Ending) { c.after(c.spec.HopLatency, func() { end(e) }) })
+	c.schedule(deadline-c.now, func() { end(balance.TimedOut) })
+	c.schedule(c.spec.HopLatency, func() {
+		s.handleAttempt(int(to)-1, deadline, q.client, func(e balance.Ending) { c.schedule(c.spec.HopLatency, func() { end(e) }) })
 	})
 }
 
 // settle answers a call, once.
-func (s *chainSidecar) settle(id balance.RequestID, e balance.Ending) {
-	if q := s.calls[id]; q != nil && !q.over {
-		q.over = true
+func (s *chainSidecar) answerCall(id balance.RequestID, e balance.Ending) {
+	if q := s.calls[id]; q != nil && !q.answered {
+		q.answered = true
 		delete(s.calls, id)
-		s.c.after(0, func() { q.answer(e) })
+		s.chain.schedule(0, func() { q.answer(e) })
 	}
 }
 
 // Refuse implements balance.Host.
 func (s *chainSidecar) Refuse(id balance.RequestID, _ time.Duration, _ balance.Reason) {
-	as := map[Relay]balance.Ending{RelayError: balance.Errored, RelayTurnedAway: balance.TurnedAway, RelayFinal: final}
-	s.settle(id, as[s.c.spec.Relay])
+	endings := map[Relay]balance.Ending{RelayError: balance.Errored, RelayTurnedAway: balance.TurnedAway, RelayFinal: refusedBelow}
+	s.answerCall(id, endings[s.chain.spec.Relay])
 }
 
 // Fail implements balance.Host.
-func (s *chainSidecar) Fail(id balance.RequestID, _ balance.Reason) { s.settle(id, balance.Errored) }
+func (s *chainSidecar) Fail(id balance.RequestID, _ balance.Reason) {
+	s.answerCall(id, balance.Errored)
+}
 
 // Wake implements balance.Host.
-func (s *chainSidecar) Wake(d time.Duration) { s.c.after(d, func() { s.b.Wake(s.c.now) }) }
+func (s *chainSidecar) Wake(d time.Duration) {
+	s.chain.schedule(d, func() { s.decider.Wake(s.chain.now) })
+}
 
 // Cancel implements balance.Host: a server goes on with what it has begun.
 func (s *chainSidecar) Cancel(balance.RequestID, int) {}
--- a/internal/world/load.go
+++ b/internal/world/load.go
@@ -60,39 +60,39 @@
 
 // DrawArrivals draws all arrivals of a run, in order of time. They do not depend on what becomes of them.
 func DrawArrivals(spec LoadSpec, seed uint64) []Arrival {
-	parts := make([]float64, spec.Sidecars)
+	sidecarShares := make([]float64, spec.Sidecars)
 	rng := rand.New(rand.NewPCG(seed, 2))
 	total := 0.0
-	for i := range parts {
-		parts[i] = lognormal(rng, 1, spec.Skew)
-		total += parts[i]
+	for i := range sidecarShares {
+		sidecarShares[i] = lognormal(rng, 1, spec.Skew)
+		total += sidecarShares[i]
 	}
-	keys := zipf(spec.Keys, spec.ZipfExponent)
-	tenants := cumulate(spec.Tenants)
+	keys := zipfShares(spec.Keys, spec.ZipfExponent)
+	tenants := cumulativeShares(spec.Tenants)
 	var shares []float64
 	for _, c := range spec.Classes {
 		shares = append(shares, c.Share)
 	}
-	classes := cumulate(shares)
-	most := 1.0
+	classes := cumulativeShares(shares)
+	maxFactor := 1.0
 	for _, b := range spec.Bursts {
-		most *= max(1, b.Factor)
+		maxFactor *= max(1, b.Factor)
 	}
 	var all []Arrival
-	for i, part := range parts {
+	for i, share := range sidecarShares {
 		rng := rand.New(rand.NewPCG(seed, 1000+uint64(i))) // a sidecar's requests are its own
-		rate := spec.Rate * part / total * most
+		rate := spec.Rate * share / total * maxFactor
 		for at := 0.0; rate > 0; {
 			at += rng.ExpFloat64() / rate
 			now := time.Duration(at * float64(time.Second))
 			if now >= spec.Duration {
 				break
 			}
-			kept := rng.Float64() < spec.times(now)/most
-			a := Arrival{At: now, Sidecar: i, Class: pick(rng, classes), Tenant: pick(rng, tenants), Key: 1 + uint64(pick(rng, keys))}
+			accepted := rng.Float64() < spec.burstFactor(now)/maxFactor
+			a := Arrival{At: now, Sidecar: i, Class: drawIndex(rng, classes), Tenant: drawIndex(rng, tenants), Key: 1 + uint64(drawIndex(rng, keys))}
 			c := spec.Classes[a.Class]
 			a.Work = time.Duration(lognormal(rng, float64(c.MeanWork), c.WorkVariation))
-			if kept {
+			if accepted {
 				all = append(all, a)
 			}
 		}
@@ -102,13 +102,13 @@
 }
 
 // times is by how much bursts multiply the traffic at a moment.
-func (l *LoadSpec) times(now time.Duration) float64 {
-	times := 1.0
+func (l *LoadSpec) burstFactor(now time.Duration) float64 {
+	factor := 1.0
 	for _, b := range l.Bursts {
-		in := float64(min(now-b.Start, b.Start+b.Duration-now)) / (float64(b.Duration) / 10)
-		times *= 1 + (b.Factor-1)*min(1, max(0, in))
+		ramp := float64(min(now-b.Start, b.Start+b.Duration-now)) / (float64(b.Duration) / 10)
+		factor *= 1 + (b.Factor-1)*min(1, max(0, ramp))
 	}
-	return times
+	return factor
 }
 
 // MeanWork is the mean work of a request.
@@ -128,7 +128,7 @@
 }
 
 // cumulate turns shares into a running sum that ends at 1.
-func cumulate(shares []float64) []float64 {
+func cumulativeShares(shares []float64) []float64 {
 	sums, total := make([]float64, len(shares)), 0.0
 	for i, s := range shares {
 		total += s
@@ -140,16 +140,16 @@
 	return sums
 }
 
-func zipf(n int, exponent float64) []float64 {
+func zipfShares(n int, exponent float64) []float64 {
 	shares := make([]float64, max(n, 1))
 	for i := range shares {
 		shares[i] = math.Pow(float64(i+1), -exponent)
 	}
-	return cumulate(shares)
+	return cumulativeShares(shares)
 }
 
 // pick draws a place by a running sum.
-func pick(rng *rand.Rand, sums []float64) int {
+func drawIndex(rng *rand.Rand, sums []float64) int {
 	i, _ := slices.BinarySearch(sums, rng.Float64())
 	return min(i, len(sums)-1)
 }
--- a/internal/world/roster.go
+++ b/internal/world/roster.go
@@ -23,18 +23,18 @@
 }
 
 // rosterLog is how many changes a roster remembers; who is further behind gets the whole list.
-const rosterLog = 1000
+const maxLoggedChanges = 1000
 
 // ServerList is the list of servers as discovery knows it: versions, and what changed with each.
 type ServerList struct {
-	first   int64 // version before the oldest change remembered
-	entries []Entry
-	log     []int // entries by what changed them, the version after first first
+	logStart int64 // version before the oldest change remembered
+	entries  []Entry
+	changes  []int // entries by what changed them, the version after first first
 }
 
 // NewServerList makes a list of so many ready servers at a version.
 func NewServerList(servers int, version int64) *ServerList {
-	r := &ServerList{first: version, entries: make([]Entry, servers)}
+	r := &ServerList{logStart: version, entries: make([]Entry, servers)}
 	for i := range r.entries {
 		r.entries[i] = Entry{Server: i, Lifecycle: Ready}
 	}
@@ -50,11 +50,11 @@
 
 // Clone is the list as it is now.
 func (r *ServerList) Clone() *ServerList {
-	return &ServerList{first: r.first, entries: slices.Clone(r.entries), log: slices.Clone(r.log)}
+	return &ServerList{logStart: r.logStart, entries: slices.Clone(r.entries), changes: slices.Clone(r.changes)}
 }
 
 // Version is the list's version.
-func (r *ServerList) Version() int64 { return r.first + int64(len(r.log)) }
+func (r *ServerList) Version() int64 { return r.logStart + int64(len(r.changes)) }
 
 // Set changes an entry, and says whether that is news.
 func (r *ServerList) Set(e Entry) bool {
@@ -62,10 +62,10 @@
 		return false
 	}
 	r.entries[e.Server] = e
-	r.log = append(r.log, e.Server)
-	if len(r.log) > rosterLog {
-		r.log = r.log[1:]
-		r.first++
+	r.changes = append(r.changes, e.Server)
+	if len(r.changes) > maxLoggedChanges {
+		r.changes = r.changes[1:]
+		r.logStart++
 	}
 	return true
 }
@@ -82,11 +82,11 @@
 
 // ChangedSince is what changed after a version, or false where that is not known any more.
 func (r *ServerList) ChangedSince(version int64) (changed []Entry, ok bool) {
-	if version < r.first || version > r.Version() {
+	if version < r.logStart || version > r.Version() {
 		return nil, false
 	}
 	seen := make(map[int]bool)
-	for _, i := range r.log[version-r.first:] {
+	for _, i := range r.changes[version-r.logStart:] {
 		if !seen[i] {
 			seen[i] = true
 			changed = append(changed, r.entries[i])
@@ -100,19 +100,19 @@
 	CallTime  time.Duration // of service that each call takes
 	EntryTime time.Duration // and each line of its answer
 	MaxWait   time.Duration // a call that would wait longer fails
-	free      time.Duration // when it is done with all calls so far
+	idleAt    time.Duration // when it is done with all calls so far
 }
 
 // NewFIFOService makes a service that is free, whatever the time is.
 func NewFIFOService(call, line, patience time.Duration) FIFOService {
-	return FIFOService{CallTime: call, EntryTime: line, MaxWait: patience, free: never}
+	return FIFOService{CallTime: call, EntryTime: line, MaxWait: patience, idleAt: unsetTime}
 }
 
 // Enqueue takes a call, and tells when its answer is ready; false: it fails, then, at once.
 func (d *FIFOService) Enqueue(now time.Duration, lines int) (time.Duration, bool) {
-	if d.free-now > d.MaxWait {
+	if d.idleAt-now > d.MaxWait {
 		return now, false
 	}
-	d.free = max(d.free, now) + d.CallTime + time.Duration(lines)*d.EntryTime
-	return d.free, true
+	d.idleAt = max(d.idleAt, now) + d.CallTime + time.Duration(lines)*d.EntryTime
+	return d.idleAt, true
 }
--- a/internal/world/server.go
+++ b/internal/world/server.go
@@ -48,7 +48,7 @@
 }
 
 // never is before any time that a run may have.
-const never = time.Duration(math.MinInt64 / 2)
+const unsetTime = time.Duration(math.MinInt64 / 2)
 
 // Job is one request as a server sees it.
 type Job struct {
@@ -83,29 +83,29 @@
 
 // DedupZone remembers what its servers have had, to drop repeats. The zero value drops none.
 type DedupZone struct {
-	Window time.Duration
-	had    map[uint64]time.Duration
+	Window   time.Duration
+	lastSeen map[uint64]time.Duration
 }
 
 // repeats says whether a job was had lately, and else enters it.
-func (z *DedupZone) repeats(now time.Duration, unique uint64) bool {
+func (z *DedupZone) checkDuplicate(now time.Duration, unique uint64) bool {
 	if z == nil || unique == 0 || z.Window == 0 {
 		return false
 	}
-	if at, ok := z.had[unique]; ok && now-at < z.Window {
+	if at, ok := z.lastSeen[unique]; ok && now-at < z.Window {
 		return true
 	}
-	if z.had == nil || len(z.had) > 1<<16 { // past the window many times over
-		z.had = make(map[uint64]time.Duration)
+	if z.lastSeen == nil || len(z.lastSeen) > 1<<16 { // past the window many times over
+		z.lastSeen = make(map[uint64]time.Duration)
 	}
-	z.had[unique] = now
+	z.lastSeen[unique] = now
 	return false
 }
 
 // running is a job in work.
-type running struct {
-	job  Job
-	left float64 // seconds of work on the standard core
+type runningJob struct {
+	job           Job
+	remainingWork float64 // seconds of work on the standard core
 }
 
 // Server is one queue server. Its methods' times never go back.
@@ -114,63 +114,63 @@
 	zone *DedupZone
 	rng  *rand.Rand
 
-	up      bool
-	fell    bool
-	now     time.Duration
-	started time.Duration // of this life
-	cold    bool          // whether it began cold
-	slow    float64       // times slower, by a fault
-	erring  float64       // share of requests that err, by a fault
-	refuses bool
-
-	work  []running
-	queue []Job
-	debt  float64 // seconds of work that goes first: handshakes and probes
-	met   map[uint64]time.Duration
-	order []uint64 // keys met, the oldest first
-
-	sent       []sent // to a cold server, within the window
-	sentWork   float64
-	crowded    time.Duration // since when it has too many; never: it has not
-	choked     time.Duration // since when; never: it is not
-	spells     []spell       // of a choked one, within the time of its rest
-	WorkDone   float64       // seconds of work done in all its lives
-	chokeTimes int
+	up              bool
+	crashedCold     bool
+	now             time.Duration
+	startedAt       time.Duration // of this life
+	startedCold     bool          // whether it began cold
+	slowdown        float64       // times slower, by a fault
+	extraErrorShare float64       // share of requests that err, by a fault
+	rejecting       bool
+
+	running      []runningJob
+	queue        []Job
+	overheadWork float64 // seconds of work that goes first: handshakes and probes
+	keyLastUsed  map[uint64]time.Duration
+	keysByAge    []uint64 // keys met, the oldest first
+
+	recentWork         []workSample // to a cold server, within the window
+	recentWorkSeconds  float64
+	overThresholdSince time.Duration // since when it has too many; never: it has not
+	congestedSince     time.Duration // since when; never: it is not
+	busySpells         []busySpell   // of a choked one, within the time of its rest
+	WorkDone           float64       // seconds of work done in all its lives
+	congestionCount    int
 }
 
-type sent struct {
-	at   time.Duration
-	work float64
+type workSample struct {
+	at      time.Duration
+	seconds float64
 }
 
 // spell is a time in which a server was so busy.
-type spell struct {
-	until time.Duration
-	busy  float64 // seconds, over all cores alike
+type busySpell struct {
+	until       time.Duration
+	coreSeconds float64 // seconds, over all cores alike
 }
 
 // NewServer makes a server that has been up for long. zone may be nil.
 func NewServer(spec ServerSpec, zone *DedupZone, seed uint64) *Server {
-	s := &Server{spec: spec, zone: zone, rng: rand.New(rand.NewPCG(seed, 1)), up: true, slow: 1, now: never}
-	s.forget()
+	s := &Server{spec: spec, zone: zone, rng: rand.New(rand.NewPCG(seed, 1)), up: true, slowdown: 1, now: unsetTime}
+	s.reset()
 	return s
 }
 
-func (s *Server) forget() {
-	s.work, s.queue, s.debt, s.sent, s.sentWork = nil, nil, 0, nil, 0
-	s.met, s.order = make(map[uint64]time.Duration), nil
-	s.crowded, s.choked, s.spells = never, never, nil
+func (s *Server) reset() {
+	s.running, s.queue, s.overheadWork, s.recentWork, s.recentWorkSeconds = nil, nil, 0, nil, 0
+	s.keyLastUsed, s.keysByAge = make(map[uint64]time.Duration), nil
+	s.overThresholdSince, s.congestedSince, s.busySpells = unsetTime, unsetTime, nil
 }
 
 // Start begins a life of the server, cold, with nothing left of the one before.
 func (s *Server) Start(now time.Duration) {
-	s.forget()
-	s.up, s.fell, s.cold, s.started, s.now = true, false, true, now, now
+	s.reset()
+	s.up, s.crashedCold, s.startedCold, s.startedAt, s.now = true, false, true, now, now
 }
 
 // Crash ends its life. What it held is gone.
 func (s *Server) Crash(now time.Duration) {
-	s.forget()
+	s.reset()
 	s.up, s.now = false, now
 }
 
@@ -178,33 +178,33 @@
 func (s *Server) Up() bool { return s.up }
 
 // CrashedCold says whether it was pushed over when it was cold.
-func (s *Server) CrashedCold() bool { return s.fell }
+func (s *Server) CrashedCold() bool { return s.crashedCold }
 
 // CongestionCount counts the times that a crowd made it slow.
-func (s *Server) CongestionCount() int { return s.chokeTimes }
+func (s *Server) CongestionCount() int { return s.congestionCount }
 
 // Congested says whether a crowd has made it slow, and it has not come to rest since.
-func (s *Server) Congested() bool { return s.choked != never }
+func (s *Server) Congested() bool { return s.congestedSince != unsetTime }
 
 // SetSlowdown makes it so many times slower; 1 is its usual speed.
-func (s *Server) SetSlowdown(times float64) { s.slow = max(times, 1e-3) }
+func (s *Server) SetSlowdown(times float64) { s.slowdown = max(times, 1e-3) }
 
 // SetErrorShare makes a share of its requests end in errors, besides the usual ones.
-func (s *Server) SetErrorShare(share float64) { s.erring = share }
+func (s *Server) SetErrorShare(share float64) { s.extraErrorShare = share }
 
 // SetRejecting makes it turn everything away, or ends that.
-func (s *Server) SetRejecting(on bool) { s.refuses = on }
+func (s *Server) SetRejecting(on bool) { s.rejecting = on }
 
 // Outstanding is how many requests it has.
-func (s *Server) Outstanding() int { return len(s.work) + len(s.queue) }
+func (s *Server) Outstanding() int { return len(s.running) + len(s.queue) }
 
 // CapacityShare is the share of its capacity that it has at a moment.
 func (s *Server) CapacityShare(now time.Duration) float64 {
-	if !s.cold || s.spec.WarmUpTime <= 0 {
+	if !s.startedCold || s.spec.WarmUpTime <= 0 {
 		return 1
 	}
-	part := float64(now-s.started) / float64(s.spec.WarmUpTime)
-	return min(1, s.spec.ColdCapacityShare+(1-s.spec.ColdCapacityShare)*part)
+	elapsed := float64(now-s.startedAt) / float64(s.spec.WarmUpTime)
+	return min(1, s.spec.ColdCapacityShare+(1-s.spec.ColdCapacityShare)*elapsed)
 }
 
 // Capacity is the work in seconds that it can do in a second at a moment, nothing being wrong.
@@ -214,141 +214,141 @@
 
 // rate is the work in seconds that it does in a second now.
 func (s *Server) rate(now time.Duration) float64 {
-	r := s.Capacity(now) / s.slow
-	if over := float64(len(s.work)) - s.spec.ThrashThreshold; s.spec.ThrashThreshold > 0 && over > 0 {
+	r := s.Capacity(now) / s.slowdown
+	if over := float64(len(s.running)) - s.spec.ThrashThreshold; s.spec.ThrashThreshold > 0 && over > 0 {
 		r /= 1 + s.spec.ThrashFactor*over/s.spec.ThrashThreshold
 	}
-	if s.choked != never {
+	if s.congestedSince != unsetTime {
 		r /= s.spec.CongestionSlowdown
 	}
 	return r
 }
 
 // Connect takes a new connection, whose handshake is work.
-func (s *Server) Connect(now time.Duration) { s.burden(now, s.spec.HandshakeWork) }
+func (s *Server) Connect(now time.Duration) { s.addOverhead(now, s.spec.HandshakeWork) }
 
 // Probe takes a probe.
-func (s *Server) Probe(now time.Duration) { s.burden(now, s.spec.ProbeWork) }
+func (s *Server) Probe(now time.Duration) { s.addOverhead(now, s.spec.ProbeWork) }
 
-func (s *Server) burden(now time.Duration, work time.Duration) {
-	s.begin(now)
+func (s *Server) addOverhead(now time.Duration, work time.Duration) {
+	s.initClock(now)
 	if s.up {
-		s.debt += work.Seconds()
-		s.push(now, work.Seconds())
+		s.overheadWork += work.Seconds()
+		s.recordColdWork(now, work.Seconds())
 	}
 }
 
 // begin takes the time from the first call.
-func (s *Server) begin(now time.Duration) {
-	if s.now == never {
+func (s *Server) initClock(now time.Duration) {
+	if s.now == unsetTime {
 		s.now = now
 	}
 }
 
 // push counts work sent to a cold server, which falls over when it is too much.
-func (s *Server) push(now time.Duration, work float64) {
-	if !s.cold || s.spec.ColdCrashFactor <= 0 || s.CapacityShare(now) >= 1 {
+func (s *Server) recordColdWork(now time.Duration, work float64) {
+	if !s.startedCold || s.spec.ColdCrashFactor <= 0 || s.CapacityShare(now) >= 1 {
 		return
 	}
-	for len(s.sent) > 0 && s.sent[0].at <= now-s.spec.ColdCrashWindow {
-		s.sentWork -= s.sent[0].work
-		s.sent = s.sent[1:]
+	for len(s.recentWork) > 0 && s.recentWork[0].at <= now-s.spec.ColdCrashWindow {
+		s.recentWorkSeconds -= s.recentWork[0].seconds
+		s.recentWork = s.recentWork[1:]
 	}
-	s.sent = append(s.sent, sent{now, work})
-	s.sentWork += work
-	most, mean := s.spec.ColdCrashFactor*s.Capacity(now)*s.spec.ColdCrashWindow.Seconds(), s.spec.ColdCrashMeanWork.Seconds()
-	if s.sentWork > most+3*math.Sqrt(most*mean)+3*mean {
-		s.forget()
-		s.up, s.fell = false, true
+	s.recentWork = append(s.recentWork, workSample{now, work})
+	s.recentWorkSeconds += work
+	limit, meanWork := s.spec.ColdCrashFactor*s.Capacity(now)*s.spec.ColdCrashWindow.Seconds(), s.spec.ColdCrashMeanWork.Seconds()
+	if s.recentWorkSeconds > limit+3*math.Sqrt(limit*meanWork)+3*meanWork {
+		s.reset()
+		s.up, s.crashedCold = false, true
 	}
 }
 
 // Arrive takes a job whose last byte has come. Call Advance for the same moment first.
 func (s *Server) Arrive(now time.Duration, j Job) Verdict {
-	s.begin(now)
+	s.initClock(now)
 	switch {
 	case !s.up:
 		return Down
-	case s.refuses || len(s.queue) >= s.spec.QueueLimit && len(s.work) >= s.spec.Slots:
+	case s.rejecting || len(s.queue) >= s.spec.QueueLimit && len(s.running) >= s.spec.Slots:
 		return Rejected
-	case s.zone.repeats(now, j.DedupKey):
+	case s.zone.checkDuplicate(now, j.DedupKey):
 		return Duplicate
 	}
-	if s.push(now, j.Work.Seconds()); !s.up {
+	if s.recordColdWork(now, j.Work.Seconds()); !s.up {
 		return Down
 	}
 	s.queue = append(s.queue, j)
-	s.fill(now)
-	s.crowd(now)
+	s.startQueued(now)
+	s.updateCongestion(now)
 	return Accepted
 }
 
 // fill puts waiting jobs to work.
-func (s *Server) fill(now time.Duration) {
-	for len(s.queue) > 0 && len(s.work) < s.spec.Slots {
+func (s *Server) startQueued(now time.Duration) {
+	for len(s.queue) > 0 && len(s.running) < s.spec.Slots {
 		j := s.queue[0]
 		s.queue = s.queue[1:]
 		left := j.Work.Seconds()
-		if at, ok := s.met[j.Key]; ok && j.Key != 0 && now-at < s.spec.KeyCacheTTL {
+		if at, ok := s.keyLastUsed[j.Key]; ok && j.Key != 0 && now-at < s.spec.KeyCacheTTL {
 			left *= 1 - s.spec.KeyCacheSaving
 		}
-		s.work = append(s.work, running{j, left})
+		s.running = append(s.running, runningJob{j, left})
 	}
 }
 
 // remember keeps a key that was met, and forgets the oldest where there is no room.
-func (s *Server) remember(now time.Duration, key uint64) {
+func (s *Server) cacheKey(now time.Duration, key uint64) {
 	if key == 0 || s.spec.KeyCacheSize == 0 {
 		return
 	}
-	if _, ok := s.met[key]; ok {
-		s.order = slices.DeleteFunc(s.order, func(k uint64) bool { return k == key })
-	} else if len(s.order) >= s.spec.KeyCacheSize {
-		delete(s.met, s.order[0])
-		s.order = s.order[1:]
+	if _, ok := s.keyLastUsed[key]; ok {
+		s.keysByAge = slices.DeleteFunc(s.keysByAge, func(k uint64) bool { return k == key })
+	} else if len(s.keysByAge) >= s.spec.KeyCacheSize {
+		delete(s.keyLastUsed, s.keysByAge[0])
+		s.keysByAge = s.keysByAge[1:]
 	}
-	s.met[key] = now
-	s.order = append(s.order, key)
+	s.keyLastUsed[key] = now
+	s.keysByAge = append(s.keysByAge, key)
 }
 
 // crowd sees whether too many have been there for too long, and whether a choked server has come to rest.
-func (s *Server) crowd(now time.Duration) {
+func (s *Server) updateCongestion(now time.Duration) {
 	if s.spec.CongestionMaxTime <= 0 {
 		return
 	}
-	if s.choked != never {
-		if s.rested(now) || now-s.choked >= s.spec.CongestionMaxTime {
-			s.choked, s.crowded, s.spells = never, never, nil
+	if s.congestedSince != unsetTime {
+		if s.recovered(now) || now-s.congestedSince >= s.spec.CongestionMaxTime {
+			s.congestedSince, s.overThresholdSince, s.busySpells = unsetTime, unsetTime, nil
 		}
 		return
 	}
 	switch {
 	case float64(s.Outstanding())/s.spec.Cores <= s.spec.CongestionThreshold:
-		s.crowded = never
-	case s.crowded == never:
-		s.crowded = now
-	case now-s.crowded >= s.spec.CongestionDelay:
-		s.choked = now
-		s.chokeTimes++
+		s.overThresholdSince = unsetTime
+	case s.overThresholdSince == unsetTime:
+		s.overThresholdSince = now
+	case now-s.overThresholdSince >= s.spec.CongestionDelay:
+		s.congestedSince = now
+		s.congestionCount++
 	}
 }
 
 // rested says whether a choked server was mostly idle for as long as its rest takes.
-func (s *Server) rested(now time.Duration) bool {
+func (s *Server) recovered(now time.Duration) bool {
 	busy := 0.0
-	s.spells = slices.DeleteFunc(s.spells, func(p spell) bool { return p.until <= now-s.spec.RecoveryWindow })
-	for _, p := range s.spells {
-		busy += p.busy
+	s.busySpells = slices.DeleteFunc(s.busySpells, func(p busySpell) bool { return p.until <= now-s.spec.RecoveryWindow })
+	for _, p := range s.busySpells {
+		busy += p.coreSeconds
 	}
-	return now-s.choked >= s.spec.RecoveryWindow && busy <= s.spec.RecoveryMaxBusyShare*s.spec.RecoveryWindow.Seconds()
+	return now-s.congestedSince >= s.spec.RecoveryWindow && busy <= s.spec.RecoveryMaxBusyShare*s.spec.RecoveryWindow.Seconds()
 }
 
 // busy is the share of its cores that have something to do.
-func (s *Server) busy() float64 {
-	if s.debt > 0 {
+func (s *Server) busyShare() float64 {
+	if s.overheadWork > 0 {
 		return 1
 	}
-	return min(1, float64(len(s.work))/s.spec.Cores)
+	return min(1, float64(len(s.running))/s.spec.Cores)
 }
 
 // Cancel takes that nobody waits for a job any more. It returns whether the job ends with that.
@@ -358,8 +358,8 @@
 		return true
 	}
 	if s.spec.CancelRunning {
-		if i := slices.IndexFunc(s.work, func(r running) bool { return r.job.ID == id }); i >= 0 {
-			s.work = slices.Delete(s.work, i, i+1)
+		if i := slices.IndexFunc(s.running, func(r runningJob) bool { return r.job.ID == id }); i >= 0 {
+			s.running = slices.Delete(s.running, i, i+1)
 			return true
 		}
 	}
@@ -367,31 +367,31 @@
 }
 
 // step is how long a rate that changes is taken for constant.
-const step = 20 * time.Millisecond
+const maxStep = 20 * time.Millisecond
 
 // Advance plays on until now, and returns what has ended by then, in order.
 func (s *Server) Advance(now time.Duration) (ended []Completion) {
 	for s.up && s.now < now {
-		next := min(now, s.now+step)
-		if at, ok := s.first(); ok {
+		next := min(now, s.now+maxStep)
+		if at, ok := s.firstCompletion(); ok {
 			next = max(s.now, min(next, at))
 		}
-		if busy := s.busy(); s.choked != never && busy > 0 {
-			s.spells = append(s.spells, spell{next, busy * (next - s.now).Seconds()})
+		if share := s.busyShare(); s.congestedSince != unsetTime && share > 0 {
+			s.busySpells = append(s.busySpells, busySpell{next, share * (next - s.now).Seconds()})
 		}
-		s.do((next - s.now).Seconds())
+		s.doWork((next - s.now).Seconds())
 		s.now = next
-		s.work = slices.DeleteFunc(s.work, func(r running) bool {
-			if r.left > 1e-9 {
+		s.running = slices.DeleteFunc(s.running, func(r runningJob) bool {
+			if r.remainingWork > 1e-9 {
 				return false
 			}
-			s.remember(next, r.job.Key)
-			ended = append(ended, Completion{r.job.ID, next, s.rng.Float64() < s.spec.ErrorShare+s.erring})
+			s.cacheKey(next, r.job.Key)
+			ended = append(ended, Completion{r.job.ID, next, s.rng.Float64() < s.spec.ErrorShare+s.extraErrorShare})
 			return true
 		})
-		s.fill(next)
-		s.crowd(next)
-		if len(s.work) == 0 && s.debt <= 0 && s.choked == never {
+		s.startQueued(next)
+		s.updateCongestion(next)
+		if len(s.running) == 0 && s.overheadWork <= 0 && s.congestedSince == unsetTime {
 			break // nothing happens until somebody comes
 		}
 	}
@@ -400,30 +400,30 @@
 }
 
 // do does so many seconds' work: debts first, then all that is in work alike, none by more than a core.
-func (s *Server) do(seconds float64) {
-	able := s.rate(s.now) * seconds
-	paid := min(s.debt, able)
-	s.debt -= paid
+func (s *Server) doWork(seconds float64) {
+	available := s.rate(s.now) * seconds
+	paid := min(s.overheadWork, available)
+	s.overheadWork -= paid
 	s.WorkDone += paid
-	if len(s.work) == 0 {
+	if len(s.running) == 0 {
 		return
 	}
-	each := min((able-paid)/float64(len(s.work)), able/s.spec.Cores)
-	for i := range s.work {
-		done := min(each, s.work[i].left)
-		s.work[i].left -= done
+	perJob := min((available-paid)/float64(len(s.running)), available/s.spec.Cores)
+	for i := range s.running {
+		done := min(perJob, s.running[i].remainingWork)
+		s.running[i].remainingWork -= done
 		s.WorkDone += done
 	}
 }
 
 // first is when the first job in work ends at the rate of now.
-func (s *Server) first() (time.Duration, bool) {
-	if len(s.work) == 0 {
+func (s *Server) firstCompletion() (time.Duration, bool) {
+	if len(s.running) == 0 {
 		return 0, false
 	}
-	least := slices.MinFunc(s.work, func(a, b running) int { return cmp.Compare(a.left, b.left) }).left
-	each := min(1/float64(len(s.work)), 1/s.spec.Cores) * s.rate(s.now)
-	wait := s.debt/s.rate(s.now) + least/each
+	shortest := slices.MinFunc(s.running, func(a, b runningJob) int { return cmp.Compare(a.remainingWork, b.remainingWork) }).remainingWork
+	perJobRate := min(1/float64(len(s.running)), 1/s.spec.Cores) * s.rate(s.now)
+	wait := s.overheadWork/s.rate(s.now) + shortest/perJobRate
 	return s.now + time.Duration(max(1, math.Ceil(min(wait, 3600)*float64(time.Second)))), true
 }
 
@@ -432,9 +432,9 @@
 	if !s.up {
 		return 0, false
 	}
-	at, ok := s.first()
-	if s.cold && s.CapacityShare(s.now) < 1 {
-		at = min(at, s.now+step) // it gets faster
+	at, ok := s.firstCompletion()
+	if s.startedCold && s.CapacityShare(s.now) < 1 {
+		at = min(at, s.now+maxStep) // it gets faster
 	}
 	return at, ok
 }
--- a/internal/world/world_test.go
+++ b/internal/world/world_test.go
@@ -78,7 +78,7 @@
 	for id := uint64(10); m.Up() && id < 10000; id++ { // 4 x 0.28 x 2 s is 224 of them, 3 x root of 224 + 3 are forgiven, and 2 were had
 		m.Arrive(3*s, Job{ID: id, Work: 10 * ms})
 		m.Cancel(id)
-		m.work, m.queue = nil, nil
+		m.running, m.queue = nil, nil
 		sent++
 	}
 	if !m.CrashedCold() || sent != 270 {
@@ -101,8 +101,8 @@
 		m.Arrive(0, Job{ID: id, Work: 300 * ms})
 	}
 	near(t, "a job in a crowd", ends(m, 10*s)[5], 2600*ms) // a second at full speed, 0.8 s of work at half
-	if m.CongestionCount() != 1 || m.choked != never {
-		t.Errorf("choked %d times, still %v", m.CongestionCount(), m.choked)
+	if m.CongestionCount() != 1 || m.congestedSince != unsetTime {
+		t.Errorf("choked %d times, still %v", m.CongestionCount(), m.congestedSince)
 	}
 	for id, c := range []struct {
 		key  uint64
@@ -302,7 +302,7 @@
 	if !reflect.DeepEqual(still.Listed(), []Entry{{0, Ready, 0}}) || still.Version() != 4 || len(r.Listed()) != 2 {
 		t.Errorf("a copy has %v at version %d, the list %v", still.Listed(), still.Version(), r.Listed())
 	}
-	for range rosterLog {
+	for range maxLoggedChanges {
 		r.Set(Entry{Server: 0, Lifecycle: Draining})
 		r.Set(Entry{Server: 0, Lifecycle: Ready})
 	}
