--- a/internal/world/depth.go
+++ b/internal/world/depth.go
@@ -9,7 +9,7 @@
 	"arrowgw/internal/balance"
 )
 
-// Decider is a sidecar's decision module; package policy's Balancer is one.
+// Decider is a sidecar's decision module. policy.Balancer implements it.
 type Decider interface {
 	Start(now time.Duration)
 	Request(now time.Duration, q balance.Request)
@@ -18,129 +18,134 @@
 	UpdateServers(now time.Duration, kind balance.ListKind, servers []balance.Server)
 }
 
-// Cause is how attempts fail at the lowest service.
+// Cause is the way in which attempts fail at the lowest service.
 type Cause string
 
 // The causes.
 const (
-	CauseError      Cause = "errs"  // 500 after its work: it may have run
-	CauseTurnedAway Cause = "turns" // turned away at once: it never ran
+	CauseError      Cause = "errs"  // status 500 after the work: the request may have been executed
+	CauseTurnedAway Cause = "turns" // turned away at once: the request has not been executed
 	CauseHang       Cause = "hangs" // no answer
 )
 
-// Relay is what a server answers whose own call was refused by its sidecar. One whose call failed answers with an error.
+// Relay is how a server answers when its sidecar has refused the server's own call to the next service. A server whose
+// call failed always answers with an error.
 type Relay string
 
 // The relays.
 const (
-	RelayError      Relay = "error"  // 500, as of any failure
-	RelayTurnedAway Relay = "turned" // turned away: the caller's sidecar may take it to another server
-	RelayFinal      Relay = "final"  // an answer that the caller's sidecar passes on and does not repeat
+	RelayError      Relay = "error"  // status 500, as for any failure
+	RelayTurnedAway Relay = "turned" // turned away: the caller's sidecar may retry at another server
+	RelayFinal      Relay = "final"  // an answer that the caller's sidecar passes on without a retry
 )
 
-// final is the end of an attempt whose server says that its call was refused below, for its caller's sidecar to pass on.
+// refusedBelow is the ending of an attempt with a RelayFinal answer. It is outside the range of package balance; the
+// decision module sees such an attempt as balance.Served.
 const refusedBelow balance.Ending = 100
 
-// ChainSpec says what calls below one another are like: each server of a service has a sidecar of its own, through which
-// it makes one call to the next service for each request that it gets. At the top are clients, who do not try again.
+// ChainSpec holds the parameters of a chain of services. Each server of a service has a sidecar of its own, through
+// which it makes one call to the next service for each request that it receives. The clients at the top do not retry.
 type ChainSpec struct {
-	Depth      int     // services below one another
-	Width      int     // servers of each, and clients at the top: each with its sidecar
-	Rate       float64 // calls a second at each client's sidecar
-	Class      balance.Class
-	Config     balance.Config // what else the sidecars have; Balancers, Index, Classes are the chain's
-	HopLatency time.Duration  // from a sidecar to a server, and back
-	Work       time.Duration  // of a server, before it calls on or answers
+	Depth      int            // number of services in the chain
+	Width      int            // number of servers of each service, and of clients; each has its own sidecar
+	Rate       float64        // calls per second of each client
+	Class      balance.Class  // class of all calls
+	Config     balance.Config // settings of the sidecars; Balancers, Index and Classes are set by the simulation
+	HopLatency time.Duration  // one-way latency between a sidecar and a server
+	Work       time.Duration  // processing time of a server before it calls the next service or answers
 
 	Cause             Cause
-	FailingServers    int           // servers of the lowest service that fail; 0: all
-	FailureShare      float64       // of the attempts at those, by chance
-	FailFrom          time.Duration // then it begins to fail, for good
-	FailFor           time.Duration // and clients go on for so long
-	PropagateDeadline bool          // a server's call below has the time left to its own request, or else its class's deadline
+	FailingServers    int           // number of servers of the lowest service that fail; 0: all
+	FailureShare      float64       // probability that an attempt at a failing server fails
+	FailFrom          time.Duration // when the failures begin; they do not end
+	MeasureFor        time.Duration // how long after FailFrom clients make calls; these calls are counted
+	PropagateDeadline bool          // a server's call has the time left of its own request instead of the class's deadline
 	Relay             Relay
 }
 
-// ChainLoad is what came of the calls that were made at the top while the lowest service failed.
+// ChainLoad counts the calls that clients make while the lowest service fails, and the attempts that they cause.
 type ChainLoad struct {
-	Calls        int
-	Served       int   // of them
-	Attempts     []int // for them, at each service, the highest first
-	PeakAttempts int   // the most of them at the lowest within a quarter of a second
-	LateAttempts int   // of them, at the lowest, those behind the time of the client at the top
+	Calls        int   // calls by clients
+	Served       int   // calls that were answered successfully
+	Attempts     []int // attempts at each service, starting at the top
+	PeakAttempts int   // maximum number of attempts at the lowest service within a peakWindow
+	LateAttempts int   // attempts at the lowest service after the client's deadline
 }
 
-// Amplification is the load at the lowest service, over the calls at the top.
+// Amplification returns the number of attempts at the lowest service per call by a client.
 func (l ChainLoad) Amplification() float64 {
 	return float64(l.Attempts[len(l.Attempts)-1]) / float64(l.Calls)
 }
 
-// quarter is the time in which a peak is looked for.
+// peakWindow is the length of the windows over which the peak load is counted.
 const peakWindow = 250 * time.Millisecond
 
-// PeakAmplification is the peak, over the calls at the top in as much time.
+// PeakAmplification returns the peak number of attempts at the lowest service, relative to the mean number of calls by
+// clients in a window of the same length.
 func (l ChainLoad) PeakAmplification(spec ChainSpec) float64 {
 	return float64(l.PeakAttempts) / (spec.Rate * float64(spec.Width) * peakWindow.Seconds())
 }
 
-// chainEvent is something due.
+// chainEvent is a scheduled action of the simulation.
 type chainEvent struct {
 	at  time.Duration
-	seq int
+	seq int // orders events with the same time by when they were scheduled
 	run func()
 }
 
-type chainQueue []chainEvent
+// eventQueue is a heap of events, ordered by time and sequence number.
+type eventQueue []chainEvent
 
-func (q chainQueue) Len() int      { return len(q) }
-func (q chainQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
-func (q chainQueue) Less(i, j int) bool {
+func (q eventQueue) Len() int      { return len(q) }
+func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
+func (q eventQueue) Less(i, j int) bool {
 	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].seq < q[j].seq
 }
-func (q *chainQueue) Push(e any) { *q = append(*q, e.(chainEvent)) }
-func (q *chainQueue) Pop() any {
+func (q *eventQueue) Push(e any) { *q = append(*q, e.(chainEvent)) }
+func (q *eventQueue) Pop() any {
 	last := (*q)[len(*q)-1]
 	*q = (*q)[:len(*q)-1]
 	return last
 }
 
-// chain is one play, in virtual time.
+// chain is the state of one simulation in virtual time.
 type chain struct {
 	spec           ChainSpec
 	rng            *rand.Rand
 	now            time.Duration
-	events         chainQueue
+	events         eventQueue
 	lastSeq        int
-	windowAttempts map[time.Duration]int // attempts at the lowest
+	windowAttempts map[time.Duration]int // attempts at the lowest service, by window number
 	load           ChainLoad
 }
 
-// chainClient is for whom all is done.
+// chainClient is the call by a client at the top that attempts are made for.
 type chainClient struct {
 	deadline time.Duration
-	counted  bool // the lowest service failed as it called
+	counted  bool // the call was made after FailFrom and counts in ChainLoad
 }
 
-// chainCall is a request at a sidecar, and who waits for it.
+// chainCall is a request at a sidecar and the callback that answers its caller.
 type chainCall struct {
-	deadline time.Duration // when who made it gives up
+	deadline time.Duration // when the caller gives up
 	client   chainClient
 	attempts int
 	answered bool
 	answer   func(balance.Ending)
 }
 
-// chainSidecar is a Host: it carries out what the sidecar's module decides.
+// chainSidecar implements balance.Host for the decision module of one sidecar.
 type chainSidecar struct {
 	chain      *chain
-	level      int // of the service that it sends to, from 0
+	level      int // index of the service that the sidecar sends to; 0 is the top
 	downstream []*chainSidecar
 	decider    Decider
 	calls      map[balance.RequestID]*chainCall
 	lastID     balance.RequestID
 }
 
-// SimulateChain plays a chain. decide makes the module of each sidecar.
+// SimulateChain runs a chain in virtual time until all calls are past their deadlines, and returns the load that they
+// caused. newDecider creates the decision module of each sidecar. The same arguments give the same result.
 func SimulateChain(spec ChainSpec, seed uint64, newDecider func(balance.Config, uint64, balance.Host) (Decider, error)) (ChainLoad, error) {
 	c := &chain{spec: spec, rng: rand.New(rand.NewPCG(seed, 3)), windowAttempts: make(map[time.Duration]int)}
 	c.load.Attempts = make([]int, spec.Depth)
@@ -168,7 +173,7 @@
 	for _, s := range downstream {
 		c.scheduleClientCall(s)
 	}
-	end := spec.FailFrom + spec.FailFor + time.Duration(spec.Depth)*spec.Class.Deadline
+	end := spec.FailFrom + spec.MeasureFor + time.Duration(spec.Depth)*spec.Class.Deadline
 	for len(c.events) > 0 && c.events[0].at <= end {
 		e := heap.Pop(&c.events).(chainEvent)
 		c.now = e.at
@@ -180,16 +185,17 @@
 	return c.load, nil
 }
 
-// after has something done later.
+// schedule runs a function after a delay of virtual time.
 func (c *chain) schedule(d time.Duration, do func()) {
 	c.lastSeq++
 	heap.Push(&c.events, chainEvent{c.now + max(0, d), c.lastSeq, do})
 }
 
-// client makes calls at the top, at random times.
+// scheduleClientCall schedules a client's next call after an exponentially distributed time. The call in turn schedules
+// the one after it, until the measurement ends.
 func (c *chain) scheduleClientCall(s *chainSidecar) {
 	c.schedule(time.Duration(c.rng.ExpFloat64()/c.spec.Rate*float64(time.Second)), func() {
-		if c.now >= c.spec.FailFrom+c.spec.FailFor {
+		if c.now >= c.spec.FailFrom+c.spec.MeasureFor {
 			return
 		}
 		client := chainClient{c.now + c.spec.Class.Deadline, c.now >= c.spec.FailFrom}
@@ -205,14 +211,15 @@
 	})
 }
 
-// call hands a request to a sidecar.
+// request hands a call to the sidecar's decision module. answer is called once with the result.
 func (s *chainSidecar) request(deadline time.Duration, client chainClient, answer func(balance.Ending)) {
 	s.lastID++
 	s.calls[s.lastID] = &chainCall{deadline: deadline, client: client, answer: answer}
 	s.decider.Request(s.chain.now, balance.Request{ID: s.lastID, TimeLeft: deadline - s.chain.now})
 }
 
-// arrive is an attempt at a server.
+// handleAttempt processes an attempt at a server: it counts it, and then calls the next service or, at the lowest
+// service, answers or fails.
 func (s *chainSidecar) handleAttempt(server int, deadline time.Duration, client chainClient, answer func(balance.Ending)) {
 	c, lowest := s.chain, s.level == s.chain.spec.Depth-1
 	if client.counted {
@@ -247,7 +254,7 @@
 // Send implements balance.Host.
 func (s *chainSidecar) Send(id balance.RequestID, to balance.ServerID, timeout, _ time.Duration) {
 	c, q := s.chain, s.calls[id]
-	number, ended := q.attempts, false
+	attempt, ended := q.attempts, false
 	q.attempts++
 	end := func(e balance.Ending) {
 		if ended {
@@ -258,10 +265,10 @@
 		if settles {
 			s.answerCall(id, e)
 		}
-		if e == refusedBelow { // to the module, a server that has answered
+		if e == refusedBelow { // for the decision module, the server has answered
 			e = balance.Served
 		}
-		s.decider.Outcome(c.now, balance.Outcome{ID: id, Attempt: number, Ending: e, Settled: settles})
+		s.decider.Outcome(c.now, balance.Outcome{ID: id, Attempt: attempt, Ending: e, Settled: settles})
 	}
 	deadline := q.deadline
 	if timeout > 0 {
@@ -273,7 +280,7 @@
 	})
 }
 
-// settle answers a call, once.
+// answerCall answers a call unless it has been answered before.
 func (s *chainSidecar) answerCall(id balance.RequestID, e balance.Ending) {
 	if q := s.calls[id]; q != nil && !q.answered {
 		q.answered = true
@@ -282,7 +289,7 @@
 	}
 }
 
-// Refuse implements balance.Host.
+// Refuse implements balance.Host. The caller is answered as ChainSpec.Relay specifies.
 func (s *chainSidecar) Refuse(id balance.RequestID, _ time.Duration, _ balance.Reason) {
 	endings := map[Relay]balance.Ending{RelayError: balance.Errored, RelayTurnedAway: balance.TurnedAway, RelayFinal: refusedBelow}
 	s.answerCall(id, endings[s.chain.spec.Relay])
@@ -298,20 +305,20 @@
 	s.chain.schedule(d, func() { s.decider.Wake(s.chain.now) })
 }
 
-// Cancel implements balance.Host: a server goes on with what it has begun.
+// Cancel implements balance.Host. It does nothing: a server completes the work that it has begun.
 func (s *chainSidecar) Cancel(balance.RequestID, int) {}
 
-// Withdraw implements balance.Host: nothing waits for its connection.
+// Withdraw implements balance.Host. It does nothing: no attempt waits for a connection.
 func (s *chainSidecar) Withdraw(balance.RequestID, int) {}
 
-// Close implements balance.Host.
+// CloseIdle implements balance.Host. It does nothing: connections are not simulated.
 func (s *chainSidecar) CloseIdle(balance.ServerID) {}
 
-// Probe implements balance.Host.
+// Probe implements balance.Host. It does nothing: probes are not simulated.
 func (s *chainSidecar) Probe(balance.ServerID) {}
 
-// WatchList implements balance.Host: the list does not change.
+// WatchList implements balance.Host. It does nothing: the server list does not change.
 func (s *chainSidecar) WatchList() {}
 
-// Log implements balance.Host.
+// Log implements balance.Host. It discards the line.
 func (s *chainSidecar) Log(string) {}
--- a/internal/world/depth_test.go
+++ b/internal/world/depth_test.go
@@ -73,7 +73,7 @@
 		Class:      balance.Class{Aim: s, Deadline: 3 * s, Worth: 1, Idempotency: balance.Safe, DedupWindow: 3 * s},
 		Config:     balance.Config{MaxAttempts: attempts, MaxRetryAfter: s, ColdFrom: 0.2, ColdTime: 10 * s, ColdMultiple: 4},
 		HopLatency: 100 * time.Microsecond, Work: ms,
-		Cause: world.CauseError, FailureShare: share, FailFrom: 5 * s, FailFor: 10 * s, PropagateDeadline: true, Relay: world.RelayError,
+		Cause: world.CauseError, FailureShare: share, FailFrom: 5 * s, MeasureFor: 10 * s, PropagateDeadline: true, Relay: world.RelayError,
 	}
 }
 
@@ -106,7 +106,7 @@
 		{"and the time not told on", 4, 3, func(c *world.ChainSpec) { c.Work, c.PropagateDeadline = 100*ms, false }, 15, 60, true},
 	} {
 		spec := chainOf(c.depth, c.attempts, 1)
-		spec.Rate, spec.FailFrom, spec.FailFor = 5, s, 4*s
+		spec.Rate, spec.FailFrom, spec.MeasureFor = 5, s, 4*s
 		if c.change != nil {
 			c.change(&spec)
 		}
@@ -142,14 +142,14 @@
 		for range c.depth {
 			bound = bound*(1+budget.Share) + float64(spec.Width)*budget.Free/budget.Span.Seconds()
 		}
-		most := bound * spec.FailFor.Seconds() // of what the chance of arrivals gave, below
+		most := bound * spec.MeasureFor.Seconds() // of what the chance of arrivals gave, below
 		for _, budgeted := range []bool{true, false} {
 			if spec.Config.Budget = (balance.RetryBudget{}); budgeted {
 				spec.Config.Budget = budget
 			}
 			load := play(t, spec, 3, module)
 			got := float64(load.Attempts[c.depth-1])
-			limit := most * float64(load.Calls) / (spec.Rate * float64(spec.Width) * spec.FailFor.Seconds())
+			limit := most * float64(load.Calls) / (spec.Rate * float64(spec.Width) * spec.MeasureFor.Seconds())
 			if within := got <= limit+2; within != budgeted { // two may be on their way as it begins
 				t.Errorf("depth %d, %d attempts, %s, %.0f%%, budget %v: %.0f attempts at the lowest for %d calls, bound %.0f",
 					c.depth, c.attempts, c.cause, 100*c.share, budgeted, got, load.Calls, limit)
--- a/internal/world/load.go
+++ b/internal/world/load.go
@@ -11,54 +11,55 @@
 // Class is a kind of request that clients make.
 type Class struct {
 	Name          string
-	Share         float64       // of the requests, against the others' shares
-	MeanWork      time.Duration // mean, on the standard core
-	WorkVariation float64       // its standard deviation against the mean; lognormal
-	Aim           time.Duration
+	Share         float64       // share of the requests, relative to the other classes' shares
+	MeanWork      time.Duration // mean of the lognormally distributed work, on the standard core
+	WorkVariation float64       // coefficient of variation of the work
+	Aim           time.Duration // latency target
 	Deadline      time.Duration
 	Worth         float64
 	Idempotency   Idempotency
-	DedupWindow   time.Duration // keyed: how long a zone drops repeats
+	DedupWindow   time.Duration // of Keyed classes: how long a zone drops repeats
 }
 
-// Idempotency says what a repeat of a request may do.
+// Idempotency is whether a request may be executed more than once.
 type Idempotency string
 
-// The effects.
+// The kinds of idempotency.
 const (
-	Safe   Idempotency = "safe"
-	Keyed  Idempotency = "keyed"
-	Unsafe Idempotency = "unsafe"
+	Safe   Idempotency = "safe"   // repeats are harmless
+	Keyed  Idempotency = "keyed"  // servers drop repeats within a window
+	Unsafe Idempotency = "unsafe" // every execution takes effect
 )
 
-// Burst is a time of more traffic: it rises and falls within a tenth of its length at either end.
+// Burst is a period of higher traffic. The rate ramps up over the first tenth of the period and down over the last.
 type Burst struct {
 	Start, Duration time.Duration
-	Factor          float64
+	Factor          float64 // multiplies the rate between the ramps
 }
 
-// LoadSpec says what clients ask for.
+// LoadSpec holds the parameters of the load that clients generate.
 type LoadSpec struct {
-	Rate         float64 // requests a second over all sidecars, before bursts
+	Rate         float64 // requests per second over all sidecars, outside bursts
 	Duration     time.Duration
 	Sidecars     int
-	Skew         float64 // standard deviation of the sidecars' parts against their mean
+	Skew         float64 // coefficient of variation of the sidecars' shares of the load
 	Classes      []Class
-	Tenants      []float64 // their shares of the traffic
-	Keys         int       // distinct ones
-	ZipfExponent float64   // the n-th most popular key is asked for as often as n to the minus Zipf
+	Tenants      []float64 // relative share of the load of each tenant
+	Keys         int       // number of distinct keys
+	ZipfExponent float64   // the n-th most popular key has a frequency proportional to n to the power of -ZipfExponent
 	Bursts       []Burst
 }
 
-// Arrival is a request that a client wants to make.
+// Arrival is a request that a client intends to make.
 type Arrival struct {
-	At                     time.Duration // when it is due
-	Sidecar, Class, Tenant int
-	Key                    uint64 // from 1 on
-	Work                   time.Duration
+	At                     time.Duration // when the request is due
+	Sidecar, Class, Tenant int           // indexes
+	Key                    uint64        // starts at 1
+	Work                   time.Duration // processor time on the standard core
 }
 
-// DrawArrivals draws all arrivals of a run, in order of time. They do not depend on what becomes of them.
+// DrawArrivals draws all arrivals of a run, in order of time. The arrivals do not depend on the outcome of earlier
+// requests. Candidates are drawn at the rate of the highest possible burst and thinned to the rate at their time.
 func DrawArrivals(spec LoadSpec, seed uint64) []Arrival {
 	sidecarShares := make([]float64, spec.Sidecars)
 	rng := rand.New(rand.NewPCG(seed, 2))
@@ -80,7 +81,7 @@
 	}
 	var all []Arrival
 	for i, share := range sidecarShares {
-		rng := rand.New(rand.NewPCG(seed, 1000+uint64(i))) // a sidecar's requests are its own
+		rng := rand.New(rand.NewPCG(seed, 1000+uint64(i))) // independent of the other sidecars' requests
 		rate := spec.Rate * share / total * maxFactor
 		for at := 0.0; rate > 0; {
 			at += rng.ExpFloat64() / rate
@@ -101,7 +102,7 @@
 	return all
 }
 
-// times is by how much bursts multiply the traffic at a moment.
+// burstFactor returns the factor by which bursts multiply the rate at a time.
 func (l *LoadSpec) burstFactor(now time.Duration) float64 {
 	factor := 1.0
 	for _, b := range l.Bursts {
@@ -111,7 +112,7 @@
 	return factor
 }
 
-// MeanWork is the mean work of a request.
+// MeanWork returns the mean work of a request over all classes.
 func (l *LoadSpec) MeanWork() time.Duration {
 	work, shares := 0.0, 0.0
 	for _, c := range l.Classes {
@@ -121,13 +122,13 @@
 	return time.Duration(work / max(shares, 1e-9))
 }
 
-// lognormal draws from a lognormal distribution by its mean and relative standard deviation.
-func lognormal(rng *rand.Rand, mean, spread float64) float64 {
-	s := math.Log(1 + spread*spread)
+// lognormal draws from the lognormal distribution with a mean and a coefficient of variation.
+func lognormal(rng *rand.Rand, mean, variation float64) float64 {
+	s := math.Log(1 + variation*variation)
 	return mean * math.Exp(rng.NormFloat64()*math.Sqrt(s)-s/2)
 }
 
-// cumulate turns shares into a running sum that ends at 1.
+// cumulativeShares returns the cumulative sums of shares, normalised to end at 1.
 func cumulativeShares(shares []float64) []float64 {
 	sums, total := make([]float64, len(shares)), 0.0
 	for i, s := range shares {
@@ -140,6 +141,7 @@
 	return sums
 }
 
+// zipfShares returns the cumulative shares of n keys whose popularity follows Zipf's law.
 func zipfShares(n int, exponent float64) []float64 {
 	shares := make([]float64, max(n, 1))
 	for i := range shares {
@@ -148,7 +150,7 @@
 	return cumulativeShares(shares)
 }
 
-// pick draws a place by a running sum.
+// drawIndex draws an index with the probabilities that cumulative shares give.
 func drawIndex(rng *rand.Rand, sums []float64) int {
 	i, _ := slices.BinarySearch(sums, rng.Float64())
 	return min(i, len(sums)-1)
--- a/internal/world/planned.go
+++ b/internal/world/planned.go
@@ -2,25 +2,25 @@
 
 import "time"
 
-// FleetPlan is a size of the fleet to design for, and what control may cost a sidecar there.
+// FleetPlan is a fleet size to design for, and the budget that the control plane has at each sidecar.
 type FleetPlan struct {
-	Sidecars            int // each beside an upstream of its own
+	Sidecars            int // one per upstream instance
 	Services            int
 	Regions             int
 	Zones               int
-	CallDepth           int           // calls below one another, at most
-	CallsPerSec         float64       // a second, in the whole fleet
-	AddedLatencyP99     time.Duration // to a call by its sidecar, for 99 in 100
-	ConfigChangesPerDay int           // of configuration, a day
-	PropagationTime     time.Duration // from a change's push until it is in force everywhere
-	ControlMachines     int           // set aside for control
+	CallDepth           int           // longest chain of nested calls
+	CallsPerSec         float64       // over the whole fleet
+	AddedLatencyP99     time.Duration // latency that the sidecar adds to a call, 99th percentile
+	ConfigChangesPerDay int
+	PropagationTime     time.Duration // from the push of a configuration change until it is in force everywhere
+	ControlMachines     int           // machines reserved for the control plane
 
-	ControlCores       float64 // of processor time that control may take at a sidecar
-	ControlMemoryBytes int
-	ControlBytesPerSec float64 // in and out together
+	ControlCores       float64 // processor time of the control plane at a sidecar, in cores
+	ControlMemoryBytes int     // memory of the control plane at a sidecar
+	ControlBytesPerSec float64 // control traffic of a sidecar, sent and received
 }
 
-// PlannedFleet is the size that the design goes by: tests and the page of capacity take their figures from here.
+// PlannedFleet is the fleet size of the design. Tests and the capacity documentation take their figures from it.
 var PlannedFleet = FleetPlan{
 	Sidecars: 1900, Services: 56, Regions: 2, Zones: 7, CallDepth: 11, CallsPerSec: 270_000, AddedLatencyP99: 550 * time.Microsecond,
 	ConfigChangesPerDay: 6100, PropagationTime: 13 * time.Second, ControlMachines: 7,
--- a/internal/world/roster.go
+++ b/internal/world/roster.go
@@ -5,74 +5,74 @@
 	"time"
 )
 
-// Lifecycle is what the list of servers says of one.
+// Lifecycle is the state of a server in the server list.
 type Lifecycle string
 
-// The lives.
+// The lifecycle states.
 const (
 	Ready    Lifecycle = "ready"
 	Draining Lifecycle = "draining"
 	Gone     Lifecycle = "gone"
 )
 
-// Entry is one line of the list.
+// Entry is one server's entry in the server list.
 type Entry struct {
 	Server    int
 	Lifecycle Lifecycle
 	StartedAt time.Duration // of its last start, in the run's time; 0: long ago
 }
 
-// rosterLog is how many changes a roster remembers; who is further behind gets the whole list.
+// maxLoggedChanges is the number of changes that a ServerList keeps. Clients further behind need the full list.
 const maxLoggedChanges = 1000
 
-// ServerList is the list of servers as discovery knows it: versions, and what changed with each.
+// ServerList is discovery's versioned list of servers, with a log of the latest changes.
 type ServerList struct {
-	logStart int64 // version before the oldest change remembered
-	entries  []Entry
-	changes  []int // entries by what changed them, the version after first first
+	logStart int64   // the version before the oldest logged change
+	entries  []Entry // by server number
+	changes  []int   // the server that each version after logStart changed, oldest first
 }
 
-// NewServerList makes a list of so many ready servers at a version.
+// NewServerList returns a list of ready servers at a version.
 func NewServerList(servers int, version int64) *ServerList {
-	r := &ServerList{logStart: version, entries: make([]Entry, servers)}
-	for i := range r.entries {
-		r.entries[i] = Entry{Server: i, Lifecycle: Ready}
+	l := &ServerList{logStart: version, entries: make([]Entry, servers)}
+	for i := range l.entries {
+		l.entries[i] = Entry{Server: i, Lifecycle: Ready}
 	}
-	return r
+	return l
 }
 
-// Reserve adds servers that are gone until they are set, at the version of now.
-func (r *ServerList) Reserve(servers int) {
+// Reserve appends entries of servers that are gone until Set changes them. The version stays.
+func (l *ServerList) Reserve(servers int) {
 	for range servers {
-		r.entries = append(r.entries, Entry{Server: len(r.entries), Lifecycle: Gone})
+		l.entries = append(l.entries, Entry{Server: len(l.entries), Lifecycle: Gone})
 	}
 }
 
-// Clone is the list as it is now.
-func (r *ServerList) Clone() *ServerList {
-	return &ServerList{logStart: r.logStart, entries: slices.Clone(r.entries), changes: slices.Clone(r.changes)}
+// Clone returns an independent copy of the list.
+func (l *ServerList) Clone() *ServerList {
+	return &ServerList{logStart: l.logStart, entries: slices.Clone(l.entries), changes: slices.Clone(l.changes)}
 }
 
-// Version is the list's version.
-func (r *ServerList) Version() int64 { return r.logStart + int64(len(r.changes)) }
+// Version returns the version of the list. Each change increments it.
+func (l *ServerList) Version() int64 { return l.logStart + int64(len(l.changes)) }
 
-// Set changes an entry, and says whether that is news.
-func (r *ServerList) Set(e Entry) bool {
-	if r.entries[e.Server] == e {
+// Set replaces the entry of a server and reports whether that changes the list.
+func (l *ServerList) Set(e Entry) bool {
+	if l.entries[e.Server] == e {
 		return false
 	}
-	r.entries[e.Server] = e
-	r.changes = append(r.changes, e.Server)
-	if len(r.changes) > maxLoggedChanges {
-		r.changes = r.changes[1:]
-		r.logStart++
+	l.entries[e.Server] = e
+	l.changes = append(l.changes, e.Server)
+	if len(l.changes) > maxLoggedChanges {
+		l.changes = l.changes[1:]
+		l.logStart++
 	}
 	return true
 }
 
-// Listed is the whole list; a server that is gone is not in it.
-func (r *ServerList) Listed() (all []Entry) {
-	for _, e := range r.entries {
+// Listed returns the entries of all servers that are not gone.
+func (l *ServerList) Listed() (all []Entry) {
+	for _, e := range l.entries {
 		if e.Lifecycle != Gone {
 			all = append(all, e)
 		}
@@ -80,39 +80,41 @@
 	return all
 }
 
-// ChangedSince is what changed after a version, or false where that is not known any more.
-func (r *ServerList) ChangedSince(version int64) (changed []Entry, ok bool) {
-	if version < r.logStart || version > r.Version() {
+// ChangedSince returns the current entries of the servers that changed after a version, in the order of their first
+// change. It returns false if the version is older than the log or not reached yet.
+func (l *ServerList) ChangedSince(version int64) (changed []Entry, ok bool) {
+	if version < l.logStart || version > l.Version() {
 		return nil, false
 	}
 	seen := make(map[int]bool)
-	for _, i := range r.changes[version-r.logStart:] {
+	for _, i := range l.changes[version-l.logStart:] {
 		if !seen[i] {
 			seen[i] = true
-			changed = append(changed, r.entries[i])
+			changed = append(changed, l.entries[i])
 		}
 	}
 	return changed, true
 }
 
-// FIFOService is a service of fixed capacity that takes calls in turn.
+// FIFOService models a service that answers one call at a time in the order of arrival, such as discovery.
 type FIFOService struct {
-	CallTime  time.Duration // of service that each call takes
-	EntryTime time.Duration // and each line of its answer
-	MaxWait   time.Duration // a call that would wait longer fails
-	idleAt    time.Duration // when it is done with all calls so far
+	CallTime  time.Duration // fixed service time of a call
+	EntryTime time.Duration // additional service time of each entry in the answer
+	MaxWait   time.Duration // a call that would wait longer for its service fails
+	idleAt    time.Duration // when all accepted calls are answered
 }
 
-// NewFIFOService makes a service that is free, whatever the time is.
-func NewFIFOService(call, line, patience time.Duration) FIFOService {
-	return FIFOService{CallTime: call, EntryTime: line, MaxWait: patience, idleAt: unsetTime}
+// NewFIFOService returns a service that is idle at any time of its first call.
+func NewFIFOService(callTime, entryTime, maxWait time.Duration) FIFOService {
+	return FIFOService{CallTime: callTime, EntryTime: entryTime, MaxWait: maxWait, idleAt: unsetTime}
 }
 
-// Enqueue takes a call, and tells when its answer is ready; false: it fails, then, at once.
-func (d *FIFOService) Enqueue(now time.Duration, lines int) (time.Duration, bool) {
-	if d.idleAt-now > d.MaxWait {
+// Enqueue accepts a call whose answer has a number of entries, and returns when the answer is ready. It returns false
+// if the call fails at once because it would wait longer than MaxWait.
+func (f *FIFOService) Enqueue(now time.Duration, entries int) (time.Duration, bool) {
+	if f.idleAt-now > f.MaxWait {
 		return now, false
 	}
-	d.idleAt = max(d.idleAt, now) + d.CallTime + time.Duration(lines)*d.EntryTime
-	return d.idleAt, true
+	f.idleAt = max(f.idleAt, now) + f.CallTime + time.Duration(entries)*f.EntryTime
+	return f.idleAt, true
 }
--- a/internal/world/server.go
+++ b/internal/world/server.go
@@ -1,9 +1,9 @@
-// Package world has the models of what surrounds a sidecar: queue servers, the list of servers that discovery keeps,
-// and the requests that clients make. They are drawn from the operators' papers, not from any real machine.
+// Package world models the environment of a sidecar: queueing servers, the server list that discovery keeps, and the
+// requests that clients make. The models follow the operators' documents and do not reproduce any real machine.
 //
-// No model has a clock, a socket or a goroutine: whoever plays one passes the time and serialises the calls. The lab
-// plays them on real sockets; the same code can be played in virtual time. Times are durations since the start of a
-// run. The same calls with the same seed give the same results.
+// A model has no clock, socket or goroutine: its caller passes the time and serialises the calls. The lab runs the
+// models behind real sockets; tests run them in virtual time. Times are durations since the start of a run. The same
+// calls with the same seed give the same results.
 package world
 
 import (
@@ -14,101 +14,105 @@
 	"time"
 )
 
-// ServerSpec says what a queue server is like.
+// ServerSpec holds the parameters of a simulated queueing server. Work is given as processor time on a standard core.
 type ServerSpec struct {
 	Cores      float64
-	Speed      float64 // of a core, against the standard one
-	Slots      int     // requests in work at once
-	QueueLimit int     // requests that may wait
+	Speed      float64 // of a core, relative to the standard core
+	Slots      int     // requests processed concurrently
+	QueueLimit int     // requests that may wait for a slot
 
-	ThrashFactor    float64 // so much of its speed is lost at twice ThrashThreshold in work, and so on
+	// With n requests in slots above ThrashThreshold, the server is 1 + ThrashFactor*(n-ThrashThreshold)/ThrashThreshold
+	// times slower. A ThrashThreshold of 0 disables this.
+	ThrashFactor    float64
 	ThrashThreshold float64
 
-	KeyCacheSize   int           // keys that it remembers
-	KeyCacheTTL    time.Duration // and for how long
-	KeyCacheSaving float64       // share of the work that a key met lately saves
-
-	ColdCapacityShare float64       // share of its capacity that it starts with; it rises evenly
-	WarmUpTime        time.Duration // until it has all
-	ColdCrashFactor   float64       // sent more than this multiple of what it can do at that moment,
-	ColdCrashWindow   time.Duration // for this long, a cold one falls over
-	ColdCrashMeanWork time.Duration // work of a mean request: three and three times the root of what it may have are forgiven, for chance
-
-	CongestionThreshold  float64       // with this many requests to a core
-	CongestionDelay      time.Duration // for this long,
-	CongestionSlowdown   float64       // it turns so many times slower
-	RecoveryWindow       time.Duration // until it has been mostly idle for so long:
-	RecoveryMaxBusyShare float64       // busy for no more than this share of it; 0: it had nothing at all
-	CongestionMaxTime    time.Duration // or this has passed; 0: it does not choke
-
-	ErrorShare    float64 // share of requests that end in an error
-	CancelRunning bool    // a cancelled request stops also when it is in work
-	HandshakeWork time.Duration
-	ProbeWork     time.Duration // work of a probe
+	KeyCacheSize   int           // number of request keys that the cache holds
+	KeyCacheTTL    time.Duration // age after which a cached key no longer saves work
+	KeyCacheSaving float64       // share of a request's work saved when its key is cached
+
+	ColdCapacityShare float64       // share of the full capacity available at a start; it rises linearly to 1
+	WarmUpTime        time.Duration // from a start until the full capacity is available
+	ColdCrashFactor   float64       // a cold server crashes when sent more than this multiple of its current capacity
+	ColdCrashWindow   time.Duration // sliding window over which the work sent to a cold server is summed
+	// ColdCrashMeanWork is the mean work of a request. It sets the margin for chance in the crash limit: three standard
+	// deviations of the work that the limit allows, and three mean requests.
+	ColdCrashMeanWork time.Duration
+
+	CongestionThreshold  float64       // outstanding requests per core above which congestion builds up
+	CongestionDelay      time.Duration // time above the threshold until the server becomes congested
+	CongestionSlowdown   float64       // factor by which a congested server is slower
+	RecoveryWindow       time.Duration // the server recovers after a mostly idle period of this length
+	RecoveryMaxBusyShare float64       // largest busy share of RecoveryWindow that counts as mostly idle; 0: fully idle
+	CongestionMaxTime    time.Duration // the server recovers after this time in any case; 0: it never becomes congested
+
+	ErrorShare    float64       // share of the requests that end in an error
+	CancelRunning bool          // whether cancelling a request also stops it when it occupies a slot
+	HandshakeWork time.Duration // work of accepting a connection
+	ProbeWork     time.Duration // work of answering a probe
 }
 
-// never is before any time that a run may have.
+// unsetTime marks a time that has not been set. It lies before any time that a run may have.
 const unsetTime = time.Duration(math.MinInt64 / 2)
 
 // Job is one request as a server sees it.
 type Job struct {
 	ID       uint64
-	Work     time.Duration // on the standard core
-	Key      uint64        // what it is about; 0: nothing that could be remembered
-	DedupKey uint64        // a repeat of it is dropped by its zone; 0: it is not
+	Work     time.Duration // processor time on the standard core
+	Key      uint64        // key for the server's cache; 0: the request is not cacheable
+	DedupKey uint64        // identifies the request and its repeats to the zone's deduplication; 0: not deduplicated
 }
 
-// Verdict is what becomes of a job that arrives.
+// Verdict is the result of a job's arrival at a server.
 type Verdict int
 
 // The verdicts.
 const (
-	Accepted  Verdict = iota // it waits or is in work; Advance tells of its end
-	Rejected                 // turned away, unseen
-	Duplicate                // dropped, as its zone has had it: answered at once
-	Down                     // there is nobody
+	Accepted  Verdict = iota // queued or running; Advance reports its completion
+	Rejected                 // turned away without being processed
+	Duplicate                // dropped as a repeat of a job seen in the zone, and answered at once
+	Down                     // the server is not running
 )
 
-// String names a verdict.
+// String returns the name of the verdict for logs and test failures.
 func (v Verdict) String() string {
 	return [...]string{Accepted: "taken", Rejected: "turned away", Duplicate: "repeated", Down: "down"}[v]
 }
 
-// Completion is a job that is done.
+// Completion reports that a job has ended.
 type Completion struct {
 	ID     uint64
 	At     time.Duration
-	Failed bool
+	Failed bool // the server answers with an error
 }
 
-// DedupZone remembers what its servers have had, to drop repeats. The zero value drops none.
+// DedupZone is the deduplication state that the servers of a zone share. The zero value drops no repeats.
 type DedupZone struct {
-	Window   time.Duration
-	lastSeen map[uint64]time.Duration
+	Window   time.Duration            // how long after a job its repeats are dropped
+	lastSeen map[uint64]time.Duration // by Job.DedupKey: when the first job of the current window arrived
 }
 
-// repeats says whether a job was had lately, and else enters it.
-func (z *DedupZone) checkDuplicate(now time.Duration, unique uint64) bool {
-	if z == nil || unique == 0 || z.Window == 0 {
+// checkDuplicate reports whether a job with the same key arrived within the window. If none did, it records this one.
+func (z *DedupZone) checkDuplicate(now time.Duration, key uint64) bool {
+	if z == nil || key == 0 || z.Window == 0 {
 		return false
 	}
-	if at, ok := z.lastSeen[unique]; ok && now-at < z.Window {
+	if at, ok := z.lastSeen[key]; ok && now-at < z.Window {
 		return true
 	}
-	if z.lastSeen == nil || len(z.lastSeen) > 1<<16 { // past the window many times over
+	if z.lastSeen == nil || len(z.lastSeen) > 1<<16 { // bounds the map; that many jobs take many times the window
 		z.lastSeen = make(map[uint64]time.Duration)
 	}
-	z.lastSeen[unique] = now
+	z.lastSeen[key] = now
 	return false
 }
 
-// running is a job in work.
+// runningJob is a job that occupies a slot.
 type runningJob struct {
 	job           Job
-	remainingWork float64 // seconds of work on the standard core
+	remainingWork float64 // seconds on the standard core
 }
 
-// Server is one queue server. Its methods' times never go back.
+// Server simulates one queueing server. The times passed to its methods must not decrease.
 type Server struct {
 	spec ServerSpec
 	zone *DedupZone
@@ -117,88 +121,90 @@
 	up              bool
 	crashedCold     bool
 	now             time.Duration
-	startedAt       time.Duration // of this life
-	startedCold     bool          // whether it began cold
-	slowdown        float64       // times slower, by a fault
-	extraErrorShare float64       // share of requests that err, by a fault
-	rejecting       bool
+	startedAt       time.Duration // time of the last Start
+	startedCold     bool          // Start was called, so the server warms up from startedAt
+	slowdown        float64       // factor set by SetSlowdown
+	extraErrorShare float64       // share set by SetErrorShare
+	rejecting       bool          // set by SetRejecting
 
 	running      []runningJob
 	queue        []Job
-	overheadWork float64 // seconds of work that goes first: handshakes and probes
+	overheadWork float64 // seconds of work of handshakes and probes, which precedes all jobs
 	keyLastUsed  map[uint64]time.Duration
-	keysByAge    []uint64 // keys met, the oldest first
-
-	recentWork         []workSample // to a cold server, within the window
-	recentWorkSeconds  float64
-	overThresholdSince time.Duration // since when it has too many; never: it has not
-	congestedSince     time.Duration // since when; never: it is not
-	busySpells         []busySpell   // of a choked one, within the time of its rest
-	WorkDone           float64       // seconds of work done in all its lives
+	keysByAge    []uint64 // the cached keys, least recently used first
+
+	recentWork         []workSample  // work sent to a cold server within ColdCrashWindow
+	recentWorkSeconds  float64       // sum of recentWork
+	overThresholdSince time.Duration // start of the time above CongestionThreshold, or unsetTime
+	congestedSince     time.Duration // start of the current congestion, or unsetTime
+	busySpells         []busySpell   // busy times of a congested server within RecoveryWindow
+	WorkDone           float64       // seconds of work done over all starts of the server
 	congestionCount    int
 }
 
+// workSample is an amount of work that was sent to a cold server.
 type workSample struct {
 	at      time.Duration
 	seconds float64
 }
 
-// spell is a time in which a server was so busy.
+// busySpell is a step of the simulation in which a congested server had work.
 type busySpell struct {
 	until       time.Duration
-	coreSeconds float64 // seconds, over all cores alike
+	busySeconds float64 // busy time, averaged over all cores
 }
 
-// NewServer makes a server that has been up for long. zone may be nil.
+// NewServer returns a running server with its full capacity. zone may be nil, which disables deduplication.
 func NewServer(spec ServerSpec, zone *DedupZone, seed uint64) *Server {
 	s := &Server{spec: spec, zone: zone, rng: rand.New(rand.NewPCG(seed, 1)), up: true, slowdown: 1, now: unsetTime}
 	s.reset()
 	return s
 }
 
+// reset drops all jobs, the key cache and the overload state.
 func (s *Server) reset() {
 	s.running, s.queue, s.overheadWork, s.recentWork, s.recentWorkSeconds = nil, nil, 0, nil, 0
 	s.keyLastUsed, s.keysByAge = make(map[uint64]time.Duration), nil
 	s.overThresholdSince, s.congestedSince, s.busySpells = unsetTime, unsetTime, nil
 }
 
-// Start begins a life of the server, cold, with nothing left of the one before.
+// Start starts or restarts the server cold: without jobs, with an empty key cache and with reduced capacity.
 func (s *Server) Start(now time.Duration) {
 	s.reset()
 	s.up, s.crashedCold, s.startedCold, s.startedAt, s.now = true, false, true, now, now
 }
 
-// Crash ends its life. What it held is gone.
+// Crash stops the server. Its jobs are lost without a completion.
 func (s *Server) Crash(now time.Duration) {
 	s.reset()
 	s.up, s.now = false, now
 }
 
-// Up says whether it lives.
+// Up reports whether the server is running.
 func (s *Server) Up() bool { return s.up }
 
-// CrashedCold says whether it was pushed over when it was cold.
+// CrashedCold reports whether overload while cold has crashed the server since its last start.
 func (s *Server) CrashedCold() bool { return s.crashedCold }
 
-// CongestionCount counts the times that a crowd made it slow.
+// CongestionCount returns how often the server has become congested.
 func (s *Server) CongestionCount() int { return s.congestionCount }
 
-// Congested says whether a crowd has made it slow, and it has not come to rest since.
+// Congested reports whether the server is slowed down by congestion and has not recovered yet.
 func (s *Server) Congested() bool { return s.congestedSince != unsetTime }
 
-// SetSlowdown makes it so many times slower; 1 is its usual speed.
-func (s *Server) SetSlowdown(times float64) { s.slowdown = max(times, 1e-3) }
+// SetSlowdown injects a fault that makes the server slower by a factor; 1 ends it.
+func (s *Server) SetSlowdown(factor float64) { s.slowdown = max(factor, 1e-3) }
 
-// SetErrorShare makes a share of its requests end in errors, besides the usual ones.
+// SetErrorShare injects a fault that makes a share of the requests fail, in addition to ServerSpec.ErrorShare; 0 ends it.
 func (s *Server) SetErrorShare(share float64) { s.extraErrorShare = share }
 
-// SetRejecting makes it turn everything away, or ends that.
+// SetRejecting sets whether the server rejects every request.
 func (s *Server) SetRejecting(on bool) { s.rejecting = on }
 
-// Outstanding is how many requests it has.
+// Outstanding returns the number of requests that are queued or running.
 func (s *Server) Outstanding() int { return len(s.running) + len(s.queue) }
 
-// CapacityShare is the share of its capacity that it has at a moment.
+// CapacityShare returns the share of the full capacity that is available at a time: below 1 while the server warms up.
 func (s *Server) CapacityShare(now time.Duration) float64 {
 	if !s.startedCold || s.spec.WarmUpTime <= 0 {
 		return 1
@@ -207,12 +213,13 @@
 	return min(1, s.spec.ColdCapacityShare+(1-s.spec.ColdCapacityShare)*elapsed)
 }
 
-// Capacity is the work in seconds that it can do in a second at a moment, nothing being wrong.
+// Capacity returns the work in seconds that the server can do in a second at a time, without faults and overload.
 func (s *Server) Capacity(now time.Duration) float64 {
 	return s.spec.Cores * s.spec.Speed * s.CapacityShare(now)
 }
 
-// rate is the work in seconds that it does in a second now.
+// rate returns the work in seconds that the server does in a second: its capacity, reduced by a slowdown fault, by too
+// many running requests and by congestion.
 func (s *Server) rate(now time.Duration) float64 {
 	r := s.Capacity(now) / s.slowdown
 	if over := float64(len(s.running)) - s.spec.ThrashThreshold; s.spec.ThrashThreshold > 0 && over > 0 {
@@ -224,12 +231,13 @@
 	return r
 }
 
-// Connect takes a new connection, whose handshake is work.
+// Connect adds the work of a new connection's handshake.
 func (s *Server) Connect(now time.Duration) { s.addOverhead(now, s.spec.HandshakeWork) }
 
-// Probe takes a probe.
+// Probe adds the work of answering a probe.
 func (s *Server) Probe(now time.Duration) { s.addOverhead(now, s.spec.ProbeWork) }
 
+// addOverhead adds work that is done before that of all jobs.
 func (s *Server) addOverhead(now time.Duration, work time.Duration) {
 	s.initClock(now)
 	if s.up {
@@ -238,14 +246,15 @@
 	}
 }
 
-// begin takes the time from the first call.
+// initClock sets the server's time at the first call.
 func (s *Server) initClock(now time.Duration) {
 	if s.now == unsetTime {
 		s.now = now
 	}
 }
 
-// push counts work sent to a cold server, which falls over when it is too much.
+// recordColdWork counts work that is sent to a warming-up server, and crashes the server when the work within
+// ColdCrashWindow exceeds the limit.
 func (s *Server) recordColdWork(now time.Duration, work float64) {
 	if !s.startedCold || s.spec.ColdCrashFactor <= 0 || s.CapacityShare(now) >= 1 {
 		return
@@ -263,7 +272,7 @@
 	}
 }
 
-// Arrive takes a job whose last byte has come. Call Advance for the same moment first.
+// Arrive hands a completely received job to the server. The caller calls Advance for the same time first.
 func (s *Server) Arrive(now time.Duration, j Job) Verdict {
 	s.initClock(now)
 	switch {
@@ -283,20 +292,20 @@
 	return Accepted
 }
 
-// fill puts waiting jobs to work.
+// startQueued moves queued jobs to free slots. A job whose key is cached has less work.
 func (s *Server) startQueued(now time.Duration) {
 	for len(s.queue) > 0 && len(s.running) < s.spec.Slots {
 		j := s.queue[0]
 		s.queue = s.queue[1:]
-		left := j.Work.Seconds()
+		work := j.Work.Seconds()
 		if at, ok := s.keyLastUsed[j.Key]; ok && j.Key != 0 && now-at < s.spec.KeyCacheTTL {
-			left *= 1 - s.spec.KeyCacheSaving
+			work *= 1 - s.spec.KeyCacheSaving
 		}
-		s.running = append(s.running, runningJob{j, left})
+		s.running = append(s.running, runningJob{j, work})
 	}
 }
 
-// remember keeps a key that was met, and forgets the oldest where there is no room.
+// cacheKey stores a key as the most recently used one, and evicts the least recently used key when the cache is full.
 func (s *Server) cacheKey(now time.Duration, key uint64) {
 	if key == 0 || s.spec.KeyCacheSize == 0 {
 		return
@@ -311,7 +320,8 @@
 	s.keysByAge = append(s.keysByAge, key)
 }
 
-// crowd sees whether too many have been there for too long, and whether a choked server has come to rest.
+// updateCongestion makes the server congested after CongestionDelay above the threshold, and ends the congestion after
+// the recovery or after CongestionMaxTime.
 func (s *Server) updateCongestion(now time.Duration) {
 	if s.spec.CongestionMaxTime <= 0 {
 		return
@@ -333,17 +343,17 @@
 	}
 }
 
-// rested says whether a choked server was mostly idle for as long as its rest takes.
+// recovered reports whether a congested server was mostly idle throughout the last RecoveryWindow.
 func (s *Server) recovered(now time.Duration) bool {
 	busy := 0.0
 	s.busySpells = slices.DeleteFunc(s.busySpells, func(p busySpell) bool { return p.until <= now-s.spec.RecoveryWindow })
 	for _, p := range s.busySpells {
-		busy += p.coreSeconds
+		busy += p.busySeconds
 	}
 	return now-s.congestedSince >= s.spec.RecoveryWindow && busy <= s.spec.RecoveryMaxBusyShare*s.spec.RecoveryWindow.Seconds()
 }
 
-// busy is the share of its cores that have something to do.
+// busyShare returns the share of the cores that have work.
 func (s *Server) busyShare() float64 {
 	if s.overheadWork > 0 {
 		return 1
@@ -351,7 +361,8 @@
 	return min(1, float64(len(s.running))/s.spec.Cores)
 }
 
-// Cancel takes that nobody waits for a job any more. It returns whether the job ends with that.
+// Cancel cancels a job whose client no longer waits. It reports whether the job was removed: a running job is only if
+// the specification allows that, and otherwise completes as usual.
 func (s *Server) Cancel(id uint64) bool {
 	if i := slices.IndexFunc(s.queue, func(j Job) bool { return j.ID == id }); i >= 0 {
 		s.queue = slices.Delete(s.queue, i, i+1)
@@ -366,10 +377,10 @@
 	return false
 }
 
-// step is how long a rate that changes is taken for constant.
+// maxStep is the longest time for which the server's rate is taken as constant, although it changes continuously.
 const maxStep = 20 * time.Millisecond
 
-// Advance plays on until now, and returns what has ended by then, in order.
+// Advance simulates the server up to a time and returns the jobs that have ended by then, in order of time.
 func (s *Server) Advance(now time.Duration) (ended []Completion) {
 	for s.up && s.now < now {
 		next := min(now, s.now+maxStep)
@@ -392,23 +403,24 @@
 		s.startQueued(next)
 		s.updateCongestion(next)
 		if len(s.running) == 0 && s.overheadWork <= 0 && s.congestedSince == unsetTime {
-			break // nothing happens until somebody comes
+			break // the state does not change until the next arrival
 		}
 	}
 	s.now = max(s.now, now)
 	return ended
 }
 
-// do does so many seconds' work: debts first, then all that is in work alike, none by more than a core.
+// doWork does the work of a period at the current rate: overhead first, then the running jobs in equal parts, each at
+// most at the speed of one core.
 func (s *Server) doWork(seconds float64) {
 	available := s.rate(s.now) * seconds
-	paid := min(s.overheadWork, available)
-	s.overheadWork -= paid
-	s.WorkDone += paid
+	overhead := min(s.overheadWork, available)
+	s.overheadWork -= overhead
+	s.WorkDone += overhead
 	if len(s.running) == 0 {
 		return
 	}
-	perJob := min((available-paid)/float64(len(s.running)), available/s.spec.Cores)
+	perJob := min((available-overhead)/float64(len(s.running)), available/s.spec.Cores)
 	for i := range s.running {
 		done := min(perJob, s.running[i].remainingWork)
 		s.running[i].remainingWork -= done
@@ -416,7 +428,8 @@
 	}
 }
 
-// first is when the first job in work ends at the rate of now.
+// firstCompletion returns when the first running job ends at the current rate, at most an hour ahead. It returns false
+// if no job is running.
 func (s *Server) firstCompletion() (time.Duration, bool) {
 	if len(s.running) == 0 {
 		return 0, false
@@ -427,14 +440,15 @@
 	return s.now + time.Duration(max(1, math.Ceil(min(wait, 3600)*float64(time.Second)))), true
 }
 
-// NextEvent is when Advance has something to tell at the soonest; false: never, as things are.
+// NextEvent returns the earliest time at which Advance may return a completion. It returns false if no job is running
+// or the server is down.
 func (s *Server) NextEvent() (time.Duration, bool) {
 	if !s.up {
 		return 0, false
 	}
 	at, ok := s.firstCompletion()
 	if s.startedCold && s.CapacityShare(s.now) < 1 {
-		at = min(at, s.now+maxStep) // it gets faster
+		at = min(at, s.now+maxStep) // warming up increases the rate, so jobs end earlier than predicted
 	}
 	return at, ok
 }
