--- a/internal/sysfault/launch.go
+++ b/internal/sysfault/launch.go
@@ -14,17 +14,17 @@
 	"golang.org/x/sys/unix"
 )
 
-// Variables by which Start tells the program's first life what to do.
+// Environment variables by which Start passes its options to the launcher.
 const (
-	programVariable = "SYSFAULT_PROGRAM"
-	callsVariable   = "SYSFAULT_CALLS"
-	clockVariable   = "SYSFAULT_CLOCK"
-	fileVariable    = "SYSFAULT_FILE"
+	programVariable = "SYSFAULT_PROGRAM" // path of the program; set only in a launcher
+	callsVariable   = "SYSFAULT_CALLS"   // numbers of the supervised system calls, separated by commas
+	clockVariable   = "SYSFAULT_CLOCK"   // whether reads of the wall clock are supervised
+	socketVariable  = "SYSFAULT_FILE"    // descriptor of the socket that sends the filter's listener to Start
 
-	firstExtraFile = 3 // the descriptor of the first of exec.Cmd.ExtraFiles
+	firstExtraFD = 3 // the descriptor of the first of exec.Cmd.ExtraFiles
 )
 
-// Offsets in struct seccomp_data, and the architecture that the numbers of calls are of.
+// Offsets in struct seccomp_data, and the architecture whose call numbers the filter checks.
 const (
 	numberOffset        = 0
 	architectureOffset  = 4
@@ -34,12 +34,12 @@
 
 func init() {
 	if os.Getenv(programVariable) != "" {
-		runtime.LockOSThread() // the filter is the main thread's, and so that has to become the program
+		runtime.LockOSThread() // the filter applies to one thread, so main must install it and exec on that thread
 	}
 }
 
-// Launch is the program's first life: where Start has started this process it installs the filter, becomes the program
-// and does not return. Everywhere else it does nothing.
+// Launch turns a process that Start has started into the supervised program: it installs the seccomp filter, executes
+// the program and does not return. In any other process it does nothing.
 func Launch() {
 	program := os.Getenv(programVariable)
 	if program == "" {
@@ -51,8 +51,9 @@
 	}
 }
 
+// launch implements Launch for a launcher process. It returns only on an error.
 func launch(program string) error {
-	file, err := strconv.Atoi(os.Getenv(fileVariable))
+	socket, err := strconv.Atoi(os.Getenv(socketVariable))
 	if err != nil {
 		return err
 	}
@@ -73,7 +74,7 @@
 			environment = append(environment, v)
 		}
 	}
-	program0, err := syscall.BytePtrFromString(program)
+	path, err := syscall.BytePtrFromString(program)
 	if err != nil {
 		return err
 	}
@@ -85,49 +86,50 @@
 	if err != nil {
 		return err
 	}
-	unix.CloseOnExec(file)
-	listener, err := install(filter(calls, os.Getenv(clockVariable) == "true"))
+	unix.CloseOnExec(socket)
+	listener, err := installFilter(buildFilter(calls, os.Getenv(clockVariable) == "true"))
 	if err != nil {
 		return err
 	}
-	// From here on a call that is decided would wait for the supervisor, which is there only once this is sent.
-	if err := unix.Sendmsg(file, []byte{0}, unix.UnixRights(listener), nil, 0); err != nil {
+	// The supervisor answers only once it has the listener. Until then, a supervised call by this process would block.
+	if err := unix.Sendmsg(socket, []byte{0}, unix.UnixRights(listener), nil, 0); err != nil {
 		return err
 	}
-	_, _, errno := syscall.RawSyscall(unix.SYS_EXECVE, uintptr(unsafe.Pointer(program0)),
+	_, _, errno := syscall.RawSyscall(unix.SYS_EXECVE, uintptr(unsafe.Pointer(path)),
 		uintptr(unsafe.Pointer(&arguments[0])), uintptr(unsafe.Pointer(&variables[0])))
 	return errno
 }
 
-// filter is the program that has some calls decided by the supervisor. With the clock, so are reads of the wall clock.
-func filter(calls []int, clock bool) []unix.SockFilter {
-	load := func(offset uint32) unix.SockFilter {
+// buildFilter returns a seccomp filter that passes the given calls to the supervisor and allows all others. With clock
+// set, reads of the wall clock are passed to the supervisor too.
+func buildFilter(calls []int, clock bool) []unix.SockFilter {
+	loadField := func(offset uint32) unix.SockFilter {
 		return unix.SockFilter{Code: unix.BPF_LD | unix.BPF_W | unix.BPF_ABS, K: offset}
 	}
-	unless := func(value uint32, skip uint8) unix.SockFilter { // skips so many where it is another
+	skipUnless := func(value uint32, skip uint8) unix.SockFilter { // skips a number of instructions if the loaded value differs
 		return unix.SockFilter{Code: unix.BPF_JMP | unix.BPF_JEQ | unix.BPF_K, K: value, Jf: skip}
 	}
-	end := func(action uint32) unix.SockFilter {
+	finish := func(action uint32) unix.SockFilter {
 		return unix.SockFilter{Code: unix.BPF_RET | unix.BPF_K, K: action}
 	}
-	all := []unix.SockFilter{load(architectureOffset), unless(architecture, 1), load(numberOffset)}
+	instructions := []unix.SockFilter{loadField(architectureOffset), skipUnless(architecture, 1), loadField(numberOffset)}
 	for _, n := range calls {
-		all = append(all, unless(uint32(n), 1), end(unix.SECCOMP_RET_USER_NOTIF))
+		instructions = append(instructions, skipUnless(uint32(n), 1), finish(unix.SECCOMP_RET_USER_NOTIF))
 	}
 	if clock {
-		all = append(all, unless(unix.SYS_CLOCK_GETTIME, 3), load(firstArgumentOffset),
-			unless(unix.CLOCK_REALTIME, 1), end(unix.SECCOMP_RET_USER_NOTIF))
+		instructions = append(instructions, skipUnless(unix.SYS_CLOCK_GETTIME, 3), loadField(firstArgumentOffset),
+			skipUnless(unix.CLOCK_REALTIME, 1), finish(unix.SECCOMP_RET_USER_NOTIF))
 	}
-	return append(all, end(unix.SECCOMP_RET_ALLOW))
+	return append(instructions, finish(unix.SECCOMP_RET_ALLOW))
 }
 
-// install puts a filter in force for this thread, and returns its listener.
-func install(filter []unix.SockFilter) (listener int, err error) {
+// installFilter installs a seccomp filter on the current thread and returns the descriptor of its notification listener.
+func installFilter(filter []unix.SockFilter) (listener int, err error) {
 	if err := unix.Prctl(unix.PR_SET_NO_NEW_PRIVS, 1, 0, 0, 0); err != nil {
 		return 0, err
 	}
 	program := unix.SockFprog{Len: uint16(len(filter)), Filter: &filter[0]}
-	// A signal must not have a call begun anew that has been carried out on the program's behalf.
+	// With WAIT_KILLABLE_RECV, a signal does not restart a call that the supervisor has already carried out.
 	const flags = unix.SECCOMP_FILTER_FLAG_NEW_LISTENER | unix.SECCOMP_FILTER_FLAG_WAIT_KILLABLE_RECV
 	fd, _, errno := syscall.RawSyscall(unix.SYS_SECCOMP, unix.SECCOMP_SET_MODE_FILTER, flags, uintptr(unsafe.Pointer(&program)))
 	if errno != 0 {
--- a/internal/sysfault/supervise.go
+++ b/internal/sysfault/supervise.go
@@ -26,18 +26,18 @@
 type response struct {
 	id    uint64
 	value int64
-	errno int32 // negative
+	errno int32 // negated error number
 	flags uint32
 }
 
-// mostMoved bounds what a read or write that is carried out for the program moves, in bytes.
-const mostMoved = 64 << 10
+// maxMovedBytes limits the bytes of a read or write that the supervisor carries out for the program.
+const maxMovedBytes = 64 << 10
 
-// serve decides calls until the program has ended.
+// serve handles notifications of system calls until all processes under the filter have exited.
 func (s *Supervisor) serve() {
 	defer func() {
-		close(s.ended)
-		s.late.Wait()
+		close(s.exited)
+		s.delayed.Wait()
 		unix.Close(s.listener)
 		unix.Close(s.pidfd)
 		close(s.done)
@@ -50,21 +50,21 @@
 			}
 			return
 		}
-		if waiting[0].Revents&unix.POLLIN == 0 { // nobody is left under the filter
+		if waiting[0].Revents&unix.POLLIN == 0 { // no process is left under the filter
 			return
 		}
 		var n notification
 		if _, _, errno := syscall.Syscall(unix.SYS_IOCTL, uintptr(s.listener), unix.SECCOMP_IOCTL_NOTIF_RECV, uintptr(unsafe.Pointer(&n))); errno != 0 {
-			continue // who made the call was killed
+			continue // the thread that made the call was killed
 		}
-		s.decide(&n)
+		s.handle(&n)
 	}
 }
 
-// decide has one call go its way, later where it is held up.
-func (s *Supervisor) decide(n *notification) {
+// handle responds to one call, in a goroutine of its own if the call is delayed.
+func (s *Supervisor) handle(n *notification) {
 	if n.number == unix.SYS_CLOCK_GETTIME && s.options.ControlClock {
-		s.respond(n, s.tellTime(n))
+		s.respond(n, s.readClock(n))
 		return
 	}
 	var effect Effect
@@ -72,61 +72,64 @@
 		effect = s.options.Decide(Call{Number: int(n.number), Arguments: n.arguments})
 	}
 	if effect.Delay <= 0 && effect.Until == nil {
-		s.respond(n, s.carryOut(n, effect))
+		s.respond(n, s.apply(n, effect))
 		return
 	}
-	s.late.Go(func() {
+	s.delayed.Go(func() {
 		time.Sleep(effect.Delay)
 		if effect.Until != nil {
 			select {
 			case <-effect.Until:
-			case <-s.ended:
+			case <-s.exited:
 			}
 		}
-		s.respond(n, s.carryOut(n, effect))
+		s.respond(n, s.apply(n, effect))
 	})
 }
 
-// carryOut says how a call ends that is not held up any more.
-func (s *Supervisor) carryOut(n *notification, effect Effect) response {
+// apply returns the response to a call according to its effect, after any delay.
+func (s *Supervisor) apply(n *notification, effect Effect) response {
 	switch {
 	case effect.Errno != 0 && effect.SocketsOnly && !s.isSocket(n):
 	case effect.Errno != 0:
 		return response{errno: -int32(effect.Errno)}
 	case effect.MaxBytes > 0 && n.number == unix.SYS_READ:
-		return s.move(n, effect.MaxBytes, s.read)
+		return s.moveBytes(n, effect.MaxBytes, s.receive)
 	case effect.MaxBytes > 0 && n.number == unix.SYS_WRITE:
-		return s.move(n, effect.MaxBytes, s.write)
+		return s.moveBytes(n, effect.MaxBytes, s.send)
 	}
 	return response{flags: unix.SECCOMP_USER_NOTIF_FLAG_CONTINUE}
 }
 
+// respond sends the response to a notification to the kernel.
 func (s *Supervisor) respond(n *notification, r response) {
 	r.id = n.id
-	_, _, _ = syscall.Syscall(unix.SYS_IOCTL, uintptr(s.listener), unix.SECCOMP_IOCTL_NOTIF_SEND, uintptr(unsafe.Pointer(&r))) // or it was killed
+	_, _, _ = syscall.Syscall(unix.SYS_IOCTL, uintptr(s.listener), unix.SECCOMP_IOCTL_NOTIF_SEND, uintptr(unsafe.Pointer(&r))) // fails if the thread was killed
 }
 
-// move reads or writes a socket of the program's for it. What is no socket goes on as it is.
-func (s *Supervisor) move(n *notification, most int, carry func(socket int, buffer []byte, address uint64) (int, error)) response {
-	goOn := response{flags: unix.SECCOMP_USER_NOTIF_FLAG_CONTINUE}
-	size := min(n.arguments[2], uint64(most), mostMoved)
+// moveBytes carries out a read or write of at most maxBytes on behalf of the program. It lets the kernel proceed with
+// calls on other descriptors than sockets, and with calls that ask for no more than maxBytes.
+func (s *Supervisor) moveBytes(n *notification, maxBytes int, transfer func(socket int, buffer []byte, address uint64) (int, error)) response {
+	proceed := response{flags: unix.SECCOMP_USER_NOTIF_FLAG_CONTINUE}
+	size := min(n.arguments[2], uint64(maxBytes), maxMovedBytes)
 	if size == 0 || size == n.arguments[2] {
-		return goOn
+		return proceed
 	}
-	socket, err := s.socketOf(n)
+	socket, err := s.duplicateSocket(n)
 	if err != nil {
-		return goOn
+		return proceed
 	}
 	defer unix.Close(socket)
-	moved, err := carry(socket, make([]byte, size), n.arguments[1])
+	moved, err := transfer(socket, make([]byte, size), n.arguments[1])
 	if errno, failed := err.(syscall.Errno); failed {
 		return response{errno: -int32(errno)}
 	}
 	return response{value: int64(moved)}
 }
 
-// socketOf returns a copy of the socket that a call is made on, which the caller closes. An error says that it is none.
-func (s *Supervisor) socketOf(n *notification) (int, error) {
+// duplicateSocket returns a duplicate of the socket in a call's first argument, which the caller closes. It returns an
+// error if the descriptor is not a socket.
+func (s *Supervisor) duplicateSocket(n *notification) (int, error) {
 	socket, err := unix.PidfdGetfd(s.pidfd, int(int32(n.arguments[0])), 0)
 	if err != nil {
 		return 0, err
@@ -138,8 +141,9 @@
 	return socket, nil
 }
 
+// isSocket reports whether a call's first argument is a socket.
 func (s *Supervisor) isSocket(n *notification) bool {
-	socket, err := s.socketOf(n)
+	socket, err := s.duplicateSocket(n)
 	if err != nil {
 		return false
 	}
@@ -147,15 +151,17 @@
 	return true
 }
 
-func (s *Supervisor) read(socket int, buffer []byte, address uint64) (int, error) {
+// receive reads from a socket into the program's memory.
+func (s *Supervisor) receive(socket int, buffer []byte, address uint64) (int, error) {
 	n, _, err := unix.Recvfrom(socket, buffer, unix.MSG_DONTWAIT)
 	if err != nil || n == 0 {
 		return n, err
 	}
-	return n, s.poke(address, buffer[:n])
+	return n, s.writeMemory(address, buffer[:n])
 }
 
-func (s *Supervisor) write(socket int, buffer []byte, address uint64) (int, error) {
+// send writes from the program's memory to a socket.
+func (s *Supervisor) send(socket int, buffer []byte, address uint64) (int, error) {
 	local := []unix.Iovec{{Base: &buffer[0], Len: uint64(len(buffer))}}
 	remote := []unix.RemoteIovec{{Base: uintptr(address), Len: len(buffer)}}
 	n, err := unix.ProcessVMReadv(s.pid, local, remote, 0)
@@ -165,20 +171,20 @@
 	return unix.SendmsgN(socket, buffer[:n], nil, nil, unix.MSG_DONTWAIT|unix.MSG_NOSIGNAL)
 }
 
-// tellTime answers a read of the wall clock.
-func (s *Supervisor) tellTime(n *notification) response {
-	now := time.Now().UnixNano() + s.offset.Load()
-	var told [16]byte // struct timespec
-	binary.NativeEndian.PutUint64(told[:8], uint64(now/int64(time.Second)))
-	binary.NativeEndian.PutUint64(told[8:], uint64(now%int64(time.Second)))
-	if err := s.poke(n.arguments[1], told[:]); err != nil {
+// readClock answers a read of the wall clock with the real time plus the current offset.
+func (s *Supervisor) readClock(n *notification) response {
+	now := time.Now().UnixNano() + s.clockOffset.Load()
+	var timespec [16]byte // struct timespec
+	binary.NativeEndian.PutUint64(timespec[:8], uint64(now/int64(time.Second)))
+	binary.NativeEndian.PutUint64(timespec[8:], uint64(now%int64(time.Second)))
+	if err := s.writeMemory(n.arguments[1], timespec[:]); err != nil {
 		return response{errno: -int32(unix.EFAULT)}
 	}
 	return response{}
 }
 
-// poke writes into the program's memory.
-func (s *Supervisor) poke(address uint64, data []byte) error {
+// writeMemory writes data to the program's memory.
+func (s *Supervisor) writeMemory(address uint64, data []byte) error {
 	local := []unix.Iovec{{Base: &data[0], Len: uint64(len(data))}}
 	remote := []unix.RemoteIovec{{Base: uintptr(address), Len: len(data)}}
 	_, err := unix.ProcessVMWritev(s.pid, local, remote, 0)
--- a/internal/sysfault/sysfault.go
+++ b/internal/sysfault/sysfault.go
@@ -1,14 +1,14 @@
 //go:build linux && amd64
 
-// Package sysfault starts a program whose system calls fail, move few bytes, take long or tell another time, as a test
-// decides call by call. The program needs no change.
+// Package sysfault runs a program and injects faults into its system calls: a test decides call by call whether the call
+// fails, moves fewer bytes, is delayed or returns another time. The program needs no change.
 //
-// It rests on two interfaces of Linux, with no privilege needed for a program of the same user: a seccomp filter with
-// user notifications (seccomp_unotify(2)), and ptrace(2) for the moment of the program's start, where the clock is to
-// be led too: the program is then told of no vDSO, so that it asks the kernel for the time.
+// It uses two Linux interfaces, which need no privilege for a program of the same user: a seccomp filter with user
+// notifications (seccomp_unotify(2)), and, if the wall clock is controlled, ptrace(2) at the start of the program.
+// ptrace removes the vDSO from the program's auxiliary vector, so that the program asks the kernel for the time.
 //
-// A test's own binary, started anew, installs the filter and then becomes the program: call Launch first of all in
-// main or TestMain.
+// Start runs the test's own binary as a launcher, which installs the filter and then executes the program. Therefore
+// main or TestMain must call Launch before anything else.
 package sysfault
 
 import (
@@ -34,41 +34,41 @@
 	Arguments [6]uint64
 }
 
-// Effect is what becomes of a call. The zero value lets it go on as it is.
+// Effect is the fault that is injected into a call. The zero value lets the call proceed unchanged.
 type Effect struct {
-	Delay time.Duration   // it is held up for so long first
-	Until <-chan struct{} // and until this is closed; nil: no longer
-	Errno syscall.Errno   // it fails with this, and does nothing
-	// SocketsOnly has it fail only where its first argument is a socket: Go's runtime ends a program whose own pipes and
-	// event descriptors fail in ways that Linux does not document for them.
+	Delay time.Duration   // delay before the call
+	Until <-chan struct{} // if not nil, the call waits after Delay until this channel is closed
+	Errno syscall.Errno   // if not 0, the call has no effect and fails with this error
+	// SocketsOnly restricts Errno to calls whose first argument is a socket. Go's runtime aborts a program if calls on
+	// its own pipes and event descriptors fail in ways that Linux does not document for them.
 	SocketsOnly bool
-	MaxBytes    int // reads and writes of sockets only: they move so many bytes at most; 0: no limit
+	MaxBytes    int // limit for reads from and writes to sockets, in bytes; 0: no limit
 }
 
-// Options say which calls are decided, and by whom.
+// Options select the system calls that are supervised, and what happens to them.
 type Options struct {
-	Calls        []int             // numbers of the calls that are decided; all others go on at full speed
-	Decide       func(Call) Effect // called from one goroutine, and must not wait; nil lets all calls go on
-	ControlClock bool              // the wall clock is led: see Supervisor.StepClock
+	Calls        []int             // numbers of the supervised calls; all other calls run at full speed
+	Decide       func(Call) Effect // called from one goroutine, and must not block; nil lets all calls proceed
+	ControlClock bool              // the program's wall clock is set by Supervisor.StepClock
 }
 
-// startTime bounds how long a program may take to be under supervision.
-const startTime = 10 * time.Second
+// startTimeout limits the time from the start of the launcher until it has sent the filter's listener.
+const startTimeout = 10 * time.Second
 
-// Supervisor decides the calls of one program until it ends.
+// Supervisor handles the supervised calls of one program until it exits.
 type Supervisor struct {
-	pid      int
-	pidfd    int
-	listener int
-	options  Options
-	offset   atomic.Int64 // of the program's wall clock, in nanoseconds
-	late     sync.WaitGroup
-	ended    chan struct{} // closed when nobody is left under the filter
-	done     chan struct{} // and when all its calls have been decided
+	pid         int
+	pidfd       int
+	listener    int
+	options     Options
+	clockOffset atomic.Int64   // offset of the program's wall clock from the real one, in nanoseconds
+	delayed     sync.WaitGroup // goroutines of delayed calls
+	exited      chan struct{}  // closed when no process is left under the filter
+	done        chan struct{}  // closed when all calls, including delayed ones, have been handled
 }
 
-// Start starts a command under supervision; its Path has to be an absolute path. The caller waits for the command as
-// usual. An error says that it does not run.
+// Start starts a command under supervision. The command's Path must be absolute. The caller waits for the command as
+// usual. If Start returns an error, the command is not running.
 func Start(cmd *exec.Cmd, options Options) (*Supervisor, error) {
 	self, err := os.Executable()
 	if err != nil {
@@ -79,67 +79,67 @@
 		return nil, err
 	}
 	defer unix.Close(pair[0])
-	theirs := os.NewFile(uintptr(pair[1]), "supervisor")
-	defer theirs.Close()
+	childEnd := os.NewFile(uintptr(pair[1]), "supervisor")
+	defer childEnd.Close()
 	var numbers []string
 	for _, n := range options.Calls {
 		numbers = append(numbers, strconv.Itoa(n))
 	}
 	cmd.Env = append(cmd.Environ(), programVariable+"="+cmd.Path, callsVariable+"="+strings.Join(numbers, ","),
-		clockVariable+"="+strconv.FormatBool(options.ControlClock), fileVariable+"="+strconv.Itoa(firstExtraFile+len(cmd.ExtraFiles)))
-	cmd.Path, cmd.ExtraFiles = self, append(cmd.ExtraFiles, theirs)
+		clockVariable+"="+strconv.FormatBool(options.ControlClock), socketVariable+"="+strconv.Itoa(firstExtraFD+len(cmd.ExtraFiles)))
+	cmd.Path, cmd.ExtraFiles = self, append(cmd.ExtraFiles, childEnd)
 	if cmd.SysProcAttr == nil {
 		cmd.SysProcAttr = new(syscall.SysProcAttr)
 	}
 	cmd.SysProcAttr.Ptrace = options.ControlClock
-	runtime.LockOSThread() // ptrace goes by threads
+	runtime.LockOSThread() // only the thread that starts a traced process can control it
 	defer runtime.UnlockOSThread()
 	if err := cmd.Start(); err != nil {
 		return nil, err
 	}
-	s := &Supervisor{pid: cmd.Process.Pid, options: options, ended: make(chan struct{}), done: make(chan struct{})}
+	s := &Supervisor{pid: cmd.Process.Pid, options: options, exited: make(chan struct{}), done: make(chan struct{})}
 	if options.ControlClock {
 		err = hideVDSO(s.pid)
 	}
 	if err == nil {
-		err = s.attach(pair[0])
+		err = s.receiveListener(pair[0])
 	}
 	if err != nil {
-		_ = cmd.Process.Kill() // it fails only if it has ended
+		_ = cmd.Process.Kill() // fails only if the process has exited
 		_ = cmd.Wait()
-		return nil, fmt.Errorf("%s is not under supervision: %w", cmd.Args[0], err)
+		return nil, fmt.Errorf("supervising %s: %w", cmd.Args[0], err)
 	}
 	go s.serve()
 	return s, nil
 }
 
-// StepClock sets the program's wall clock forward, or back where by is below 0. Its monotonic clock goes on.
-func (s *Supervisor) StepClock(by time.Duration) { s.offset.Add(int64(by)) }
+// StepClock steps the program's wall clock forward, or back if by is negative. The monotonic clock is not affected.
+func (s *Supervisor) StepClock(by time.Duration) { s.clockOffset.Add(int64(by)) }
 
-// ConnAddrs returns the addresses at both ends of a connection of the program's, over IPv4. An error says that the descriptor is
-// none such.
+// ConnAddrs returns the local and the remote address of a connection of the program. It returns an error if the
+// descriptor is not an IPv4 connection.
 func (s *Supervisor) ConnAddrs(descriptor int) (local, remote netip.AddrPort, err error) {
 	socket, err := unix.PidfdGetfd(s.pidfd, descriptor, 0)
 	if err != nil {
 		return local, remote, err
 	}
 	defer unix.Close(socket)
-	here, err := unix.Getsockname(socket)
+	localAddr, err := unix.Getsockname(socket)
 	if err != nil {
 		return local, remote, err
 	}
-	there, err := unix.Getpeername(socket)
+	remoteAddr, err := unix.Getpeername(socket)
 	if err != nil {
 		return local, remote, err
 	}
-	if local, err = addressOf(here); err != nil {
+	if local, err = addressOf(localAddr); err != nil {
 		return local, remote, err
 	}
-	remote, err = addressOf(there)
+	remote, err = addressOf(remoteAddr)
 	return local, remote, err
 }
 
-// addressOf is a socket's address over IPv4.
+// addressOf converts an IPv4 socket address, and fails for other address families.
 func addressOf(address unix.Sockaddr) (netip.AddrPort, error) {
 	at, ok := address.(*unix.SockaddrInet4)
 	if !ok {
@@ -148,18 +148,18 @@
 	return netip.AddrPortFrom(netip.AddrFrom4(at.Addr), uint16(at.Port)), nil
 }
 
-// Wait returns once the program has ended and all its calls have been decided.
+// Wait waits until the program has exited and all its supervised calls have been handled.
 func (s *Supervisor) Wait() { <-s.done }
 
-// attach takes over the filter's listener, which the program's first life sends.
-func (s *Supervisor) attach(socket int) error {
-	limit := unix.NsecToTimeval(int64(startTime))
+// receiveListener receives the filter's listener from the launcher, and opens a descriptor of the process.
+func (s *Supervisor) receiveListener(socket int) error {
+	limit := unix.NsecToTimeval(int64(startTimeout))
 	if err := unix.SetsockoptTimeval(socket, unix.SOL_SOCKET, unix.SO_RCVTIMEO, &limit); err != nil {
 		return err
 	}
 	var data [1]byte
 	control := make([]byte, unix.CmsgSpace(4))
-	n, err := receive(socket, data[:], control)
+	n, err := receiveMessage(socket, data[:], control)
 	if err != nil {
 		return err
 	}
@@ -168,7 +168,7 @@
 		return err
 	}
 	if len(messages) != 1 {
-		return errors.New("the program's first life sent no listener")
+		return errors.New("the launcher sent no seccomp listener")
 	}
 	files, err := unix.ParseUnixRights(&messages[0])
 	if err != nil {
@@ -181,9 +181,9 @@
 	return err
 }
 
-// receive reads a message and its control data, and returns the length of that. A signal may interrupt it, as a limit
-// of time keeps the kernel from going on by itself.
-func receive(socket int, data, control []byte) (int, error) {
+// receiveMessage reads a message with control data and returns the length of the control data. It retries on EINTR: the
+// kernel does not restart a receive with a timeout after a signal.
+func receiveMessage(socket int, data, control []byte) (int, error) {
 	for {
 		_, n, _, _, err := unix.Recvmsg(socket, data, control, unix.MSG_CMSG_CLOEXEC)
 		if err != unix.EINTR {
--- a/internal/sysfault/sysfault_test.go
+++ b/internal/sysfault/sysfault_test.go
@@ -18,21 +18,21 @@
 	"golang.org/x/sys/unix"
 )
 
-// TestMain lets the test program stand in for a program under supervision: one that does what its variable says.
+// TestMain makes the test binary also serve as the launcher and, if SUBJECT is set, as the supervised program.
 func TestMain(m *testing.M) {
 	Launch()
 	switch os.Getenv("SUBJECT") {
 	case "accept":
-		subjectAccepts()
+		echoOneConnection()
 	case "clock":
-		subjectTellsTime()
+		printClock()
 	default:
 		os.Exit(m.Run())
 	}
 }
 
 // subjectAccepts echoes what one connection sends, and says what accept returned until it came.
-func subjectAccepts() {
+func echoOneConnection() {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		panic(err)
@@ -44,14 +44,14 @@
 			fmt.Println(err)
 			continue
 		}
-		_, _ = io.Copy(struct{ io.Writer }{c}, struct{ io.Reader }{c}) // not by splice
+		_, _ = io.Copy(struct{ io.Writer }{c}, struct{ io.Reader }{c}) // hides the types so that io.Copy uses read and write, not splice
 		c.Close()
 		return
 	}
 }
 
 // subjectTellsTime tells its wall clock, and how long it has run, for each line that it reads.
-func subjectTellsTime() {
+func printClock() {
 	start, line := time.Now(), make([]byte, 1)
 	for {
 		if n, err := os.Stdin.Read(line); n == 0 || err != nil {
@@ -61,16 +61,17 @@
 	}
 }
 
-func subject(what string) *exec.Cmd {
+// subjectCommand returns a command that runs the test binary as a supervised program.
+func subjectCommand(mode string) *exec.Cmd {
 	cmd := exec.Command(os.Args[0])
-	cmd.Env = append(os.Environ(), "SUBJECT="+what)
+	cmd.Env = append(os.Environ(), "SUBJECT="+mode)
 	return cmd
 }
 
-// A call fails with the error that was decided, and reads and writes move no more bytes than was decided.
-func TestCallsAreDecided(t *testing.T) {
-	cmd := subject("accept")
-	said, err := cmd.StdoutPipe()
+// Calls fail with the injected error, and reads and writes move no more bytes than the injected limit.
+func TestCallsFailAndMoveFewBytes(t *testing.T) {
+	cmd := subjectCommand("accept")
+	output, err := cmd.StdoutPipe()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -89,7 +90,7 @@
 		t.Fatal(err)
 	}
 	text := make([]byte, 200)
-	n, err := said.Read(text)
+	n, err := output.Read(text)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -107,24 +108,24 @@
 	}
 	got, err := io.ReadAll(c)
 	if err != nil || !bytes.Equal(got, sent) {
-		t.Errorf("got %q, error %v, want what was sent", got, err)
+		t.Errorf("echo is %q, error %v, want the bytes that were sent", got, err)
 	}
-	more, _ := io.ReadAll(said)
+	more, _ := io.ReadAll(output)
 	if err := cmd.Wait(); err != nil {
 		t.Error(err)
 	}
 	s.Wait()
 	if !strings.Contains(rest+string(more), "network is unreachable") {
-		t.Errorf("it said %q, want that accept failed", rest+string(more))
+		t.Errorf("the program printed %q, want the error of accept", rest+string(more))
 	}
-	if least := int64(2 * len(sent) / 3); shorts.Load() < least {
-		t.Errorf("%d reads and writes, want %d at least", shorts.Load(), least)
+	if minShorts := int64(2 * len(sent) / 3); shorts.Load() < minShorts {
+		t.Errorf("%d reads and writes, want at least %d", shorts.Load(), minShorts)
 	}
 }
 
-// The wall clock is stepped, and the monotonic one goes on.
+// StepClock steps the wall clock and does not change the monotonic clock.
 func TestClockIsStepped(t *testing.T) {
-	cmd := subject("clock")
+	cmd := subjectCommand("clock")
 	in, err := cmd.StdinPipe()
 	if err != nil {
 		t.Fatal(err)
@@ -144,7 +145,7 @@
 			t.Fatal(err)
 		}
 		if _, err := fmt.Fscanln(out, &seconds, &short); err != nil || !short {
-			t.Fatalf("error %v; the monotonic clock went on by little: %v", err, short)
+			t.Fatalf("error %v; less than a minute on the monotonic clock: %v", err, short)
 		}
 		return seconds
 	}
@@ -153,8 +154,8 @@
 	after := ask()
 	s.StepClock(-2 * time.Hour)
 	back := ask()
-	if forth, away := after-before, back-after; forth < 3600 || forth > 3660 || away > -7140 || away < -7200 {
-		t.Errorf("the clock told %d, %d and %d, want steps by 3600 and -7200", before, after, back)
+	if forward, backward := after-before, back-after; forward < 3600 || forward > 3660 || backward > -7140 || backward < -7200 {
+		t.Errorf("the wall clock read %d, %d and %d, want steps of 3600 and -7200", before, after, back)
 	}
 	in.Close()
 	if err := cmd.Wait(); err != nil {
--- a/internal/sysfault/vdso.go
+++ b/internal/sysfault/vdso.go
@@ -12,19 +12,19 @@
 	"golang.org/x/sys/unix"
 )
 
-// Entries of the auxiliary vector (getauxval(3)), and the size of a word of it.
+// Types of entries in the auxiliary vector (getauxval(3)), sizes, and names for ptrace(2).
 const (
-	auxiliaryEnd      = 0
-	auxiliaryIgnored  = 1
-	auxiliaryVDSO     = 33
-	word              = 8
-	stackRead         = 256 << 10 // bytes of a program's first stack that are looked at
-	traceExec         = unix.PTRACE_O_TRACEEXEC
-	stoppedAtNextExec = unix.PTRACE_EVENT_EXEC
+	auxNull       = 0
+	auxIgnore     = 1
+	auxVDSO       = 33
+	wordSize      = 8
+	maxStackBytes = 256 << 10 // bytes of the initial stack that are searched
+	traceExec     = unix.PTRACE_O_TRACEEXEC
+	execEvent     = unix.PTRACE_EVENT_EXEC
 )
 
-// hideVDSO follows a traced process from its first to its second program, tells that of no vDSO, and lets it go. The
-// caller is on the thread that has started it.
+// hideVDSO traces a launcher until it has executed the program, removes the vDSO from the program's auxiliary vector,
+// and detaches. It must be called on the thread that started the process.
 func hideVDSO(pid int) error {
 	var status syscall.WaitStatus
 	if _, err := syscall.Wait4(pid, &status, 0, nil); err != nil {
@@ -42,21 +42,21 @@
 			return err
 		}
 		if !status.Stopped() {
-			return errors.New("it ended before it became the program")
+			return errors.New("the launcher exited before it executed the program")
 		}
-		if status.StopSignal() == syscall.SIGTRAP && status.TrapCause() == stoppedAtNextExec {
+		if status.StopSignal() == syscall.SIGTRAP && status.TrapCause() == execEvent {
 			break
 		}
 		signal = int(status.StopSignal())
 	}
-	if err := dropFromVector(pid); err != nil {
+	if err := removeVDSOEntry(pid); err != nil {
 		return err
 	}
 	return syscall.PtraceDetach(pid)
 }
 
-// dropFromVector has a program that is about to begin find no vDSO in its auxiliary vector.
-func dropFromVector(pid int) error {
+// removeVDSOEntry marks the vDSO entry in the auxiliary vector of a program that has not run yet as ignored.
+func removeVDSOEntry(pid int) error {
 	var registers syscall.PtraceRegs
 	if err := syscall.PtraceGetRegs(pid, &registers); err != nil {
 		return err
@@ -66,24 +66,24 @@
 		return err
 	}
 	defer memory.Close()
-	stack := make([]byte, stackRead)
-	n, _ := memory.ReadAt(stack, int64(registers.Rsp)) // it ends with the stack
-	at := func(i int) uint64 {
-		if (i+1)*word > n {
-			return auxiliaryEnd
+	stack := make([]byte, maxStackBytes)
+	n, _ := memory.ReadAt(stack, int64(registers.Rsp)) // the read ends early at the end of the stack
+	wordAt := func(i int) uint64 {
+		if (i+1)*wordSize > n {
+			return auxNull
 		}
-		return binary.NativeEndian.Uint64(stack[i*word:])
+		return binary.NativeEndian.Uint64(stack[i*wordSize:])
 	}
-	i := int(at(0)) + 2 // behind the arguments, their number and their end
-	for at(i) != 0 {    // and the variables
+	i := int(wordAt(0)) + 2 // skips the argument count, the arguments and their terminator
+	for wordAt(i) != 0 {    // skips the environment
 		i++
 	}
-	for i++; at(i) != auxiliaryEnd; i += 2 {
-		if at(i) == auxiliaryVDSO {
-			ignored := binary.NativeEndian.AppendUint64(nil, auxiliaryIgnored)
-			_, err := memory.WriteAt(ignored, int64(registers.Rsp)+int64(i*word))
+	for i++; wordAt(i) != auxNull; i += 2 {
+		if wordAt(i) == auxVDSO {
+			ignored := binary.NativeEndian.AppendUint64(nil, auxIgnore)
+			_, err := memory.WriteAt(ignored, int64(registers.Rsp)+int64(i*wordSize))
 			return err
 		}
 	}
-	return errors.New("no vDSO was found in its auxiliary vector")
+	return errors.New("no vDSO entry in the program's auxiliary vector")
 }
