--- a/internal/conform/pages.go
+++ b/internal/conform/pages.go
@@ -30,15 +30,15 @@
 }
 
 var (
-	heading = regexp.MustCompile(`^#+\s+(.*)$`)
-	entry   = regexp.MustCompile(`^\s*([-*]|\d+\.)\s+`)
-	ends    = regexp.MustCompile("[.!?:]\\)?\\s+[A-Z`\"(]")
-	words   = regexp.MustCompile(`[a-z0-9]+`)
+	heading     = regexp.MustCompile(`^#+\s+(.*)$`)
+	listItem    = regexp.MustCompile(`^\s*([-*]|\d+\.)\s+`)
+	sentenceEnd = regexp.MustCompile("[.!?:]\\)?\\s+[A-Z`\"(]")
+	word        = regexp.MustCompile(`[a-z0-9]+`)
 )
 
 // Sentences cuts a page up. A paragraph, an entry of a list and a line of a table each begin a sentence; a full
 // stop or colon with a capital behind it ends one. Indented examples and rules between table heads are none.
-func Sentences(p Page, text string) (all []Sentence) {
+func SplitSentences(p Page, text string) (all []Sentence) {
 	section, counts := "top", make(map[string]int)
 	wanted := len(p.Sections) == 0
 	var block []string
@@ -47,7 +47,7 @@
 		block = nil
 		for wanted && rest != "" {
 			one := rest
-			if at := ends.FindStringIndex(rest); at != nil {
+			if at := sentenceEnd.FindStringIndex(rest); at != nil {
 				one = rest[:at[1]-1]
 			}
 			rest = strings.TrimSpace(rest[len(one):])
@@ -62,7 +62,7 @@
 		case m != nil:
 			flush()
 			section = ""
-			for _, word := range words.FindAllString(strings.ToLower(m[1]), -1) { // its longest word is enough of a name
+			for _, word := range word.FindAllString(strings.ToLower(m[1]), -1) { // its longest word is enough of a name
 				if len(word) > len(section) {
 					section = word
 				}
@@ -77,9 +77,9 @@
 			flush()
 			block = []string{strings.Trim(line, "| ")}
 			flush()
-		case entry.MatchString(line):
+		case listItem.MatchString(line):
 			flush()
-			block = []string{entry.ReplaceAllString(line, "")}
+			block = []string{listItem.ReplaceAllString(line, "")}
 		default:
 			block = append(block, line)
 		}
--- a/internal/conform/process.go
+++ b/internal/conform/process.go
@@ -26,52 +26,52 @@
 )
 
 // generous bounds every wait: a row waits for what is to happen, and only a broken program lets it wait this long.
-const generous = time.Minute
+const maxWait = time.Minute
 
 // process is a real caperarch between stand-ins.
-type process struct {
-	row     Row
-	set     map[string]any
-	program string
-	dir     string // its state, and its configuration
-	cmd     *exec.Cmd
-	ended   chan error
-	listen  string
-	console string
-	story   *story
-	servers map[string]*standIn
-	agency  *agency
-	known   string                    // the list as it is told at its start
-	classOf map[string]map[string]any // by request
-	zones   map[string]int            // by server
-	quit    map[string]context.CancelFunc
-	dialled map[string]net.Conn // connections that came up before their requests
-	faults  []string
-	seen    int // of the story's arrivals, before this step
-	had     map[string]bool
-	calls   int  // of discovery, before this step
-	stale   bool // discovery has an older list than it had
+type processRunner struct {
+	row            Row
+	settings       map[string]any
+	program        string
+	dir            string // its state, and its configuration
+	cmd            *exec.Cmd
+	exited         chan error
+	listenAddr     string
+	consoleAddr    string
+	observed       *observations
+	servers        map[string]*standIn
+	discovery      *discoveryStandIn
+	knownJSON      string                    // the list as it is told at its start
+	requestClass   map[string]map[string]any // by request
+	zones          map[string]int            // by server
+	cancels        map[string]context.CancelFunc
+	dialled        map[string]net.Conn // connections that came up before their requests
+	failures       []string
+	arrivalsBefore int // of the story's arrivals, before this step
+	answeredBefore map[string]bool
+	callsBefore    int  // of discovery, before this step
+	staleList      bool // discovery has an older list than it had
 }
 
-func (p *process) fault(format string, args ...any) {
-	p.faults = append(p.faults, fmt.Sprintf(format, args...))
+func (p *processRunner) failf(format string, args ...any) {
+	p.failures = append(p.failures, fmt.Sprintf(format, args...))
 }
 
-func name(id int) string { return "q" + strconv.Itoa(id) }
+func requestName(id int) string { return "q" + strconv.Itoa(id) }
 
 // playProcess plays a row on the program at a path and returns what was not as expected.
-func playProcess(t *Tables, r Row, program, dir string) (faults []string, err error) {
-	p := &process{row: r, set: t.settings(r), program: program, dir: dir, classOf: make(map[string]map[string]any), zones: make(map[string]int), quit: make(map[string]context.CancelFunc),
-		servers: make(map[string]*standIn), story: &story{answers: make(map[string]reply)}, had: make(map[string]bool), dialled: make(map[string]net.Conn)}
-	if p.agency, err = newAgency(p.story, r.Indented); err != nil {
+func runProcess(t *Tables, r Row, program, dir string) (faults []string, err error) {
+	p := &processRunner{row: r, settings: t.settingsOf(r), program: program, dir: dir, requestClass: make(map[string]map[string]any), zones: make(map[string]int), cancels: make(map[string]context.CancelFunc),
+		servers: make(map[string]*standIn), observed: &observations{answers: make(map[string]reply)}, answeredBefore: make(map[string]bool), dialled: make(map[string]net.Conn)}
+	if p.discovery, err = newDiscoveryStandIn(p.observed, r.IndentedJSON); err != nil {
 		return nil, err
 	}
-	defer p.agency.server.Close()
+	defer p.discovery.server.Close()
 	defer func() {
 		for _, s := range p.servers {
 			s.close()
 		}
-		for _, quit := range p.quit {
+		for _, quit := range p.cancels {
 			quit()
 		}
 		for _, c := range p.dialled {
@@ -79,67 +79,67 @@
 		}
 	}()
 	known := ""
-	if len(r.Known) > 0 {
-		if err := p.list(r.Known, "full"); err != nil {
+	if len(r.CachedServers) > 0 {
+		if err := p.publishList(r.CachedServers, "full"); err != nil {
 			return nil, err
 		}
-		known = p.agency.list(-1)
+		known = p.discovery.listJSON(-1)
 	}
-	if err := p.list(r.Servers, "full"); err != nil {
+	if err := p.publishList(r.Servers, "full"); err != nil {
 		return nil, err
 	}
-	p.known = cmp.Or(known, p.agency.list(-1))
-	p.agency.first, p.agency.begun = maps.Clone(p.agency.entries), p.agency.version
+	p.knownJSON = cmp.Or(known, p.discovery.listJSON(-1))
+	p.discovery.initialEntries, p.discovery.initialVersion = maps.Clone(p.discovery.entries), p.discovery.version
 	if err := p.start(program); err != nil {
 		return nil, err
 	}
-	if len(r.Known) > 0 {
-		if err := p.watched(); err != nil {
+	if len(r.CachedServers) > 0 {
+		if err := p.waitForList(); err != nil {
 			return nil, err
 		}
 	}
 	defer func() {
-		if p.ended != nil {
+		if p.exited != nil {
 			_ = p.cmd.Process.Kill() // it fails only if it has ended
-			<-p.ended
+			<-p.exited
 		}
 	}()
 	for i, s := range r.Steps {
-		before := len(p.faults)
-		if err := p.step(s); err != nil {
-			p.fault("%v", err)
+		before := len(p.failures)
+		if err := p.runStep(s); err != nil {
+			p.failf("%v", err)
 		}
-		for k := before; k < len(p.faults); k++ {
-			p.faults[k] = fmt.Sprintf("step %d: %s", i+1, p.faults[k])
+		for k := before; k < len(p.failures); k++ {
+			p.failures[k] = fmt.Sprintf("step %d: %s", i+1, p.failures[k])
 		}
-		if len(p.faults) > before {
+		if len(p.failures) > before {
 			break // what comes behind it would only wait in vain
 		}
 	}
-	p.rules()
-	return p.faults, nil
+	p.checkRepeats()
+	return p.failures, nil
 }
 
 // rules hold all that the servers had to the rules on repeats.
-func (p *process) rules() {
-	p.story.mu.Lock()
-	defer p.story.mu.Unlock()
-	p.faults = append(p.faults, p.story.wrong...)
+func (p *processRunner) checkRepeats() {
+	p.observed.mu.Lock()
+	defer p.observed.mu.Unlock()
+	p.failures = append(p.failures, p.observed.failures...)
 	before := make(map[string][]arrival)
-	for _, a := range p.story.reached {
-		kind := semantics(p.classOf[a.id])
-		if most := int(figure(p.set, "caps", "most_tries")); len(before[a.id]) >= most {
-			p.fault("%s has more than %d attempts", a.id, most)
+	for _, a := range p.observed.arrivals {
+		kind := semantics(p.requestClass[a.id])
+		if most := int(numberSetting(p.settings, "caps", "most_tries")); len(before[a.id]) >= most {
+			p.failf("%s has more than %d attempts", a.id, most)
 		}
 		for _, b := range before[a.id] {
-			ran := b.how != "full" && b.how != "over"
+			ran := b.ending != "full" && b.ending != "over"
 			switch {
-			case b.how == "":
-				p.fault("%s comes to %s while it is out at %s", a.id, a.server, b.server)
+			case b.ending == "":
+				p.failf("%s comes to %s while it is out at %s", a.id, a.server, b.server)
 			case ran && kind == "single_shot":
-				p.fault("%s comes again, though it may have run", a.id)
+				p.failf("%s comes again, though it may have run", a.id)
 			case ran && kind == "zone" && p.zones[a.server] != p.zones[b.server]:
-				p.fault("%s comes to another zone, where its repeat is not dropped", a.id)
+				p.failf("%s comes to another zone, where its repeat is not dropped", a.id)
 			}
 		}
 		before[a.id] = append(before[a.id], a)
@@ -147,20 +147,20 @@
 }
 
 // list enters servers at discovery, and starts those that are new.
-func (p *process) list(all []Server, how string) error {
+func (p *processRunner) publishList(all []Server, how string) error {
 	entries, order := make(map[string]string), []string{}
 	for _, s := range all {
 		if p.servers[s.ID] == nil {
-			n, err := newStandIn(s.ID, p.story, s.Late)
+			n, err := newStandIn(s.ID, p.observed, s.HoldConnections)
 			if err != nil {
 				return err
 			}
 			p.servers[s.ID] = n
 		}
-		if s.Dead {
+		if s.Unreachable {
 			p.servers[s.ID].close()
 		}
-		zones, _ := p.set["zones"].([]any)
+		zones, _ := p.settings["zones"].([]any)
 		started := int64(0)
 		p.zones[s.ID] = s.Zone
 		if s.Started != 0 {
@@ -171,22 +171,22 @@
 		order = append(order, s.ID)
 	}
 	if how == "full" {
-		for id, text := range p.agency.entries { // whoever is not named has gone
+		for id, text := range p.discovery.entries { // whoever is not named has gone
 			if entries[id] == "" {
 				entries[id] = regexp.MustCompile(`"lifecycle":"\w+"`).ReplaceAllString(text, `"lifecycle":"gone"`)
 				order = append(order, id)
 			}
 		}
 	}
-	p.agency.change(entries, order)
+	p.discovery.publish(entries, order)
 	return nil
 }
 
 // config writes the program's configuration.
-func (p *process) config() (string, error) {
+func (p *processRunner) writeConfig() (string, error) {
 	raw, err := json.Marshal(map[string]any{
-		"name": "n0", "listen": "127.0.0.1:0", "discovery": p.agency.address, "console": "127.0.0.1:0", "seed": "7",
-		"limits": map[string]any{"cores": 1, "memory_mb": 192, "sockets": 256}, "settings": p.set, "known": json.RawMessage(p.known),
+		"name": "n0", "listen": "127.0.0.1:0", "discovery": p.discovery.address, "console": "127.0.0.1:0", "seed": "7",
+		"limits": map[string]any{"cores": 1, "memory_mb": 192, "sockets": 256}, "settings": p.settings, "known": json.RawMessage(p.knownJSON),
 	})
 	if err != nil {
 		return "", err
@@ -196,12 +196,12 @@
 }
 
 var (
-	listening = regexp.MustCompile(`msg=serving.* listen=(\S+)`)
-	atConsole = regexp.MustCompile(`msg=console.* listen=(\S+)`)
+	listenLine  = regexp.MustCompile(`msg=serving.* listen=(\S+)`)
+	consoleLine = regexp.MustCompile(`msg=console.* listen=(\S+)`)
 )
 
 // starter runs what starts processes on one thread, which lasts as long as this process: they end with it.
-var starter = sync.OnceValue(func() chan<- func() {
+var processStarter = sync.OnceValue(func() chan<- func() {
 	c := make(chan func())
 	go func() {
 		runtime.LockOSThread()
@@ -213,21 +213,21 @@
 })
 
 // restart kills the program and starts it anew, with the state that it has left.
-func (p *process) restart() error {
+func (p *processRunner) restart() error {
 	if err := p.cmd.Process.Kill(); err != nil {
 		return err
 	}
-	<-p.ended
-	p.ended, p.listen, p.console = nil, "", ""
-	p.story.see(func() { p.story.holds = -1 })
+	<-p.exited
+	p.exited, p.listenAddr, p.consoleAddr = nil, "", ""
+	p.observed.withLock(func() { p.observed.heldVersion = -1 })
 	if err := p.start(p.program); err != nil {
 		return err
 	}
-	return p.watched()
+	return p.waitForList()
 }
 
-func (p *process) start(program string) error {
-	path, err := p.config()
+func (p *processRunner) start(program string) error {
+	path, err := p.writeConfig()
 	if err != nil {
 		return err
 	}
@@ -239,41 +239,41 @@
 		return err
 	}
 	started := make(chan error)
-	starter() <- func() { started <- p.cmd.Start() }
+	processStarter() <- func() { started <- p.cmd.Start() }
 	if err := <-started; err != nil {
 		return err
 	}
-	p.ended = make(chan error, 1)
+	p.exited = make(chan error, 1)
 	up, said := make(chan struct{}), new(bytes.Buffer)
 	go func() {
 		lines, ready := bufio.NewScanner(log), false
 		for lines.Scan() {
-			if m := listening.FindStringSubmatch(lines.Text()); m != nil {
-				p.listen = m[1]
+			if m := listenLine.FindStringSubmatch(lines.Text()); m != nil {
+				p.listenAddr = m[1]
 			}
-			if m := atConsole.FindStringSubmatch(lines.Text()); m != nil {
-				p.console = m[1]
+			if m := consoleLine.FindStringSubmatch(lines.Text()); m != nil {
+				p.consoleAddr = m[1]
 			}
 			if !ready {
 				fmt.Fprintln(said, lines.Text())
 			}
-			if !ready && p.listen != "" && p.console != "" {
+			if !ready && p.listenAddr != "" && p.consoleAddr != "" {
 				ready = true
 				close(up)
 			}
 		}
-		p.ended <- p.cmd.Wait()
+		p.exited <- p.cmd.Wait()
 	}()
 	select {
 	case <-up:
-	case err := <-p.ended:
-		p.ended = nil
+	case err := <-p.exited:
+		p.exited = nil
 		return fmt.Errorf("it ended: %v\n%s", err, said)
-	case <-time.After(generous):
+	case <-time.After(maxWait):
 		return errors.New("it did not begin to serve")
 	}
-	return p.until("it to be ready", func() bool {
-		res, err := http.Get("http://" + p.listen + "/up")
+	return p.waitFor("it to be ready", func() bool {
+		res, err := http.Get("http://" + p.listenAddr + "/up")
 		if err != nil {
 			return false
 		}
@@ -283,8 +283,8 @@
 }
 
 // until waits for something.
-func (p *process) until(what string, holds func() bool) error {
-	for end := time.Now().Add(generous); ; time.Sleep(2 * time.Millisecond) {
+func (p *processRunner) waitFor(what string, holds func() bool) error {
+	for end := time.Now().Add(maxWait); ; time.Sleep(2 * time.Millisecond) {
 		if holds() {
 			return nil
 		}
@@ -295,13 +295,13 @@
 }
 
 // pending is how many requests the program holds, by its console; -1 if that does not answer.
-func (p *process) pending() int {
-	c, err := net.DialTimeout("tcp", p.console, generous)
+func (p *processRunner) pendingRequests() int {
+	c, err := net.DialTimeout("tcp", p.consoleAddr, maxWait)
 	if err != nil {
 		return -1
 	}
 	defer c.Close()
-	_ = c.SetDeadline(time.Now().Add(generous)) // fails only on a closed connection
+	_ = c.SetDeadline(time.Now().Add(maxWait)) // fails only on a closed connection
 	if _, err := io.WriteString(c, "show-stat\n"); err != nil {
 		return -1
 	}
@@ -315,9 +315,9 @@
 }
 
 // outstanding are the requests that have no answer.
-func (p *process) outstanding() (n int) {
-	for id := range p.classOf {
-		if _, ok := p.story.answers[id]; !ok {
+func (p *processRunner) countUnanswered() (n int) {
+	for id := range p.requestClass {
+		if _, ok := p.observed.answers[id]; !ok {
 			n++
 		}
 	}
@@ -325,13 +325,13 @@
 }
 
 // ask sends a request on a connection of its own, and waits until the program has taken it.
-func (p *process) ask(id string, s Step) error {
+func (p *processRunner) sendRequest(id string, s Step) error {
 	ctx, quit := context.WithCancel(context.Background())
-	p.quit[id] = quit
+	p.cancels[id] = quit
 	method, more := http.MethodPost, map[string]string{}
-	for _, c := range p.set["classes"].([]any) {
+	for _, c := range p.settings["classes"].([]any) {
 		if c := c.(map[string]any); c["name"] == s.Class {
-			p.classOf[id] = c
+			p.requestClass[id] = c
 			switch c["semantics"] {
 			case "free":
 				method = http.MethodGet
@@ -344,13 +344,13 @@
 	if method == http.MethodPost {
 		body = strings.NewReader("work")
 	}
-	req, err := http.NewRequestWithContext(ctx, method, "http://"+p.listen+"/"+s.Class, body)
+	req, err := http.NewRequestWithContext(ctx, method, "http://"+p.listenAddr+"/"+s.Class, body)
 	if err != nil {
 		return err
 	}
 	for name, value := range map[string]string{
 		"X-Request-ID": id, "X-Priority-Class": s.Class, "X-Tenant-Id": s.Tenant,
-		"X-Timeout": fmt.Sprintf("%dm", s.Left.Std().Milliseconds()),
+		"X-Timeout": fmt.Sprintf("%dm", s.TimeLeft.Std().Milliseconds()),
 	} {
 		req.Header.Set(name, value)
 	}
@@ -369,39 +369,39 @@
 			},
 		}}
 		res, err := client.Do(req)
-		got := reply{how: "failed"}
+		got := reply{result: "failed"}
 		if err == nil {
 			var text []byte
 			text, err = io.ReadAll(res.Body)
 			res.Body.Close()
-			got.advice = res.Header.Get("Retry-After")
+			got.retryAfter = res.Header.Get("Retry-After")
 			switch {
 			case res.StatusCode == http.StatusOK && err != nil:
-				got.how = "broken" // and the client can tell
+				got.result = "broken" // and the client can tell
 			case res.StatusCode == http.StatusOK:
-				got.how = "served"
+				got.result = "served"
 				if string(text) != "done "+id {
-					got.how = fmt.Sprintf("served with %q", text)
+					got.result = fmt.Sprintf("served with %q", text)
 				}
 			case res.StatusCode == http.StatusServiceUnavailable || res.StatusCode == http.StatusTooManyRequests:
-				got.how = "refused"
+				got.result = "refused"
 			}
 		} else if ctx.Err() != nil {
-			got.how = "left"
+			got.result = "left"
 		} else {
-			got.how = "lost: " + err.Error()
+			got.result = "lost: " + err.Error()
 		}
-		p.story.see(func() { p.story.answers[id] = got })
+		p.observed.withLock(func() { p.observed.answers[id] = got })
 	}()
 	twice := 0
-	return p.until(id+" to be taken", func() bool {
+	return p.waitFor(id+" to be taken", func() bool {
 		there, want := false, 0
-		p.story.see(func() {
-			_, there = p.story.answers[id]
-			there = there || slices.ContainsFunc(p.story.reached, func(a arrival) bool { return a.id == id })
-			want = p.outstanding()
+		p.observed.withLock(func() {
+			_, there = p.observed.answers[id]
+			there = there || slices.ContainsFunc(p.observed.arrivals, func(a arrival) bool { return a.id == id })
+			want = p.countUnanswered()
 		})
-		if p.pending() == want {
+		if p.pendingRequests() == want {
 			twice++
 		} else {
 			twice = 0
@@ -411,9 +411,9 @@
 }
 
 // last is the server that had a request last.
-func (p *process) last(id string) (server *standIn) {
-	p.story.see(func() {
-		for _, a := range p.story.reached {
+func (p *processRunner) lastServer(id string) (server *standIn) {
+	p.observed.withLock(func() {
+		for _, a := range p.observed.arrivals {
 			if a.id == id {
 				server = p.servers[a.server]
 			}
@@ -424,44 +424,46 @@
 
 // watched waits until a call of discovery's shows that the program holds the list as it is there now, or, where that
 // is an older one, that it has asked often enough to have heard it.
-func (p *process) watched() error {
-	p.agency.mu.Lock()
-	version := p.agency.version
-	p.agency.mu.Unlock()
-	return p.until("word that it has heard", func() (there bool) {
-		p.story.see(func() { there = p.story.holds == version || p.stale && p.story.calls >= p.calls+4 })
+func (p *processRunner) waitForList() error {
+	p.discovery.mu.Lock()
+	version := p.discovery.version
+	p.discovery.mu.Unlock()
+	return p.waitFor("word that it has heard", func() (there bool) {
+		p.observed.withLock(func() {
+			there = p.observed.heldVersion == version || p.staleList && p.observed.discoveryCalls >= p.callsBefore+4
+		})
 		return there
 	})
 }
 
-func (p *process) step(s Step) error {
-	p.story.see(func() {
-		p.seen, p.calls = len(p.story.reached), p.story.calls
-		for id := range p.story.answers {
-			p.had[id] = true
+func (p *processRunner) runStep(s Step) error {
+	p.observed.withLock(func() {
+		p.arrivalsBefore, p.callsBefore = len(p.observed.arrivals), p.observed.discoveryCalls
+		for id := range p.observed.answers {
+			p.answeredBefore[id] = true
 		}
 	})
-	switch s.Disc {
+	switch s.Discovery {
 	case "stale":
-		p.agency.stale()
-		p.stale = true
+		p.discovery.revertToInitial()
+		p.staleList = true
 	case "silent":
-		p.agency.silence()
+		p.discovery.silence()
 	case "down", "up":
-		p.agency.mu.Lock()
-		p.agency.down = s.Disc == "down"
-		p.agency.mu.Unlock()
+		p.discovery.mu.Lock()
+		p.discovery.down = s.Discovery == "down"
+		p.discovery.mu.Unlock()
 	case "moved":
-		if err := p.agency.move(); err != nil {
+		if err := p.discovery.move(); err != nil {
 			return err
 		}
 	}
 	if s.List != "" {
-		if err := p.list(s.Servers, s.List); err != nil {
+		if err := p.publishList(s.Servers, s.List); err != nil {
 			return err
 		}
-		if (s.Disc == "" || s.Disc == "up") && s.Signal == "" && s.Want == nil { // others wait for what comes of it
-			if err := p.watched(); err != nil {
+		if (s.Discovery == "" || s.Discovery == "up") && s.Signal == "" && s.Want == nil { // others wait for what comes of it
+			if err := p.waitForList(); err != nil {
 				return err
 			}
 		}
@@ -472,16 +474,16 @@
 		}
 	}
 	if s.Signal != "" {
-		if _, err := p.config(); err != nil {
+		if _, err := p.writeConfig(); err != nil {
 			return err
 		}
 		if err := p.cmd.Process.Signal(map[string]os.Signal{"TERM": syscall.SIGTERM, "HUP": syscall.SIGHUP}[s.Signal]); err != nil {
 			return err
 		}
 	}
-	if s.Shut {
-		if err := p.until("new connections to be refused", func() bool {
-			c, err := net.Dial("tcp", p.listen)
+	if s.AwaitClosed {
+		if err := p.waitFor("new connections to be refused", func() bool {
+			c, err := net.Dial("tcp", p.listenAddr)
 			if err == nil {
 				c.Close()
 			}
@@ -491,83 +493,83 @@
 		}
 	}
 	for _, id := range s.Dial {
-		c, err := net.Dial("tcp", p.listen)
+		c, err := net.Dial("tcp", p.listenAddr)
 		if err != nil {
 			return err
 		}
-		p.dialled[name(id)] = c
+		p.dialled[requestName(id)] = c
 	}
 	time.Sleep(s.Pause.Std())
-	for _, id := range s.Up {
-		p.servers[id].up()
+	for _, id := range s.Connect {
+		p.servers[id].startAccepting()
 	}
-	for _, id := range s.Ask {
-		if err := p.ask(name(id), s); err != nil {
+	for _, id := range s.Requests {
+		if err := p.sendRequest(requestName(id), s); err != nil {
 			return err
 		}
 	}
-	for _, id := range s.Stray {
-		server := p.last(name(id))
+	for _, id := range s.StrayAnswers {
+		server := p.lastServer(requestName(id))
 		server.mu.Lock()
-		c := server.served[name(id)]
+		c := server.answeredOn[requestName(id)]
 		server.mu.Unlock()
-		if _, err := io.WriteString(c, made("stray")); err != nil {
+		if _, err := io.WriteString(c, completeAnswer("stray")); err != nil {
 			return err
 		}
 	}
-	for _, id := range s.End {
-		server := p.last(name(id))
+	for _, id := range s.EndAttempts {
+		server := p.lastServer(requestName(id))
 		if server == nil {
-			return fmt.Errorf("%s has reached no server, so it can't end", name(id))
+			return fmt.Errorf("%s has reached no server, so it can't end", requestName(id))
 		}
-		server.verdict(name(id)) <- s.As
+		server.endingOf(requestName(id)) <- s.Ending
 	}
-	for _, id := range s.Leave {
-		p.quit[name(id)]()
+	for _, id := range s.ClientsLeave {
+		p.cancels[requestName(id)]()
 	}
-	if len(s.Leave) > 0 {
-		if err := p.until("the program to let go of them", func() bool {
+	if len(s.ClientsLeave) > 0 {
+		if err := p.waitFor("the program to let go of them", func() bool {
 			want, gone := 0, true
-			p.story.see(func() {
-				want = p.outstanding()
-				for _, id := range s.Leave {
-					_, quit := p.story.answers[name(id)]
+			p.observed.withLock(func() {
+				want = p.countUnanswered()
+				for _, id := range s.ClientsLeave {
+					_, quit := p.observed.answers[requestName(id)]
 					gone = gone && quit
 				}
 			})
-			return gone && p.pending() == want
+			return gone && p.pendingRequests() == want
 		}); err != nil {
 			return err
 		}
 	}
 	if s.Flow != nil {
-		if err := p.flow(s); err != nil {
+		if err := p.runFlow(s); err != nil {
 			return err
 		}
 	}
 	if s.Raw != "" {
-		p.raw(s)
+		p.sendRaw(s)
 	}
 	if s.Want == nil {
 		return nil
 	}
-	return p.judge(s)
+	return p.checkWant(s)
 }
 
 // flow plays many requests one after the other; servers answer by themselves.
-func (p *process) flow(s Step) error {
+func (p *processRunner) runFlow(s Step) error {
 	for id, n := range p.servers {
 		n.mu.Lock()
-		n.auto = cmp.Or(s.Flow.Answers[id], "served")
+		n.autoEnding = cmp.Or(s.Flow.Endings[id], "served")
 		n.mu.Unlock()
 	}
 	for i := range s.Flow.Count {
-		id := name(s.Flow.From + i)
-		if err := p.ask(id, s); err != nil {
+		id := requestName(s.Flow.FirstID + i)
+		if err := p.sendRequest(id, s); err != nil {
 			return err
 		}
-		if err := p.until(id+" to be answered", func() (there bool) {
-			p.story.see(func() { _, there = p.story.answers[id] })
+		if err := p.waitFor(id+" to be answered", func() (there bool) {
+			p.observed.withLock(func() { _, there = p.observed.answers[id] })
 			return there
 		}); err != nil {
 			return err
@@ -575,21 +577,21 @@
 	}
 	for _, n := range p.servers {
 		n.mu.Lock()
-		n.auto = ""
+		n.autoEnding = ""
 		n.mu.Unlock()
 	}
 	return nil
 }
 
 // raw sends bytes on a connection of its own.
-func (p *process) raw(s Step) {
-	c, err := net.Dial("tcp", p.listen)
+func (p *processRunner) sendRaw(s Step) {
+	c, err := net.Dial("tcp", p.listenAddr)
 	if err != nil {
-		p.fault("dial: %v", err)
+		p.failf("dial: %v", err)
 		return
 	}
 	defer c.Close()
-	_ = c.SetDeadline(time.Now().Add(generous)) // fails only on a closed connection
+	_ = c.SetDeadline(time.Now().Add(maxWait)) // fails only on a closed connection
 	if s.Raw != "nothing" {
 		_, _ = io.WriteString(c, s.Raw) // a sidecar that ends it early is one that may
 	}
@@ -598,33 +600,33 @@
 		status = res.StatusCode
 		res.Body.Close()
 	} else if errors.Is(err, os.ErrDeadlineExceeded) {
-		p.fault("neither an answer nor a close")
+		p.failf("neither an answer nor a close")
 	}
-	if w := s.Want; w != nil && len(w.Status) == 2 && status != 0 && (status < w.Status[0] || status > w.Status[1]) {
-		p.fault("answered %d, want %v", status, w.Status)
+	if w := s.Want; w != nil && len(w.StatusRange) == 2 && status != 0 && (status < w.StatusRange[0] || status > w.StatusRange[1]) {
+		p.failf("answered %d, want %v", status, w.StatusRange)
 	}
 }
 
 // happened sorts what this step brought.
-func (p *process) happened() (did map[string][]string, tally map[string]int) {
+func (p *processRunner) stepEvents() (did map[string][]string, tally map[string]int) {
 	did, tally = make(map[string][]string), make(map[string]int)
-	p.story.see(func() {
-		for _, a := range p.story.reached[min(p.seen, len(p.story.reached)):] {
+	p.observed.withLock(func() {
+		for _, a := range p.observed.arrivals[min(p.arrivalsBefore, len(p.observed.arrivals)):] {
 			did["sent"] = append(did["sent"], a.id)
 			did["to"] = append(did["to"], a.server)
 			tally["sent"]++
 			tally[a.server]++
 		}
-		for _, id := range slices.Sorted(maps.Keys(p.story.answers)) {
-			if a := p.story.answers[id]; !p.had[id] {
-				did[a.how] = append(did[a.how], id)
-				tally[a.how]++
-				if a.how == "refused" {
-					did["advice"] = append(did["advice"], a.advice)
+		for _, id := range slices.Sorted(maps.Keys(p.observed.answers)) {
+			if a := p.observed.answers[id]; !p.answeredBefore[id] {
+				did[a.result] = append(did[a.result], id)
+				tally[a.result]++
+				if a.result == "refused" {
+					did["advice"] = append(did["advice"], a.retryAfter)
 				}
 			}
 		}
-		tally["asks"] = p.story.calls - p.calls
+		tally["asks"] = p.observed.discoveryCalls - p.callsBefore
 	})
 	for _, all := range did {
 		slices.Sort(all)
@@ -633,19 +635,19 @@
 }
 
 // judge waits until what is wanted of a step has come, and says what came besides.
-func (p *process) judge(s Step) error {
+func (p *processRunner) checkWant(s Step) error {
 	w := s.Want
 	want := map[string][]string{}
 	for how, ids := range map[string][]int{"sent": w.Sent, "served": w.Served, "refused": w.Refused, "failed": w.Failed, "broken": w.Broken} {
 		for _, id := range ids {
-			want[how] = append(want[how], name(id))
+			want[how] = append(want[how], requestName(id))
 		}
 		slices.Sort(want[how])
 	}
-	exact := s.Flow == nil && w.Counts == nil
+	exact := s.Flow == nil && w.CountRanges == nil
 	all := []string{"sent", "served", "refused", "failed", "broken"}
-	err := p.until("what is wanted", func() bool {
-		did, tally := p.happened()
+	err := p.waitFor("what is wanted", func() bool {
+		did, tally := p.stepEvents()
 		for how, ids := range did { // what is wrong already need not be waited for
 			if strings.Contains(how, " ") || exact && slices.Contains(all, how) && len(ids) > len(want[how]) {
 				return true
@@ -656,62 +658,62 @@
 				return false
 			}
 		}
-		for name, bounds := range w.Counts {
+		for name, bounds := range w.CountRanges {
 			if tally[name] < bounds[0] {
 				return false
 			}
 		}
-		return !w.Asks || tally["asks"] > 0
+		return !w.DiscoveryAsked || tally["asks"] > 0
 	})
-	did, tally := p.happened()
+	did, tally := p.stepEvents()
 	for _, how := range all {
 		if exact && !slices.Equal(did[how], want[how]) {
-			p.fault("%s: %v, want %v", how, did[how], want[how])
+			p.failf("%s: %v, want %v", how, did[how], want[how])
 		}
 	}
 	for how, ids := range did {
 		if strings.Contains(how, " ") {
-			p.fault("%v %s", ids, how)
+			p.failf("%v %s", ids, how)
 		}
 	}
-	for name, bounds := range w.Counts {
+	for name, bounds := range w.CountRanges {
 		if tally[name] < bounds[0] || tally[name] > bounds[1] {
-			p.fault("%s: %d, want %v", name, tally[name], bounds)
+			p.failf("%s: %d, want %v", name, tally[name], bounds)
 		}
 	}
 	for _, to := range did["to"] {
-		if len(w.Only) > 0 && !slices.Contains(w.Only, to) {
-			p.fault("sent to %s, want %v alone", to, w.Only)
+		if len(w.OnlyServers) > 0 && !slices.Contains(w.OnlyServers, to) {
+			p.failf("sent to %s, want %v alone", to, w.OnlyServers)
 		}
 	}
-	p.advice(w, did["advice"])
-	if w.Ends && err == nil {
+	p.checkRetryAfter(w, did["advice"])
+	if w.ProcessExits && err == nil {
 		select {
-		case end := <-p.ended:
-			p.ended = nil
+		case end := <-p.exited:
+			p.exited = nil
 			if end != nil {
-				p.fault("it ended with %v", end)
+				p.failf("it ended with %v", end)
 			}
-		case <-time.After(generous):
-			p.fault("it did not end")
+		case <-time.After(maxWait):
+			p.failf("it did not end")
 		}
 	}
-	if err != nil && len(p.faults) == 0 {
+	if err != nil && len(p.failures) == 0 {
 		return err
 	}
 	return nil
 }
 
-func (p *process) advice(w *Want, all []string) {
-	most := figure(p.set, "caps", "max_retry_after_ms") / 1000
-	if w.Apart && len(slices.Compact(slices.Sorted(slices.Values(all)))) < 2 {
-		p.fault("%d refusals say the same Retry-After", len(all))
+func (p *processRunner) checkRetryAfter(w *Want, all []string) {
+	most := numberSetting(p.settings, "caps", "max_retry_after_ms") / 1000
+	if w.RetryAfterVaries && len(slices.Compact(slices.Sorted(slices.Values(all)))) < 2 {
+		p.failf("%d refusals say the same Retry-After", len(all))
 	}
 	for _, text := range all {
 		d, err := strconv.ParseFloat(text, 64)
 		switch {
-		case w.Advice == "yes" && (err != nil || d <= 0 || d > most), w.Advice == "no" && text != "":
-			p.fault("a refusal says Retry-After: %q", text)
+		case w.RetryAfter == "yes" && (err != nil || d <= 0 || d > most), w.RetryAfter == "no" && text != "":
+			p.failf("a refusal says Retry-After: %q", text)
 		}
 	}
 }
--- a/internal/conform/simhost.go
+++ b/internal/conform/simhost.go
@@ -17,17 +17,17 @@
 )
 
 // simhost is the adapter's program, by the simulator's wire: one instance, a batch for each event.
-type simhost struct {
-	cmd   *exec.Cmd
-	in    io.WriteCloser
-	out   *bufio.Reader
-	batch uint32
-	page  uint16
+type simhostSubject struct {
+	cmd          *exec.Cmd
+	in           io.WriteCloser
+	out          *bufio.Reader
+	batchNumber  uint32
+	manifestPage uint16
 }
 
 // newSimhost starts the program at a path.
-func newSimhost(program string) (*simhost, error) {
-	s := &simhost{cmd: exec.Command(program)}
+func newSimhost(program string) (*simhostSubject, error) {
+	s := &simhostSubject{cmd: exec.Command(program)}
 	var err error
 	if s.in, err = s.cmd.StdinPipe(); err != nil {
 		return nil, err
@@ -41,13 +41,13 @@
 }
 
 // close ends its input, which ends it.
-func (s *simhost) close() error {
+func (s *simhostSubject) close() error {
 	s.in.Close()
 	return s.cmd.Wait()
 }
 
 // record is one record of a batch. Fields are of fixed size, or bytes.
-func record(code uint16, fields ...any) []byte {
+func encodeRecord(code uint16, fields ...any) []byte {
 	var f []byte
 	for _, v := range fields {
 		f, _ = binary.Append(f, binary.LittleEndian, v) // it fails only for a type of no fixed size
@@ -57,22 +57,22 @@
 }
 
 // address is a server's on the wire, and number the way back.
-func address(server int) []byte { return []byte{10, 0, byte(server >> 8), byte(server), 80, 0} }
+func serverAddress(server int) []byte { return []byte{10, 0, byte(server >> 8), byte(server), 80, 0} }
 
-func number(b []byte) int { return int(b[2])<<8 | int(b[3]) }
+func serverNumber(b []byte) int { return int(b[2])<<8 | int(b[3]) }
 
 // lines bring settings into the wire's form.
-func lines(path string, v any) (all []string) {
+func settingLines(path string, v any) (all []string) {
 	switch v := v.(type) {
 	case map[string]any:
 		for key, item := range v {
-			all = append(all, lines(strings.TrimPrefix(path+"."+key, "."), item)...)
+			all = append(all, settingLines(strings.TrimPrefix(path+"."+key, "."), item)...)
 		}
 	case []any:
 		var plain []string
 		for i, item := range v {
 			if _, object := item.(map[string]any); object {
-				all = append(all, lines(path+"."+strconv.Itoa(i), item)...)
+				all = append(all, settingLines(path+"."+strconv.Itoa(i), item)...)
 				continue
 			}
 			plain = append(plain, fmt.Sprint(item))
@@ -85,54 +85,54 @@
 	return all
 }
 
-func (s *simhost) start(now time.Duration, seed uint64, settings map[string]any, known []balance.Server) ([]action, error) {
-	info := []byte(strings.Join(lines("", settings), "\n"))
-	return s.exchange(now, append([][]byte{record(wire.EvOpenInstance, uint32(1), seed, uint32(len(info)), info)},
-		s.fleet(wire.FleetCached, known)...)...)
+func (s *simhostSubject) start(now time.Duration, seed uint64, settings map[string]any, known []balance.Server) ([]action, error) {
+	info := []byte(strings.Join(settingLines("", settings), "\n"))
+	return s.exchange(now, append([][]byte{encodeRecord(wire.EvOpenInstance, uint32(1), seed, uint32(len(info)), info)},
+		s.listRecords(wire.FleetCached, known)...)...)
 }
 
 // fleet is a list, and the word that it applies.
-func (s *simhost) fleet(kind uint8, servers []balance.Server) [][]byte {
-	s.page = (s.page + 1) % 16
-	fields := []any{s.page, uint32(len(servers))}
+func (s *simhostSubject) listRecords(kind uint8, servers []balance.Server) [][]byte {
+	s.manifestPage = (s.manifestPage + 1) % 16
+	fields := []any{s.manifestPage, uint32(len(servers))}
 	for _, e := range servers {
 		status := map[balance.State]uint8{balance.Gone: wire.StateGone, balance.Ready: wire.StateReady, balance.Draining: wire.StateDraining}[e.State]
-		fields = append(fields, address(int(e.ID)), uint8(e.Zone), uint8(0), uint16(e.Cell), status, float32(e.Weight), wire.ToMillis(e.Started))
+		fields = append(fields, serverAddress(int(e.ID)), uint8(e.Zone), uint8(0), uint16(e.Cell), status, float32(e.Weight), wire.ToMillis(e.Started))
 	}
-	return [][]byte{record(wire.EvManifest, fields...), record(wire.EvFleet, uint32(1), kind, uint32(s.batch+1), s.page)}
+	return [][]byte{encodeRecord(wire.EvManifest, fields...), encodeRecord(wire.EvFleet, uint32(1), kind, uint32(s.batchNumber+1), s.manifestPage)}
 }
 
-func (s *simhost) play(now time.Duration, e event) ([]action, error) {
+func (s *simhostSubject) handle(now time.Duration, e event) ([]action, error) {
 	id := uint32(e.request.ID)
 	switch e.kind {
-	case request:
+	case eventRequest:
 		q := e.request
-		return s.exchange(now, record(wire.EvAsk, uint32(1), id, uint16(0), q.Key, uint32(q.Tenant), wire.ToMillis(q.TimeLeft), float64(0), uint8(q.Class)))
-	case outcome:
+		return s.exchange(now, encodeRecord(wire.EvAsk, uint32(1), id, uint16(0), q.Key, uint32(q.Tenant), wire.ToMillis(q.TimeLeft), float64(0), uint8(q.Class)))
+	case eventOutcome:
 		o := e.outcome
 		code := map[balance.Ending]uint16{
 			balance.Served: wire.EndServed, balance.Errored: wire.EndErrored, balance.TurnedAway: wire.EndTurnedAway,
 			balance.TimedOut: wire.EndTimedOut, balance.NoConnection: wire.EndNoConnection, balance.Broken: wire.EndBroken,
 		}[o.Ending]
-		return s.exchange(now, record(wire.EvFinished, uint32(1), uint32(o.ID), uint8(o.Attempt), address(e.server), code,
-			wire.ToMillis(e.took), o.Settled, uint8(0)))
-	case list:
+		return s.exchange(now, encodeRecord(wire.EvFinished, uint32(1), uint32(o.ID), uint8(o.Attempt), serverAddress(e.server), code,
+			wire.ToMillis(e.duration), o.Settled, uint8(0)))
+	case eventList:
 		if e.list == balance.ListFailed {
-			return s.exchange(now, record(wire.EvFleet, uint32(1), uint8(wire.FleetFailed), uint32(0), uint16(0)))
+			return s.exchange(now, encodeRecord(wire.EvFleet, uint32(1), uint8(wire.FleetFailed), uint32(0), uint16(0)))
 		}
 		kind := map[balance.ListKind]uint8{balance.ListFull: wire.FleetFull, balance.ListDelta: wire.FleetDelta}[e.list]
-		return s.exchange(now, s.fleet(kind, e.servers)...)
-	case gone:
-		return s.exchange(now, record(wire.EvClientLeft, uint32(1), id))
+		return s.exchange(now, s.listRecords(kind, e.servers)...)
+	case eventClientGone:
+		return s.exchange(now, encodeRecord(wire.EvClientLeft, uint32(1), id))
 	}
-	return s.exchange(now, record(wire.EvWake, uint32(1), uint64(0)))
+	return s.exchange(now, encodeRecord(wire.EvWake, uint32(1), uint64(0)))
 }
 
 // exchange sends a batch and reads the reply.
-func (s *simhost) exchange(now time.Duration, records ...[]byte) (acts []action, err error) {
-	s.batch++
+func (s *simhostSubject) exchange(now time.Duration, records ...[]byte) (acts []action, err error) {
+	s.batchNumber++
 	body := slices.Concat(records...)
-	head, _ := binary.Append(nil, binary.LittleEndian, []uint32{s.batch, uint32(len(records)), uint32(len(body))})
+	head, _ := binary.Append(nil, binary.LittleEndian, []uint32{s.batchNumber, uint32(len(records)), uint32(len(body))})
 	head = binary.LittleEndian.AppendUint64(head, math.Float64bits(wire.ToMillis(now)))
 	if _, err := s.in.Write(append(head, body...)); err != nil {
 		return nil, err
@@ -142,8 +142,8 @@
 		return nil, err
 	}
 	le := binary.LittleEndian
-	if n := le.Uint32(reply); n != s.batch {
-		return nil, fmt.Errorf("batch %d is answered by reply %d", s.batch, n)
+	if n := le.Uint32(reply); n != s.batchNumber {
+		return nil, fmt.Errorf("batch %d is answered by reply %d", s.batchNumber, n)
 	}
 	body = make([]byte, le.Uint32(reply[4:]))
 	if _, err := io.ReadFull(s.out, body); err != nil {
@@ -158,19 +158,19 @@
 		ms := func(at int) time.Duration { return wire.FromMillis(math.Float64frombits(le.Uint64(f[at:]))) }
 		switch rec.Code {
 		case wire.ActCallOut:
-			acts = append(acts, action{kind: send, id: int(le.Uint32(f)), server: number(f[4:]), d: ms(10)})
+			acts = append(acts, action{kind: actionSend, id: int(le.Uint32(f)), server: serverNumber(f[4:]), duration: ms(10)})
 		case wire.ActPushBack:
-			acts = append(acts, action{kind: refuse, id: int(le.Uint32(f)), d: ms(4)})
+			acts = append(acts, action{kind: actionRefuse, id: int(le.Uint32(f)), duration: ms(4)})
 		case wire.ActLose:
-			acts = append(acts, action{kind: fail, id: int(le.Uint32(f))})
+			acts = append(acts, action{kind: actionFail, id: int(le.Uint32(f))})
 		case wire.ActSetAlarm:
-			acts = append(acts, action{kind: timer, d: ms(0)})
+			acts = append(acts, action{kind: actionTimer, duration: ms(0)})
 		case wire.ActTail:
-			acts = append(acts, action{kind: watch})
+			acts = append(acts, action{kind: actionWatchList})
 		case wire.ActDie:
 			return nil, fmt.Errorf("the module failed: %s", f[2:])
 		case wire.ActRecall:
-			acts = append(acts, action{kind: cancel, id: int(le.Uint32(f))})
+			acts = append(acts, action{kind: actionCancel, id: int(le.Uint32(f))})
 		case wire.ActWriteLog, wire.ActInspect, wire.ActRelease:
 		default:
 			return nil, fmt.Errorf("action %d is none that it may use here", rec.Code)
--- a/internal/conform/standin.go
+++ b/internal/conform/standin.go
@@ -18,39 +18,39 @@
 )
 
 // story is what the stand-ins round a real process saw, in order.
-type story struct {
-	mu      sync.Mutex
-	reached []arrival
-	answers map[string]reply
-	calls   int // of discovery
-	holds   int // the version that the last of them came with; -1: none
-	wrong   []string
+type observations struct {
+	mu             sync.Mutex
+	arrivals       []arrival
+	answers        map[string]reply
+	discoveryCalls int // of discovery
+	heldVersion    int // the version that the last of them came with; -1: none
+	failures       []string
 }
 
 // arrival is a request that came to a server as a whole.
 type arrival struct {
 	id, server string
-	how        string // its attempt ended, as far as it has
+	ending     string // its attempt ended, as far as it has
 }
 
 // reply is what a client was answered.
 type reply struct {
-	how    string // served, refused or failed
-	advice string
+	result     string // served, refused or failed
+	retryAfter string
 }
 
-func (s *story) see(f func()) {
+func (s *observations) withLock(f func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	f()
 }
 
 // end enters how a request's latest attempt ended.
-func (s *story) end(id, how string) {
-	s.see(func() {
-		for i := len(s.reached) - 1; i >= 0; i-- {
-			if s.reached[i].id == id {
-				s.reached[i].how = how
+func (s *observations) recordEnding(id, how string) {
+	s.withLock(func() {
+		for i := len(s.arrivals) - 1; i >= 0; i-- {
+			if s.arrivals[i].id == id {
+				s.arrivals[i].ending = how
 				return
 			}
 		}
@@ -58,28 +58,28 @@
 }
 
 // trail is how long behind the first a second answer comes.
-const trail = 3 * time.Millisecond
+const strayDelay = 3 * time.Millisecond
 
 // standIn is a queue server: it takes what comes and answers as the row says, when it says so.
 type standIn struct {
-	id       string
-	listener net.Listener
-	story    *story
-	mu       sync.Mutex
-	waiting  map[string]chan string // verdicts, by request
-	served   map[string]net.Conn    // the connection of each that was answered
-	auto     string                 // how to answer at once; empty: as the row says
-	open     map[net.Conn]bool
-	up       func() // lets connections come up that did not until then
+	id             string
+	listener       net.Listener
+	observed       *observations
+	mu             sync.Mutex
+	endings        map[string]chan string // verdicts, by request
+	answeredOn     map[string]net.Conn    // the connection of each that was answered
+	autoEnding     string                 // how to answer at once; empty: as the row says
+	conns          map[net.Conn]bool
+	startAccepting func() // lets connections come up that did not until then
 }
 
 // newStandIn starts a server, and where it is late one that no connection to comes up before up is called.
-func newStandIn(id string, s *story, late bool) (*standIn, error) {
+func newStandIn(id string, s *observations, late bool) (*standIn, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	n := &standIn{id: id, listener: l, story: s, waiting: make(map[string]chan string), served: make(map[string]net.Conn), open: make(map[net.Conn]bool)}
+	n := &standIn{id: id, listener: l, observed: s, endings: make(map[string]chan string), answeredOn: make(map[string]net.Conn), conns: make(map[net.Conn]bool)}
 	accept := func() {
 		for {
 			c, err := l.Accept()
@@ -87,22 +87,22 @@
 				return
 			}
 			n.mu.Lock()
-			n.open[c] = true
+			n.conns[c] = true
 			n.mu.Unlock()
 			go n.serve(c)
 		}
 	}
-	n.up = sync.OnceFunc(func() { go accept() })
+	n.startAccepting = sync.OnceFunc(func() { go accept() })
 	if late {
-		return n, n.fill()
+		return n, n.fillBacklog()
 	}
-	n.up()
+	n.startAccepting()
 	return n, nil
 }
 
 // fill has the kernel drop what asks for a connection, by a queue of those not accepted that is full. Who asked
 // does so again by itself, so that the connection comes up once the queue is taken up.
-func (n *standIn) fill() error {
+func (n *standIn) fillBacklog() error {
 	raw, err := n.listener.(*net.TCPListener).SyscallConn()
 	if err != nil {
 		return err
@@ -115,9 +115,9 @@
 		if err != nil {
 			return err
 		}
-		n.open[c] = true // to be closed with the others
+		n.conns[c] = true // to be closed with the others
 	}
-	for end := time.Now().Add(generous); ; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(maxWait); ; time.Sleep(time.Millisecond) {
 		var info *unix.TCPInfo
 		if failed := raw.Control(func(fd uintptr) { info, err = unix.GetsockoptTCPInfo(int(fd), unix.IPPROTO_TCP, unix.TCP_INFO) }); err != nil || failed != nil {
 			return errors.Join(err, failed)
@@ -135,26 +135,26 @@
 	n.listener.Close()
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	for c := range n.open {
+	for c := range n.conns {
 		c.Close()
 	}
 }
 
 // verdict is the channel on which the row says how a request's attempt ends.
-func (n *standIn) verdict(id string) chan string {
+func (n *standIn) endingOf(id string) chan string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.waiting[id] == nil {
-		n.waiting[id] = make(chan string, 1)
+	if n.endings[id] == nil {
+		n.endings[id] = make(chan string, 1)
 	}
-	return n.waiting[id]
+	return n.endings[id]
 }
 
 func (n *standIn) serve(c net.Conn) {
 	defer func() {
 		c.Close()
 		n.mu.Lock()
-		delete(n.open, c)
+		delete(n.conns, c)
 		n.mu.Unlock()
 	}()
 	r := bufio.NewReader(c)
@@ -167,10 +167,10 @@
 			return
 		}
 		id := req.Header.Get("X-Request-ID")
-		n.story.see(func() {
-			n.story.reached = append(n.story.reached, arrival{id: id, server: n.id})
+		n.observed.withLock(func() {
+			n.observed.arrivals = append(n.observed.arrivals, arrival{id: id, server: n.id})
 			if !strings.HasPrefix(id, "q") {
-				n.story.wrong = append(n.story.wrong, fmt.Sprintf("%s had a request that no client sent: %q", n.id, id))
+				n.observed.failures = append(n.observed.failures, fmt.Sprintf("%s had a request that no client sent: %q", n.id, id))
 			}
 		})
 		more := make(chan error, 1)
@@ -179,26 +179,26 @@
 			more <- err
 		}()
 		n.mu.Lock()
-		how := n.auto
+		how := n.autoEnding
 		n.mu.Unlock()
 		if how == "" {
 			select {
-			case how = <-n.verdict(id):
+			case how = <-n.endingOf(id):
 			case <-more:
-				n.story.end(id, "left")
+				n.observed.recordEnding(id, "left")
 				return
 			}
 		}
-		n.story.end(id, how)
+		n.observed.recordEnding(id, how)
 		goes, answered := n.answer(c, id, how), time.Now()
 		if how == "trailed" {
 			select { // as the next request comes, where that is sooner
 			case err := <-more:
 				more <- err
-			case <-time.After(trail):
+			case <-time.After(strayDelay):
 			}
-			if time.Since(answered) < 2*trail { // one that comes later is none that the page tells of
-				_, _ = io.WriteString(c, made("stray")) // it fails where the sidecar has gone
+			if time.Since(answered) < 2*strayDelay { // one that comes later is none that the page tells of
+				_, _ = io.WriteString(c, completeAnswer("stray")) // it fails where the sidecar has gone
 			}
 		}
 		if !goes || <-more != nil {
@@ -210,7 +210,7 @@
 // answer ends an attempt, and says whether its connection goes on.
 func (n *standIn) answer(c net.Conn, id, how string) bool {
 	n.mu.Lock()
-	n.served[id] = c
+	n.answeredOn[id] = c
 	n.mu.Unlock()
 	text := map[string]string{
 		"error":       "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n",
@@ -228,9 +228,9 @@
 		"unframed":    "HTTP/1.1 200 OK\r\n\r\ndone " + id,
 		"stalled":     "HTTP/1.1 200 OK\r\nContent-Length: 400000\r\n\r\n" + strings.Repeat("half", 50000),
 		"stuck":       "HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\nhalf",
-		"served":      made(id),
-		"trailed":     made(id),
-		"twice":       made(id) + made("stray"),
+		"served":      completeAnswer(id),
+		"trailed":     completeAnswer(id),
+		"twice":       completeAnswer(id) + completeAnswer("stray"),
 		"unsaid429":   "HTTP/1.1 429 Busy\r\nContent-Length: 0\r\n\r\n",
 		"reset":       "",
 		"timeout":     "",
@@ -240,7 +240,7 @@
 		return false
 	}
 	if text == "" && how != "reset" { // a word of a row that has no answer here
-		n.story.see(func() { n.story.wrong = append(n.story.wrong, "no stand-in answers "+how) })
+		n.observed.withLock(func() { n.observed.failures = append(n.observed.failures, "no stand-in answers "+how) })
 	}
 	if _, err := io.WriteString(c, text); err != nil {
 		return false
@@ -254,36 +254,36 @@
 }
 
 // made is a whole answer to a request.
-func made(id string) string {
+func completeAnswer(id string) string {
 	body := "done " + id
 	return "HTTP/1.1 200 OK\r\nContent-Length: " + strconv.Itoa(len(body)) + "\r\n\r\n" + body
 }
 
 // agency is discovery.
-type agency struct {
-	story    *story
-	mu       sync.Mutex
-	changed  chan struct{} // closed at the next change
-	version  int
-	entries  map[string]string // by server, in its own form
-	order    []string
-	news     map[string]int // the version that brought a server's entry
-	indented bool
-	down     bool
-	first    map[string]string // the list of the row's start, and its version
-	begun    int
-	silenced chan struct{} // closed when open calls fall silent
-	server   *http.Server
-	address  string
+type discoveryStandIn struct {
+	observed       *observations
+	mu             sync.Mutex
+	changed        chan struct{} // closed at the next change
+	version        int
+	entries        map[string]string // by server, in its own form
+	order          []string
+	changedAt      map[string]int // the version that brought a server's entry
+	indented       bool
+	down           bool
+	initialEntries map[string]string // the list of the row's start, and its version
+	initialVersion int
+	silenced       chan struct{} // closed when open calls fall silent
+	server         *http.Server
+	address        string
 }
 
-func newAgency(s *story, indented bool) (*agency, error) {
-	a := &agency{story: s, changed: make(chan struct{}), silenced: make(chan struct{}), entries: make(map[string]string), news: make(map[string]int), indented: indented}
+func newDiscoveryStandIn(s *observations, indented bool) (*discoveryStandIn, error) {
+	a := &discoveryStandIn{observed: s, changed: make(chan struct{}), silenced: make(chan struct{}), entries: make(map[string]string), changedAt: make(map[string]int), indented: indented}
 	return a, a.move()
 }
 
 // move goes to another address; the old one ends.
-func (a *agency) move() error {
+func (a *discoveryStandIn) move() error {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return err
@@ -297,7 +297,7 @@
 }
 
 // change enters entries, and tells who watches.
-func (a *agency) change(entries map[string]string, order []string) {
+func (a *discoveryStandIn) publish(entries map[string]string, order []string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.version++
@@ -305,25 +305,25 @@
 		if _, ok := a.entries[id]; !ok {
 			a.order = append(a.order, id)
 		}
-		a.entries[id], a.news[id] = entries[id], a.version
+		a.entries[id], a.changedAt[id] = entries[id], a.version
 	}
 	close(a.changed)
 	a.changed = make(chan struct{})
 }
 
 // stale goes back to the list as the row began, as a replica may have it that is behind.
-func (a *agency) stale() {
+func (a *discoveryStandIn) revertToInitial() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.entries, a.version = maps.Clone(a.first), a.begun
-	for id := range a.news {
-		a.news[id] = min(a.news[id], a.begun)
+	a.entries, a.version = maps.Clone(a.initialEntries), a.initialVersion
+	for id := range a.changedAt {
+		a.changedAt[id] = min(a.changedAt[id], a.initialVersion)
 	}
-	a.order = slices.DeleteFunc(a.order, func(id string) bool { return a.first[id] == "" })
+	a.order = slices.DeleteFunc(a.order, func(id string) bool { return a.initialEntries[id] == "" })
 }
 
 // silence makes all calls that are open wait for ever; new ones are served.
-func (a *agency) silence() {
+func (a *discoveryStandIn) silence() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	close(a.silenced)
@@ -331,10 +331,10 @@
 }
 
 // list is an answer: the whole, or what is newer than a version.
-func (a *agency) list(since int) string {
+func (a *discoveryStandIn) listJSON(since int) string {
 	var all []string
 	for _, id := range a.order {
-		if a.news[id] > since && (since >= 0 || !strings.Contains(a.entries[id], `"gone"`)) {
+		if a.changedAt[id] > since && (since >= 0 || !strings.Contains(a.entries[id], `"gone"`)) {
 			all = append(all, a.entries[id])
 		}
 	}
@@ -345,18 +345,18 @@
 	return fmt.Sprintf(`{%s"generation":%d,%s"reset":%v,%s"instances":[%s]}`, gap, a.version, gap, since < 0, gap, strings.Join(all, line))
 }
 
-func (a *agency) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (a *discoveryStandIn) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	since, err := strconv.Atoi(r.URL.Query().Get("index"))
 	if err != nil {
 		since = -1
 	}
-	a.story.see(func() { a.story.calls, a.story.holds = a.story.calls+1, since })
+	a.observed.withLock(func() { a.observed.discoveryCalls, a.observed.heldVersion = a.observed.discoveryCalls+1, since })
 	wait, _ := strconv.Atoi(r.URL.Query().Get("wait")) // none: no wait
 	timer := time.NewTimer(time.Duration(wait) * time.Millisecond)
 	defer timer.Stop()
 	for {
 		a.mu.Lock()
-		changed, silenced, down, newer, text := a.changed, a.silenced, a.down, a.version > since, a.list(since)
+		changed, silenced, down, newer, text := a.changed, a.silenced, a.down, a.version > since, a.listJSON(since)
 		a.mu.Unlock()
 		if down {
 			w.WriteHeader(http.StatusServiceUnavailable)
--- a/internal/sysfault/sysfault_test.go
+++ b/internal/sysfault/sysfault_test.go
@@ -31,7 +31,7 @@
 	}
 }
 
-// subjectAccepts echoes what one connection sends, and says what accept returned until it came.
+// echoOneConnection prints the address that it listens on and each error of accept, echoes one connection, and returns.
 func echoOneConnection() {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -50,7 +50,8 @@
 	}
 }
 
-// subjectTellsTime tells its wall clock, and how long it has run, for each line that it reads.
+// printClock prints, for each byte that it reads, the wall clock in seconds and whether less than a minute has passed
+// on the monotonic clock.
 func printClock() {
 	start, line := time.Now(), make([]byte, 1)
 	for {
