--- a/internal/conform/conform_test.go
+++ b/internal/conform/conform_test.go
@@ -12,6 +12,7 @@
 	"testing"
 )
 
+// loadTables loads the tables from testdata.
 func loadTables(t *testing.T) *Tables {
 	t.Helper()
 	tables, err := Load("testdata")
@@ -21,11 +22,12 @@
 	return tables
 }
 
-var programDir string // where they are built
+// programDir holds the built programs.
+var programDir string
 
 func TestMain(m *testing.M) { os.Exit(runWithPrograms(m)) }
 
-// build builds the two programs, plays the tests, and leaves nothing.
+// runWithPrograms builds caperarch and simhost, runs the tests and removes the programs. It returns the exit code.
 func runWithPrograms(m *testing.M) int {
 	var err error
 	if programDir, err = os.MkdirTemp("", "conform"); err != nil {
@@ -41,57 +43,59 @@
 	return m.Run()
 }
 
-// seeds are how many a row is played with on the module.
+// policySeeds is the number of seeds with which each row runs against the decision module.
 const policySeeds = 20
 
-// playOn plays a row on a subject.
-func runOn(t *testing.T, all *Tables, r Row, on string) []string {
+// runOn runs a row against a subject and returns the failed checks.
+func runOn(t *testing.T, tables *Tables, r Row, subject string) []string {
 	t.Helper()
-	var faults []string
+	var failures []string
 	var err error
-	switch on {
+	switch subject {
 	case "caperarch":
-		faults, err = runProcess(all, r, filepath.Join(programDir, "caperarch"), t.TempDir())
+		failures, err = runProcess(tables, r, filepath.Join(programDir, "caperarch"), t.TempDir())
 	case "simhost":
 		var s *simhostSubject
 		if s, err = newSimhost(filepath.Join(programDir, "simhost")); err == nil {
-			faults, err = runVirtual(all, r, s, 1)
+			failures, err = runVirtual(tables, r, s, 1)
 			err = errors.Join(err, s.close())
 		}
-	default: // a row holds whatever the module's own choices are
-		for seed := uint64(1); seed <= policySeeds && err == nil && len(faults) == 0; seed++ {
-			if faults, err = runVirtual(all, r, new(policySubject), seed); len(faults) > 0 {
-				faults[0] = fmt.Sprintf("seed %d: %s", seed, faults[0])
+	default: // rows must pass whatever random choices the decision module makes
+		for seed := uint64(1); seed <= policySeeds && err == nil && len(failures) == 0; seed++ {
+			if failures, err = runVirtual(tables, r, new(policySubject), seed); len(failures) > 0 {
+				failures[0] = fmt.Sprintf("seed %d: %s", seed, failures[0])
 			}
 		}
 	}
 	if err != nil {
 		t.Fatal(err)
 	}
-	return faults
+	return failures
 }
 
+// Every row passes on each subject that it names. A row with a known failure on a subject has to fail there, so that a
+// fixed failure is noticed.
 func TestRows(t *testing.T) {
-	all := loadTables(t)
-	for _, on := range Subjects {
-		t.Run(on, func(t *testing.T) {
-			for _, r := range all.Rows {
-				if !slices.Contains(r.Subjects, on) {
+	tables := loadTables(t)
+	for _, subject := range Subjects {
+		t.Run(subject, func(t *testing.T) {
+			for _, r := range tables.Rows {
+				if !slices.Contains(r.Subjects, subject) {
 					continue
 				}
 				t.Run(r.ID, func(t *testing.T) {
 					t.Parallel()
-					faults := runOn(t, all, r, on)
-					for _, f := range faults {
-						if r.KnownFailures[on] == "" {
+					failures := runOn(t, tables, r, subject)
+					for _, f := range failures {
+						if r.KnownFailures[subject] == "" {
 							t.Errorf("%s, for %v: %s", r.file, r.Sentences, f)
 						}
 					}
-					if r.KnownFailures[on] != "" {
-						if len(faults) == 0 {
-							t.Errorf("%s: the row holds now, though it is open: %s", r.file, r.KnownFailures[on])
+					if r.KnownFailures[subject] != "" {
+						if len(failures) == 0 {
+							t.Errorf("%s: the row passes, although it has a known failure: %s", r.file, r.KnownFailures[subject])
 						}
-						t.Logf("open: %s: %q", r.KnownFailures[on], faults)
+						t.Logf("known failure: %s: %q", r.KnownFailures[subject], failures)
 					}
 				})
 			}
@@ -99,63 +103,64 @@
 	}
 }
 
-// No sentence without a row or a reason, no row without a sentence.
+// Every sentence of the index has a row or a reason for having none, and every row names a sentence.
 func TestTablesAreComplete(t *testing.T) {
 	if err := loadTables(t).Check(); err != nil {
 		t.Error(err)
 	}
 }
 
-// The pages themselves are not kept here; where they are, no sentence may be without an entry and no entry without its sentence.
+// The index has an entry for each sentence of the specification, and no others. The specification's pages are not part
+// of the repository, so the test runs only where CONFORM_PAGES names a directory with them.
 func TestIndexCoversPages(t *testing.T) {
-	root := os.Getenv("CONFORM_PAGES")
-	if root == "" {
-		t.Skip("CONFORM_PAGES names no folder with the pages; the index stands in for them")
+	dir := os.Getenv("CONFORM_PAGES")
+	if dir == "" {
+		t.Skip("CONFORM_PAGES does not name a directory with the specification's pages")
 	}
-	all := loadTables(t)
+	tables := loadTables(t)
 	var found []Sentence
 	for _, p := range Pages {
-		text, err := os.ReadFile(filepath.Join(root, p.Path))
+		text, err := os.ReadFile(filepath.Join(dir, p.Path))
 		if err != nil {
 			t.Fatal(err)
 		}
 		found = append(found, SplitSentences(p, string(text))...)
 	}
-	before := "none"
+	previous := "none"
 	for _, s := range found {
-		if at := slices.IndexFunc(all.Sentences, func(e IndexEntry) bool { return e.Hash == s.Hash }); at >= 0 {
-			before = all.Sentences[at].ID
+		if at := slices.IndexFunc(tables.Sentences, func(e IndexEntry) bool { return e.Hash == s.Hash }); at >= 0 {
+			previous = tables.Sentences[at].ID
 			continue
 		}
-		t.Errorf("no entry has the hash %s, of the sentence that is now %s, behind that of entry %s", s.Hash, s.ID, before)
+		t.Errorf("the index has no entry with hash %s, the hash of sentence %s; the sentence before it has entry %s", s.Hash, s.ID, previous)
 	}
-	for _, e := range all.Sentences {
+	for _, e := range tables.Sentences {
 		if !slices.ContainsFunc(found, func(s Sentence) bool { return s.Hash == e.Hash }) {
-			t.Errorf("entry %s has the hash %s: no sentence of the pages has", e.ID, e.Hash)
+			t.Errorf("entry %s has hash %s, which no sentence of the pages has", e.ID, e.Hash)
 		}
 	}
 }
 
-// The page for people lists what is open and which sentences have no row, as the tables have it.
+// docs/conformance.md lists the rows with known failures and the sentences without a row exactly as the tables do.
 func TestDocumentationAgreesWithTables(t *testing.T) {
 	raw, err := os.ReadFile("../../docs/conformance.md")
 	if err != nil {
 		t.Fatal(err)
 	}
-	page, all := string(raw), loadTables(t)
-	for _, e := range all.Sentences {
+	page, tables := string(raw), loadTables(t)
+	for _, e := range tables.Sentences {
 		if line := fmt.Sprintf("| %s | %s | %s |\n", e.ID, e.Summary, e.NoRowReason); strings.Contains(page, line) != (e.NoRowReason != "") {
-			t.Errorf("%s: the page and the index differ on whether it has a row, or why not", e.ID)
+			t.Errorf("sentence %s: docs/conformance.md and the index differ on whether or why it has no row", e.ID)
 		}
 	}
 	for _, name := range regexp.MustCompile(`scenarios/[\w-]+\.toml`).FindAllString(page, -1) {
 		if _, err := os.Stat(filepath.Join("../..", name)); err != nil {
-			t.Errorf("a sentence is left to a scenario that there is not: %v", err)
+			t.Errorf("docs/conformance.md refers to a scenario that does not exist: %v", err)
 		}
 	}
-	for _, r := range all.Rows {
+	for _, r := range tables.Rows {
 		if strings.Contains(page, "| `"+r.ID+"` | ") != (len(r.KnownFailures) > 0) {
-			t.Errorf("%s: the page and the tables differ on whether it is open", r.ID)
+			t.Errorf("row %s: docs/conformance.md and the tables differ on whether it has a known failure", r.ID)
 		}
 	}
 }
--- a/internal/conform/process.go
+++ b/internal/conform/process.go
@@ -25,42 +25,44 @@
 	"time"
 )
 
-// generous bounds every wait: a row waits for what is to happen, and only a broken program lets it wait this long.
+// maxWait limits every wait for an expected event. Only a faulty program reaches it.
 const maxWait = time.Minute
 
-// process is a real caperarch between stand-ins.
+// processRunner runs one row against a real caperarch process, with stand-ins for the servers and discovery.
 type processRunner struct {
 	row            Row
 	settings       map[string]any
 	program        string
-	dir            string // its state, and its configuration
+	dir            string // holds the program's configuration and state
 	cmd            *exec.Cmd
-	exited         chan error
+	exited         chan error // receives the result of cmd.Wait; nil while no process runs
 	listenAddr     string
 	consoleAddr    string
 	observed       *observations
 	servers        map[string]*standIn
 	discovery      *discoveryStandIn
-	knownJSON      string                    // the list as it is told at its start
-	requestClass   map[string]map[string]any // by request
-	zones          map[string]int            // by server
-	cancels        map[string]context.CancelFunc
-	dialled        map[string]net.Conn // connections that came up before their requests
+	knownJSON      string                        // cached server list in the program's configuration
+	requestClass   map[string]map[string]any     // by request: the settings of its class
+	zones          map[string]int                // by server
+	cancels        map[string]context.CancelFunc // by request: disconnects its client
+	dialled        map[string]net.Conn           // by request: a connection established before the request is made
 	failures       []string
-	arrivalsBefore int // of the story's arrivals, before this step
-	answeredBefore map[string]bool
-	callsBefore    int  // of discovery, before this step
-	staleList      bool // discovery has an older list than it had
+	arrivalsBefore int             // number of observed.arrivals before the current step
+	answeredBefore map[string]bool // requests answered before the current step
+	callsBefore    int             // number of observed.discoveryCalls before the current step
+	staleList      bool            // discovery serves an older list than before
 }
 
+// failf records a failed check.
 func (p *processRunner) failf(format string, args ...any) {
 	p.failures = append(p.failures, fmt.Sprintf(format, args...))
 }
 
+// requestName returns the request id that stands for a request number.
 func requestName(id int) string { return "q" + strconv.Itoa(id) }
 
-// playProcess plays a row on the program at a path and returns what was not as expected.
-func runProcess(t *Tables, r Row, program, dir string) (faults []string, err error) {
+// runProcess runs a row against the program at a path, with dir for its files, and returns the failed checks.
+func runProcess(t *Tables, r Row, program, dir string) (failures []string, err error) {
 	p := &processRunner{row: r, settings: t.settingsOf(r), program: program, dir: dir, requestClass: make(map[string]map[string]any), zones: make(map[string]int), cancels: make(map[string]context.CancelFunc),
 		servers: make(map[string]*standIn), observed: &observations{answers: make(map[string]reply)}, answeredBefore: make(map[string]bool), dialled: make(map[string]net.Conn)}
 	if p.discovery, err = newDiscoveryStandIn(p.observed, r.IndentedJSON); err != nil {
@@ -71,8 +73,8 @@
 		for _, s := range p.servers {
 			s.close()
 		}
-		for _, quit := range p.cancels {
-			quit()
+		for _, cancel := range p.cancels {
+			cancel()
 		}
 		for _, c := range p.dialled {
 			c.Close()
@@ -100,7 +102,7 @@
 	}
 	defer func() {
 		if p.exited != nil {
-			_ = p.cmd.Process.Kill() // it fails only if it has ended
+			_ = p.cmd.Process.Kill() // fails only if the process has exited
 			<-p.exited
 		}
 	}()
@@ -113,41 +115,42 @@
 			p.failures[k] = fmt.Sprintf("step %d: %s", i+1, p.failures[k])
 		}
 		if len(p.failures) > before {
-			break // what comes behind it would only wait in vain
+			break // the following steps would only wait until maxWait
 		}
 	}
 	p.checkRepeats()
 	return p.failures, nil
 }
 
-// rules hold all that the servers had to the rules on repeats.
+// checkRepeats checks all attempts that servers received against the rules on idempotency and the number of attempts.
 func (p *processRunner) checkRepeats() {
 	p.observed.mu.Lock()
 	defer p.observed.mu.Unlock()
 	p.failures = append(p.failures, p.observed.failures...)
-	before := make(map[string][]arrival)
+	earlier := make(map[string][]arrival)
 	for _, a := range p.observed.arrivals {
-		kind := semantics(p.requestClass[a.id])
-		if most := int(numberSetting(p.settings, "caps", "most_tries")); len(before[a.id]) >= most {
-			p.failf("%s has more than %d attempts", a.id, most)
+		class := semantics(p.requestClass[a.id])
+		if maxAttempts := int(numberSetting(p.settings, "caps", "most_tries")); len(earlier[a.id]) >= maxAttempts {
+			p.failf("%s has more than %d attempts", a.id, maxAttempts)
 		}
-		for _, b := range before[a.id] {
-			ran := b.ending != "full" && b.ending != "over"
+		for _, b := range earlier[a.id] {
+			mayHaveRun := b.ending != "full" && b.ending != "over"
 			switch {
 			case b.ending == "":
-				p.failf("%s comes to %s while it is out at %s", a.id, a.server, b.server)
-			case ran && kind == "single_shot":
-				p.failf("%s comes again, though it may have run", a.id)
-			case ran && kind == "zone" && p.zones[a.server] != p.zones[b.server]:
-				p.failf("%s comes to another zone, where its repeat is not dropped", a.id)
+				p.failf("%s is sent to %s while an attempt is in flight at %s", a.id, a.server, b.server)
+			case mayHaveRun && class == "single_shot":
+				p.failf("%s is retried, although it may have been executed", a.id)
+			case mayHaveRun && class == "zone" && p.zones[a.server] != p.zones[b.server]:
+				p.failf("%s is retried in another zone, where repeats are not dropped", a.id)
 			}
 		}
-		before[a.id] = append(before[a.id], a)
+		earlier[a.id] = append(earlier[a.id], a)
 	}
 }
 
-// list enters servers at discovery, and starts those that are new.
-func (p *processRunner) publishList(all []Server, how string) error {
+// publishList publishes servers at the discovery stand-in, and starts stand-ins for those that are new. With a full list,
+// servers that are missing from it are published as gone.
+func (p *processRunner) publishList(all []Server, kind string) error {
 	entries, order := make(map[string]string), []string{}
 	for _, s := range all {
 		if p.servers[s.ID] == nil {
@@ -170,8 +173,8 @@
 			s.ID, p.servers[s.ID].listener.Addr(), zones[s.Zone], s.State, s.Weight, started)
 		order = append(order, s.ID)
 	}
-	if how == "full" {
-		for id, text := range p.discovery.entries { // whoever is not named has gone
+	if kind == "full" {
+		for id, text := range p.discovery.entries { // servers missing from a full list are gone
 			if entries[id] == "" {
 				entries[id] = regexp.MustCompile(`"lifecycle":"\w+"`).ReplaceAllString(text, `"lifecycle":"gone"`)
 				order = append(order, id)
@@ -182,7 +185,7 @@
 	return nil
 }
 
-// config writes the program's configuration.
+// writeConfig writes the program's configuration and returns its path.
 func (p *processRunner) writeConfig() (string, error) {
 	raw, err := json.Marshal(map[string]any{
 		"name": "n0", "listen": "127.0.0.1:0", "discovery": p.discovery.address, "console": "127.0.0.1:0", "seed": "7",
@@ -195,12 +198,14 @@
 	return path, os.WriteFile(path, raw, 0o600)
 }
 
+// Log lines by which the program reports the addresses that it listens on.
 var (
 	listenLine  = regexp.MustCompile(`msg=serving.* listen=(\S+)`)
 	consoleLine = regexp.MustCompile(`msg=console.* listen=(\S+)`)
 )
 
-// starter runs what starts processes on one thread, which lasts as long as this process: they end with it.
+// processStarter returns a channel of functions that start processes. They run on one thread that lives as long as the
+// test process: Pdeathsig kills a child when the thread that started it exits.
 var processStarter = sync.OnceValue(func() chan<- func() {
 	c := make(chan func())
 	go func() {
@@ -212,7 +217,7 @@
 	return c
 })
 
-// restart kills the program and starts it anew, with the state that it has left.
+// restart kills the program and starts it again with the state that it has stored.
 func (p *processRunner) restart() error {
 	if err := p.cmd.Process.Kill(); err != nil {
 		return err
@@ -226,6 +231,7 @@
 	return p.waitForList()
 }
 
+// start starts the program and waits until it reports that it is ready.
 func (p *processRunner) start(program string) error {
 	path, err := p.writeConfig()
 	if err != nil {
@@ -233,7 +239,7 @@
 	}
 	p.cmd = exec.Command(program)
 	p.cmd.Env = append(os.Environ(), "EDGE_CONFIG="+path, "TMPDIR="+p.dir, "EDGE_FLEET=", "EDGE_LOG=", "EDGE_LOG_LEVEL=")
-	p.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // it does not outlive the thread that starts it
+	p.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // see processStarter
 	log, err := p.cmd.StderrPipe()
 	if err != nil {
 		return err
@@ -244,7 +250,7 @@
 		return err
 	}
 	p.exited = make(chan error, 1)
-	up, said := make(chan struct{}), new(bytes.Buffer)
+	serving, output := make(chan struct{}), new(bytes.Buffer)
 	go func() {
 		lines, ready := bufio.NewScanner(log), false
 		for lines.Scan() {
@@ -255,24 +261,24 @@
 				p.consoleAddr = m[1]
 			}
 			if !ready {
-				fmt.Fprintln(said, lines.Text())
+				fmt.Fprintln(output, lines.Text())
 			}
 			if !ready && p.listenAddr != "" && p.consoleAddr != "" {
 				ready = true
-				close(up)
+				close(serving)
 			}
 		}
 		p.exited <- p.cmd.Wait()
 	}()
 	select {
-	case <-up:
+	case <-serving:
 	case err := <-p.exited:
 		p.exited = nil
-		return fmt.Errorf("it ended: %v\n%s", err, said)
+		return fmt.Errorf("the program exited before it served: %v\n%s", err, output)
 	case <-time.After(maxWait):
-		return errors.New("it did not begin to serve")
+		return fmt.Errorf("the program did not serve within %v", maxWait)
 	}
-	return p.waitFor("it to be ready", func() bool {
+	return p.waitFor("the program to be ready", func() bool {
 		res, err := http.Get("http://" + p.listenAddr + "/up")
 		if err != nil {
 			return false
@@ -282,19 +288,20 @@
 	})
 }
 
-// until waits for something.
-func (p *processRunner) waitFor(what string, holds func() bool) error {
+// waitFor polls a condition until it holds, and returns an error after maxWait.
+func (p *processRunner) waitFor(description string, condition func() bool) error {
 	for end := time.Now().Add(maxWait); ; time.Sleep(2 * time.Millisecond) {
-		if holds() {
+		if condition() {
 			return nil
 		}
 		if time.Now().After(end) {
-			return fmt.Errorf("waited in vain for %s", what)
+			return fmt.Errorf("timed out waiting for %s", description)
 		}
 	}
 }
 
-// pending is how many requests the program holds, by its console; -1 if that does not answer.
+// pendingRequests returns the number of requests that the program reports as pending on its console, or -1 if the
+// console does not answer.
 func (p *processRunner) pendingRequests() int {
 	c, err := net.DialTimeout("tcp", p.consoleAddr, maxWait)
 	if err != nil {
@@ -310,11 +317,11 @@
 	if err != nil || m == nil {
 		return -1
 	}
-	n, _ := strconv.Atoi(string(m[1])) // digits alone
+	n, _ := strconv.Atoi(string(m[1])) // the pattern matches only digits
 	return n
 }
 
-// outstanding are the requests that have no answer.
+// countUnanswered returns the number of requests without an answer. The caller holds the lock of observed.
 func (p *processRunner) countUnanswered() (n int) {
 	for id := range p.requestClass {
 		if _, ok := p.observed.answers[id]; !ok {
@@ -324,11 +331,12 @@
 	return n
 }
 
-// ask sends a request on a connection of its own, and waits until the program has taken it.
+// sendRequest sends a request on a connection of its own, and waits until the program has processed it: until it is
+// answered, has reached a server, or is counted as pending.
 func (p *processRunner) sendRequest(id string, s Step) error {
-	ctx, quit := context.WithCancel(context.Background())
-	p.cancels[id] = quit
-	method, more := http.MethodPost, map[string]string{}
+	ctx, cancel := context.WithCancel(context.Background())
+	p.cancels[id] = cancel
+	method, extraHeaders := http.MethodPost, map[string]string{}
 	for _, c := range p.settings["classes"].([]any) {
 		if c := c.(map[string]any); c["name"] == s.Class {
 			p.requestClass[id] = c
@@ -336,7 +344,7 @@
 			case "free":
 				method = http.MethodGet
 			case "guarded":
-				more["Idempotency-Key"] = "k" + id
+				extraHeaders["Idempotency-Key"] = "k" + id
 			}
 		}
 	}
@@ -354,63 +362,63 @@
 	} {
 		req.Header.Set(name, value)
 	}
-	for name, value := range more {
+	for name, value := range extraHeaders {
 		req.Header.Set(name, value)
 	}
-	own := p.dialled[id]
+	dialled := p.dialled[id]
 	go func() {
 		client := http.Client{Transport: &http.Transport{
 			DisableKeepAlives: true,
 			DialContext: func(ctx context.Context, network, address string) (net.Conn, error) {
-				if own != nil {
-					return own, nil
+				if dialled != nil {
+					return dialled, nil
 				}
 				return new(net.Dialer).DialContext(ctx, network, address)
 			},
 		}}
 		res, err := client.Do(req)
-		got := reply{result: "failed"}
+		answer := reply{result: "failed"}
 		if err == nil {
 			var text []byte
 			text, err = io.ReadAll(res.Body)
 			res.Body.Close()
-			got.retryAfter = res.Header.Get("Retry-After")
+			answer.retryAfter = res.Header.Get("Retry-After")
 			switch {
 			case res.StatusCode == http.StatusOK && err != nil:
-				got.result = "broken" // and the client can tell
+				answer.result = "broken" // the client detects that the body is incomplete
 			case res.StatusCode == http.StatusOK:
-				got.result = "served"
+				answer.result = "served"
 				if string(text) != "done "+id {
-					got.result = fmt.Sprintf("served with %q", text)
+					answer.result = fmt.Sprintf("served with %q", text)
 				}
 			case res.StatusCode == http.StatusServiceUnavailable || res.StatusCode == http.StatusTooManyRequests:
-				got.result = "refused"
+				answer.result = "refused"
 			}
 		} else if ctx.Err() != nil {
-			got.result = "left"
+			answer.result = "left"
 		} else {
-			got.result = "lost: " + err.Error()
+			answer.result = "lost: " + err.Error()
 		}
-		p.observed.withLock(func() { p.observed.answers[id] = got })
+		p.observed.withLock(func() { p.observed.answers[id] = answer })
 	}()
-	twice := 0
-	return p.waitFor(id+" to be taken", func() bool {
-		there, want := false, 0
+	matches := 0
+	return p.waitFor(id+" to be accepted", func() bool {
+		processed, want := false, 0
 		p.observed.withLock(func() {
-			_, there = p.observed.answers[id]
-			there = there || slices.ContainsFunc(p.observed.arrivals, func(a arrival) bool { return a.id == id })
+			_, processed = p.observed.answers[id]
+			processed = processed || slices.ContainsFunc(p.observed.arrivals, func(a arrival) bool { return a.id == id })
 			want = p.countUnanswered()
 		})
 		if p.pendingRequests() == want {
-			twice++
+			matches++
 		} else {
-			twice = 0
+			matches = 0
 		}
-		return there || twice >= 2 // the second look is behind what the first one found
+		return processed || matches >= 2 // a single match may be a transient state
 	})
 }
 
-// last is the server that had a request last.
+// lastServer returns the server that received the latest attempt of a request, or nil.
 func (p *processRunner) lastServer(id string) (server *standIn) {
 	p.observed.withLock(func() {
 		for _, a := range p.observed.arrivals {
@@ -422,20 +430,21 @@
 	return server
 }
 
-// watched waits until a call of discovery's shows that the program holds the list as it is there now, or, where that
-// is an older one, that it has asked often enough to have heard it.
+// waitForList waits until a call to discovery shows that the program has the current list. After discovery has reverted
+// to an older list, it waits instead until the program has asked often enough to have received it.
 func (p *processRunner) waitForList() error {
 	p.discovery.mu.Lock()
 	version := p.discovery.version
 	p.discovery.mu.Unlock()
-	return p.waitFor("word that it has heard", func() (there bool) {
+	return p.waitFor("the program to receive the server list", func() (heard bool) {
 		p.observed.withLock(func() {
-			there = p.observed.heldVersion == version || p.staleList && p.observed.discoveryCalls >= p.callsBefore+4
+			heard = p.observed.heldVersion == version || p.staleList && p.observed.discoveryCalls >= p.callsBefore+4
 		})
-		return there
+		return heard
 	})
 }
 
+// runStep performs the events of a step and checks their results.
 func (p *processRunner) runStep(s Step) error {
 	p.observed.withLock(func() {
 		p.arrivalsBefore, p.callsBefore = len(p.observed.arrivals), p.observed.discoveryCalls
@@ -462,7 +471,7 @@
 		if err := p.publishList(s.Servers, s.List); err != nil {
 			return err
 		}
-		if (s.Discovery == "" || s.Discovery == "up") && s.Signal == "" && s.Want == nil { // others wait for what comes of it
+		if (s.Discovery == "" || s.Discovery == "up") && s.Signal == "" && s.Want == nil { // in other cases the step waits for the effects of the list
 			if err := p.waitForList(); err != nil {
 				return err
 			}
@@ -520,7 +529,7 @@
 	for _, id := range s.EndAttempts {
 		server := p.lastServer(requestName(id))
 		if server == nil {
-			return fmt.Errorf("%s has reached no server, so it can't end", requestName(id))
+			return fmt.Errorf("%s has reached no server, so no attempt of it can end", requestName(id))
 		}
 		server.endingOf(requestName(id)) <- s.Ending
 	}
@@ -528,16 +537,16 @@
 		p.cancels[requestName(id)]()
 	}
 	if len(s.ClientsLeave) > 0 {
-		if err := p.waitFor("the program to let go of them", func() bool {
-			want, gone := 0, true
+		if err := p.waitFor("the program to drop the requests of disconnected clients", func() bool {
+			want, left := 0, true
 			p.observed.withLock(func() {
 				want = p.countUnanswered()
 				for _, id := range s.ClientsLeave {
-					_, quit := p.observed.answers[requestName(id)]
-					gone = gone && quit
+					_, answered := p.observed.answers[requestName(id)]
+					left = left && answered
 				}
 			})
-			return gone && p.pendingRequests() == want
+			return left && p.pendingRequests() == want
 		}); err != nil {
 			return err
 		}
@@ -556,7 +565,7 @@
 	return p.checkWant(s)
 }
 
-// flow plays many requests one after the other; servers answer by themselves.
+// runFlow makes the requests of a flow one after the other. The servers answer automatically.
 func (p *processRunner) runFlow(s Step) error {
 	for id, n := range p.servers {
 		n.mu.Lock()
@@ -568,9 +577,9 @@
 		if err := p.sendRequest(id, s); err != nil {
 			return err
 		}
-		if err := p.waitFor(id+" to be answered", func() (there bool) {
-			p.observed.withLock(func() { _, there = p.observed.answers[id] })
-			return there
+		if err := p.waitFor(id+" to be answered", func() (answered bool) {
+			p.observed.withLock(func() { _, answered = p.observed.answers[id] })
+			return answered
 		}); err != nil {
 			return err
 		}
@@ -583,7 +592,7 @@
 	return nil
 }
 
-// raw sends bytes on a connection of its own.
+// sendRaw sends the step's bytes on a new connection and checks the status of the answer.
 func (p *processRunner) sendRaw(s Step) {
 	c, err := net.Dial("tcp", p.listenAddr)
 	if err != nil {
@@ -593,48 +602,49 @@
 	defer c.Close()
 	_ = c.SetDeadline(time.Now().Add(maxWait)) // fails only on a closed connection
 	if s.Raw != "nothing" {
-		_, _ = io.WriteString(c, s.Raw) // a sidecar that ends it early is one that may
+		_, _ = io.WriteString(c, s.Raw) // the sidecar may close the connection before all bytes are written
 	}
 	status := 0
 	if res, err := http.ReadResponse(bufio.NewReader(c), nil); err == nil {
 		status = res.StatusCode
 		res.Body.Close()
 	} else if errors.Is(err, os.ErrDeadlineExceeded) {
-		p.failf("neither an answer nor a close")
+		p.failf("the raw connection is neither answered nor closed within %v", maxWait)
 	}
 	if w := s.Want; w != nil && len(w.StatusRange) == 2 && status != 0 && (status < w.StatusRange[0] || status > w.StatusRange[1]) {
-		p.failf("answered %d, want %v", status, w.StatusRange)
+		p.failf("the raw request is answered with status %d, want %v", status, w.StatusRange)
 	}
 }
 
-// happened sorts what this step brought.
-func (p *processRunner) stepEvents() (did map[string][]string, tally map[string]int) {
-	did, tally = make(map[string][]string), make(map[string]int)
+// stepEvents returns the events of the current step: the requests by kind of event and result, the servers of attempts
+// ("to"), the Retry-After values of refusals ("advice"), and the number of events by kind and of attempts by server.
+func (p *processRunner) stepEvents() (idsByEvent map[string][]string, counts map[string]int) {
+	idsByEvent, counts = make(map[string][]string), make(map[string]int)
 	p.observed.withLock(func() {
 		for _, a := range p.observed.arrivals[min(p.arrivalsBefore, len(p.observed.arrivals)):] {
-			did["sent"] = append(did["sent"], a.id)
-			did["to"] = append(did["to"], a.server)
-			tally["sent"]++
-			tally[a.server]++
+			idsByEvent["sent"] = append(idsByEvent["sent"], a.id)
+			idsByEvent["to"] = append(idsByEvent["to"], a.server)
+			counts["sent"]++
+			counts[a.server]++
 		}
 		for _, id := range slices.Sorted(maps.Keys(p.observed.answers)) {
 			if a := p.observed.answers[id]; !p.answeredBefore[id] {
-				did[a.result] = append(did[a.result], id)
-				tally[a.result]++
+				idsByEvent[a.result] = append(idsByEvent[a.result], id)
+				counts[a.result]++
 				if a.result == "refused" {
-					did["advice"] = append(did["advice"], a.retryAfter)
+					idsByEvent["advice"] = append(idsByEvent["advice"], a.retryAfter)
 				}
 			}
 		}
-		tally["asks"] = p.observed.discoveryCalls - p.callsBefore
+		counts["asks"] = p.observed.discoveryCalls - p.callsBefore
 	})
-	for _, all := range did {
+	for _, all := range idsByEvent {
 		slices.Sort(all)
 	}
-	return did, tally
+	return idsByEvent, counts
 }
 
-// judge waits until what is wanted of a step has come, and says what came besides.
+// checkWant waits for the expected results of a step, and records a failure for each difference.
 func (p *processRunner) checkWant(s Step) error {
 	w := s.Want
 	want := map[string][]string{}
@@ -645,57 +655,57 @@
 		slices.Sort(want[how])
 	}
 	exact := s.Flow == nil && w.CountRanges == nil
-	all := []string{"sent", "served", "refused", "failed", "broken"}
-	err := p.waitFor("what is wanted", func() bool {
-		did, tally := p.stepEvents()
-		for how, ids := range did { // what is wrong already need not be waited for
-			if strings.Contains(how, " ") || exact && slices.Contains(all, how) && len(ids) > len(want[how]) {
+	results := []string{"sent", "served", "refused", "failed", "broken"}
+	err := p.waitFor("the expected results", func() bool {
+		idsByEvent, counts := p.stepEvents()
+		for how, ids := range idsByEvent { // an unexpected result fails the step, so there is nothing to wait for
+			if strings.Contains(how, " ") || exact && slices.Contains(results, how) && len(ids) > len(want[how]) {
 				return true
 			}
 		}
-		for _, how := range all {
-			if exact && len(did[how]) < len(want[how]) {
+		for _, how := range results {
+			if exact && len(idsByEvent[how]) < len(want[how]) {
 				return false
 			}
 		}
 		for name, bounds := range w.CountRanges {
-			if tally[name] < bounds[0] {
+			if counts[name] < bounds[0] {
 				return false
 			}
 		}
-		return !w.DiscoveryAsked || tally["asks"] > 0
+		return !w.DiscoveryAsked || counts["asks"] > 0
 	})
-	did, tally := p.stepEvents()
-	for _, how := range all {
-		if exact && !slices.Equal(did[how], want[how]) {
-			p.failf("%s: %v, want %v", how, did[how], want[how])
+	idsByEvent, counts := p.stepEvents()
+	for _, how := range results {
+		if exact && !slices.Equal(idsByEvent[how], want[how]) {
+			p.failf("%s: %v, want %v", how, idsByEvent[how], want[how])
 		}
 	}
-	for how, ids := range did {
+	for how, ids := range idsByEvent {
 		if strings.Contains(how, " ") {
 			p.failf("%v %s", ids, how)
 		}
 	}
 	for name, bounds := range w.CountRanges {
-		if tally[name] < bounds[0] || tally[name] > bounds[1] {
-			p.failf("%s: %d, want %v", name, tally[name], bounds)
+		if counts[name] < bounds[0] || counts[name] > bounds[1] {
+			p.failf("%s: %d, want %v", name, counts[name], bounds)
 		}
 	}
-	for _, to := range did["to"] {
+	for _, to := range idsByEvent["to"] {
 		if len(w.OnlyServers) > 0 && !slices.Contains(w.OnlyServers, to) {
-			p.failf("sent to %s, want %v alone", to, w.OnlyServers)
+			p.failf("sent to %s, want only %v", to, w.OnlyServers)
 		}
 	}
-	p.checkRetryAfter(w, did["advice"])
+	p.checkRetryAfter(w, idsByEvent["advice"])
 	if w.ProcessExits && err == nil {
 		select {
-		case end := <-p.exited:
+		case exitErr := <-p.exited:
 			p.exited = nil
-			if end != nil {
-				p.failf("it ended with %v", end)
+			if exitErr != nil {
+				p.failf("the program exited with %v", exitErr)
 			}
 		case <-time.After(maxWait):
-			p.failf("it did not end")
+			p.failf("the program did not exit within %v", maxWait)
 		}
 	}
 	if err != nil && len(p.failures) == 0 {
@@ -704,16 +714,17 @@
 	return nil
 }
 
-func (p *processRunner) checkRetryAfter(w *Want, all []string) {
-	most := numberSetting(p.settings, "caps", "max_retry_after_ms") / 1000
-	if w.RetryAfterVaries && len(slices.Compact(slices.Sorted(slices.Values(all)))) < 2 {
-		p.failf("%d refusals say the same Retry-After", len(all))
+// checkRetryAfter checks the Retry-After values of the refusals in a step.
+func (p *processRunner) checkRetryAfter(w *Want, values []string) {
+	maxRetryAfter := numberSetting(p.settings, "caps", "max_retry_after_ms") / 1000
+	if w.RetryAfterVaries && len(slices.Compact(slices.Sorted(slices.Values(values)))) < 2 {
+		p.failf("%d refusals have the same Retry-After", len(values))
 	}
-	for _, text := range all {
+	for _, text := range values {
 		d, err := strconv.ParseFloat(text, 64)
 		switch {
-		case w.RetryAfter == "yes" && (err != nil || d <= 0 || d > most), w.RetryAfter == "no" && text != "":
-			p.failf("a refusal says Retry-After: %q", text)
+		case w.RetryAfter == "yes" && (err != nil || d <= 0 || d > maxRetryAfter), w.RetryAfter == "no" && text != "":
+			p.failf("a refusal has Retry-After %q", text)
 		}
 	}
 }
--- a/internal/conform/simhost.go
+++ b/internal/conform/simhost.go
@@ -157,7 +157,9 @@
 			return nil, err
 		}
 		fields := rec.Fields[4:] // skips the instance number
-		durationAt := func(offset int) time.Duration { return wire.FromMillis(math.Float64frombits(le.Uint64(fields[offset:]))) }
+		durationAt := func(offset int) time.Duration {
+			return wire.FromMillis(math.Float64frombits(le.Uint64(fields[offset:])))
+		}
 		switch rec.Code {
 		case wire.ActCallOut:
 			actions = append(actions, action{kind: actionSend, id: int(le.Uint32(fields)), server: serverNumber(fields[4:]), duration: durationAt(10)})
--- a/internal/conform/standin.go
+++ b/internal/conform/standin.go
@@ -17,64 +17,65 @@
 	"golang.org/x/sys/unix"
 )
 
-// story is what the stand-ins round a real process saw, in order.
+// observations are the events that the clients and the stand-ins around a real process observe.
 type observations struct {
 	mu             sync.Mutex
-	arrivals       []arrival
-	answers        map[string]reply
-	discoveryCalls int // of discovery
-	heldVersion    int // the version that the last of them came with; -1: none
-	failures       []string
+	arrivals       []arrival        // in order
+	answers        map[string]reply // by request
+	discoveryCalls int
+	heldVersion    int      // list version named by the last call to discovery; -1: none
+	failures       []string // failed checks
 }
 
-// arrival is a request that came to a server as a whole.
+// arrival is a request that a server has received completely.
 type arrival struct {
 	id, server string
-	ending     string // its attempt ended, as far as it has
+	ending     string // how the attempt ended; empty while it is in flight
 }
 
-// reply is what a client was answered.
+// reply is the answer to a client.
 type reply struct {
-	result     string // served, refused or failed
-	retryAfter string
+	result     string // served, refused, failed, broken or left, or the description of an unexpected answer
+	retryAfter string // value of the header
 }
 
-func (s *observations) withLock(f func()) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
+// withLock runs a function while it holds the lock.
+func (o *observations) withLock(f func()) {
+	o.mu.Lock()
+	defer o.mu.Unlock()
 	f()
 }
 
-// end enters how a request's latest attempt ended.
-func (s *observations) recordEnding(id, how string) {
-	s.withLock(func() {
-		for i := len(s.arrivals) - 1; i >= 0; i-- {
-			if s.arrivals[i].id == id {
-				s.arrivals[i].ending = how
+// recordEnding records how the latest attempt of a request ended.
+func (o *observations) recordEnding(id, ending string) {
+	o.withLock(func() {
+		for i := len(o.arrivals) - 1; i >= 0; i-- {
+			if o.arrivals[i].id == id {
+				o.arrivals[i].ending = ending
 				return
 			}
 		}
 	})
 }
 
-// trail is how long behind the first a second answer comes.
+// strayDelay is the delay of the second answer after the first one with the ending "trailed".
 const strayDelay = 3 * time.Millisecond
 
-// standIn is a queue server: it takes what comes and answers as the row says, when it says so.
+// standIn is a server that accepts every request, and answers it as and when the row says.
 type standIn struct {
 	id             string
 	listener       net.Listener
 	observed       *observations
 	mu             sync.Mutex
-	endings        map[string]chan string // verdicts, by request
-	answeredOn     map[string]net.Conn    // the connection of each that was answered
-	autoEnding     string                 // how to answer at once; empty: as the row says
+	endings        map[string]chan string // by request: receives how the attempt ends
+	answeredOn     map[string]net.Conn    // by request: the connection of its last answer
+	autoEnding     string                 // ending of all attempts, without delay; empty: endings decide
 	conns          map[net.Conn]bool
-	startAccepting func() // lets connections come up that did not until then
+	startAccepting func() // begins to accept connections
 }
 
-// newStandIn starts a server, and where it is late one that no connection to comes up before up is called.
-func newStandIn(id string, s *observations, late bool) (*standIn, error) {
+// newStandIn starts a server. With holdConnections, no connection to it is established before startAccepting is called.
+func newStandIn(id string, s *observations, holdConnections bool) (*standIn, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
@@ -93,15 +94,15 @@
 		}
 	}
 	n.startAccepting = sync.OnceFunc(func() { go accept() })
-	if late {
+	if holdConnections {
 		return n, n.fillBacklog()
 	}
 	n.startAccepting()
 	return n, nil
 }
 
-// fill has the kernel drop what asks for a connection, by a queue of those not accepted that is full. Who asked
-// does so again by itself, so that the connection comes up once the queue is taken up.
+// fillBacklog fills the listener's accept queue, so that the kernel drops further connection requests. The client's
+// kernel retransmits them, so that connections are established once the queue is accepted.
 func (n *standIn) fillBacklog() error {
 	raw, err := n.listener.(*net.TCPListener).SyscallConn()
 	if err != nil {
@@ -110,27 +111,28 @@
 	if failed := raw.Control(func(fd uintptr) { err = unix.Listen(int(fd), 1) }); err != nil || failed != nil {
 		return errors.Join(err, failed)
 	}
-	for range 2 { // one more than it was told: the kernel takes that many
+	for range 2 { // Linux queues one connection more than the backlog of 1
 		c, err := net.Dial("tcp", n.listener.Addr().String())
 		if err != nil {
 			return err
 		}
-		n.conns[c] = true // to be closed with the others
+		n.conns[c] = true // closed by close
 	}
 	for end := time.Now().Add(maxWait); ; time.Sleep(time.Millisecond) {
 		var info *unix.TCPInfo
 		if failed := raw.Control(func(fd uintptr) { info, err = unix.GetsockoptTCPInfo(int(fd), unix.IPPROTO_TCP, unix.TCP_INFO) }); err != nil || failed != nil {
 			return errors.Join(err, failed)
 		}
-		if info.Unacked == 2 { // of a listener: those that wait to be accepted
+		if info.Unacked == 2 { // for a listener, the number of connections in the accept queue
 			return nil
 		}
 		if time.Now().After(end) {
-			return errors.New("the queue did not fill")
+			return fmt.Errorf("the accept queue did not fill within %v", maxWait)
 		}
 	}
 }
 
+// close closes the listener and all connections.
 func (n *standIn) close() {
 	n.listener.Close()
 	n.mu.Lock()
@@ -140,7 +142,7 @@
 	}
 }
 
-// verdict is the channel on which the row says how a request's attempt ends.
+// endingOf returns the channel on which the runner sends how the attempt of a request ends.
 func (n *standIn) endingOf(id string) chan string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -150,6 +152,7 @@
 	return n.endings[id]
 }
 
+// serve reads and answers the requests on one connection.
 func (n *standIn) serve(c net.Conn) {
 	defer func() {
 		c.Close()
@@ -170,45 +173,45 @@
 		n.observed.withLock(func() {
 			n.observed.arrivals = append(n.observed.arrivals, arrival{id: id, server: n.id})
 			if !strings.HasPrefix(id, "q") {
-				n.observed.failures = append(n.observed.failures, fmt.Sprintf("%s had a request that no client sent: %q", n.id, id))
+				n.observed.failures = append(n.observed.failures, fmt.Sprintf("%s received a request that no client sent: %q", n.id, id))
 			}
 		})
-		more := make(chan error, 1)
-		go func() { // the sidecar gives up by closing; else the next request begins here
+		nextRequest := make(chan error, 1)
+		go func() { // fails when the sidecar closes the connection, and succeeds when the next request begins
 			_, err := r.Peek(1)
-			more <- err
+			nextRequest <- err
 		}()
 		n.mu.Lock()
-		how := n.autoEnding
+		ending := n.autoEnding
 		n.mu.Unlock()
-		if how == "" {
+		if ending == "" {
 			select {
-			case how = <-n.endingOf(id):
-			case <-more:
+			case ending = <-n.endingOf(id):
+			case <-nextRequest:
 				n.observed.recordEnding(id, "left")
 				return
 			}
 		}
-		n.observed.recordEnding(id, how)
-		goes, answered := n.answer(c, id, how), time.Now()
-		if how == "trailed" {
-			select { // as the next request comes, where that is sooner
-			case err := <-more:
-				more <- err
+		n.observed.recordEnding(id, ending)
+		reusable, answeredAt := n.answer(c, id, ending), time.Now()
+		if ending == "trailed" {
+			select { // the stray answer is sent after strayDelay, or earlier if the next request begins
+			case err := <-nextRequest:
+				nextRequest <- err
 			case <-time.After(strayDelay):
 			}
-			if time.Since(answered) < 2*strayDelay { // one that comes later is none that the page tells of
-				_, _ = io.WriteString(c, completeAnswer("stray")) // it fails where the sidecar has gone
+			if time.Since(answeredAt) < 2*strayDelay { // the specification covers only stray answers shortly after the answer
+				_, _ = io.WriteString(c, completeAnswer("stray")) // fails if the sidecar has closed the connection
 			}
 		}
-		if !goes || <-more != nil {
+		if !reusable || <-nextRequest != nil {
 			return
 		}
 	}
 }
 
-// answer ends an attempt, and says whether its connection goes on.
-func (n *standIn) answer(c net.Conn, id, how string) bool {
+// answer ends an attempt, and reports whether its connection can be used for another request.
+func (n *standIn) answer(c net.Conn, id, ending string) bool {
 	n.mu.Lock()
 	n.answeredOn[id] = c
 	n.mu.Unlock()
@@ -234,136 +237,140 @@
 		"unsaid429":   "HTTP/1.1 429 Busy\r\nContent-Length: 0\r\n\r\n",
 		"reset":       "",
 		"timeout":     "",
-	}[how]
-	if how == "timeout" { // it says nothing until the sidecar has gone
+	}[ending]
+	if ending == "timeout" { // does not answer until the sidecar closes the connection
 		_, _ = io.Copy(io.Discard, c)
 		return false
 	}
-	if text == "" && how != "reset" { // a word of a row that has no answer here
-		n.observed.withLock(func() { n.observed.failures = append(n.observed.failures, "no stand-in answers "+how) })
+	if text == "" && ending != "reset" { // an ending without an answer
+		n.observed.withLock(func() {
+			n.observed.failures = append(n.observed.failures, "the stand-in has no answer for the ending "+ending)
+		})
 	}
 	if _, err := io.WriteString(c, text); err != nil {
 		return false
 	}
-	if how == "reset" || how == "unframed" {
+	if ending == "reset" || ending == "unframed" {
 		if tcp, ok := c.(*net.TCPConn); ok {
-			_ = tcp.SetLinger(0) // it only makes the end a reset
+			_ = tcp.SetLinger(0) // makes close send a reset
 		}
 	}
-	return !slices.Contains([]string{"reset", "cut", "halved", "chunked-cut", "closing", "unframed"}, how)
+	return !slices.Contains([]string{"reset", "cut", "halved", "chunked-cut", "closing", "unframed"}, ending)
 }
 
-// made is a whole answer to a request.
+// completeAnswer returns a complete successful answer to a request.
 func completeAnswer(id string) string {
 	body := "done " + id
 	return "HTTP/1.1 200 OK\r\nContent-Length: " + strconv.Itoa(len(body)) + "\r\n\r\n" + body
 }
 
-// agency is discovery.
+// discoveryStandIn is a stand-in for discovery. It serves a versioned server list with long polling.
 type discoveryStandIn struct {
 	observed       *observations
 	mu             sync.Mutex
 	changed        chan struct{} // closed at the next change
 	version        int
-	entries        map[string]string // by server, in its own form
-	order          []string
-	changedAt      map[string]int // the version that brought a server's entry
-	indented       bool
-	down           bool
-	initialEntries map[string]string // the list of the row's start, and its version
-	initialVersion int
-	silenced       chan struct{} // closed when open calls fall silent
+	entries        map[string]string // by server, as JSON
+	order          []string          // servers in the order of their first publication
+	changedAt      map[string]int    // by server: the version that last changed its entry
+	indented       bool              // whether answers are indented JSON
+	down           bool              // whether every call is answered with status 503
+	initialEntries map[string]string // the list at the start of the row
+	initialVersion int               // version of initialEntries
+	silenced       chan struct{}     // closed when open calls are to remain unanswered
 	server         *http.Server
 	address        string
 }
 
+// newDiscoveryStandIn starts a stand-in with an empty list.
 func newDiscoveryStandIn(s *observations, indented bool) (*discoveryStandIn, error) {
 	a := &discoveryStandIn{observed: s, changed: make(chan struct{}), silenced: make(chan struct{}), entries: make(map[string]string), changedAt: make(map[string]int), indented: indented}
 	return a, a.move()
 }
 
-// move goes to another address; the old one ends.
-func (a *discoveryStandIn) move() error {
+// move starts a server at a new address and stops the one at the old address.
+func (d *discoveryStandIn) move() error {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return err
 	}
-	if a.server != nil {
-		a.server.Close()
+	if d.server != nil {
+		d.server.Close()
 	}
-	a.server, a.address = &http.Server{Handler: a}, l.Addr().String()
-	go func(s *http.Server) { _ = s.Serve(l) }(a.server) // it ends with the server
+	d.server, d.address = &http.Server{Handler: d}, l.Addr().String()
+	go func(s *http.Server) { _ = s.Serve(l) }(d.server) // returns when the server is closed
 	return nil
 }
 
-// change enters entries, and tells who watches.
-func (a *discoveryStandIn) publish(entries map[string]string, order []string) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	a.version++
+// publish changes entries, increments the version and answers waiting calls.
+func (d *discoveryStandIn) publish(entries map[string]string, order []string) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.version++
 	for _, id := range order {
-		if _, ok := a.entries[id]; !ok {
-			a.order = append(a.order, id)
+		if _, ok := d.entries[id]; !ok {
+			d.order = append(d.order, id)
 		}
-		a.entries[id], a.changedAt[id] = entries[id], a.version
+		d.entries[id], d.changedAt[id] = entries[id], d.version
 	}
-	close(a.changed)
-	a.changed = make(chan struct{})
+	close(d.changed)
+	d.changed = make(chan struct{})
 }
 
-// stale goes back to the list as the row began, as a replica may have it that is behind.
-func (a *discoveryStandIn) revertToInitial() {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	a.entries, a.version = maps.Clone(a.initialEntries), a.initialVersion
-	for id := range a.changedAt {
-		a.changedAt[id] = min(a.changedAt[id], a.initialVersion)
+// revertToInitial reverts to the list at the start of the row, as a replica that lags behind would have it.
+func (d *discoveryStandIn) revertToInitial() {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.entries, d.version = maps.Clone(d.initialEntries), d.initialVersion
+	for id := range d.changedAt {
+		d.changedAt[id] = min(d.changedAt[id], d.initialVersion)
 	}
-	a.order = slices.DeleteFunc(a.order, func(id string) bool { return a.initialEntries[id] == "" })
+	d.order = slices.DeleteFunc(d.order, func(id string) bool { return d.initialEntries[id] == "" })
 }
 
-// silence makes all calls that are open wait for ever; new ones are served.
-func (a *discoveryStandIn) silence() {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	close(a.silenced)
-	a.silenced = make(chan struct{})
+// silence leaves all open calls without an answer. New calls are served.
+func (d *discoveryStandIn) silence() {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	close(d.silenced)
+	d.silenced = make(chan struct{})
 }
 
-// list is an answer: the whole, or what is newer than a version.
-func (a *discoveryStandIn) listJSON(since int) string {
+// listJSON returns an answer with the entries that changed after a version, or with the full list if since is -1.
+func (d *discoveryStandIn) listJSON(since int) string {
 	var all []string
-	for _, id := range a.order {
-		if a.changedAt[id] > since && (since >= 0 || !strings.Contains(a.entries[id], `"gone"`)) {
-			all = append(all, a.entries[id])
+	for _, id := range d.order {
+		if d.changedAt[id] > since && (since >= 0 || !strings.Contains(d.entries[id], `"gone"`)) {
+			all = append(all, d.entries[id])
 		}
 	}
-	gap, line := "", ","
-	if a.indented {
-		gap, line = "\n  ", ",\n    "
+	fieldSeparator, entrySeparator := "", ","
+	if d.indented {
+		fieldSeparator, entrySeparator = "\n  ", ",\n    "
 	}
-	return fmt.Sprintf(`{%s"generation":%d,%s"reset":%v,%s"instances":[%s]}`, gap, a.version, gap, since < 0, gap, strings.Join(all, line))
+	return fmt.Sprintf(`{%s"generation":%d,%s"reset":%v,%s"instances":[%s]}`, fieldSeparator, d.version, fieldSeparator, since < 0, fieldSeparator, strings.Join(all, entrySeparator))
 }
 
-func (a *discoveryStandIn) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+// ServeHTTP answers a call when the list is newer than the version in the query, or at the end of the waiting time.
+func (d *discoveryStandIn) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	since, err := strconv.Atoi(r.URL.Query().Get("index"))
 	if err != nil {
 		since = -1
 	}
-	a.observed.withLock(func() { a.observed.discoveryCalls, a.observed.heldVersion = a.observed.discoveryCalls+1, since })
-	wait, _ := strconv.Atoi(r.URL.Query().Get("wait")) // none: no wait
+	d.observed.withLock(func() { d.observed.discoveryCalls, d.observed.heldVersion = d.observed.discoveryCalls+1, since })
+	wait, _ := strconv.Atoi(r.URL.Query().Get("wait")) // 0 if it is missing
 	timer := time.NewTimer(time.Duration(wait) * time.Millisecond)
 	defer timer.Stop()
 	for {
-		a.mu.Lock()
-		changed, silenced, down, newer, text := a.changed, a.silenced, a.down, a.version > since, a.listJSON(since)
-		a.mu.Unlock()
+		d.mu.Lock()
+		changed, silenced, down, newer, text := d.changed, d.silenced, d.down, d.version > since, d.listJSON(since)
+		d.mu.Unlock()
 		if down {
 			w.WriteHeader(http.StatusServiceUnavailable)
 			return
 		}
 		if newer {
-			_, _ = io.WriteString(w, text) // a caller that has gone needs none
+			_, _ = io.WriteString(w, text) // fails if the caller has disconnected
 			return
 		}
 		select {
