--- a/internal/conform/module.go
+++ b/internal/conform/module.go
@@ -44,6 +44,7 @@
 func (m *policySubject) WatchList()                 { m.addAction(action{kind: actionWatchList}) }
 func (m *policySubject) Log(string)                 {}
 
+// start implements virtualSubject. It reads the settings from JSON, as the sidecar does.
 func (m *policySubject) start(now time.Duration, seed uint64, settings map[string]any, known []balance.Server) ([]action, error) {
 	raw, err := json.Marshal(settings)
 	if err != nil {
@@ -64,6 +65,7 @@
 	return m.handle(now, event{kind: eventList, list: balance.ListCached, servers: known})
 }
 
+// handle implements virtualSubject. It passes the event to the decision module and returns the recorded calls.
 func (m *policySubject) handle(now time.Duration, e event) ([]action, error) {
 	switch e.kind {
 	case eventRequest:
@@ -82,4 +84,5 @@
 	return actions, nil
 }
 
+// close implements virtualSubject.
 func (m *policySubject) close() error { return nil }
--- a/internal/conform/pages.go
+++ b/internal/conform/pages.go
@@ -29,6 +29,7 @@
 	Hash string // of the text with normalised white space
 }
 
+// Patterns of the elements of a page, which is in Markdown.
 var (
 	heading     = regexp.MustCompile(`^#+\s+(.*)$`)
 	listItem    = regexp.MustCompile(`^\s*([-*]|\d+\.)\s+`)
--- a/internal/conform/simhost.go
+++ b/internal/conform/simhost.go
@@ -87,6 +87,7 @@
 	return all
 }
 
+// start implements virtualSubject. It opens the instance with the cached server list.
 func (s *simhostSubject) start(now time.Duration, seed uint64, settings map[string]any, known []balance.Server) ([]action, error) {
 	settingsText := []byte(strings.Join(settingLines("", settings), "\n"))
 	return s.exchange(now, append([][]byte{encodeRecord(wire.EvOpenInstance, uint32(1), seed, uint32(len(settingsText)), settingsText)},
@@ -104,6 +105,7 @@
 	return [][]byte{encodeRecord(wire.EvManifest, fields...), encodeRecord(wire.EvFleet, uint32(1), kind, uint32(s.batchNumber+1), s.manifestPage)}
 }
 
+// handle implements virtualSubject. It sends the event as one batch.
 func (s *simhostSubject) handle(now time.Duration, e event) ([]action, error) {
 	id := uint32(e.request.ID)
 	switch e.kind {
--- a/internal/world/depth.go
+++ b/internal/world/depth.go
@@ -93,7 +93,7 @@
 	run func()
 }
 
-// eventQueue is a heap of events, ordered by time and sequence number.
+// eventQueue implements heap.Interface. It orders events by time and sequence number.
 type eventQueue []chainEvent
 
 func (q eventQueue) Len() int      { return len(q) }
--- a/internal/world/depth_test.go
+++ b/internal/world/depth_test.go
@@ -40,6 +40,7 @@
 	return &naiveDecider{cfg: cfg, host: host, deadlines: make(map[balance.RequestID]time.Duration), attempts: make(map[balance.RequestID]int)}, nil
 }
 
+// send sends the next attempt of a request to the server after the last one used.
 func (p *naiveDecider) send(id balance.RequestID) {
 	p.lastServer++
 	p.attempts[id]++
@@ -51,6 +52,7 @@
 	p.send(q.ID)
 }
 
+// Outcome retries a failed attempt, or answers the request when no attempt or time is left.
 func (p *naiveDecider) Outcome(now time.Duration, o balance.Outcome) {
 	switch {
 	case o.Settled:
