--- a/internal/world/server.go
+++ b/internal/world/server.go
@@ -21,8 +21,8 @@
 	Slots      int     // requests processed concurrently
 	QueueLimit int     // requests that may wait for a slot
 
-	// With n requests in slots above ThrashThreshold, the server is 1 + ThrashFactor*(n-ThrashThreshold)/ThrashThreshold
-	// times slower. A ThrashThreshold of 0 disables this.
+	// With n > ThrashThreshold requests in slots, the server is slower by a factor of
+	// 1 + ThrashFactor*(n-ThrashThreshold)/ThrashThreshold. A ThrashThreshold of 0 disables thrashing.
 	ThrashFactor    float64
 	ThrashThreshold float64
 
@@ -87,8 +87,8 @@
 
 // DedupZone is the deduplication state that the servers of a zone share. The zero value drops no repeats.
 type DedupZone struct {
-	Window   time.Duration            // how long after a job its repeats are dropped
-	lastSeen map[uint64]time.Duration // by Job.DedupKey: when the first job of the current window arrived
+	Window    time.Duration            // how long after a job its repeats are dropped
+	firstSeen map[uint64]time.Duration // by Job.DedupKey: when the first job of the current window arrived
 }
 
 // checkDuplicate reports whether a job with the same key arrived within the window. If none did, it records this one.
@@ -96,13 +96,13 @@
 	if z == nil || key == 0 || z.Window == 0 {
 		return false
 	}
-	if at, ok := z.lastSeen[key]; ok && now-at < z.Window {
+	if at, ok := z.firstSeen[key]; ok && now-at < z.Window {
 		return true
 	}
-	if z.lastSeen == nil || len(z.lastSeen) > 1<<16 { // bounds the map; that many jobs take many times the window
-		z.lastSeen = make(map[uint64]time.Duration)
+	if z.firstSeen == nil || len(z.firstSeen) > 1<<16 { // bounds the map; that many jobs take many times the window
+		z.firstSeen = make(map[uint64]time.Duration)
 	}
-	z.lastSeen[key] = now
+	z.firstSeen[key] = now
 	return false
 }
 
