--- a/internal/lab/report.go
+++ b/internal/lab/report.go
@@ -18,7 +18,7 @@
 const (
 	plotWidth  = 24 * vg.Centimeter
 	plotHeight = 8 * vg.Centimeter
-	linesMost  = 40 // in one plot; more tell nobody anything
+	maxCurves  = 40 // in one plot; more tell nobody anything
 )
 
 // curve is one line of a plot, a value for each second.
@@ -27,8 +27,8 @@
 	values []float64
 }
 
-// page is the report: it opens from disk, with nothing beside it.
-var page = template.Must(template.New("report").Parse(`<!doctype html>
+// reportPage is the report: it opens from disk, with nothing beside it.
+var reportPage = template.Must(template.New("report").Parse(`<!doctype html>
 <meta charset="utf-8"><title>{{.R.Scenario}}, seed {{.R.Seed}}</title>
 <style>body{font:15px sans-serif;max-width:62em;margin:2em auto}td,th{text-align:left;padding:.1em .8em .1em 0;vertical-align:top}
 .bad{color:#a00;font-weight:bold}svg{max-width:100%;height:auto}</style>
@@ -45,8 +45,8 @@
 <h2>Figures</h2><table>{{range .Figures}}<tr><td>{{.Name}}</td><td>{{printf "%.4g" .Value}}</td></tr>{{end}}</table>
 `))
 
-// report words and draws a result.
-func report(r *Result, run *run) ([]byte, error) {
+// renderReport words and draws a result.
+func renderReport(r *Result, run *run) ([]byte, error) {
 	type drawn struct {
 		Title string
 		SVG   template.HTML
@@ -61,24 +61,24 @@
 		Figures []figure
 	}{R: r}
 	k := run.clients
-	late := k.count[Served].values()
+	late := k.outcomes[Served].values()
 	for i, v := range k.inTime.values() {
 		late[i] -= v
 	}
-	lost := k.count[Broken].values()
-	for i, v := range k.count[Unreachable].values() {
+	lost := k.outcomes[Broken].values()
+	for i, v := range k.outcomes[Unreachable].values() {
 		lost[i] += v
 	}
 	var p50, p99 []float64
-	for _, h := range k.seconds {
+	for _, h := range k.latencyBySecond {
 		p50 = append(p50, float64(h.ValueAtQuantile(50))/1000)
 		p99 = append(p99, float64(h.ValueAtQuantile(99))/1000)
 	}
 	var servers, sidecars []curve
-	for i, c := range run.servers.tally {
+	for i, c := range run.servers.arrivals {
 		servers = append(servers, curve{serverName(i), c.values()})
 	}
-	for i, c := range k.served {
+	for i, c := range k.servedBySidecar {
 		sidecars = append(sidecars, curve{sidecarName(i), c.values()})
 	}
 	for _, p := range []struct {
@@ -86,16 +86,16 @@
 		curves      []curve
 	}{
 		{"Requests by their end, in the second in which they were due", "requests a second", []curve{
-			{"in time", k.inTime.values()}, {"late", late}, {"refused", k.count[Refused].values()}, {"failed", k.count[Failed].values()},
-			{"gave up", k.count[GaveUp].values()}, {"broken or unreachable", lost},
+			{"in time", k.inTime.values()}, {"late", late}, {"refused", k.outcomes[Refused].values()}, {"failed", k.outcomes[Failed].values()},
+			{"gave up", k.outcomes[GaveUp].values()}, {"broken or unreachable", lost},
 		}},
 		{"Time of an answer, from when its request was due", "milliseconds", []curve{{"p50", p50}, {"p99", p99}}},
 		{"Attempts that reached each server", "attempts a second", servers},
-		{"Servers that a crowd has made slow", "servers", []curve{{"tipped", run.servers.tipped.values()}}},
+		{"Servers that a crowd has made slow", "servers", []curve{{"tipped", run.servers.congested.values()}}},
 		{"Requests served by each sidecar", "requests a second", sidecars},
-		{"Sends to the ready, warm servers", "against their mean", spreadCurves(run.servers.tally, run.fits, run.scene.For.Std())},
+		{"Sends to the ready, warm servers", "against their mean", spreadCurves(run.servers.arrivals, run.fits, run.scenario.For.Std())},
 	} {
-		svg, err := drawPlot(p.unit, p.curves, run.faults.marks, run.scene.For.Std())
+		svg, err := drawPlot(p.unit, p.curves, run.faults.played, run.scenario.For.Std())
 		if err != nil {
 			return nil, err
 		}
@@ -105,18 +105,18 @@
 		data.Figures = append(data.Figures, figure{name, r.Figures[name]})
 	}
 	var out bytes.Buffer
-	err := page.Execute(&out, data)
+	err := reportPage.Execute(&out, data)
 	return out.Bytes(), err
 }
 
 // drawPlot draws curves over time, with a line where each fault began and a lighter one where it was mended.
-func drawPlot(unit string, curves []curve, marks []Mark, length time.Duration) ([]byte, error) {
+func drawPlot(unit string, curves []curve, marks []PlayedFault, length time.Duration) ([]byte, error) {
 	p := plot.New()
 	p.X.Label.Text, p.Y.Label.Text = "seconds", unit
 	p.X.Min, p.X.Max, p.Y.Min = 0, length.Seconds(), 0
 	p.Legend.Top = true
 	most := 1.0
-	for i, c := range curves[:min(len(curves), linesMost)] {
+	for i, c := range curves[:min(len(curves), maxCurves)] {
 		var points plotter.XYs
 		for second, v := range c.values {
 			if float64(second) < length.Seconds() {
--- a/internal/lab/views_test.go
+++ b/internal/lab/views_test.go
@@ -11,7 +11,7 @@
 
 // Each way in which a view can be wrong is found, and none where a fault has just been or still is.
 func TestViewsAreJudged(t *testing.T) {
-	s := scene(t, "[fleet]\nsidecars=3")
+	s := readScenario(t, "[fleet]\nsidecars=3")
 	const sec = time.Second
 	for what, c := range map[string]struct {
 		at      time.Duration
@@ -20,7 +20,7 @@
 		others  int
 		agreed  bool
 		links   []time.Duration
-		cuts    []span
+		cuts    []sidecarSpan
 		want    []string
 	}{
 		"as it is":                   {at: 60 * sec, present: []bool{true, true, false}, agreed: true},
@@ -33,14 +33,14 @@
 		"a young process":            {at: 60 * sec, born: 55 * sec, present: []bool{true, false, false}},
 		"a link changed":             {at: 60 * sec, present: []bool{true, false, false}, links: []time.Duration{55 * sec}},
 		"a link changed before that": {at: 60 * sec, present: []bool{true, false, false}, links: []time.Duration{50 * sec}, want: []string{"members"}},
-		"the network is cut":         {at: 60 * sec, present: []bool{true, false, false}, links: []time.Duration{10 * sec}, cuts: []span{{0, 10 * sec, 70 * sec}}},
-		"it was cut long ago":        {at: 60 * sec, present: []bool{true, false, false}, cuts: []span{{0, 10 * sec, 20 * sec}}, want: []string{"agreed", "members"}},
+		"the network is cut":         {at: 60 * sec, present: []bool{true, false, false}, links: []time.Duration{10 * sec}, cuts: []sidecarSpan{{0, 10 * sec, 70 * sec}}},
+		"it was cut long ago":        {at: 60 * sec, present: []bool{true, false, false}, cuts: []sidecarSpan{{0, 10 * sec, 20 * sec}}, want: []string{"agreed", "members"}},
 		"the first moments":          {at: 3 * sec, present: []bool{true, false, false}},
 	} {
 		h := &History{
-			lives: []lifeChange{{0, 0, true}, {0, 1, true}, {0, 2, true}, {30 * sec, 2, false}},
-			links: c.links, cuts: c.cuts,
-			views: []viewed{{at: c.at, born: c.born, sidecar: 0, agreed: c.agreed, present: c.present, others: c.others}},
+			processChanges: []processChange{{0, 0, true}, {0, 1, true}, {0, 2, true}, {30 * sec, 2, false}},
+			linkChanges:    c.links, linkOutages: c.cuts,
+			views: []observedView{{at: c.at, readyAt: c.born, sidecar: 0, agreed: c.agreed, present: c.present, unknownMembers: c.others}},
 		}
 		var broken []string
 		for _, v := range judge(h, s, false) {
@@ -60,8 +60,8 @@
 func TestGarbageAtRealSidecars(t *testing.T) {
 	t.Parallel()
 	const n = 3
-	r := stage(t, scene(t, "[fleet]\nsidecars=3\nservers=2\nmemory_mb=48"))
-	r.scene.Fleet.File = fmt.Sprintf("[member]\nlisten='{peer}'\ncluster='lab'\nseeds=['%s','%s']", r.net.at(0, peerPort), r.net.at(1, peerPort))
+	r := stage(t, readScenario(t, "[fleet]\nsidecars=3\nservers=2\nmemory_mb=48"))
+	r.scenario.Fleet.File = fmt.Sprintf("[member]\nlisten='{peer}'\ncluster='lab'\nseeds=['%s','%s']", r.net.address(0, peerPort), r.net.address(1, peerPort))
 	var all []*process
 	for i := range n {
 		q, err := r.processes.start(i)
@@ -75,7 +75,7 @@
 		for end := time.Now().Add(30 * time.Second); ; time.Sleep(50 * time.Millisecond) {
 			good := 0
 			for _, q := range all {
-				if v, err := askView(q.console, n); err == nil && v.agreed && !slices.Contains(v.present, false) && v.others == 0 {
+				if v, err := queryView(q.console, n); err == nil && v.agreed && !slices.Contains(v.present, false) && v.unknownMembers == 0 {
 					good++
 				}
 			}
@@ -83,7 +83,7 @@
 				return
 			}
 			if time.Now().After(end) {
-				v, err := askView(all[0].console, n)
+				v, err := queryView(all[0].console, n)
 				t.Fatalf("%s: %d of %d see all and agree; the first sees %+v, error %v", when, good, n, v, err)
 			}
 		}
@@ -98,7 +98,7 @@
 	boast = append(append(boast, "Join"...), 0xc3)
 	var held []net.Conn
 	for i := range 600 {
-		target := r.net.at(i%n, peerPort)
+		target := r.net.address(i%n, peerPort)
 		b := make([]byte, []int{1, 3, 40, 1400, 60_000}[i%5])
 		for j := range b {
 			b[j] = byte(rng.Uint32())
@@ -134,13 +134,13 @@
 		s.Close()
 	}
 	for i, q := range all {
-		if rss, _, ok := usage(q.cmd.Process.Pid); !ok || rss > 48 {
+		if rss, _, ok := processUsage(q.cmd.Process.Pid); !ok || rss > 48 {
 			t.Errorf("sidecar %d: %v, %.1f MiB", i, ok, rss)
 		}
 		says(t, q, "ready")
 	}
-	if len(r.history.ends) > 0 {
-		t.Error(r.history.ends)
+	if len(r.history.processFailures) > 0 {
+		t.Error(r.history.processFailures)
 	}
 }
 
@@ -148,8 +148,8 @@
 func amid(t *testing.T, file, faults string) *Result {
 	t.Helper()
 	file = "[member]\nlisten = \"{peer}\"\ncluster = \"lab\"\nseeds = [\"n0\", \"n1\"]\n" + file
-	s := scene(t, "for = '30s'\n[fleet]\nsidecars = 4\nservers = 4\nmesh = true\nfile = '''"+file+"'''\n[load]\nuse = 0.1\n"+faults)
-	res, broken := play(t, s, Options{Seed: 1, Program: realProgram(t)})
+	s := readScenario(t, "for = '30s'\n[fleet]\nsidecars = 4\nservers = 4\nmesh = true\nfile = '''"+file+"'''\n[load]\nuse = 0.1\n"+faults)
+	res, broken := playScenario(t, s, Options{Seed: 1, Program: realProgram(t)})
 	for name, v := range broken {
 		t.Errorf("%s: %v", name, v.Findings)
 	}
@@ -189,18 +189,18 @@
 func TestOneHolderIsJudged(t *testing.T) {
 	const sec = time.Second
 	for what, c := range map[string]struct {
-		seen []tokenSeen
+		seen []observedToken
 		good bool
 	}{
-		"passed on":             {[]tokenSeen{{0, sec, 0, "x", 5}, {2 * sec, 3 * sec, 1, "x", 6}}, true},
-		"the older one later":   {[]tokenSeen{{0, sec, 0, "x", 6}, {2 * sec, 3 * sec, 1, "x", 5}}, false},
-		"asked before":          {[]tokenSeen{{2 * sec, 3 * sec, 0, "x", 6}, {sec, 5 * sec, 1, "x", 5}}, true},
-		"another duty":          {[]tokenSeen{{0, sec, 0, "x", 6}, {2 * sec, 3 * sec, 1, "y", 5}}, true},
-		"one token at two":      {[]tokenSeen{{0, sec, 0, "x", 6}, {0, sec, 1, "x", 6}}, false},
-		"the same one all time": {[]tokenSeen{{0, sec, 0, "x", 6}, {2 * sec, 3 * sec, 0, "x", 6}}, true},
+		"passed on":             {[]observedToken{{0, sec, 0, "x", 5}, {2 * sec, 3 * sec, 1, "x", 6}}, true},
+		"the older one later":   {[]observedToken{{0, sec, 0, "x", 6}, {2 * sec, 3 * sec, 1, "x", 5}}, false},
+		"asked before":          {[]observedToken{{2 * sec, 3 * sec, 0, "x", 6}, {sec, 5 * sec, 1, "x", 5}}, true},
+		"another duty":          {[]observedToken{{0, sec, 0, "x", 6}, {2 * sec, 3 * sec, 1, "y", 5}}, true},
+		"one token at two":      {[]observedToken{{0, sec, 0, "x", 6}, {0, sec, 1, "x", 6}}, false},
+		"the same one all time": {[]observedToken{{0, sec, 0, "x", 6}, {2 * sec, 3 * sec, 0, "x", 6}}, true},
 	} {
-		s := scene(t, "[fleet]\nsidecars=2")
-		s.Hold = []string{"duties"}
+		s := readScenario(t, "[fleet]\nsidecars=2")
+		s.Invariants = []string{"duties"}
 		if v := judge(&History{tokens: c.seen}, s, false); len(v) != 1 || v[0].Held != c.good {
 			t.Errorf("%s: %+v", what, v)
 		}
