--- a/internal/conform/conform_test.go
+++ b/internal/conform/conform_test.go
@@ -12,7 +12,8 @@
 	"testing"
 )
 
-func tables(t *testing.T) *Tables {
+// loadTables loads the tables from testdata.
+func loadTables(t *testing.T) *Tables {
 	t.Helper()
 	tables, err := Load("testdata")
 	if err != nil {
@@ -21,19 +22,20 @@
 	return tables
 }
 
-var programs string // where they are built
+// programDir holds the built programs.
+var programDir string
 
-func TestMain(m *testing.M) { os.Exit(build(m)) }
+func TestMain(m *testing.M) { os.Exit(runWithPrograms(m)) }
 
-// build builds the two programs, plays the tests, and leaves nothing.
-func build(m *testing.M) int {
+// runWithPrograms builds caperarch and simhost, runs the tests and removes the programs. It returns the exit code.
+func runWithPrograms(m *testing.M) int {
 	var err error
-	if programs, err = os.MkdirTemp("", "conform"); err != nil {
+	if programDir, err = os.MkdirTemp("", "conform"); err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		return 1
 	}
-	defer os.RemoveAll(programs)
-	cmd := exec.Command("go", "build", "-o", programs+"/", "../../cmd/caperarch", "../../cmd/simhost")
+	defer os.RemoveAll(programDir)
+	cmd := exec.Command("go", "build", "-o", programDir+"/", "../../cmd/caperarch", "../../cmd/simhost")
 	if out, err := cmd.CombinedOutput(); err != nil {
 		fmt.Fprintf(os.Stderr, "%v\n%s", err, out)
 		return 1
@@ -41,57 +43,59 @@
 	return m.Run()
 }
 
-// seeds are how many a row is played with on the module.
-const seeds = 20
+// policySeeds is the number of seeds with which each row runs against the decision module.
+const policySeeds = 20
 
-// playOn plays a row on a subject.
-func playOn(t *testing.T, all *Tables, r Row, on string) []string {
+// runOn runs a row against a subject and returns the failed checks.
+func runOn(t *testing.T, tables *Tables, r Row, subject string) []string {
 	t.Helper()
-	var faults []string
+	var failures []string
 	var err error
-	switch on {
+	switch subject {
 	case "caperarch":
-		faults, err = playProcess(all, r, filepath.Join(programs, "caperarch"), t.TempDir())
+		failures, err = runProcess(tables, r, filepath.Join(programDir, "caperarch"), t.TempDir())
 	case "simhost":
-		var s *simhost
-		if s, err = newSimhost(filepath.Join(programs, "simhost")); err == nil {
-			faults, err = playVirtual(all, r, s, 1)
+		var s *simhostSubject
+		if s, err = newSimhost(filepath.Join(programDir, "simhost")); err == nil {
+			failures, err = runVirtual(tables, r, s, 1)
 			err = errors.Join(err, s.close())
 		}
-	default: // a row holds whatever the module's own choices are
-		for seed := uint64(1); seed <= seeds && err == nil && len(faults) == 0; seed++ {
-			if faults, err = playVirtual(all, r, new(module), seed); len(faults) > 0 {
-				faults[0] = fmt.Sprintf("seed %d: %s", seed, faults[0])
+	default: // rows must pass whatever random choices the decision module makes
+		for seed := uint64(1); seed <= policySeeds && err == nil && len(failures) == 0; seed++ {
+			if failures, err = runVirtual(tables, r, new(policySubject), seed); len(failures) > 0 {
+				failures[0] = fmt.Sprintf("seed %d: %s", seed, failures[0])
 			}
 		}
 	}
 	if err != nil {
 		t.Fatal(err)
 	}
-	return faults
+	return failures
 }
 
+// Every row passes on each subject that it names. A row with a known failure on a subject has to fail there, so that a
+// fixed failure is noticed.
 func TestRows(t *testing.T) {
-	all := tables(t)
-	for _, on := range Subjects {
-		t.Run(on, func(t *testing.T) {
-			for _, r := range all.Rows {
-				if !slices.Contains(r.On, on) {
+	tables := loadTables(t)
+	for _, subject := range Subjects {
+		t.Run(subject, func(t *testing.T) {
+			for _, r := range tables.Rows {
+				if !slices.Contains(r.Subjects, subject) {
 					continue
 				}
 				t.Run(r.ID, func(t *testing.T) {
 					t.Parallel()
-					faults := playOn(t, all, r, on)
-					for _, f := range faults {
-						if r.Open[on] == "" {
-							t.Errorf("%s, for %v: %s", r.file, r.For, f)
+					failures := runOn(t, tables, r, subject)
+					for _, f := range failures {
+						if r.KnownFailures[subject] == "" {
+							t.Errorf("%s, for %v: %s", r.file, r.Sentences, f)
 						}
 					}
-					if r.Open[on] != "" {
-						if len(faults) == 0 {
-							t.Errorf("%s: the row holds now, though it is open: %s", r.file, r.Open[on])
+					if r.KnownFailures[subject] != "" {
+						if len(failures) == 0 {
+							t.Errorf("%s: the row passes, although it has a known failure: %s", r.file, r.KnownFailures[subject])
 						}
-						t.Logf("open: %s: %q", r.Open[on], faults)
+						t.Logf("known failure: %s: %q", r.KnownFailures[subject], failures)
 					}
 				})
 			}
@@ -99,63 +103,64 @@
 	}
 }
 
-// No sentence without a row or a reason, no row without a sentence.
-func TestSentences(t *testing.T) {
-	if err := tables(t).Check(); err != nil {
+// Every sentence of the index has a row or a reason for having none, and every row names a sentence.
+func TestTablesAreComplete(t *testing.T) {
+	if err := loadTables(t).Check(); err != nil {
 		t.Error(err)
 	}
 }
 
-// The pages themselves are not kept here; where they are, no sentence may be without an entry and no entry without its sentence.
-func TestPages(t *testing.T) {
-	root := os.Getenv("CONFORM_PAGES")
-	if root == "" {
-		t.Skip("CONFORM_PAGES names no folder with the pages; the index stands in for them")
+// The index has an entry for each sentence of the specification, and no others. The specification's pages are not part
+// of the repository, so the test runs only where CONFORM_PAGES names a directory with them.
+func TestIndexCoversPages(t *testing.T) {
+	dir := os.Getenv("CONFORM_PAGES")
+	if dir == "" {
+		t.Skip("CONFORM_PAGES does not name a directory with the specification's pages")
 	}
-	all := tables(t)
+	tables := loadTables(t)
 	var found []Sentence
 	for _, p := range Pages {
-		text, err := os.ReadFile(filepath.Join(root, p.Path))
+		text, err := os.ReadFile(filepath.Join(dir, p.Path))
 		if err != nil {
 			t.Fatal(err)
 		}
-		found = append(found, Sentences(p, string(text))...)
+		found = append(found, SplitSentences(p, string(text))...)
 	}
-	before := "none"
+	previous := "none"
 	for _, s := range found {
-		if at := slices.IndexFunc(all.Sentences, func(e Entry) bool { return e.Hash == s.Hash }); at >= 0 {
-			before = all.Sentences[at].ID
+		if at := slices.IndexFunc(tables.Sentences, func(e IndexEntry) bool { return e.Hash == s.Hash }); at >= 0 {
+			previous = tables.Sentences[at].ID
 			continue
 		}
-		t.Errorf("no entry has the hash %s, of the sentence that is now %s, behind that of entry %s", s.Hash, s.ID, before)
+		t.Errorf("the index has no entry with hash %s, the hash of sentence %s; the sentence before it has entry %s", s.Hash, s.ID, previous)
 	}
-	for _, e := range all.Sentences {
+	for _, e := range tables.Sentences {
 		if !slices.ContainsFunc(found, func(s Sentence) bool { return s.Hash == e.Hash }) {
-			t.Errorf("entry %s has the hash %s: no sentence of the pages has", e.ID, e.Hash)
+			t.Errorf("entry %s has hash %s, which no sentence of the pages has", e.ID, e.Hash)
 		}
 	}
 }
 
-// The page for people lists what is open and which sentences have no row, as the tables have it.
-func TestPageAgrees(t *testing.T) {
+// docs/conformance.md lists the rows with known failures and the sentences without a row exactly as the tables do.
+func TestDocumentationAgreesWithTables(t *testing.T) {
 	raw, err := os.ReadFile("../../docs/conformance.md")
 	if err != nil {
 		t.Fatal(err)
 	}
-	page, all := string(raw), tables(t)
-	for _, e := range all.Sentences {
-		if line := fmt.Sprintf("| %s | %s | %s |\n", e.ID, e.Words, e.None); strings.Contains(page, line) != (e.None != "") {
-			t.Errorf("%s: the page and the index differ on whether it has a row, or why not", e.ID)
+	page, tables := string(raw), loadTables(t)
+	for _, e := range tables.Sentences {
+		if line := fmt.Sprintf("| %s | %s | %s |\n", e.ID, e.Summary, e.NoRowReason); strings.Contains(page, line) != (e.NoRowReason != "") {
+			t.Errorf("sentence %s: docs/conformance.md and the index differ on whether or why it has no row", e.ID)
 		}
 	}
 	for _, name := range regexp.MustCompile(`scenarios/[\w-]+\.toml`).FindAllString(page, -1) {
 		if _, err := os.Stat(filepath.Join("../..", name)); err != nil {
-			t.Errorf("a sentence is left to a scenario that there is not: %v", err)
+			t.Errorf("docs/conformance.md refers to a scenario that does not exist: %v", err)
 		}
 	}
-	for _, r := range all.Rows {
-		if strings.Contains(page, "| `"+r.ID+"` | ") != (len(r.Open) > 0) {
-			t.Errorf("%s: the page and the tables differ on whether it is open", r.ID)
+	for _, r := range tables.Rows {
+		if strings.Contains(page, "| `"+r.ID+"` | ") != (len(r.KnownFailures) > 0) {
+			t.Errorf("row %s: docs/conformance.md and the tables differ on whether it has a known failure", r.ID)
 		}
 	}
 }
