--- a/internal/sidecar/upstream_test.go
+++ b/internal/sidecar/upstream_test.go
@@ -414,7 +414,7 @@
 }
 
 // At the limit an idle connection to another server is closed for a new one; if there is none, nothing is sent.
-func TestConnectionLimit(t *testing.T) {
+func TestUpstreamConnectionLimit(t *testing.T) {
 	a, b, mute := newStub(t, echo), newStub(t, echo), newStub(t, neverAnswer)
 	u := testTransport(t)
 	u.maxOpen = 1
