--- a/internal/lab/experiment.go
+++ b/internal/lab/experiment.go
@@ -20,27 +20,27 @@
 
 // Experiment is an experiment file: a grid of programs, scenarios, sizes and seeds.
 type Experiment struct {
-	About     string    `toml:"about" need:"yes" help:"what is to be found out"`
+	About     string    `toml:"about" need:"yes" help:"question that the experiment answers"`
 	Scenarios []string  `toml:"scenarios" need:"yes" help:"scenarios by name, or all"`
 	Seeds     int       `toml:"seeds" default:"5" min:"1" max:"1000" help:"seeds 1 to this"`
-	Parallel  int       `toml:"parallel" default:"1" min:"1" max:"64" help:"runs at a time; each wants about two cores"`
-	Sidecars  []int     `toml:"sidecars" help:"numbers of sidecars; none: as each scenario has it"`
+	Parallel  int       `toml:"parallel" default:"1" min:"1" max:"64" help:"runs at a time; each needs about two cores"`
+	Sidecars  []int     `toml:"sidecars" help:"numbers of sidecars; empty: as in each scenario"`
 	Edge      edgeSpec  `toml:"edge"`
-	With      []Subject `toml:"with" help:"the programs and settings to compare; none: this tree"`
+	With      []Subject `toml:"with" help:"programs and settings to compare; empty: this tree"`
 }
 
-// edgeSpec has an experiment look for the largest load at which a fleet still returns after its faults, seed by seed, by
-// bisection over a grid of loads.
+// edgeSpec makes an experiment search, for each seed, for the largest load at which a fleet still recovers from its faults. It
+// bisects a grid of loads.
 type edgeSpec struct {
-	From float64 `toml:"from" default:"0.5" min:"0.05" max:"5" help:"the least load.use that is tried"`
-	To   float64 `toml:"to" default:"0" min:"0" max:"5" help:"and the most; 0: each scenario is played at its own"`
-	Step float64 `toml:"step" default:"0.05" min:"0.005" max:"1" help:"between two loads of the grid"`
+	From float64 `toml:"from" default:"0.5" min:"0.05" max:"5" help:"smallest load.use that is tried"`
+	To   float64 `toml:"to" default:"0" min:"0" max:"5" help:"largest load.use that is tried; 0: each scenario is played at its own load"`
+	Step float64 `toml:"step" default:"0.05" min:"0.005" max:"1" help:"difference between two loads of the grid"`
 }
 
-// maxPlaysWhenLate is how often a play is made, at most, whose verdict a bisection goes by and that ran late.
+// maxPlaysWhenLate is how often a run that a bisection relies on is played at most, while the lab runs late.
 const maxPlaysWhenLate = 3
 
-// loads is the grid of loads; none where no edge is looked for.
+// loads returns the grid of loads. It is empty where no edge is searched for.
 func (e edgeSpec) loads() (all []float64) {
 	for i := 0; e.To > 0 && e.From+float64(i)*e.Step < e.To+e.Step/2; i++ {
 		all = append(all, e.From+float64(i)*e.Step)
@@ -48,30 +48,30 @@
 	return all
 }
 
-// bisect finds how many of n loads, the least first, a fleet returns at, where it returns at none above the first at which
-// it does not. It asks log2(n+1) times at most, rounded up.
-func bisect(n int, returns func(i int) (bool, error)) (int, error) {
-	least, most := 0, n // returns at all below least, at none from most on
-	for least < most {
-		mid := (least + most) / 2
-		back, err := returns(mid)
+// bisect returns at how many of n loads, in ascending order, a fleet recovers, provided that it recovers at no load above the
+// first at which it does not. It calls recovers at most log2(n+1) times, rounded up.
+func bisect(n int, recovers func(i int) (bool, error)) (int, error) {
+	low, high := 0, n // it recovers at all loads below low, and at none from high on
+	for low < high {
+		mid := (low + high) / 2
+		recovered, err := recovers(mid)
 		switch {
 		case err != nil:
-			return least, err
-		case back:
-			least = mid + 1
+			return low, err
+		case recovered:
+			low = mid + 1
 		default:
-			most = mid
+			high = mid
 		}
 	}
-	return least, nil
+	return low, nil
 }
 
 // Subject is one program or setting that an experiment plays.
 type Subject struct {
-	Label   string `toml:"label" need:"yes" help:"its name in results"`
-	Program string `toml:"program" help:"path of a sidecar; empty: the one of this tree"`
-	File    string `toml:"file" help:"the fleet file of every sidecar, in TOML, in place of the scenario's"`
+	Label   string `toml:"label" need:"yes" help:"name in results"`
+	Program string `toml:"program" help:"path of a sidecar program; empty: built from this tree"`
+	File    string `toml:"file" help:"fleet file of every sidecar, in TOML, in place of the scenario's"`
 }
 
 // ReadExperiment reads an experiment file.
@@ -84,20 +84,20 @@
 		e.With = []Subject{{Label: "tree"}}
 	}
 	if e.Edge.To > 0 && e.Edge.To < e.Edge.From {
-		return nil, fmt.Errorf("%s: edge.to %v is under edge.from %v", path, e.Edge.To, e.Edge.From)
+		return nil, fmt.Errorf("%s: edge.to %v is less than edge.from %v", path, e.Edge.To, e.Edge.From)
 	}
 	return &e, nil
 }
 
-// plannedRun is one run of an experiment.
+// plannedRun is one run of an experiment, a cell of its grid.
 type plannedRun struct {
 	scene   *Scenario
 	options Options
 	label   string
 }
 
-// Run plays all of an experiment that dir does not hold yet: a result there that was made by the same program is
-// kept. find gives a scenario by its name. It tells of each run on w, and returns all results.
+// Run plays all runs of an experiment and returns their results. A result in dir that the same program produced is reused.
+// find returns a scenario by its name. Run writes a line to w for each run that it plays.
 func (e *Experiment) Run(ctx context.Context, dir string, w io.Writer, find func(string) (*Scenario, error)) ([]*Result, error) {
 	cells, err := e.plannedRuns(dir, find)
 	if err != nil {
@@ -107,10 +107,10 @@
 	var all []*Result
 	var bad []error
 	uses := e.Edge.loads()
-	one := func(c plannedRun) (*Result, error) {
+	playOne := func(c plannedRun) (*Result, error) {
 		r, err := ReadResult(filepath.Join(c.options.Out, ResultName))
-		kept := err == nil && r.Program == programDigest(c.options.Program)
-		for n := 0; !kept && (n == 0 || n < maxPlaysWhenLate && err == nil && r.Late != "" && len(uses) > 0); n++ {
+		reused := err == nil && r.Program == programDigest(c.options.Program)
+		for n := 0; !reused && (n == 0 || n < maxPlaysWhenLate && err == nil && r.Late != "" && len(uses) > 0); n++ {
 			if r, err = Play(ctx, c.scene, c.options); err == nil {
 				r.Label = c.label
 				err = r.rewrite(c.options.Out)
@@ -123,47 +123,47 @@
 			return nil, err
 		}
 		all = append(all, r)
-		if !kept {
+		if !reused {
 			fmt.Fprintf(w, "%-10s %-24s seed %-3d worth %.3f  %s\n", c.label, c.scene.Name, c.options.Seed, r.Figures["worth"], r.summary())
 		}
 		return r, nil
 	}
-	places, work := make(chan struct{}, e.Parallel), sync.WaitGroup{}
+	slots, work := make(chan struct{}, e.Parallel), sync.WaitGroup{}
 	for _, c := range cells {
-		places <- struct{}{}
+		slots <- struct{}{}
 		if ctx.Err() != nil {
 			break
 		}
 		work.Go(func() {
-			defer func() { <-places }()
+			defer func() { <-slots }()
 			if len(uses) == 0 {
-				_, _ = one(c) // which keeps its error
+				_, _ = playOne(c) // records its error
 				return
 			}
 			_, _ = bisect(len(uses), func(i int) (bool, error) {
-				r, err := one(c.withLoad(uses[i]))
+				r, err := playOne(c.withLoad(uses[i]))
 				if err != nil {
 					return false, err
 				}
-				back, ok := r.Figures["returned"]
+				returned, ok := r.Figures["returned"]
 				if !ok {
 					mu.Lock()
 					defer mu.Unlock()
-					err = fmt.Errorf("%s: it ends too soon after its last fault to tell whether the fleet returns", c.scene.Name)
+					err = fmt.Errorf("%s: the run ends too soon after its last fault to tell whether the fleet recovers", c.scene.Name)
 					bad = append(bad, err)
 				}
-				return back > 0, err
+				return returned > 0, err
 			})
 		})
 	}
 	work.Wait()
 	if ctx.Err() != nil {
-		bad = append(bad, errors.New("ended before its time; the same command goes on from here"))
+		bad = append(bad, errors.New("interrupted; run the same command again to continue"))
 	}
 	return all, errors.Join(bad...)
 }
 
-// withLoad is the same run at another load.
+// withLoad returns the same run at another load.
 func (c plannedRun) withLoad(use float64) plannedRun {
 	scene := *c.scene
 	scene.Load.Use = use
@@ -173,8 +173,9 @@
 	return c
 }
 
-// Edges writes a line for each program and scenario of an experiment that looked for edges: the largest load at which the
-// fleet returned, the median over seeds with its spread, and each seed's; 0 where it returned at no load that was tried.
+// Edges writes a Markdown table of an experiment that searched for edges, a line for each program, scenario and size: the
+// largest load at which the fleet recovered, as median, minimum and maximum over seeds, and by seed. It is 0 where the fleet
+// recovered at no load that was tried.
 func Edges(w io.Writer, all []*Result) {
 	type key struct{ label, scenario, size string }
 	edges, late := make(map[key]map[uint64][2]float64), make(map[key]int)
@@ -187,7 +188,7 @@
 		if edges[k] == nil {
 			edges[k] = make(map[uint64][2]float64)
 		}
-		e, known := edges[k][r.Seed] // the largest load that it returned at, and the least that it did not
+		e, known := edges[k][r.Seed] // the largest load with recovery, and the smallest without
 		if !known {
 			e[1] = math.Inf(1)
 		}
@@ -201,7 +202,7 @@
 			late[k]++
 		}
 	}
-	fmt.Fprintf(w, "\n| program | scenario | size | seeds | late plays | largest load that it returned at | by seed |\n|%s\n", strings.Repeat(" --- |", 7))
+	fmt.Fprintf(w, "\n| program | scenario | size | seeds | late runs | largest load with recovery | by seed |\n|%s\n", strings.Repeat(" --- |", 7))
 	keys := slices.SortedFunc(maps.Keys(edges), func(a, b key) int {
 		return cmp.Or(cmp.Compare(a.scenario, b.scenario), cmp.Compare(a.size, b.size), cmp.Compare(a.label, b.label))
 	})
@@ -219,7 +220,7 @@
 	}
 }
 
-// summary is a run's verdicts in a few words.
+// summary returns a run's verdicts in a few words: the violated invariants, or "held".
 func (r *Result) summary() string {
 	var words []string
 	for _, v := range r.Verdicts {
@@ -236,7 +237,7 @@
 	return strings.Join(words, ", ")
 }
 
-// rewrite writes a result again, with its label.
+// rewrite writes result.json to a folder, in place of an earlier one.
 func (r *Result) rewrite(dir string) error {
 	raw, err := r.encode()
 	if err != nil {
@@ -245,9 +246,9 @@
 	return os.WriteFile(filepath.Join(dir, ResultName), raw, 0o644)
 }
 
-// plannedRuns lists an experiment's runs, seed by seed, so that what is compared is played close together.
+// plannedRuns lists an experiment's runs ordered by seed, so that runs to be compared are played shortly after each other.
 func (e *Experiment) plannedRuns(dir string, find func(string) (*Scenario, error)) (all []plannedRun, err error) {
-	tree := ""
+	treeProgram := "" // built once
 	sizes := e.Sidecars
 	if len(sizes) == 0 {
 		sizes = []int{0}
@@ -274,15 +275,15 @@
 					c := plannedRun{scene: &scene, label: with.Label}
 					c.options = Options{Seed: uint64(seed), Program: with.Program, Out: filepath.Join(dir, with.Label, folder, fmt.Sprintf("seed-%d", seed))}
 					if c.options.Program == "" {
-						if tree == "" {
+						if treeProgram == "" {
 							if err := os.MkdirAll(dir, 0o755); err != nil {
 								return nil, err
 							}
-							if tree, err = Build(dir); err != nil {
+							if treeProgram, err = Build(dir); err != nil {
 								return nil, err
 							}
 						}
-						c.options.Program = tree
+						c.options.Program = treeProgram
 					}
 					all = append(all, c)
 				}
@@ -292,7 +293,7 @@
 	return all, nil
 }
 
-// ReadResults reads a result, or all results below a folder.
+// ReadResults reads a result file, or all results below a folder.
 func ReadResults(path string) (all []*Result, err error) {
 	err = filepath.WalkDir(path, func(p string, d fs.DirEntry, err error) error {
 		if err != nil || d.IsDir() || p != path && d.Name() != ResultName {
@@ -303,21 +304,23 @@
 		return err
 	})
 	if err == nil && len(all) == 0 {
-		err = fmt.Errorf("%s holds no result", path)
+		err = fmt.Errorf("%s contains no result", path)
 	}
 	return all, err
 }
 
-// distribution is the least, the median and the most of some values.
+// distribution holds the minimum, median and maximum of some values.
 type distribution struct{ min, median, max float64 }
 
+// distributionOf returns the distribution of values, of which there must be at least one.
 func distributionOf(values []float64) distribution {
 	v := slices.Sorted(slices.Values(values))
 	n := len(v)
 	return distribution{v[0], (v[(n-1)/2] + v[n/2]) / 2, v[n-1]}
 }
 
-// Summary writes a table of results in Markdown: a line for each scenario, with the median over seeds and the spread.
+// Summary writes a Markdown table of results, with a line for each program, scenario and size: for each figure the median,
+// minimum and maximum over the runs.
 func Summary(w io.Writer, all []*Result, figures []string) {
 	by := make(map[string][]*Result)
 	for _, r := range all {
@@ -355,8 +358,9 @@
 	}
 }
 
-// Compare pairs the runs of a and b by scenario, size and seed, and writes for each scenario and figure the medians,
-// the ratio b to a with its spread over the pairs, and in how many pairs b was above a. It returns the number of pairs.
+// Compare pairs the runs of a and b by scenario, size and seed, and writes for each scenario, size and figure the medians,
+// the ratio of b to a (median, minimum and maximum over the pairs) and in how many pairs b was above a. It returns the
+// number of pairs.
 func Compare(w io.Writer, a, b []*Result, figures []string) int {
 	key := func(r *Result) string {
 		return fmt.Sprintf("%s %dx%d seed %d", r.Scenario, r.Sidecars, r.Servers, r.Seed)
--- a/internal/lab/hold.go
+++ b/internal/lab/hold.go
@@ -18,14 +18,14 @@
 	"arrowgw/internal/sidecar"
 )
 
-// workerEnv has a lab's program hold hollow processes for the lab that started it.
+// workerEnv is the environment variable by which a lab starts its own program as a worker that runs hollow sidecars.
 const workerEnv = "FLEETLAB_HOLDS"
 
-// maxParallelStarts is how many of its hollow processes a holder starts at a time: each waits for its disk.
+// maxParallelStarts is how many hollow sidecars a worker starts at a time. Each start waits for the disk.
 const maxParallelStarts = 16
 
-// ServeHollow serves the lab that started this process to hold hollow ones, until that lab ends. It says whether there is one; a program that
-// plays scenarios calls it before anything else.
+// ServeHollow runs hollow sidecars for the lab that started this process as its worker, until that lab ends. It returns false
+// at once if this process is not a worker. A program that plays scenarios calls it before anything else.
 func ServeHollow() bool {
 	if os.Getenv(workerEnv) == "" {
 		return false
@@ -34,13 +34,13 @@
 	var limit syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit); err == nil && limit.Cur < limit.Max {
 		limit.Cur = limit.Max
-		_ = syscall.Setrlimit(syscall.RLIMIT_NOFILE, &limit) // or some will not start, and say so
+		_ = syscall.Setrlimit(syscall.RLIMIT_NOFILE, &limit) // on failure, sidecars that do not start report it
 	}
-	h := &workerService{all: make(map[int]*sidecar.Hollow), late: newLateness()}
-	go h.late.watch(newClock(), context.Background().Done())
+	w := &workerService{all: make(map[int]*sidecar.Hollow), late: newLateness()}
+	go w.late.watch(newClock(), context.Background().Done())
 	server := rpc.NewServer()
-	if err := server.RegisterName("Hold", h); err != nil {
-		panic(err) // of methods that the compiler has seen
+	if err := server.RegisterName("Hold", w); err != nil {
+		panic(err) // cannot happen: the methods have the form that net/rpc asks for
 	}
 	server.ServeConn(struct {
 		io.Reader
@@ -49,7 +49,8 @@
 	return true
 }
 
-// workerService is a process that holds hollow ones. Its methods are what the lab calls, by net/rpc; one is known by its number.
+// workerService runs the hollow sidecars of a worker process. The lab calls its exported methods by net/rpc, under the name
+// Hold. A sidecar is identified by its number in the run.
 type workerService struct {
 	late *lateness
 
@@ -57,25 +58,25 @@
 	all map[int]*sidecar.Hollow
 }
 
-// HollowSpec is what a hollow process is started by.
+// HollowSpec says how to start a hollow sidecar.
 type HollowSpec struct {
 	Number         int
-	Config, Shared string
-	Rate           float64
+	Config, Shared string  // paths of its configuration file and of the folder for its state
+	Rate           float64 // requests per second that it reports
 }
 
-// Start starts some, and returns once all have.
-func (h *workerService) Start(specs []HollowSpec, _ *struct{}) error {
-	places, errs := make(chan struct{}, maxParallelStarts), make(chan error, len(specs))
+// Start starts hollow sidecars and returns once all have started. An error names at most three that failed.
+func (w *workerService) Start(specs []HollowSpec, _ *struct{}) error {
+	slots, errs := make(chan struct{}, maxParallelStarts), make(chan error, len(specs))
 	for _, s := range specs {
-		places <- struct{}{}
+		slots <- struct{}{}
 		go func() {
-			defer func() { <-places }()
+			defer func() { <-slots }()
 			one, err := sidecar.StartHollow(s.Config, s.Shared, s.Rate)
 			if err == nil {
-				h.mu.Lock()
-				h.all[s.Number] = one
-				h.mu.Unlock()
+				w.mu.Lock()
+				w.all[s.Number] = one
+				w.mu.Unlock()
 			}
 			errs <- err
 		}()
@@ -89,21 +90,21 @@
 	return errors.Join(bad...)
 }
 
-// EndRequest is which hollow process is to end, and whether with a word.
+// EndRequest is the argument of workerService.End.
 type EndRequest struct {
 	Number int
-	Word   bool
+	Word   bool // end gracefully and announce the leave; otherwise abruptly
 }
 
-// End ends one.
-func (h *workerService) End(e EndRequest, _ *struct{}) error {
-	h.mu.Lock()
-	one := h.all[e.Number]
-	delete(h.all, e.Number)
-	h.mu.Unlock()
+// End ends a hollow sidecar.
+func (w *workerService) End(e EndRequest, _ *struct{}) error {
+	w.mu.Lock()
+	one := w.all[e.Number]
+	delete(w.all, e.Number)
+	w.mu.Unlock()
 	switch {
 	case one == nil:
-		return fmt.Errorf("hollow process %d does not run", e.Number)
+		return fmt.Errorf("hollow sidecar %d is not running", e.Number)
 	case e.Word:
 		one.Stop()
 	default:
@@ -112,19 +113,19 @@
 	return nil
 }
 
-// EndAll ends all at once, without a word.
-func (h *workerService) EndAll(struct{}, *struct{}) error {
+// EndAll ends all hollow sidecars at once, abruptly.
+func (w *workerService) EndAll(struct{}, *struct{}) error {
 	var ends sync.WaitGroup
-	for _, one := range h.running() {
+	for _, one := range w.running() {
 		ends.Go(one.Kill)
 	}
 	ends.Wait()
 	return nil
 }
 
-// Move has all go on with discovery at other addresses.
-func (h *workerService) Move(to map[int]string, _ *struct{}) error {
-	for number, one := range h.running() {
+// Move makes hollow sidecars use discovery at other addresses, given by sidecar number.
+func (w *workerService) Move(to map[int]string, _ *struct{}) error {
+	for number, one := range w.running() {
 		if address := to[number]; address != "" {
 			one.SetDiscovery(address)
 		}
@@ -132,52 +133,52 @@
 	return nil
 }
 
-// ReadRules has one read its file of rules again.
-func (h *workerService) ReadRules(number int, _ *struct{}) error {
-	if one := h.running()[number]; one != nil {
+// ReadRules makes a hollow sidecar read its rules file again.
+func (w *workerService) ReadRules(number int, _ *struct{}) error {
+	if one := w.running()[number]; one != nil {
 		one.ReadRules()
 		return nil
 	}
-	return fmt.Errorf("hollow process %d does not run", number)
+	return fmt.Errorf("hollow sidecar %d is not running", number)
 }
 
-// StatusRequest is what Look is to look for.
+// StatusRequest is the argument of workerService.Look: what to count.
 type StatusRequest struct {
-	Name    string // a member
-	Version uint64 // of rules
-	Members bool   // whether to count all members at all: it costs their square
+	Name    string // of a member
+	Version uint64 // of a rule set
+	Members bool   // whether to count members and views, at a cost that is quadratic in their number
 }
 
-// StatusReply is how a holder's hollow processes stand.
+// StatusReply is the reply of workerService.Look, a summary over a worker's hollow sidecars.
 type StatusReply struct {
 	Running       int
-	See           int            // that hold Question.Name for present
-	InForce       int            // that have Question.Version in force, or a later one
-	Whole, Failed int            // answers of discovery with whole lists, and calls of it that failed, so far
-	Least, Most   int            // members that they hold for present
-	Agreed        int            // that say that all agree
-	Views         map[uint64]int // how many hold each view
-	Refused       string         // why a push was refused, as one of them has it
+	See           int            // sidecars that list StatusRequest.Name as present
+	InForce       int            // sidecars in which StatusRequest.Version or a later version is in force
+	Whole, Failed int            // whole lists that discovery sent so far, and calls of discovery that failed
+	Least, Most   int            // fewest and most members that a sidecar lists as present
+	Agreed        int            // sidecars that report that all views agree
+	Views         map[uint64]int // number of sidecars with each view, by digest
+	Refused       string         // reason of a refused push, as one of the sidecars recorded it
 }
 
-// Look looks at all, at once: each has locks of its own to wait for.
-func (h *workerService) Look(q StatusRequest, all *StatusReply) error {
+// Look summarizes the state of all hollow sidecars. It asks them concurrently, because each has locks of its own to wait for.
+func (w *workerService) Look(q StatusRequest, all *StatusReply) error {
 	all.Views = make(map[uint64]int)
 	var mu sync.Mutex
 	var work sync.WaitGroup
-	for _, one := range h.running() {
+	for _, one := range w.running() {
 		work.Go(func() {
-			see, status, v := q.Name != "" && one.Sees(q.Name), one.Rules(), member.View{}
+			sees, status, view := q.Name != "" && one.Sees(q.Name), one.Rules(), member.View{}
 			whole, failed := one.DiscoveryCounts()
 			if q.Members {
-				v = one.Members()
+				view = one.Members()
 			}
 			mu.Lock()
 			defer mu.Unlock()
-			if all.Running++; all.Running == 1 || v.Present < all.Least {
-				all.Least = v.Present
+			if all.Running++; all.Running == 1 || view.Present < all.Least {
+				all.Least = view.Present
 			}
-			if see {
+			if sees {
 				all.See++
 			}
 			if q.Version > 0 && status.InForce >= q.Version {
@@ -186,11 +187,11 @@
 			for _, r := range status.Refusals {
 				all.Refused = fmt.Sprintf("%d by %s: %s", r.Version, r.Name, r.Why)
 			}
-			all.Whole, all.Failed, all.Most = all.Whole+whole, all.Failed+failed, max(all.Most, v.Present)
+			all.Whole, all.Failed, all.Most = all.Whole+whole, all.Failed+failed, max(all.Most, view.Present)
 			if q.Members {
-				all.Views[v.Digest]++
+				all.Views[view.Digest]++
 			}
-			if v.Agreed {
+			if view.Agreed {
 				all.Agreed++
 			}
 		})
@@ -199,19 +200,19 @@
 	return nil
 }
 
-// UsageReply is what a holder's hollow processes have used so far.
+// UsageReply is the reply of workerService.Report: what a worker and its hollow sidecars have used so far.
 type UsageReply struct {
-	Traffic    map[int]meter.Traffic
+	Traffic    map[int]meter.Traffic // by sidecar number
 	CPU        time.Duration
-	Heap       uint64 // bytes in use after a collection, with goroutines' stacks
+	Heap       uint64 // bytes in use after a garbage collection, including goroutine stacks; 0 where none was asked for
 	Goroutines int
-	Late       string // why times of this process are not believed
+	Late       string // why measured times of this process are unreliable
 }
 
-// Report tells what they have used.
-func (h *workerService) Report(collect bool, r *UsageReply) error {
+// Report returns what the worker and its hollow sidecars have used. With collect it collects garbage first and measures the heap.
+func (w *workerService) Report(collect bool, r *UsageReply) error {
 	r.Traffic = make(map[int]meter.Traffic)
-	for number, one := range h.running() {
+	for number, one := range w.running() {
 		r.Traffic[number] = one.Traffic()
 	}
 	r.CPU, r.Goroutines = cpuOf(syscall.RUSAGE_SELF), runtime.NumGoroutine()
@@ -224,18 +225,19 @@
 	return nil
 }
 
-// Lateness judges the time since the last call of it, which was so long ago.
-func (h *workerService) Lateness(length time.Duration, why *string) error {
-	*why = h.late.judge(length)
-	h.late.reset()
+// Lateness reports why measured times since the previous call, length ago, are unreliable; an empty text: they are reliable.
+func (w *workerService) Lateness(length time.Duration, why *string) error {
+	*why = w.late.judge(length)
+	w.late.reset()
 	return nil
 }
 
-func (h *workerService) running() map[int]*sidecar.Hollow {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	all := make(map[int]*sidecar.Hollow, len(h.all))
-	for number, one := range h.all {
+// running returns the running hollow sidecars by number.
+func (w *workerService) running() map[int]*sidecar.Hollow {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	all := make(map[int]*sidecar.Hollow, len(w.all))
+	for number, one := range w.all {
 		all[number] = one
 	}
 	return all
--- a/internal/lab/record.go
+++ b/internal/lab/record.go
@@ -13,8 +13,8 @@
 	"time"
 )
 
-// processRecord is a run's own record of its processes: the lab's, then the ones it started, each by its process id and the
-// moment of its start, so that a number that has gone to another process since is never taken for the old one.
+// processRecord is a run's record of its processes in a file: the lab's own, then those that it started. Each is recorded
+// by process id and start time, so that a reused process id is never taken for the recorded process.
 type processRecord struct {
 	mu   sync.Mutex
 	file *os.File
@@ -23,13 +23,13 @@
 
 const (
 	recordFile  = "processes"
-	newDirGrace = time.Minute // a folder with no process in its record is older than this when its lab was killed
+	newDirGrace = time.Minute // a folder with an empty record that is older than this belongs to a lab that was killed
 )
 
-// runsDir is the folder that this user's labs keep their runs in.
+// runsDir returns the folder in which this user's labs keep their run folders.
 func runsDir() string { return filepath.Join(os.TempDir(), fmt.Sprintf("fleetlab-%d", os.Getuid())) }
 
-// newProcessRecord makes a folder for a run, and enters the lab in its record.
+// newProcessRecord creates a folder for a run and a record in it, and adds the lab itself as the first process.
 func newProcessRecord() (*processRecord, error) {
 	if err := os.MkdirAll(runsDir(), 0o755); err != nil {
 		return nil, err
@@ -49,7 +49,7 @@
 	return r, r.add(os.Getpid())
 }
 
-// add enters a process.
+// add records a process.
 func (r *processRecord) add(pid int) error {
 	start, err := processStartTime(pid)
 	if err != nil {
@@ -61,48 +61,49 @@
 	return err
 }
 
-// close removes the run's folder; all processes have ended by then.
+// close removes the run's folder. All processes must have ended.
 func (r *processRecord) close() error {
 	r.file.Close()
 	return os.RemoveAll(r.dir)
 }
 
-// processStartTime is the moment of a process's start, in the kernel's own ticks since its boot.
+// processStartTime returns the start time of a process in clock ticks since the kernel's boot, as /proc shows it.
 func processStartTime(pid int) (string, error) {
 	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
 		return "", err
 	}
-	fields := strings.Fields(string(raw)[strings.LastIndex(string(raw), ") ")+1:]) // the name before it may hold anything
-	const startField = 19                                                          // the 22nd of all; the first two are before the bracket
+	fields := strings.Fields(string(raw)[strings.LastIndex(string(raw), ") ")+1:]) // the program name before it may contain spaces and brackets
+	const startField = 19                                                          // field 22 of proc(5); the first two precede the bracket
 	if len(fields) <= startField {
-		return "", fmt.Errorf("/proc/%d/stat can't be read", pid)
+		return "", fmt.Errorf("/proc/%d/stat has fewer fields than expected", pid)
 	}
 	return fields[startField], nil
 }
 
-// Sweep removes what labs that were killed have left: processes and folders, by their own records only. It returns
-// what it ended or removed.
+// Sweep ends the processes and removes the folders that killed labs left behind, according to their records only. It
+// returns a description of each process that it ended and each folder that it removed.
 func Sweep() (swept []string, err error) {
 	runs, err := filepath.Glob(filepath.Join(runsDir(), "run-*"))
 	if err != nil {
 		return nil, err
 	}
 	for _, dir := range runs {
-		gone, more, failed := sweepRun(dir)
+		removed, ended, failed := sweepRun(dir)
 		err = errors.Join(err, failed)
-		if gone {
-			swept = append(append(swept, more...), dir)
+		if removed {
+			swept = append(append(swept, ended...), dir)
 		}
 	}
 	return swept, err
 }
 
-// sweepRun removes one run whose lab is gone.
-func sweepRun(dir string) (gone bool, swept []string, err error) {
+// sweepRun ends the processes and removes the folder of one run, unless its lab still runs. removed reports whether it did;
+// swept describes the processes that it ended.
+func sweepRun(dir string) (removed bool, swept []string, err error) {
 	info, err := os.Stat(dir)
 	if err != nil {
-		return false, nil, nil // another lab was faster
+		return false, nil, nil // another lab has just removed it
 	}
 	f, err := os.Open(filepath.Join(dir, recordFile))
 	if err != nil && !errors.Is(err, os.ErrNotExist) {
@@ -114,13 +115,13 @@
 		text, start, _ := strings.Cut(lines.Text(), " ")
 		pid, err := strconv.Atoi(text)
 		if err != nil || pid <= 1 {
-			return false, nil, fmt.Errorf("%s: %q is no process", f.Name(), lines.Text())
+			return false, nil, fmt.Errorf("%s: %q is not a process id and start time", f.Name(), lines.Text())
 		}
 		now, err := processStartTime(pid)
 		alive := err == nil && now == start
 		switch {
 		case alive && first:
-			return false, nil, nil // that lab is at work
+			return false, nil, nil // its lab still runs
 		case alive:
 			if err := syscall.Kill(pid, syscall.SIGKILL); err != nil {
 				return false, nil, err
@@ -129,7 +130,7 @@
 		}
 	}
 	if first && time.Since(info.ModTime()) < newDirGrace {
-		return false, nil, nil // it is just being made
+		return false, nil, nil // another lab may be creating it
 	}
 	return true, swept, os.RemoveAll(dir)
 }
--- a/internal/lab/report.go
+++ b/internal/lab/report.go
@@ -18,16 +18,16 @@
 const (
 	plotWidth  = 24 * vg.Centimeter
 	plotHeight = 8 * vg.Centimeter
-	maxCurves  = 40 // in one plot; more tell nobody anything
+	maxCurves  = 40 // in one plot; more could not be told apart
 )
 
-// curve is one line of a plot, a value for each second.
+// curve is one line of a plot, with a value for each second.
 type curve struct {
 	name   string
 	values []float64
 }
 
-// reportPage is the report: it opens from disk, with nothing beside it.
+// reportPage is the template of the report, a single page that needs no other files.
 var reportPage = template.Must(template.New("report").Parse(`<!doctype html>
 <meta charset="utf-8"><title>{{.R.Scenario}}, seed {{.R.Seed}}</title>
 <style>body{font:15px sans-serif;max-width:62em;margin:2em auto}td,th{text-align:left;padding:.1em .8em .1em 0;vertical-align:top}
@@ -36,8 +36,8 @@
 <p>{{.R.About}}</p>
 <p>To play it again: <code>fleetlab play {{.R.Scenario}} --seed {{.R.Seed}} --sidecars {{.R.Sidecars}} --servers {{.R.Servers}}</code>
 on the tree {{.R.Commit}} (program {{.R.Program}}). Played {{.R.Began}}, {{.R.Seconds}} s.</p>
-{{with .R.Late}}<p class="bad">The lab ran late: {{.}}. Where times count, this run is not believed.</p>{{end}}
-<h2>What had to hold</h2><table>
+{{with .R.Late}}<p class="bad">The lab ran late: {{.}}. Measured times of this run are unreliable.</p>{{end}}
+<h2>Invariants</h2><table>
 {{range .R.Verdicts}}<tr><td>{{.Invariant}}</td><td>{{if not .Judged}}not judged{{else if .Held}}held{{else}}<span class="bad">broken {{.Broken}} times</span>{{end}}</td>
 <td>{{range .Findings}}{{.}}<br>{{end}}</td></tr>{{end}}</table>
 <h2>Faults</h2><ol>{{range .R.Plan}}<li>{{.}}</li>{{else}}<li>none</li>{{end}}</ol>
@@ -45,7 +45,7 @@
 <h2>Figures</h2><table>{{range .Figures}}<tr><td>{{.Name}}</td><td>{{printf "%.4g" .Value}}</td></tr>{{end}}</table>
 `))
 
-// renderReport words and draws a result.
+// renderReport renders the report of a result as HTML, with plots of the run.
 func renderReport(r *Result, run *run) ([]byte, error) {
 	type drawn struct {
 		Title string
@@ -85,15 +85,15 @@
 		title, unit string
 		curves      []curve
 	}{
-		{"Requests by their end, in the second in which they were due", "requests a second", []curve{
+		{"Requests by outcome, in the second in which they were due", "requests a second", []curve{
 			{"in time", k.inTime.values()}, {"late", late}, {"refused", k.count[Refused].values()}, {"failed", k.count[Failed].values()},
 			{"gave up", k.count[GaveUp].values()}, {"broken or unreachable", lost},
 		}},
-		{"Time of an answer, from when its request was due", "milliseconds", []curve{{"p50", p50}, {"p99", p99}}},
+		{"Latency, from when a request was due", "milliseconds", []curve{{"p50", p50}, {"p99", p99}}},
 		{"Attempts that reached each server", "attempts a second", servers},
-		{"Servers that a crowd has made slow", "servers", []curve{{"tipped", run.servers.tipped.values()}}},
+		{"Servers slowed down by overload", "servers", []curve{{"tipped", run.servers.tipped.values()}}},
 		{"Requests served by each sidecar", "requests a second", sidecars},
-		{"Sends to the ready, warm servers", "against their mean", spreadCurves(run.servers.tally, run.fits, run.scene.For.Std())},
+		{"Attempts at the ready, warm servers", "relative to their mean", spreadCurves(run.servers.tally, run.fits, run.scene.For.Std())},
 	} {
 		svg, err := drawPlot(p.unit, p.curves, run.faults.marks, run.scene.For.Std())
 		if err != nil {
@@ -109,19 +109,19 @@
 	return out.Bytes(), err
 }
 
-// drawPlot draws curves over time, with a line where each fault began and a lighter one where it was mended.
+// drawPlot draws curves over time as SVG, with a line where each fault began and a lighter one where it was mended.
 func drawPlot(unit string, curves []curve, marks []Mark, length time.Duration) ([]byte, error) {
 	p := plot.New()
 	p.X.Label.Text, p.Y.Label.Text = "seconds", unit
 	p.X.Min, p.X.Max, p.Y.Min = 0, length.Seconds(), 0
 	p.Legend.Top = true
-	most := 1.0
+	highest := 1.0
 	for i, c := range curves[:min(len(curves), maxCurves)] {
 		var points plotter.XYs
 		for second, v := range c.values {
 			if float64(second) < length.Seconds() {
 				points = append(points, plotter.XY{X: float64(second) + 0.5, Y: v})
-				most = max(most, v)
+				highest = max(highest, v)
 			}
 		}
 		line, err := plotter.NewLine(points)
@@ -134,7 +134,7 @@
 			p.Legend.Add(c.name, line)
 		}
 	}
-	p.Y.Max = most * 1.05
+	p.Y.Max = highest * 1.05
 	for i, m := range marks {
 		for at, shade := range map[time.Duration]uint8{m.At: 60, m.Until: 180} {
 			if at == 0 && shade == 180 {
@@ -161,7 +161,7 @@
 	if _, err := canvas.WriteTo(&out); err != nil {
 		return nil, err
 	}
-	if i := bytes.Index(out.Bytes(), []byte("<svg")); i > 0 { // inside a page it has no head of its own
+	if i := bytes.Index(out.Bytes(), []byte("<svg")); i > 0 { // an SVG inside an HTML page has no XML header
 		out.Next(i)
 	}
 	return out.Bytes(), nil
--- a/internal/lab/result.go
+++ b/internal/lab/result.go
@@ -20,10 +20,10 @@
 	"arrowgw/internal/world"
 )
 
-// resultSchema is the version of result.json.
+// resultSchema is the version of the format of result.json.
 const resultSchema = 1
 
-// Result is what came of a run. With the same scenario, seed and program it can be played again.
+// Result is the result of a run, as result.json stores it. Scenario, seed, sizes and program are enough to play the run again.
 type Result struct {
 	Schema   int                `json:"schema"`
 	Scenario string             `json:"scenario"`
@@ -32,30 +32,31 @@
 	Sidecars int                `json:"sidecars"`
 	Servers  int                `json:"servers"`
 	Hollow   int                `json:"hollow,omitempty"`
-	Label    string             `json:"label,omitempty"` // what an experiment calls its program
-	Commit   string             `json:"commit"`          // of the tree that the lab ran in
-	Program  string             `json:"program"`         // digest of the sidecar
+	Label    string             `json:"label,omitempty"` // name of the program in an experiment
+	Commit   string             `json:"commit"`          // git commit of the tree that the lab ran in
+	Program  string             `json:"program"`         // digest of the sidecar program
 	Began    time.Time          `json:"began"`
 	Seconds  float64            `json:"seconds"`
-	Late     string             `json:"late,omitempty"` // why the run is not believed where times count
+	Late     string             `json:"late,omitempty"` // why measured times are unreliable: the lab ran late; empty: they are reliable
 	Verdicts []Verdict          `json:"verdicts"`
 	Figures  map[string]float64 `json:"figures"`
 	Plan     []string           `json:"plan"`
 	Sends    [][]float64        `json:"sends,omitempty"` // attempts that reached each server, second by second
 }
 
-// triesName is the file of all tries in a result's folder, one to a line, with what servers did with each.
+// triesName is the file in a result's folder that lists all tries, one JSON object per line, with what servers did with each.
 const triesName = "tries.jsonl"
 
-// ResultName is the file of a result in its folder.
+// ResultName is the name of a result's file in its folder.
 const ResultName = "result.json"
 
-// Held says whether every invariant held.
+// Held reports whether no judged invariant was violated.
 func (r *Result) Held() bool {
 	return !slices.ContainsFunc(r.Verdicts, func(v Verdict) bool { return !v.Held })
 }
 
-// result judges and counts a run that is over.
+// result judges the invariants and computes the figures of a run that is over. lab is the processor time that the lab used,
+// and length the wall time of the run with its start.
 func (r *run) result(o Options, plan []Action, lab, length time.Duration) *Result {
 	s := r.scene
 	res := &Result{
@@ -79,50 +80,50 @@
 	return res
 }
 
-// computeFigures counts a run.
+// computeFigures computes the figures of a run that is over, by name. lab is the processor time that the lab used.
 func (r *run) computeFigures(lab time.Duration) map[string]float64 {
 	h, s, k := r.history, r.scene, r.clients
 	f := make(map[string]float64)
-	var asked, inTime, work, tries float64
+	var worthAsked, worthInTime, work, tries float64
 	ends := make(map[Outcome]float64)
 	for _, a := range h.requests {
 		class := k.classes[a.Class]
 		worth := class.Worth * a.Work.Seconds()
-		asked += worth
+		worthAsked += worth
 		work += a.Work.Seconds()
 		tries += float64(a.Tries)
 		ends[a.End]++
 		if a.End == Served && a.Ended-a.At <= class.Aim {
-			inTime += worth
+			worthInTime += worth
 		}
 	}
 	n := max(1, float64(len(h.requests)))
 	f["requests"] = float64(len(h.requests))
-	f["worth"] = inTime / max(asked, 1e-9)
+	f["worth"] = worthInTime / max(worthAsked, 1e-9)
 	for _, o := range []Outcome{Served, Refused, Failed, GaveUp, Broken, Unreachable} {
 		f[strings.ReplaceAll(string(o), " ", "_")] = ends[o] / n
 	}
 	f["client_tries"] = tries / n
-	attempts, turned := 0.0, 0.0
+	attempts, turnedAway := 0.0, 0.0
 	for _, t := range h.tries {
 		attempts += float64(len(t.Reached))
-		turned += float64(len(t.Reached) - len(arrivalsThatMayHaveRun(t)))
+		turnedAway += float64(len(t.Reached) - len(arrivalsThatMayHaveRun(t)))
 	}
-	f["attempts"], f["turned_away"] = attempts/n, turned/n
+	f["attempts"], f["turned_away"] = attempts/n, turnedAway/n
 	all := hdrhistogram.New(1, 60_000_000, 3)
 	for i, hist := range k.latency {
 		all.Merge(hist)
 		f["p99_ms_"+k.classes[i].Name] = float64(hist.ValueAtQuantile(99)) / 1000
 	}
 	f["p50_ms"], f["p99_ms"] = float64(all.ValueAtQuantile(50))/1000, float64(all.ValueAtQuantile(99))/1000
-	worked, choked := 0.0, 0.0
-	r.servers.mu.Lock() // their timers may still run
+	workDone, choked := 0.0, 0.0
+	r.servers.mu.Lock() // the timers of the servers may still run
 	for _, u := range r.servers.all {
-		worked += u.model.Worked
+		workDone += u.model.Worked
 		choked += float64(u.model.Choked())
 	}
 	r.servers.mu.Unlock()
-	f["work"], f["choked"] = worked/max(work, 1e-9), choked
+	f["work"], f["choked"] = workDone/max(work, 1e-9), choked
 	r.roster.mu.Lock()
 	f["discovery_calls"], f["discovery_lines"] = float64(r.roster.calls)/n, float64(r.roster.lines)/n
 	f["discovery_failed"] = float64(r.roster.failed)
@@ -157,12 +158,12 @@
 	return f
 }
 
-// restartSpan is how long after a sidecar was started again its requests are counted by themselves.
+// restartSpan is how long after a restart of a sidecar its requests are counted separately.
 const restartSpan = 5 * time.Second
 
-// addRestartFigures counts what processes cost that were started again: the time from their start until they were ready and
-// until a request that was sent after it was served (medians, in ms), what became of the requests of the next 5 s, and
-// how many attempts a process made in them at servers that answered nobody in that time.
+// addRestartFigures adds what restarts of sidecars cost: the times from the start of the process until it was ready and
+// until a request that was sent after the start was served (medians, in ms), the results of the requests of the following
+// restartSpan, and the mean number of attempts that the process made in that time at servers that answered no sidecar.
 func (r *run) addRestartFigures(f map[string]float64) {
 	var ready, served []float64
 	due, inTime, failed, lost := 0.0, 0.0, 0.0, 0.0
@@ -198,10 +199,11 @@
 	}
 }
 
-// attemptsAtDeadServers counts a started sidecar's attempts of the first 5 s at servers that answered nobody meanwhile.
+// attemptsAtDeadServers counts the attempts that a restarted sidecar made, up to restartSpan after it was ready, at servers
+// that answered no sidecar in that time.
 func (r *run) attemptsAtDeadServers(s sidecarSpan) (n float64) {
 	answered := make(map[int]bool)
-	at := make(map[int]float64)
+	attemptsAt := make(map[int]float64)
 	for _, t := range r.history.tries {
 		for _, a := range t.Reached {
 			if a.At < s.from || a.At > s.to+restartSpan {
@@ -209,11 +211,11 @@
 			}
 			answered[a.Server] = answered[a.Server] || a.Answer != "" || a.Verdict != world.Taken
 			if a.Sidecar == s.sidecar {
-				at[a.Server]++
+				attemptsAt[a.Server]++
 			}
 		}
 	}
-	for server, attempts := range at {
+	for server, attempts := range attemptsAt {
 		if !answered[server] {
 			n += attempts
 		}
@@ -221,8 +223,9 @@
 	return n
 }
 
-// recoveryTime is how long after the last fault was mended (or began, if it is for good) the share of requests answered
-// in time was at 95% of what it had been before the first, for two seconds on end; the rest of the run if it never was.
+// recoveryTime returns the seconds from the moment at which the last fault was mended (or began, if it is permanent) until
+// the share of requests answered in time was back at recoveredShare of its value before the first fault for two consecutive
+// seconds. It is the rest of the run if that never happened. ok is false for a run without faults.
 func (r *run) recoveryTime() (seconds float64, ok bool) {
 	first, last, ok := r.faultWindow()
 	if !ok {
@@ -239,14 +242,15 @@
 }
 
 const (
-	recoveredShare = 0.95             // of the share in time before the first fault: it is as before
-	baselineSpan   = 5 * time.Second  // which is that of so long before it
-	returnTime     = 10 * time.Second // after the last fault a fleet has to be as before, and to stay so
+	recoveredShare = 0.95             // of the share in time before the first fault: the fleet has recovered
+	baselineSpan   = 5 * time.Second  // before the first fault, over which that share is taken
+	returnTime     = 10 * time.Second // after the last fault, from which on the fleet has to stay recovered
 )
 
-// addReturnFigures counts how a fleet fares from 10 s after its last fault on: the share answered in time against that of the 5 s
-// before the first, whether that is as before, the refused, clients' tries, and the share of the servers that a crowd keeps
-// slow. A run that ends sooner tells nothing of that.
+// addReturnFigures adds how a fleet does from returnTime after its last fault to the end of the run: its share of requests
+// answered in time, that share in the baselineSpan before the first fault, whether the fleet has returned to it, the share
+// of refused requests, the clients' tries, and the share of the servers that overload keeps slow. It adds nothing for runs
+// that end earlier.
 func (r *run) addReturnFigures(f map[string]float64) {
 	first, last, ok := r.faultWindow()
 	from, end := last+returnTime, int(r.scene.For.Std()/time.Second)
@@ -278,7 +282,8 @@
 	f["after_tipped"] = tipped / float64(end-second) / float64(r.scene.Fleet.Servers)
 }
 
-// faultWindow is when the first fault began, and when the last was mended, or began if it is for good.
+// faultWindow returns when the first fault began and when the last one was mended, or began if it is permanent. ok is false
+// for a run without faults.
 func (r *run) faultWindow() (first, last time.Duration, ok bool) {
 	for i, m := range r.faults.marks {
 		if i == 0 {
@@ -289,7 +294,7 @@
 	return first, last, len(r.faults.marks) > 0
 }
 
-// inTimeShare is the share of the requests due in some seconds that was answered in time.
+// inTimeShare returns the share of the requests due from one second up to but not including another that was answered in time.
 func (r *run) inTimeShare(from, to int) float64 {
 	in, total := 0.0, 0.0
 	for i := max(0, from); i < min(to, len(r.clients.inTime.by)); i++ {
@@ -301,7 +306,7 @@
 	return in / max(total, 1)
 }
 
-// treeCommit names the tree that the lab runs in.
+// treeCommit returns the git commit of the tree that the lab runs in, with "+changes" if tracked files were modified.
 func treeCommit() string {
 	out, err := exec.Command("git", "rev-parse", "--short=12", "HEAD").Output()
 	if err != nil {
@@ -314,7 +319,7 @@
 	return name
 }
 
-// programDigest names a program by what it holds.
+// programDigest returns the start of the SHA-256 hash of a program file, in hexadecimal.
 func programDigest(path string) string {
 	f, err := os.Open(path)
 	if err != nil {
@@ -328,7 +333,7 @@
 	return fmt.Sprintf("%x", sum.Sum(nil)[:6])
 }
 
-// write leaves the result and the report in a folder.
+// write writes the result, the report and the list of tries to a folder.
 func (r *Result) write(dir string, run *run) error {
 	page, err := renderReport(r, run)
 	if err != nil {
@@ -337,16 +342,17 @@
 	return errors.Join(
 		os.WriteFile(filepath.Join(dir, "report.html"), page, 0o644),
 		run.history.writeTries(filepath.Join(dir, triesName)),
-		r.rewrite(dir), // last: where it is, the run is whole
+		r.rewrite(dir), // last: its presence means that the folder is complete
 	)
 }
 
+// encode returns the result as the JSON of result.json.
 func (r *Result) encode() ([]byte, error) {
 	raw, err := json.MarshalIndent(r, "", "  ")
 	return append(raw, '\n'), err
 }
 
-// ReadResult reads a result's file.
+// ReadResult reads a result from a file.
 func ReadResult(path string) (*Result, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -362,7 +368,7 @@
 	return &r, nil
 }
 
-// Print writes a result for people.
+// Print writes a result in readable form.
 func (r *Result) Print(w io.Writer) {
 	fmt.Fprintf(w, "%s, seed %d: %d sidecars, %d servers, %.0f s (tree %s, program %s)\n",
 		r.Scenario, r.Seed, r.Sidecars, r.Servers, r.Seconds, r.Commit, r.Program)
@@ -370,28 +376,28 @@
 		fmt.Fprintf(w, "  fault      %s\n", line)
 	}
 	f := r.Figures
-	fmt.Fprintf(w, "  worth      %.3f of what was asked for, in time (%.0f requests)\n", f["worth"], f["requests"])
+	fmt.Fprintf(w, "  worth      %.3f of the requested worth served in time (%.0f requests)\n", f["worth"], f["requests"])
 	fmt.Fprintf(w, "  ended      served %.3f  refused %.3f  failed %.3f  gave up %.3f  broken %.4f  unreachable %.4f\n",
 		f["served"], f["refused"], f["failed"], f["gave_up"], f["broken"], f["unreachable"])
 	fmt.Fprintf(w, "  latency    p50 %.1f ms  p99 %.1f ms, from when a request was due\n", f["p50_ms"], f["p99_ms"])
-	fmt.Fprintf(w, "  cost       %.2f attempts and %.2f client tries a request, %.2f of the work, discovery %.3f calls\n",
+	fmt.Fprintf(w, "  cost       per request: %.2f attempts, %.2f client tries, %.2f of the work, %.3f discovery calls\n",
 		f["attempts"], f["client_tries"], f["work"], f["discovery_calls"])
-	fmt.Fprintf(w, "  processes  cpu %.2f ms a request, most memory %.1f MiB, most descriptors %.0f\n", f["cpu_ms"], f["rss_mib"], f["descriptors"])
-	for _, when := range []struct{ name, text string }{{"", "spread"}, {"after_", "  after"}} {
-		if v, ok := f[when.name+"spread_10s"]; ok {
-			fmt.Fprintf(w, "  %-10s %.1f%% over 10 s, %.1f%% of it beyond chance; busiest %.2f, least %.2f of the mean (%.2f, %.2f beyond chance); idle for %.1f s\n",
-				when.text, 100*v, 100*f[when.name+"spread_10s_over"], f[when.name+"busiest"], f[when.name+"least"],
-				f[when.name+"busiest_over"], f[when.name+"least_over"], f[when.name+"idle_most_s"])
+	fmt.Fprintf(w, "  processes  cpu %.2f ms per request, peak memory %.1f MiB, peak descriptors %.0f\n", f["cpu_ms"], f["rss_mib"], f["descriptors"])
+	for _, when := range []struct{ prefix, text string }{{"", "spread"}, {"after_", "  after"}} {
+		if v, ok := f[when.prefix+"spread_10s"]; ok {
+			fmt.Fprintf(w, "  %-10s %.1f%% over 10 s, %.1f%% of it beyond chance; busiest %.2f, least busy %.2f of the mean (%.2f, %.2f beyond chance); longest idle time %.1f s\n",
+				when.text, 100*v, 100*f[when.prefix+"spread_10s_over"], f[when.prefix+"busiest"], f[when.prefix+"least"],
+				f[when.prefix+"busiest_over"], f[when.prefix+"least_over"], f[when.prefix+"idle_most_s"])
 		}
 	}
 	if back, ok := f["recovery_s"]; ok {
 		fmt.Fprintf(w, "  recovery   %.1f s after the last fault\n", back)
 	}
-	fmt.Fprintf(w, "  lab        late by %.1f ms in 99 of 100 cases, %.0f ms at most; cpu %.2f ms a request; memory %.0f MiB, and %.0f of all sidecars\n",
+	fmt.Fprintf(w, "  lab        timers late by p99 %.1f ms, max %.0f ms; cpu %.2f ms per request; memory %.0f MiB, all sidecars %.0f MiB\n",
 		f["lab_late_ms"], f["lab_late_most_ms"], f["lab_cpu_ms"], f["lab_rss_mib"], f["rss_all_mib"])
 	r.printHollow(w)
 	if r.Late != "" {
-		fmt.Fprintf(w, "  LATE       %s: where times count, this run is not believed\n", r.Late)
+		fmt.Fprintf(w, "  LATE       %s: measured times of this run are unreliable\n", r.Late)
 	}
 	for _, v := range r.Verdicts {
 		switch {
@@ -408,7 +414,7 @@
 	}
 }
 
-// FigureNames are the figures of some results, in order.
+// FigureNames returns the names of all figures that occur in some results, sorted.
 func FigureNames(all ...*Result) []string {
 	names := make(map[string]bool)
 	for _, r := range all {
@@ -419,7 +425,7 @@
 	return slices.Sorted(maps.Keys(names))
 }
 
-// JSON writes a result for programs.
+// JSON writes a result as JSON.
 func (r *Result) JSON(w io.Writer) error {
 	raw, err := r.encode()
 	if err != nil {
--- a/internal/lab/roster.go
+++ b/internal/lab/roster.go
@@ -14,40 +14,40 @@
 	"arrowgw/internal/world"
 )
 
-// firstVersion is the list's version at the start: sidecars know the list before it, or none.
+// firstVersion is the version of the server list at the start of a run.
 const firstVersion = 1
 
-// oldAddressGrace is how long discovery's old address keeps its connections after a move.
+// oldAddressGrace is how long discovery's old address keeps its open connections after a move.
 const oldAddressGrace = 1500 * time.Millisecond
 
-// maxWatch is how long discovery holds a watch at most.
+// maxWatch is the longest time for which discovery holds a watch open.
 const maxWatch = time.Minute
 
-// roster is the stand-in for discovery: one list, one desk, and an answer for each sidecar, as each reaches the
-// servers at addresses of its own.
+// roster is the stand-in for discovery. It holds one server list, answers one call after the other (world.Desk), and words
+// each answer for the sidecar that asks, because every sidecar reaches the servers at addresses of its own.
 type roster struct {
 	clock          clock
 	history        *History
 	net            *subnet
 	scene          *Scenario
 	servers        *servers
-	port           int // of now
-	pendingUpdates []*time.Timer
+	port           int           // of the current address
+	pendingUpdates []*time.Timer // updates that scheduleUpdate has yet to make
 
 	mu              sync.Mutex
 	list            *world.Roster
 	desk            world.Desk
-	changed         chan struct{} // closed with each change
-	watchesSilenced chan struct{} // closed where the watches that are open fall silent
-	unavailable     bool
-	stale           *world.Roster // what it answers with instead, while it is stale
-	knownOut        [][]bool      // by sidecar and server: whether it was told that the server is out
-	calls           int
-	lines           int
-	failed          int
+	changed         chan struct{} // closed and replaced at each change of the list or of availability
+	watchesSilenced chan struct{} // closed and replaced by silenceWatches
+	unavailable     bool          // calls fail
+	stale           *world.Roster // answered from in place of list, unless nil
+	knownOut        [][]bool      // by sidecar and server: whether the sidecar was informed that the server is out of service
+	calls           int           // calls received
+	lines           int           // list entries sent or ready to be sent
+	failed          int           // calls that failed, because discovery was busy or unavailable
 
-	httpServers []*http.Server     // the one of now is the last
-	listeners   []*net.TCPListener // its listeners
+	httpServers []*http.Server     // one for each address so far; the last is the current one
+	listeners   []*net.TCPListener // of the current address
 }
 
 func newRoster(s *Scenario, c clock, h *History, n *subnet, servers *servers) (*roster, error) {
@@ -63,7 +63,7 @@
 	return r, r.open()
 }
 
-// open begins to serve at the address of now.
+// open starts to serve at a new address, which becomes the current one.
 func (r *roster) open() error {
 	port, err := r.net.port()
 	if err != nil {
@@ -73,12 +73,12 @@
 	if err != nil {
 		return err
 	}
-	place := &http.Server{Handler: r, ErrorLog: slog.NewLogLogger(slog.DiscardHandler, slog.LevelDebug)}
+	server := &http.Server{Handler: r, ErrorLog: slog.NewLogLogger(slog.DiscardHandler, slog.LevelDebug)}
 	r.mu.Lock()
-	r.httpServers, r.port, r.listeners = append(r.httpServers, place), port, all
+	r.httpServers, r.port, r.listeners = append(r.httpServers, server), port, all
 	r.mu.Unlock()
 	for _, l := range all {
-		go func() { _ = place.Serve(l) }() // ends with the place
+		go func() { _ = server.Serve(l) }() // ends when the server is closed
 	}
 	return nil
 }
@@ -89,37 +89,37 @@
 		t.Stop()
 	}
 	r.mu.Unlock()
-	for _, p := range r.httpServers {
-		p.Close()
+	for _, server := range r.httpServers {
+		server.Close()
 	}
 }
 
-// move opens another address. The old one takes no new connections, and ends a little later.
+// move opens another address. The old one accepts no new connections, and closes the open ones after oldAddressGrace.
 func (r *roster) move() error {
-	old, doors := r.httpServers[len(r.httpServers)-1], r.listeners
+	old, oldListeners := r.httpServers[len(r.httpServers)-1], r.listeners
 	if err := r.open(); err != nil {
 		return err
 	}
-	for _, l := range doors {
+	for _, l := range oldListeners {
 		endListener(l)
 	}
-	soon, cancel := context.WithTimeout(context.Background(), oldAddressGrace)
+	ctx, cancel := context.WithTimeout(context.Background(), oldAddressGrace)
 	go func() {
 		defer cancel()
-		_ = old.Shutdown(soon) // watches are cut off then
+		_ = old.Shutdown(ctx) // open watches are cut off after the grace period
 		old.Close()
 	}()
 	return nil
 }
 
-// address is where a sidecar reaches discovery now.
+// address returns the address at which a sidecar reaches discovery.
 func (r *roster) address(sidecar int) string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.net.at(sidecar, r.port)
 }
 
-// scheduleUpdate takes what happened to a server; the list knows it after the lag.
+// scheduleUpdate enters the new state of a server in the list once lag has passed.
 func (r *roster) scheduleUpdate(lag time.Duration, e world.Entry) {
 	set := func() {
 		r.mu.Lock()
@@ -134,7 +134,7 @@
 	r.mu.Unlock()
 }
 
-// setOutage begins or ends one: calls fail, and watches end.
+// setOutage starts or ends an outage of discovery, in which calls and open watches fail.
 func (r *roster) setOutage(on bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -143,7 +143,7 @@
 	r.changed = make(chan struct{})
 }
 
-// setStale has it answer with the list of now, whatever changes, or with the true one again.
+// setStale has discovery answer from a copy of the present list, whatever changes, or from the live list again.
 func (r *roster) setStale(on bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -153,7 +153,7 @@
 	}
 }
 
-// silenceWatches has all watches that are open fall silent; new ones are served.
+// silenceWatches has all open watches never answer. New ones are served.
 func (r *roster) silenceWatches() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -161,14 +161,14 @@
 	r.watchesSilenced = make(chan struct{})
 }
 
-// setExtraDelay makes each call take so much longer.
+// setExtraDelay makes each call take longer than the scenario says.
 func (r *roster) setExtraDelay(by time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.desk.Call = r.scene.List.Call.Std() + by
 }
 
-// ServeHTTP is discovery's side of the protocol.
+// ServeHTTP answers a call of a sidecar by the protocol of discovery: the whole list, or a watch where the query has an index.
 func (r *roster) ServeHTTP(w http.ResponseWriter, req *http.Request) {
 	local, _ := req.Context().Value(http.LocalAddrContextKey).(net.Addr)
 	sidecar := r.net.caller(local)
@@ -193,7 +193,7 @@
 	}
 	raw, err := json.Marshal(r.listing(sidecar, version, whole, entries))
 	if err != nil {
-		panic(err) // of plain fields
+		panic(err) // cannot happen: plain fields only
 	}
 	w.Header().Set("Content-Type", "application/json")
 	if _, err := w.Write(raw); err == nil && http.NewResponseController(w).Flush() == nil {
@@ -201,7 +201,9 @@
 	}
 }
 
-// awaitAnswer waits for its turn, and a watch for news.
+// awaitAnswer waits until a watch has something to report or its time is over, then for the call's turn at discovery.
+// It returns the entries that changed since version since, or the whole list where since is negative or unknown. ok is
+// false where the call fails.
 func (r *roster) awaitAnswer(ctx context.Context, since int64, wait time.Duration) (entries []world.Entry, version int64, whole, ok bool) {
 	end := time.NewTimer(wait)
 	defer end.Stop()
@@ -210,14 +212,14 @@
 	r.mu.Unlock()
 	for waiting := since >= 0; waiting; {
 		r.mu.Lock()
-		news, away := r.changed, r.unavailable
-		waiting = r.servedList().Version() == since && !away
+		changed, unavailable := r.changed, r.unavailable
+		waiting = r.servedList().Version() == since && !unavailable
 		r.mu.Unlock()
 		if !waiting {
 			break
 		}
 		select {
-		case <-news:
+		case <-changed:
 		case <-end.C:
 			waiting = false
 		case <-muted:
@@ -255,6 +257,7 @@
 	return entries, version, whole, !r.unavailable
 }
 
+// servedList returns the list that calls are answered from. The caller holds the lock.
 func (r *roster) servedList() *world.Roster {
 	if r.stale != nil {
 		return r.stale
@@ -262,14 +265,14 @@
 	return r.list
 }
 
-// recordSentEntries takes that a sidecar was told so much of the list: it binds the sidecar from now on.
+// recordSentEntries records that a sidecar has been sent entries of the list, which it must obey from now on.
 func (r *roster) recordSentEntries(sidecar int, whole bool, entries []world.Entry) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	out := make(map[int]bool)
 	for server := range r.knownOut[sidecar] {
 		if whole {
-			out[server] = true // until the list names it
+			out[server] = true // unless the whole list has an entry for it
 		}
 	}
 	for _, e := range entries {
@@ -278,17 +281,17 @@
 	r.recordKnown(sidecar, out)
 }
 
-// recordKnown enters what is news to a sidecar.
+// recordKnown records in the history which servers changed, from the point of view of a sidecar. The caller holds the lock.
 func (r *roster) recordKnown(sidecar int, out map[int]bool) {
-	for server, is := range out {
-		if r.knownOut[sidecar][server] != is {
-			r.knownOut[sidecar][server] = is
-			r.history.recordServerUpdate(ServerUpdate{At: r.clock.now(), Sidecar: sidecar, Server: server, Out: is})
+	for server, isOut := range out {
+		if r.knownOut[sidecar][server] != isOut {
+			r.knownOut[sidecar][server] = isOut
+			r.history.recordServerUpdate(ServerUpdate{At: r.clock.now(), Sidecar: sidecar, Server: server, Out: isOut})
 		}
 	}
 }
 
-// sidecarRestarted takes that a sidecar begins anew: its configuration has all servers ready.
+// sidecarRestarted records that a sidecar starts with its configuration, in which all servers are ready.
 func (r *roster) sidecarRestarted(sidecar int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -302,7 +305,7 @@
 // serverName is a server's instanceId.
 func serverName(i int) string { return fmt.Sprintf("s-%04x", 0x1000+i*37) }
 
-// instance is an entry in discovery's form.
+// instance is an entry of discovery's JSON answer.
 type instance struct {
 	InstanceID  string  `json:"instanceId"`
 	HostPort    string  `json:"hostPort"`
@@ -314,14 +317,14 @@
 	StartedAtMs int64   `json:"startedAtMs"`
 }
 
-// listingJSON is an answer in discovery's form.
+// listingJSON is discovery's JSON answer.
 type listingJSON struct {
 	Generation int64      `json:"generation"`
 	Reset      bool       `json:"reset"`
 	Instances  []instance `json:"instances"`
 }
 
-// listing words entries for a sidecar.
+// listing returns the answer for a sidecar, with its addresses of the servers.
 func (r *roster) listing(sidecar int, version int64, whole bool, entries []world.Entry) listingJSON {
 	l := listingJSON{Generation: version, Reset: whole, Instances: []instance{}}
 	for _, e := range entries {
--- a/internal/lab/spread.go
+++ b/internal/lab/spread.go
@@ -8,15 +8,15 @@
 	"time"
 )
 
-// The spread is how evenly sends (attempts that reached a server, whoever sent them) fall on the servers that are ready
-// and warm. Each figure has beside it what chance gives: the same sends at the same times, each dealt to a server drawn
-// anew among those that were ready and warm then. Sends at other servers count for none of them.
+// The spread is how evenly sends (attempts that reached a server, from any sidecar) are distributed over the servers that
+// are ready and warm. Each figure has a counterpart for chance: the same sends at the same times, each to a server drawn at
+// random from those that were ready and warm then. Sends to other servers count for neither.
 const (
-	spreadWarmup     = 10 * time.Second      // left out at the start, or half of the time until the first fault,
-	spreadAfterFault = 5 * time.Second       // and after the last fault began
-	herdWindow       = 50 * time.Millisecond // sends to one server within it are a herd
-	chanceDraws      = 20                    // of which what chance gives is the mean
-	spreadStep       = time.Second           // between the windows that variation is taken over
+	spreadWarmup     = 10 * time.Second      // not counted at the start of a run, or half of the time until the first fault if shorter
+	spreadAfterFault = 5 * time.Second       // not counted after the last fault began
+	herdWindow       = 50 * time.Millisecond // sends to one server within this time form a herd
+	chanceDraws      = 20                    // random distributions over which a figure by chance is averaged
+	spreadStep       = time.Second           // from the start of one window to the next
 )
 
 // send is an attempt that reached a server.
@@ -28,29 +28,30 @@
 // eligibleSpans are the times in which a server is ready and warm.
 type eligibleSpans []gap
 
+// covers reports whether the server is ready and warm for the whole time from one moment to another.
 func (f eligibleSpans) covers(from, to time.Duration) bool {
 	return slices.ContainsFunc(f, func(g gap) bool { return g.from <= from && to <= g.to })
 }
 
-// eligibleTimes says when each server is ready and warm, from zero on: not while something was done to it, nor until it is warm
-// again and the list has said so.
+// eligibleTimes returns for each server, replacements included, when it is ready and warm, from zero on. A fault that acts on
+// a server excludes the time until the server is mended and warm again and discovery's list shows it.
 func (r *run) eligibleTimes(plan []Action) []eligibleSpans {
 	s := r.scene
 	all := make([]eligibleSpans, s.Fleet.Servers+s.spares())
 	for i := range s.Fleet.Servers {
 		all[i] = eligibleSpans{{0, s.For.Std()}}
 	}
-	without := func(server int, from, to time.Duration) {
-		var left eligibleSpans
+	exclude := func(server int, from, to time.Duration) {
+		var rest eligibleSpans
 		for _, g := range all[server] {
 			if part := (gap{g.from, min(g.to, from)}); part.from < part.to {
-				left = append(left, part)
+				rest = append(rest, part)
 			}
 			if part := (gap{max(g.from, to), g.to}); part.from < part.to {
-				left = append(left, part)
+				rest = append(rest, part)
 			}
 		}
-		all[server] = left
+		all[server] = rest
 	}
 	for _, a := range plan {
 		if kinds[a.Do].on != "server" {
@@ -71,19 +72,19 @@
 			case a.For > 0:
 				to = from + a.For.Std() + back
 			}
-			without(server, from, to)
+			exclude(server, from, to)
 		}
 	}
 	for i, u := range r.servers.all {
 		if u.pushed {
-			without(i, u.fell, s.For.Std())
+			exclude(i, u.fell, s.For.Std())
 		}
 	}
 	return all
 }
 
-// measureSends takes the figures of sends, in order of time, from one moment to another. Windows that a server is not ready and
-// warm all through count without it.
+// measureSends computes the figures of sends, which are in order of time, from one moment to another. A window counts the
+// servers that are ready and warm for all of it.
 func measureSends(sends []send, fits []eligibleSpans, from, to time.Duration) map[string]float64 {
 	f := make(map[string]float64)
 	by := make([][]time.Duration, len(fits))
@@ -92,21 +93,21 @@
 			by[s.server] = append(by[s.server], s.at)
 		}
 	}
-	count := func(server int, from, to time.Duration) float64 {
+	sendsIn := func(server int, from, to time.Duration) float64 {
 		a, _ := slices.BinarySearch(by[server], from)
 		b, _ := slices.BinarySearch(by[server], to)
 		return float64(b - a)
 	}
 	for _, w := range []struct {
-		name string
-		long time.Duration
+		name   string
+		length time.Duration
 	}{{"1s", time.Second}, {"10s", 10 * time.Second}} {
-		var windows, mean, variance, most, least, idle float64
-		for at := from; at+w.long <= to; at += spreadStep {
+		var windows, mean, variance, busiest, least, idle float64
+		for at := from; at+w.length <= to; at += spreadStep {
 			var loads []float64
 			for server := range fits {
-				if fits[server].covers(at, at+w.long) {
-					loads = append(loads, count(server, at, at+w.long))
+				if fits[server].covers(at, at+w.length) {
+					loads = append(loads, sendsIn(server, at, at+w.length))
 				}
 			}
 			m, v := meanAndVariance(loads)
@@ -114,7 +115,7 @@
 				continue
 			}
 			windows, mean, variance = windows+1, mean+m, variance+v
-			most, least = most+slices.Max(loads)/m, least+slices.Min(loads)/m
+			busiest, least = busiest+slices.Max(loads)/m, least+slices.Min(loads)/m
 			if slices.Min(loads) == 0 {
 				idle++
 			}
@@ -123,10 +124,10 @@
 			continue
 		}
 		f["spread_"+w.name] = math.Sqrt(variance/windows) / (mean / windows)
-		if w.long == time.Second {
+		if w.length == time.Second {
 			f["idle_s"] = idle
 		} else {
-			f["busiest"], f["least"] = most/windows, least/windows
+			f["busiest"], f["least"] = busiest/windows, least/windows
 		}
 	}
 	longest := time.Duration(0)
@@ -144,8 +145,8 @@
 	return f
 }
 
-// largestHerd is the largest number of sends to one server within herdTime. They are in order of time.
-func largestHerd(sends []send) (most int) {
+// largestHerd returns the largest number of sends to one server within herdWindow. The sends are in order of time.
+func largestHerd(sends []send) (largest int) {
 	by := make(map[int][]time.Duration)
 	for _, s := range sends {
 		times := append(by[s.server], s.at)
@@ -153,30 +154,30 @@
 			times = times[1:]
 		}
 		by[s.server] = times
-		most = max(most, len(times))
+		largest = max(largest, len(times))
 	}
-	return most
+	return largest
 }
 
-// herdFigures are the largest herd of some time, at any server, and what chance gives.
+// herdFigures returns the size of the largest herd at any server from one moment to another, and its mean size by chance.
 func herdFigures(sends []send, fits []eligibleSpans, from, to time.Duration) (f [2]float64) {
-	some := sendsBetween(sends, from, to)
-	rng := rand.New(rand.NewPCG(9, uint64(len(some))))
+	part := sendsBetween(sends, from, to)
+	rng := rand.New(rand.NewPCG(9, uint64(len(part))))
 	for range chanceDraws {
-		f[1] += float64(largestHerd(dealAtRandom(some, fits, rng))) / chanceDraws
+		f[1] += float64(largestHerd(dealAtRandom(part, fits, rng))) / chanceDraws
 	}
-	f[0] = float64(largestHerd(some))
+	f[0] = float64(largestHerd(part))
 	return f
 }
 
-// sendsBetween are the sends of some time, in order.
+// sendsBetween returns the sends from one moment up to but not including another, in order of time.
 func sendsBetween(sends []send, from, to time.Duration) []send {
-	some := slices.DeleteFunc(slices.Clone(sends), func(s send) bool { return s.at < from || s.at >= to })
-	slices.SortFunc(some, func(a, b send) int { return cmp.Compare(a.at, b.at) })
-	return some
+	part := slices.DeleteFunc(slices.Clone(sends), func(s send) bool { return s.at < from || s.at >= to })
+	slices.SortFunc(part, func(a, b send) int { return cmp.Compare(a.at, b.at) })
+	return part
 }
 
-// meanAndVariance are the mean and the variance of some values.
+// meanAndVariance returns the mean and the variance of some values.
 func meanAndVariance(values []float64) (mean, variance float64) {
 	for _, v := range values {
 		mean += v / float64(len(values))
@@ -187,39 +188,39 @@
 	return mean, variance
 }
 
-// dealAtRandom deals sends anew, each to one of the servers that are ready and warm at its time.
+// dealAtRandom returns sends at the same times, each to a random server among those that were ready and warm then.
 func dealAtRandom(sends []send, fits []eligibleSpans, rng *rand.Rand) []send {
-	var ends []time.Duration // of the stretches in which the same servers are
+	var bounds []time.Duration // between two of them the same servers are ready and warm
 	for _, f := range fits {
 		for _, g := range f {
-			ends = append(ends, g.from, g.to)
+			bounds = append(bounds, g.from, g.to)
 		}
 	}
-	slices.Sort(ends)
-	ends = slices.Compact(ends)
-	able := make([][]int, len(ends)+1)
-	for i := 1; i < len(ends); i++ {
+	slices.Sort(bounds)
+	bounds = slices.Compact(bounds)
+	eligible := make([][]int, len(bounds)+1)
+	for i := 1; i < len(bounds); i++ {
 		for server, f := range fits {
-			if f.covers(ends[i-1], ends[i]) {
-				able[i] = append(able[i], server)
+			if f.covers(bounds[i-1], bounds[i]) {
+				eligible[i] = append(eligible[i], server)
 			}
 		}
 	}
 	var all []send
 	for _, s := range sends {
-		i, exact := slices.BinarySearch(ends, s.at)
+		i, exact := slices.BinarySearch(bounds, s.at)
 		if exact {
 			i++
 		}
-		if i < len(able) && len(able[i]) > 0 {
-			all = append(all, send{s.at, able[i][rng.IntN(len(able[i]))]})
+		if i < len(eligible) && len(eligible[i]) > 0 {
+			all = append(all, send{s.at, eligible[i][rng.IntN(len(eligible[i]))]})
 		}
 	}
 	return all
 }
 
-// spreadFigures are the figures of a stretch, each with what chance gives, and the shares of variation, busiest and least
-// that chance does not explain.
+// spreadFigures returns the figures of the time from one moment to another, each with its value by chance, and those parts of
+// variation, busiest and least that chance does not explain.
 func spreadFigures(sends []send, fits []eligibleSpans, from, to time.Duration) map[string]float64 {
 	counted := slices.DeleteFunc(sendsBetween(sends, from, to), func(s send) bool { return !fits[s.server].covers(s.at, s.at) })
 	if len(counted) == 0 {
@@ -239,9 +240,9 @@
 			f["spread_"+w+"_over"] = math.Sqrt(max(0, v*v-c*c))
 		}
 	}
-	if v, ok := f["spread_10s"]; ok { // each load drawn to the mean by the part of the variation that is chance's
-		part := f["spread_10s_over"] / max(v, 1e-9)
-		f["busiest_over"], f["least_over"] = 1+(f["busiest"]-1)*part, 1-(1-f["least"])*part
+	if v, ok := f["spread_10s"]; ok { // each load moved towards the mean by the part of the variation that is due to chance
+		unexplained := f["spread_10s_over"] / max(v, 1e-9)
+		f["busiest_over"], f["least_over"] = 1+(f["busiest"]-1)*unexplained, 1-(1-f["least"])*unexplained
 	}
 	for name, v := range chance {
 		f[name+"_chance"] = v
@@ -249,8 +250,8 @@
 	return f
 }
 
-// SpreadFigures are the names of the figures of the spread, for tables. Those of the time after the last fault began begin
-// with "after_".
+// SpreadFigures returns the names of the spread's figures, for tables. Those of the time after the last fault began have the
+// prefix "after_".
 func SpreadFigures() (all []string) {
 	for _, when := range []string{"", "after_"} {
 		for _, name := range []string{"spread_1s", "spread_1s_over", "spread_10s", "spread_10s_over", "busiest", "busiest_over",
@@ -261,8 +262,8 @@
 	return all
 }
 
-// addSpreadFigures counts how evenly a run's sends fell: up to its first fault, and from some seconds after the last began. Herds
-// are counted from the first fault on: they come in the first moments.
+// addSpreadFigures adds how evenly a run's sends were distributed: up to its first fault, and from spreadAfterFault after the
+// last one began. Herds are counted from the first fault on, because they occur in its first moments.
 func (r *run) addSpreadFigures(plan []Action, f map[string]float64) {
 	length := r.scene.For.Std()
 	before, after := length, length
@@ -274,19 +275,19 @@
 		last := at + time.Duration(max(0, len(a.Targets)-1))*a.Pause.Std()
 		after = max(after, last+spreadAfterFault)
 	}
-	sends, fits, settled := r.history.allSends(), r.fits, min(spreadWarmup, before/2)
+	sends, fits, start := r.history.allSends(), r.fits, min(spreadWarmup, before/2)
 	for _, part := range []struct {
-		name            string
+		prefix          string
 		from, herds, to time.Duration
-	}{{"", settled, settled, before}, {"after_", after, before, length}} {
+	}{{"", start, start, before}, {"after_", after, before, length}} {
 		if part.from+time.Second > part.to {
 			continue
 		}
 		for name, v := range spreadFigures(sends, fits, part.from, part.to) {
-			f[part.name+name] = v
+			f[part.prefix+name] = v
 		}
 		h := herdFigures(sends, fits, part.herds, part.to)
-		f[part.name+"herd"], f[part.name+"herd_chance"] = h[0], h[1]
+		f[part.prefix+"herd"], f[part.prefix+"herd_chance"] = h[0], h[1]
 	}
 	opened := r.servers.dialled.values()
 	for second, n := range opened {
@@ -297,7 +298,8 @@
 	}
 }
 
-// spreadCurves are the loads of the ready, warm servers in each second, against their mean.
+// spreadCurves returns the highest and the lowest load of the ready, warm servers in each second relative to their mean, and
+// the variation of their loads with the one that chance alone would give.
 func spreadCurves(tally []*counter, fits []eligibleSpans, length time.Duration) []curve {
 	busiest, least := curve{name: "busiest"}, curve{name: "least"}
 	varied, chance := curve{name: "variation"}, curve{name: "variation by chance"}
@@ -306,23 +308,23 @@
 		loads[i] = c.values()
 	}
 	for at := time.Duration(0); at+time.Second <= length; at += time.Second {
-		var now []float64
+		var current []float64
 		for server, f := range fits {
 			if f.covers(at, at+time.Second) {
-				now = append(now, loads[server][at/time.Second])
+				current = append(current, loads[server][at/time.Second])
 			}
 		}
-		top, low, variation, by := 0.0, 0.0, 0.0, 0.0
-		if m, v := meanAndVariance(now); m > 0 {
-			top, low, variation, by = slices.Max(now)/m, slices.Min(now)/m, math.Sqrt(v)/m, 1/math.Sqrt(m)
+		top, low, variation, byChance := 0.0, 0.0, 0.0, 0.0
+		if m, v := meanAndVariance(current); m > 0 {
+			top, low, variation, byChance = slices.Max(current)/m, slices.Min(current)/m, math.Sqrt(v)/m, 1/math.Sqrt(m)
 		}
 		busiest.values, least.values = append(busiest.values, top), append(least.values, low)
-		varied.values, chance.values = append(varied.values, variation), append(chance.values, by)
+		varied.values, chance.values = append(varied.values, variation), append(chance.values, byChance)
 	}
 	return []curve{busiest, least, varied, chance}
 }
 
-// allSends are all attempts that reached a server, in no order.
+// allSends returns all attempts that reached a server, in no particular order.
 func (h *History) allSends() (all []send) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
