--- a/internal/lab/hollow.go
+++ b/internal/lab/hollow.go
@@ -23,26 +23,27 @@
 	"arrowgw/internal/meter"
 )
 
-// Hollow sidecars are control alone (sidecar.Hollow), many to a holder: a process of the lab's own program. They stand in one fleet
-// with whole ones, and are numbered after these. Without fleet.mesh all reach each other directly, at their own addresses.
+// Hollow sidecars run the control plane alone (sidecar.Hollow). Many of them run in each worker process, which is the lab's own
+// program. They form one fleet with the whole sidecars and are numbered after them. Without fleet.mesh all reach each other
+// directly, at their own addresses.
 const (
 	maxHollow            = 10_000
-	maxHollowPerWorker   = 1000 // by one holder: each has some descriptors
-	maxProcesses         = 300  // of the machine, whole sidecars and holders together, where there are hollow ones
+	maxHollowPerWorker   = 1000 // because each has several descriptors
+	maxProcesses         = 300  // whole sidecars and workers together, where there are hollow sidecars
 	agreementTimeout     = 30 * time.Second
-	workerCallTimeout    = 20 * time.Second // a holder answers by then
+	workerCallTimeout    = 20 * time.Second
 	agreementInterval    = 250 * time.Millisecond
 	statusInterval       = 25 * time.Millisecond
-	statusTimeout        = 20 * time.Second // a kill that is not known to all by then, or a push not in force, is told as that
-	hollowRequestRate    = 142              // requests a second that a hollow one says it has: the planned calls by the planned sidecars
-	bytesPerHollow       = 1 << 20          // of memory that one takes, about,
-	bytesPerMember       = 1 << 10          // and for each member of the fleet,
-	bytesPerListedServer = 1 << 10          // and for each server in the list
-	bytesPerWhole        = 17 << 20         // and a whole one
-	workerLogPrefix      = "holder"
+	statusTimeout        = 20 * time.Second // a kill not noticed by all, or a push not in force, by then is counted as such
+	hollowRequestRate    = 142              // per second, as each hollow sidecar reports: the planned requests of one sidecar
+	bytesPerHollow       = 1 << 20          // approximate memory of a hollow sidecar
+	bytesPerMember       = 1 << 10          // more for each member of the fleet
+	bytesPerListedServer = 1 << 10          // more for each server in the list
+	bytesPerWhole        = 17 << 20         // approximate memory of a whole sidecar
+	workerLogPrefix      = "holder" // start of the names of workers' log files
 )
 
-// checkHollowSize sees that hollow sidecars fit on this machine.
+// checkHollowSize checks that the hollow sidecars of a scenario fit on this machine.
 func (s *Scenario) checkHollowSize() error {
 	memory, err := machineMemory()
 	if err != nil {
@@ -51,29 +52,29 @@
 	return s.checkHollowFits(memory)
 }
 
-// checkHollowFits is bounds for a machine with so many bytes of memory.
+// checkHollowFits is checkHollowSize for a machine with the given memory in bytes.
 func (s *Scenario) checkHollowFits(memory int64) error {
 	n := s.Fleet.Hollow
 	if n == 0 {
 		return nil
 	}
-	where := s.from
+	place := s.from // file and line of the key
 	if line := s.lines["fleet.hollow"]; line > 0 {
-		where = fmt.Sprintf("%s:%d", s.from, line)
+		place = fmt.Sprintf("%s:%d", s.from, line)
 	}
 	need := int64(n)*int64(bytesPerHollow+bytesPerMember*s.all()+bytesPerListedServer*s.Fleet.Servers) + int64(s.Fleet.Sidecars)*bytesPerWhole
 	switch processes := s.Fleet.Sidecars + (n+maxHollowPerWorker-1)/maxHollowPerWorker; {
 	case need > memory/2:
-		return fmt.Errorf("%s: key \"fleet.hollow\" is %d: about %d MiB are needed, and %d, half of this machine's memory, are allowed", where, n, need>>20, memory>>21)
+		return fmt.Errorf("%s: key \"fleet.hollow\" is %d: about %d MiB are needed; %d, half of this machine's memory, are allowed", place, n, need>>20, memory>>21)
 	case processes > maxProcesses:
-		return fmt.Errorf("%s: key \"fleet.hollow\" is %d: %d processes beside it, %d are allowed", where, n, processes, maxProcesses)
+		return fmt.Errorf("%s: key \"fleet.hollow\" is %d: %d processes are needed for it and the whole sidecars; %d are allowed", place, n, processes, maxProcesses)
 	case s.Fleet.Mesh && s.all() > 400:
-		return fmt.Errorf("%s: key \"fleet.hollow\" is %d: with fleet.mesh 400 sidecars of both kinds are allowed", where, n)
+		return fmt.Errorf("%s: key \"fleet.hollow\" is %d: at most 400 sidecars, whole and hollow, are allowed with fleet.mesh", place, n)
 	}
 	return nil
 }
 
-// machineMemory is the machine's memory in bytes.
+// machineMemory returns the machine's memory in bytes.
 func machineMemory() (int64, error) {
 	var info syscall.Sysinfo_t
 	if err := syscall.Sysinfo(&info); err != nil {
@@ -82,29 +83,30 @@
 	return int64(info.Totalram) * int64(info.Unit), nil
 }
 
-// workerProcess is a holder as the lab has it.
+// workerProcess is a worker process, as the lab that started it sees it.
 type workerProcess struct {
 	cmd      *exec.Cmd
 	client   *rpc.Client
-	from, to int           // numbers of its hollow sidecars
-	baseRSS  float64       // MiB before the first
-	closed   chan struct{} // closed at its end
+	from, to int           // numbers of its hollow sidecars; to is excluded
+	baseRSS  float64       // resident memory in MiB before the first hollow sidecar
+	closed   chan struct{} // closed when the lab ends it
 }
 
-// hollowGroup are all hollow sidecars of a run.
+// hollowGroup manages all hollow sidecars of a run and the workers that run them.
 type hollowGroup struct {
 	run         *run
 	ctx         context.Context // of the run
 	workers     []*workerProcess
-	lateReasons []string // what holders say of times that are not to be believed
+	lateReasons []string // why measured times of workers are unreliable
 
 	mu           sync.Mutex
-	rulesVersion uint64               // of rules, as pushed last
-	measurements map[string][]float64 // seconds and so on, one for each time that it was measured
-	restReadings [2]*usageReading     // the fleet's use at the start and at the first fault, or the end
+	rulesVersion uint64               // of the rule set that was pushed last
+	measurements map[string][]float64 // by figure, one value for each time that it was measured
+	restReadings [2]*usageReading     // at the start, and at the first fault or the end of the run
 }
 
-// startHollow starts the holders and all hollow sidecars, and waits until they agree, for settleTime at most.
+// startHollow starts the workers and all hollow sidecars, and waits for at most agreementTimeout until all see the same
+// members and report that they agree.
 func (r *run) startHollow(ctx context.Context) (err error) {
 	h := &hollowGroup{run: r, ctx: ctx, measurements: make(map[string][]float64)}
 	r.hollow = h
@@ -117,23 +119,23 @@
 		return err
 	}
 	for from := s.Fleet.Sidecars; from < s.all(); from += maxHollowPerWorker {
-		one, err := h.startWorker(program, from, min(from+maxHollowPerWorker, s.all()))
+		worker, err := h.startWorker(program, from, min(from+maxHollowPerWorker, s.all()))
 		if err != nil {
 			return err
 		}
-		h.workers = append(h.workers, one)
+		h.workers = append(h.workers, worker)
 	}
 	began := time.Now()
-	err = h.eachWorker(func(one *workerProcess) error {
+	err = h.eachWorker(func(worker *workerProcess) error {
 		var specs []HollowSpec
-		for i := one.from; i < one.to; i++ {
+		for i := worker.from; i < worker.to; i++ {
 			config, err := r.processes.configure(i, 0)
 			if err != nil {
 				return err
 			}
 			specs = append(specs, HollowSpec{i, config, r.processes.stateDir(i), hollowRequestRate})
 		}
-		return h.call(one, "Hold.Start", specs, &struct{}{})
+		return h.call(worker, "Hold.Start", specs, &struct{}{})
 	})
 	if err != nil {
 		return err
@@ -143,17 +145,17 @@
 		r.history.recordProcess(i, r.clock.now(), true)
 	}
 	h.addMeasurement("hollow_started_s", started.Sub(began).Seconds())
-	seen := false
+	allSeen := false
 	for time.Since(started) < agreementTimeout && ctx.Err() == nil {
-		l, err := h.queryStatus(StatusRequest{Members: true})
+		status, err := h.queryStatus(StatusRequest{Members: true})
 		if err != nil {
 			return err
 		}
-		if !seen && l.Least == s.all() {
-			seen = true
+		if !allSeen && status.Least == s.all() {
+			allSeen = true
 			h.addMeasurement("hollow_see_all_s", time.Since(started).Seconds())
 		}
-		if seen && l.Least == l.Most && l.Agreed == l.Running && len(l.Views) == 1 {
+		if allSeen && status.Least == status.Most && status.Agreed == status.Running && len(status.Views) == 1 {
 			h.addMeasurement("hollow_agree_s", time.Since(started).Seconds())
 			return h.collectLateness(time.Since(began), "start")
 		}
@@ -162,11 +164,11 @@
 	if !strings.Contains(s.Fleet.File, "[member]") {
 		return ctx.Err()
 	}
-	h.lateReasons = append(h.lateReasons, fmt.Sprintf("hollow sidecars were not of one mind %v after the last had started", agreementTimeout))
+	h.lateReasons = append(h.lateReasons, fmt.Sprintf("hollow sidecars did not agree on one view within %v after the last start", agreementTimeout))
 	return errors.Join(ctx.Err(), h.collectLateness(time.Since(began), "start"))
 }
 
-// startWorker starts a holder.
+// startWorker starts a worker process for the hollow sidecars from one number up to but not including another.
 func (h *hollowGroup) startWorker(program string, from, to int) (*workerProcess, error) {
 	p := h.run.processes
 	log, err := os.Create(filepath.Join(p.logs, fmt.Sprintf("%s-%d.log", workerLogPrefix, from)))
@@ -174,75 +176,76 @@
 		return nil, err
 	}
 	defer log.Close()
-	one := &workerProcess{from: from, to: to, closed: make(chan struct{})}
-	one.cmd = exec.Command(program)
-	one.cmd.Dir, one.cmd.Stderr = p.dir, log
-	one.cmd.Env = append(os.Environ(), workerEnv+"=1")
-	one.cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
-	in, err := one.cmd.StdinPipe()
+	worker := &workerProcess{from: from, to: to, closed: make(chan struct{})}
+	worker.cmd = exec.Command(program)
+	worker.cmd.Dir, worker.cmd.Stderr = p.dir, log
+	worker.cmd.Env = append(os.Environ(), workerEnv+"=1")
+	worker.cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
+	in, err := worker.cmd.StdinPipe()
 	if err != nil {
 		return nil, err
 	}
-	out, err := one.cmd.StdoutPipe()
+	out, err := worker.cmd.StdoutPipe()
 	if err != nil {
 		return nil, err
 	}
 	started := make(chan error)
-	p.starter <- func() { started <- one.cmd.Start() }
+	p.starter <- func() { started <- worker.cmd.Start() }
 	if err := <-started; err != nil {
-		return nil, fmt.Errorf("a holder of hollow sidecars: %w", err)
+		return nil, fmt.Errorf("worker of hollow sidecars: %w", err)
 	}
-	if err := p.record.add(one.cmd.Process.Pid); err != nil {
-		return nil, errors.Join(err, one.cmd.Process.Kill())
+	if err := p.record.add(worker.cmd.Process.Pid); err != nil {
+		return nil, errors.Join(err, worker.cmd.Process.Kill())
 	}
-	one.client = rpc.NewClient(struct {
+	worker.client = rpc.NewClient(struct {
 		io.Reader
 		io.WriteCloser
 	}{out, in})
 	var l StatusReply
-	if err := h.call(one, "Hold.Look", StatusRequest{}, &l); err != nil {
-		return nil, errors.Join(fmt.Errorf("a holder of hollow sidecars: %w", err), one.cmd.Process.Kill())
+	if err := h.call(worker, "Hold.Look", StatusRequest{}, &l); err != nil {
+		return nil, errors.Join(fmt.Errorf("worker of hollow sidecars: %w", err), worker.cmd.Process.Kill())
 	}
-	one.baseRSS, _, _ = usage(one.cmd.Process.Pid)
-	return one, nil
+	worker.baseRSS, _, _ = usage(worker.cmd.Process.Pid)
+	return worker, nil
 }
 
-// close ends all holders.
+// close ends all workers.
 func (h *hollowGroup) close() {
 	if h == nil {
 		return
 	}
-	for _, one := range h.workers {
+	for _, worker := range h.workers {
 		select {
-		case <-one.closed:
+		case <-worker.closed:
 			continue
 		default:
 		}
-		close(one.closed)
-		one.client.Close()
-		_ = one.cmd.Process.Kill() // it may have ended by itself
-		_ = one.cmd.Wait()         // killed
+		close(worker.closed)
+		worker.client.Close()
+		_ = worker.cmd.Process.Kill() // fails if it has already ended
+		_ = worker.cmd.Wait()         // its error says that it was killed
 	}
 }
 
-// call makes a call at a holder, until the run is ended or callMost is over: one that has too much to do answers late or never.
-func (h *hollowGroup) call(one *workerProcess, method string, args, reply any) error {
-	c := one.client.Go(method, args, reply, make(chan *rpc.Call, 1))
+// call calls a method of a worker. It gives up when the run ends, or after workerCallTimeout, because an overloaded worker
+// may answer late or never.
+func (h *hollowGroup) call(worker *workerProcess, method string, args, reply any) error {
+	c := worker.client.Go(method, args, reply, make(chan *rpc.Call, 1))
 	select {
 	case <-c.Done:
 		return c.Error
 	case <-h.ctx.Done():
 		return h.ctx.Err()
 	case <-time.After(workerCallTimeout):
-		return fmt.Errorf("a holder of hollow sidecars has not answered %s for %v: they have more to do than this machine can", method, workerCallTimeout)
+		return fmt.Errorf("a worker of hollow sidecars has not answered %s for %v: this machine is too slow for so many of them", method, workerCallTimeout)
 	}
 }
 
-// eachWorker does something at all holders at once.
-func (h *hollowGroup) eachWorker(do func(one *workerProcess) error) error {
+// eachWorker calls a function for all workers concurrently, and returns all errors.
+func (h *hollowGroup) eachWorker(do func(worker *workerProcess) error) error {
 	errs := make(chan error, len(h.workers))
-	for _, one := range h.workers {
-		go func() { errs <- do(one) }()
+	for _, worker := range h.workers {
+		go func() { errs <- do(worker) }()
 	}
 	var bad []error
 	for range h.workers {
@@ -251,14 +254,14 @@
 	return errors.Join(bad...)
 }
 
-// queryStatus looks at all hollow sidecars.
+// queryStatus returns the summary of all hollow sidecars.
 func (h *hollowGroup) queryStatus(q StatusRequest) (all StatusReply, err error) {
 	var mu sync.Mutex
 	all.Views = make(map[uint64]int)
 	first := true
-	err = h.eachWorker(func(one *workerProcess) error {
+	err = h.eachWorker(func(worker *workerProcess) error {
 		var l StatusReply
-		if err := h.call(one, "Hold.Look", q, &l); err != nil {
+		if err := h.call(worker, "Hold.Look", q, &l); err != nil {
 			return err
 		}
 		mu.Lock()
@@ -280,46 +283,48 @@
 	return all, err
 }
 
-// collectLateness takes what holders say of their own timers since the last time; what names the part of the run.
+// collectLateness asks the workers whether their timers were late since the previous call, length ago. what names that part
+// of the run in the reasons.
 func (h *hollowGroup) collectLateness(length time.Duration, what string) error {
-	return h.eachWorker(func(one *workerProcess) error {
+	return h.eachWorker(func(worker *workerProcess) error {
 		var why string
-		if err := h.call(one, "Hold.Lateness", length, &why); err != nil {
+		if err := h.call(worker, "Hold.Lateness", length, &why); err != nil {
 			return err
 		}
 		if why != "" {
 			h.mu.Lock()
 			defer h.mu.Unlock()
-			h.lateReasons = append(h.lateReasons, fmt.Sprintf("%s, of hollow sidecars: %s", what, why))
+			h.lateReasons = append(h.lateReasons, fmt.Sprintf("%s, workers of hollow sidecars: %s", what, why))
 		}
 		return nil
 	})
 }
 
+// addMeasurement adds a value to the measurements of a figure.
 func (h *hollowGroup) addMeasurement(figure string, value float64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.measurements[figure] = append(h.measurements[figure], value)
 }
 
-// workerOf is who holds a sidecar; nil: it is whole.
+// workerOf returns the worker that runs a sidecar; nil for a whole sidecar.
 func (h *hollowGroup) workerOf(sidecar int) *workerProcess {
-	for _, one := range h.workers {
-		if sidecar >= one.from && sidecar < one.to {
-			return one
+	for _, worker := range h.workers {
+		if sidecar >= worker.from && sidecar < worker.to {
+			return worker
 		}
 	}
 	return nil
 }
 
-// endSidecar ends one, with a word or without.
-func (h *hollowGroup) endSidecar(sidecar int, word bool) error {
-	err := h.call(h.workerOf(sidecar), "Hold.End", EndRequest{sidecar, word}, &struct{}{})
+// endSidecar ends a hollow sidecar, gracefully or abruptly.
+func (h *hollowGroup) endSidecar(sidecar int, graceful bool) error {
+	err := h.call(h.workerOf(sidecar), "Hold.End", EndRequest{sidecar, graceful}, &struct{}{})
 	h.run.history.recordProcess(sidecar, h.run.clock.now(), false)
 	return err
 }
 
-// restartSidecar starts one that has ended.
+// restartSidecar starts a hollow sidecar that has ended.
 func (h *hollowGroup) restartSidecar(sidecar int) error {
 	p := h.run.processes
 	config, err := p.configure(sidecar, 0)
@@ -334,7 +339,7 @@
 	return nil
 }
 
-// measureLoss measures how long after a moment the first and the last of the hollow ones no longer see a member.
+// measureLoss measures how long after from the first and the last of the hollow sidecars stop listing a member as present.
 func (h *hollowGroup) measureLoss(ctx context.Context, sidecar int, from time.Time) error {
 	first := false
 	for time.Since(from) < statusTimeout {
@@ -358,7 +363,8 @@
 	return nil
 }
 
-// pushRules has a sidecar push the next rule set, of size bytes at least, and measures until it is in force at the last.
+// pushRules has a sidecar push the next rule set, of at least size bytes, and measures how long it takes until the set is in
+// force at all sidecars.
 func (h *hollowGroup) pushRules(ctx context.Context, sidecar int, size int) error {
 	h.mu.Lock()
 	h.rulesVersion++
@@ -377,8 +383,8 @@
 		return err
 	}
 	from := time.Now()
-	if one := h.workerOf(sidecar); one != nil {
-		err = h.call(one, "Hold.ReadRules", sidecar, &struct{}{})
+	if worker := h.workerOf(sidecar); worker != nil {
+		err = h.call(worker, "Hold.ReadRules", sidecar, &struct{}{})
 	} else if q := p.of(sidecar); q != nil {
 		err = q.cmd.Process.Signal(syscall.SIGHUP)
 	}
@@ -409,11 +415,11 @@
 	h.addMeasurement("push_unknown", 1)
 	h.addMeasurement("push_missed", float64(l.Running-l.InForce))
 	h.run.history.addFinding(&h.run.history.processFailures, "version %d is in force at %d of %d hollow sidecars %v after its push; refused: %s",
-		version, l.InForce, l.Running, statusTimeout, cmp.Or(l.Refused, "no word"))
+		version, l.InForce, l.Running, statusTimeout, cmp.Or(l.Refused, "none"))
 	return err
 }
 
-// inForceAtWhole says whether all whole sidecars have a version in force.
+// inForceAtWhole reports whether a version of the rules, or a later one, is in force at all whole sidecars that run.
 func (h *hollowGroup) inForceAtWhole(version uint64) bool {
 	for i := range h.run.scene.Fleet.Sidecars {
 		if q := h.run.processes.of(i); q != nil {
@@ -426,7 +432,8 @@
 	return true
 }
 
-// measureLists measures until all hollow ones have had a whole list that they had not before; move has them go on with discovery's new address.
+// measureLists calls move, which changes discovery's address, tells the hollow sidecars the new address, and measures how long
+// it takes until each has received a whole list again.
 func (h *hollowGroup) measureLists(ctx context.Context, move func() error) error {
 	if len(h.workers) == 0 {
 		return move()
@@ -435,7 +442,7 @@
 	if err != nil {
 		return err
 	}
-	use, err := h.readUsage(false)
+	useBefore, err := h.readUsage(false)
 	if err != nil {
 		return err
 	}
@@ -443,12 +450,12 @@
 	if err := move(); err != nil {
 		return err
 	}
-	err = h.eachWorker(func(one *workerProcess) error {
+	err = h.eachWorker(func(worker *workerProcess) error {
 		to := make(map[int]string)
-		for i := one.from; i < one.to; i++ {
+		for i := worker.from; i < worker.to; i++ {
 			to[i] = h.run.roster.address(i)
 		}
-		return h.call(one, "Hold.Move", to, &struct{}{})
+		return h.call(worker, "Hold.Move", to, &struct{}{})
 	})
 	if err != nil {
 		return err
@@ -465,7 +472,7 @@
 			if err != nil {
 				return err
 			}
-			in, out := after.meanBytesSince(use, meter.Discovery, false)
+			in, out := after.meanBytesSince(useBefore, meter.Discovery, false)
 			h.addMeasurement("lists_in_bytes", in)
 			h.addMeasurement("lists_out_bytes", out)
 			return nil
@@ -478,39 +485,39 @@
 	return nil
 }
 
-// usageReading is what the fleet has used at a moment.
+// usageReading holds the resources that the fleet has used up to a moment.
 type usageReading struct {
 	at          time.Time
 	traffic     map[int]meter.Traffic // by sidecar
 	cpu         map[int]time.Duration // by whole sidecar
-	workerCPU   time.Duration         // of all holders
-	rulesHolder int                   // the whole sidecar that has the duty rules; -1: none of them
-	rss         float64               // MiB of all holders, less what they had before the first hollow sidecar
-	heap        float64               // MiB, where it was asked for
-	running     int                   // how many run
-	goroutines  float64               // goroutines of holders
+	workerCPU   time.Duration         // of all workers
+	rulesHolder int                   // the whole sidecar that holds the duty for rules; -1: no whole sidecar does
+	rss         float64               // MiB of all workers, without what they used before their first hollow sidecar
+	heap        float64               // MiB of all workers, where collect was set
+	running     int                   // hollow sidecars
+	goroutines  float64               // of all workers
 }
 
-// readUsage reads it. collect has holders collect garbage first.
+// readUsage reads what the fleet has used so far. With collect, workers collect garbage first and measure their heaps.
 func (h *hollowGroup) readUsage(collect bool) (*usageReading, error) {
 	r := &usageReading{at: time.Now(), traffic: make(map[int]meter.Traffic), cpu: make(map[int]time.Duration), rulesHolder: -1}
 	var mu sync.Mutex
-	err := h.eachWorker(func(one *workerProcess) error {
-		var had UsageReply
-		if err := h.call(one, "Hold.Report", collect, &had); err != nil {
+	err := h.eachWorker(func(worker *workerProcess) error {
+		var used UsageReply
+		if err := h.call(worker, "Hold.Report", collect, &used); err != nil {
 			return err
 		}
-		rss, _, _ := usage(one.cmd.Process.Pid)
+		rss, _, _ := usage(worker.cmd.Process.Pid)
 		mu.Lock()
 		defer mu.Unlock()
-		for i, t := range had.Traffic {
+		for i, t := range used.Traffic {
 			r.traffic[i] = t
 		}
-		r.running += len(had.Traffic)
-		r.workerCPU += had.CPU
-		r.rss += rss - one.baseRSS
-		r.heap += float64(had.Heap) / (1 << 20)
-		r.goroutines += float64(had.Goroutines)
+		r.running += len(used.Traffic)
+		r.workerCPU += used.CPU
+		r.rss += rss - worker.baseRSS
+		r.heap += float64(used.Heap) / (1 << 20)
+		r.goroutines += float64(used.Goroutines)
 		return nil
 	})
 	if err != nil {
@@ -523,7 +530,7 @@
 		}
 		stat, err := queryStats(q.console)
 		if err != nil {
-			continue // it has just ended, or is stopped
+			continue // the process has just ended, or is paused
 		}
 		r.traffic[i], r.cpu[i] = trafficOf(stat), processCPU(q.cmd.Process.Pid)
 		if stat["app.duty_token.rules"] > 0 {
@@ -533,7 +540,8 @@
 	return r, nil
 }
 
-// meanBytesSince is what went through sockets for something since before, in the mean of the whole or the hollow sidecars.
+// meanBytesSince returns the bytes that went through sockets since before for one kind of traffic, as the mean over the whole
+// or the hollow sidecars.
 func (r *usageReading) meanBytesSince(before *usageReading, k meter.Kind, whole bool) (in, out float64) {
 	n := 0.0
 	for i, t := range r.traffic {
@@ -547,7 +555,7 @@
 	return in / max(1, n), out / max(1, n)
 }
 
-// addPushUsage counts what a push has cost: the holder of the duty, and the others in the mean.
+// addPushUsage adds what a push cost: the holder of the duty, and the hollow sidecars on average.
 func (h *hollowGroup) addPushUsage(before, after *usageReading) {
 	in, out := after.meanBytesSince(before, meter.Rules, false)
 	h.addMeasurement("push_each_in", in)
@@ -562,17 +570,18 @@
 	}
 }
 
-// readAtRest reads the fleet's use for the first time, or for the last before something happens to it.
+// readAtRest takes the reading at the start of the time in which nothing happens to the fleet, or with end the one at its end.
+// Only the first call for each counts.
 func (h *hollowGroup) readAtRest(end bool) error {
 	h.mu.Lock()
-	had := h.restReadings
+	readings := h.restReadings
 	h.mu.Unlock()
-	if len(h.workers) == 0 || end == (had[0] == nil) || had[1] != nil {
+	if len(h.workers) == 0 || end == (readings[0] == nil) || readings[1] != nil {
 		return nil
 	}
 	r, err := h.readUsage(end)
 	if err == nil && end {
-		err = h.collectLateness(time.Since(had[0].at), "at rest")
+		err = h.collectLateness(time.Since(readings[0].at), "at rest")
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -584,7 +593,8 @@
 	return err
 }
 
-// addFigures adds the figures of hollow sidecars: what was measured in the median and at most, and what each kind has used at rest.
+// addFigures adds the figures of hollow sidecars: the median, minimum and maximum of each measurement, and what sidecars of
+// both kinds used at rest.
 func (h *hollowGroup) addFigures(f map[string]float64) {
 	for name, all := range h.measurements {
 		s := distributionOf(all)
@@ -647,7 +657,7 @@
 		return nil, err
 	}
 	defer c.Close()
-	_ = c.SetDeadline(time.Now().Add(consoleTimeout)) // fails only on a closed one
+	_ = c.SetDeadline(time.Now().Add(consoleTimeout)) // fails only on a closed connection
 	if _, err := io.WriteString(c, "show-stat\n"); err != nil {
 		return nil, err
 	}
@@ -661,10 +671,10 @@
 			return nil, fmt.Errorf("the figure %s of %s: %w", name, console, err)
 		}
 	}
-	return nil, fmt.Errorf("the answer of %s breaks off", console)
+	return nil, fmt.Errorf("console %s: answer to show-stat ended before its EOF line", console)
 }
 
-// trafficOf is what a whole sidecar's figures say of the bytes of its control.
+// trafficOf returns a whole sidecar's control traffic from the figures of its console.
 func trafficOf(stat map[string]float64) (t meter.Traffic) {
 	for k, name := range meter.KindNames {
 		t.In[k] = meter.Count{Bytes: int64(stat["app.control_bytes_in."+name]), Units: int64(stat["app.control_units_in."+name])}
@@ -673,14 +683,14 @@
 	return t
 }
 
-// processCPU is the processor time of a process that runs; 0: it has just ended.
+// processCPU returns the processor time of a running process; 0 if it has just ended.
 func processCPU(pid int) time.Duration {
 	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
 		return 0
 	}
 	fields := strings.Fields(string(raw)[strings.LastIndex(string(raw), ") ")+1:])
-	const userField, ticks = 11, 100 // the 14th of all, and the kernel's own in a second
+	const userField, ticks = 11, 100 // field 14 of proc(5), and the clock ticks per second
 	if len(fields) < userField+2 {
 		return 0
 	}
@@ -692,16 +702,16 @@
 	return time.Duration(user+system) * time.Second / ticks
 }
 
-// printHollow writes the figures of hollow sidecars for people.
+// printHollow writes the figures of hollow sidecars in readable form.
 func (r *Result) printHollow(w io.Writer) {
 	if r.Hollow == 0 {
 		return
 	}
 	f := r.Figures
-	fmt.Fprintf(w, "  hollow     %d: %.2f MiB (%.2f in use) and %.0f goroutines each; started in %.1f s, all see all %.1f s and agree %.1f s after that\n",
+	fmt.Fprintf(w, "  hollow     %d: %.2f MiB (%.2f in use) and %.0f goroutines each; started in %.1f s, complete views %.1f s and agreement %.1f s after that\n",
 		r.Hollow, f["hollow_rss_mib"], f["hollow_heap_mib"], f["hollow_goroutines"], f["hollow_started_s"], f["hollow_see_all_s"], f["hollow_agree_s"])
 	for _, who := range []string{"hollow", "whole"} {
-		fmt.Fprintf(w, "  at rest    %s: %.2f%% of a core, %.0f bytes a second in the median, %.0f for 99 in 100, over %.0f s; in/out:",
+		fmt.Fprintf(w, "  at rest    %s: %.2f%% of a core, bytes per second p50 %.0f, p99 %.0f, over %.0f s; in/out:",
 			who, 100*f["rest_"+who+"_cores"], f["rest_"+who+"_bytes_p50"], f["rest_"+who+"_bytes_p99"], f["rest_s"])
 		for _, name := range meter.KindNames {
 			if in, out := f["rest_"+who+"_in_"+name], f["rest_"+who+"_out_"+name]; in+out > 0 {
