--- a/internal/lab/hollow.go
+++ b/internal/lab/hollow.go
@@ -40,7 +40,7 @@
 	bytesPerMember       = 1 << 10          // more for each member of the fleet
 	bytesPerListedServer = 1 << 10          // more for each server in the list
 	bytesPerWhole        = 17 << 20         // approximate memory of a whole sidecar
-	workerLogPrefix      = "holder" // start of the names of workers' log files
+	workerLogPrefix      = "holder"         // start of the names of workers' log files
 )
 
 // checkHollowSize checks that the hollow sidecars of a scenario fit on this machine.
