--- a/internal/lab/hold.go
+++ b/internal/lab/hold.go
@@ -37,7 +37,7 @@
 		_ = syscall.Setrlimit(syscall.RLIMIT_NOFILE, &limit) // on failure, sidecars that do not start report it
 	}
 	w := &workerService{all: make(map[int]*sidecar.Hollow), late: newLateness()}
-	go w.late.watch(newClock(), context.Background().Done())
+	go w.late.measure(newClock(), context.Background().Done())
 	server := rpc.NewServer()
 	if err := server.RegisterName("Hold", w); err != nil {
 		panic(err) // cannot happen: the methods have the form that net/rpc asks for
@@ -215,7 +215,7 @@
 	for number, one := range w.running() {
 		r.Traffic[number] = one.Traffic()
 	}
-	r.CPU, r.Goroutines = cpuOf(syscall.RUSAGE_SELF), runtime.NumGoroutine()
+	r.CPU, r.Goroutines = cpuTime(syscall.RUSAGE_SELF), runtime.NumGoroutine()
 	if collect {
 		runtime.GC()
 		var m runtime.MemStats
@@ -227,7 +227,7 @@
 
 // Lateness reports why measured times since the previous call, length ago, are unreliable; an empty text: they are reliable.
 func (w *workerService) Lateness(length time.Duration, why *string) error {
-	*why = w.late.judge(length)
+	*why = w.late.reason(length)
 	w.late.reset()
 	return nil
 }
--- a/internal/lab/hollow.go
+++ b/internal/lab/hollow.go
@@ -58,17 +58,17 @@
 	if n == 0 {
 		return nil
 	}
-	place := s.from // file and line of the key
-	if line := s.lines["fleet.hollow"]; line > 0 {
-		place = fmt.Sprintf("%s:%d", s.from, line)
+	place := s.file // file and line of the key
+	if line := s.keyLines["fleet.hollow"]; line > 0 {
+		place = fmt.Sprintf("%s:%d", s.file, line)
 	}
-	need := int64(n)*int64(bytesPerHollow+bytesPerMember*s.all()+bytesPerListedServer*s.Fleet.Servers) + int64(s.Fleet.Sidecars)*bytesPerWhole
+	need := int64(n)*int64(bytesPerHollow+bytesPerMember*s.totalSidecars()+bytesPerListedServer*s.Fleet.Servers) + int64(s.Fleet.Sidecars)*bytesPerWhole
 	switch processes := s.Fleet.Sidecars + (n+maxHollowPerWorker-1)/maxHollowPerWorker; {
 	case need > memory/2:
 		return fmt.Errorf("%s: key \"fleet.hollow\" is %d: about %d MiB are needed; %d, half of this machine's memory, are allowed", place, n, need>>20, memory>>21)
 	case processes > maxProcesses:
 		return fmt.Errorf("%s: key \"fleet.hollow\" is %d: %d processes are needed for it and the whole sidecars; %d are allowed", place, n, processes, maxProcesses)
-	case s.Fleet.Mesh && s.all() > 400:
+	case s.Fleet.Mesh && s.totalSidecars() > 400:
 		return fmt.Errorf("%s: key \"fleet.hollow\" is %d: at most 400 sidecars, whole and hollow, are allowed with fleet.mesh", place, n)
 	}
 	return nil
@@ -110,7 +110,7 @@
 func (r *run) startHollow(ctx context.Context) (err error) {
 	h := &hollowGroup{run: r, ctx: ctx, measurements: make(map[string][]float64)}
 	r.hollow = h
-	s := r.scene
+	s := r.scenario
 	if s.Fleet.Hollow == 0 {
 		return nil
 	}
@@ -118,8 +118,8 @@
 	if err != nil {
 		return err
 	}
-	for from := s.Fleet.Sidecars; from < s.all(); from += maxHollowPerWorker {
-		worker, err := h.startWorker(program, from, min(from+maxHollowPerWorker, s.all()))
+	for from := s.Fleet.Sidecars; from < s.totalSidecars(); from += maxHollowPerWorker {
+		worker, err := h.startWorker(program, from, min(from+maxHollowPerWorker, s.totalSidecars()))
 		if err != nil {
 			return err
 		}
@@ -129,7 +129,7 @@
 	err = h.eachWorker(func(worker *workerProcess) error {
 		var specs []HollowSpec
 		for i := worker.from; i < worker.to; i++ {
-			config, err := r.processes.configure(i, 0)
+			config, err := r.processes.writeConfig(i, 0)
 			if err != nil {
 				return err
 			}
@@ -141,7 +141,7 @@
 		return err
 	}
 	started := time.Now()
-	for i := s.Fleet.Sidecars; i < s.all(); i++ {
+	for i := s.Fleet.Sidecars; i < s.totalSidecars(); i++ {
 		r.history.recordProcess(i, r.clock.now(), true)
 	}
 	h.addMeasurement("hollow_started_s", started.Sub(began).Seconds())
@@ -151,7 +151,7 @@
 		if err != nil {
 			return err
 		}
-		if !allSeen && status.Least == s.all() {
+		if !allSeen && status.Least == s.totalSidecars() {
 			allSeen = true
 			h.addMeasurement("hollow_see_all_s", time.Since(started).Seconds())
 		}
@@ -205,7 +205,7 @@
 	if err := h.call(worker, "Hold.Look", StatusRequest{}, &l); err != nil {
 		return nil, errors.Join(fmt.Errorf("worker of hollow sidecars: %w", err), worker.cmd.Process.Kill())
 	}
-	worker.baseRSS, _, _ = usage(worker.cmd.Process.Pid)
+	worker.baseRSS, _, _ = processUsage(worker.cmd.Process.Pid)
 	return worker, nil
 }
 
@@ -327,7 +327,7 @@
 // restartSidecar starts a hollow sidecar that has ended.
 func (h *hollowGroup) restartSidecar(sidecar int) error {
 	p := h.run.processes
-	config, err := p.configure(sidecar, 0)
+	config, err := p.writeConfig(sidecar, 0)
 	if err != nil {
 		return err
 	}
@@ -385,7 +385,7 @@
 	from := time.Now()
 	if worker := h.workerOf(sidecar); worker != nil {
 		err = h.call(worker, "Hold.ReadRules", sidecar, &struct{}{})
-	} else if q := p.of(sidecar); q != nil {
+	} else if q := p.running(sidecar); q != nil {
 		err = q.cmd.Process.Signal(syscall.SIGHUP)
 	}
 	if err != nil {
@@ -421,8 +421,8 @@
 
 // inForceAtWhole reports whether a version of the rules, or a later one, is in force at all whole sidecars that run.
 func (h *hollowGroup) inForceAtWhole(version uint64) bool {
-	for i := range h.run.scene.Fleet.Sidecars {
-		if q := h.run.processes.of(i); q != nil {
+	for i := range h.run.scenario.Fleet.Sidecars {
+		if q := h.run.processes.running(i); q != nil {
 			stat, err := queryStats(q.console)
 			if err != nil || stat["app.rules_version"] < float64(version) {
 				return false
@@ -507,7 +507,7 @@
 		if err := h.call(worker, "Hold.Report", collect, &used); err != nil {
 			return err
 		}
-		rss, _, _ := usage(worker.cmd.Process.Pid)
+		rss, _, _ := processUsage(worker.cmd.Process.Pid)
 		mu.Lock()
 		defer mu.Unlock()
 		for i, t := range used.Traffic {
@@ -523,8 +523,8 @@
 	if err != nil {
 		return nil, err
 	}
-	for i := range h.run.scene.Fleet.Sidecars {
-		q := h.run.processes.of(i)
+	for i := range h.run.scenario.Fleet.Sidecars {
+		q := h.run.processes.running(i)
 		if q == nil {
 			continue
 		}
--- a/internal/lab/judge.go
+++ b/internal/lab/judge.go
@@ -54,7 +54,7 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for _, inv := range invariants {
-		if !slices.Contains(s.Hold, inv.name) {
+		if !slices.Contains(s.Invariants, inv.name) {
 			continue
 		}
 		v := Verdict{Invariant: inv.name, Judged: !late || !inv.timed}
@@ -230,7 +230,7 @@
 func checkNoAttemptAfterLeaving(h *History, _ *Scenario, broken func(string, ...any)) {
 	for _, t := range h.tries {
 		for _, r := range t.Reached {
-			if t.Left > 0 && r.At > t.Left+leftTolerance+holdUp+socketTolerance {
+			if t.Left > 0 && r.At > t.Left+leftTolerance+maxStall+socketTolerance {
 				broken("request %s reached server %d at %v; its client had disconnected at %v", t.ID, r.Server, r.At, t.Left)
 			}
 		}
--- a/internal/lab/spread.go
+++ b/internal/lab/spread.go
@@ -35,9 +35,9 @@
 
 // eligibleTimes returns for each server, replacements included, when it is ready and warm, from zero on. A fault that acts on
 // a server excludes the time until the server is mended and warm again and discovery's list shows it.
-func (r *run) eligibleTimes(plan []Action) []eligibleSpans {
-	s := r.scene
-	all := make([]eligibleSpans, s.Fleet.Servers+s.spares())
+func (r *run) eligibleTimes(plan []PlannedFault) []eligibleSpans {
+	s := r.scenario
+	all := make([]eligibleSpans, s.Fleet.Servers+s.replacementServers())
 	for i := range s.Fleet.Servers {
 		all[i] = eligibleSpans{{0, s.For.Std()}}
 	}
@@ -54,20 +54,20 @@
 		all[server] = rest
 	}
 	for _, a := range plan {
-		if kinds[a.Do].on != "server" {
+		if faultKinds[a.Kind].on != "server" {
 			continue
 		}
-		back := s.List.Notice.Std()
-		if a.Do == "crash" || a.Do == "silence" || a.Do == "replace" {
-			back = max(back, s.Serve.ColdTime.Std())
+		back := s.Discovery.UpdateDelay.Std()
+		if a.Kind == "crash" || a.Kind == "silence" || a.Kind == "replace" {
+			back = max(back, s.Server.ColdTime.Std())
 		}
 		for i, server := range a.Targets {
 			from := a.At.Std() + time.Duration(i)*a.Pause.Std()
 			to := s.For.Std()
 			switch {
-			case a.Do == "replace":
+			case a.Kind == "replace":
 				if warm := from + a.For.Std() + back; warm < to {
-					all[a.Spares[i]] = eligibleSpans{{warm, to}}
+					all[a.Replacements[i]] = eligibleSpans{{warm, to}}
 				}
 			case a.For > 0:
 				to = from + a.For.Std() + back
@@ -76,8 +76,8 @@
 		}
 	}
 	for i, u := range r.servers.all {
-		if u.pushed {
-			exclude(i, u.fell, s.For.Std())
+		if u.collapsed {
+			exclude(i, u.collapsedAt, s.For.Std())
 		}
 	}
 	return all
@@ -264,8 +264,8 @@
 
 // addSpreadFigures adds how evenly a run's sends were distributed: up to its first fault, and from spreadAfterFault after the
 // last one began. Herds are counted from the first fault on, because they occur in its first moments.
-func (r *run) addSpreadFigures(plan []Action, f map[string]float64) {
-	length := r.scene.For.Std()
+func (r *run) addSpreadFigures(plan []PlannedFault, f map[string]float64) {
+	length := r.scenario.For.Std()
 	before, after := length, length
 	for i, a := range plan {
 		at := a.At.Std()
@@ -289,7 +289,7 @@
 		h := herdFigures(sends, fits, part.herds, part.to)
 		f[part.prefix+"herd"], f[part.prefix+"herd_chance"] = h[0], h[1]
 	}
-	opened := r.servers.dialled.values()
+	opened := r.servers.connections.values()
 	for second, n := range opened {
 		f["server_conns"] += n
 		if len(plan) > 0 && time.Duration(second)*time.Second >= plan[0].At.Std() {
--- a/internal/lab/views.go
+++ b/internal/lab/views.go
@@ -49,7 +49,7 @@
 
 // observesMembers reports whether the sidecars of a scenario take part in membership and their views are judged.
 func (s *Scenario) observesMembers() bool {
-	judged := slices.Contains(s.Hold, "members") || slices.Contains(s.Hold, "agreed")
+	judged := slices.Contains(s.Invariants, "members") || slices.Contains(s.Invariants, "agreed")
 	return judged && strings.Contains(s.Fleet.File, "[member]")
 }
 
@@ -64,8 +64,8 @@
 			return
 		case <-t.C:
 		}
-		for i := range r.scene.Fleet.Sidecars {
-			q := r.processes.of(i)
+		for i := range r.scenario.Fleet.Sidecars {
+			q := r.processes.running(i)
 			if q == nil {
 				continue
 			}
@@ -73,8 +73,8 @@
 			go func() {
 				defer func() { <-slots }()
 				at := r.clock.now()
-				if v, err := queryView(q.console, r.scene.all()); err == nil {
-					v.at, v.readyAt, v.sidecar = at, time.Duration(q.born.Load()), i
+				if v, err := queryView(q.console, r.scenario.totalSidecars()); err == nil {
+					v.at, v.readyAt, v.sidecar = at, time.Duration(q.readyAt.Load()), i
 					r.history.mu.Lock()
 					defer r.history.mu.Unlock()
 					r.history.views = append(r.history.views, v)
@@ -88,7 +88,7 @@
 func (r *run) pollDuties(stop <-chan struct{}) {
 	var all sync.WaitGroup
 	defer all.Wait()
-	for i := range r.scene.Fleet.Sidecars {
+	for i := range r.scenario.Fleet.Sidecars {
 		all.Go(func() {
 			t := time.NewTicker(dutyInterval)
 			defer t.Stop()
@@ -98,7 +98,7 @@
 					return
 				case <-t.C:
 				}
-				q := r.processes.of(i)
+				q := r.processes.running(i)
 				if q == nil {
 					continue
 				}
@@ -336,7 +336,7 @@
 		}
 		stable := changes.linksUnchanged(from, v.at) && !h.hadLinkOutage(from, v.at)
 		running := 0
-		for i := range s.all() {
+		for i := range s.totalSidecars() {
 			up, down := changes.unchanged(i, from, v.at+consoleTimeout)
 			stable = stable && (up || down)
 			if up {
