--- a/internal/lab/added_test.go
+++ b/internal/lab/added_test.go
@@ -26,20 +26,20 @@
 	"golang.org/x/sys/unix"
 )
 
-var addedFor = flag.Duration("added-for", 15*time.Second, "how long a run of BenchmarkAddedTime counts calls")
+var addedTimeLength = flag.Duration("added-for", 15*time.Second, "how long a run of BenchmarkAddedTime counts calls")
 
 const (
-	addedFleet = 1900                   // sidecars by the settings
-	addedRate  = 142                    // and calls a second at each of them by the quotas
-	addedWarm  = 2 * time.Second        // calls before are made and not counted
-	addedLast  = 2 * time.Second        // an answer that has not come so long after the last call is none
-	spinTime   = 200 * time.Microsecond // timers go off late by less than this, mostly
+	addedSidecars      = 1900                   // sidecars by the settings
+	addedRate          = 142                    // and calls a second at each of them by the quotas
+	addedWarmup        = 2 * time.Second        // calls before are made and not counted
+	addedAnswerTimeout = 2 * time.Second        // an answer that has not come so long after the last call is none
+	timerTolerance     = 200 * time.Microsecond // timers go off late by less than this, mostly
 
-	countersEvery = 6 * time.Second // the sidecar writes its counters at least this often
+	countersInterval = 6 * time.Second // the sidecar writes its counters at least this often
 )
 
-// quietCount is how many attempts waited, in a line of the sidecar's counters.
-var quietCount = regexp.MustCompile(`\bquiet:(\d+)`)
+// waitedCounter is how many attempts waited, in a line of the sidecar's counters.
+var waitedCounter = regexp.MustCompile(`\bquiet:(\d+)`)
 
 // BenchmarkAddedTime measures what the sidecar adds to a call: calls straight to a server and calls through the real
 // program, each by chance at its rate on a timetable of its own, side by side in one run. A call's time counts from
@@ -49,26 +49,26 @@
 		for _, rate := range []int{addedRate, 700} {
 			b.Run(fmt.Sprintf("servers=%d/rate=%d", servers, rate), func(b *testing.B) {
 				for i := range b.N {
-					addedTime(b, servers, rate, uint64(i+1))
+					measureAddedTime(b, servers, rate, uint64(i+1))
 				}
 			})
 		}
 	}
 }
 
-func addedTime(b *testing.B, servers, rate int, seed uint64) {
+func measureAddedTime(b *testing.B, servers, rate int, seed uint64) {
 	n, err := claimSubnet()
 	if err != nil {
 		b.Fatal(err)
 	}
 	b.Cleanup(n.release) // behind the end of the sidecar, or another lab has its addresses meanwhile
 	s := readScenario(b, "[fleet]\nsidecars=1\nsockets=1024")
-	s.Fleet.Servers, s.Fleet.StatedSidecars = servers, addedFleet
+	s.Fleet.Servers, s.Fleet.StatedSidecars = servers, addedSidecars
 	mean := 0.0
 	for _, c := range s.classes() {
 		mean += c.Share * c.Work.Seconds()
 	}
-	s.Fleet.Quota = addedFleet * addedRate * mean / s.capacity()
+	s.Fleet.Quota = addedSidecars * addedRate * mean / s.capacity()
 	var accepted atomic.Int64
 	var entries []map[string]any
 	for i := range servers {
@@ -77,16 +77,16 @@
 			b.Fatal(err)
 		}
 		defer l.Close()
-		go answerAtOnce(l, &accepted)
+		go serveAtOnce(l, &accepted)
 		entries = append(entries, map[string]any{
 			"instanceId": fmt.Sprintf("s-%d", i), "hostPort": l.Addr().String(), "zone": zoneName(i % s.Fleet.Zones), "cell": 0,
 			"lifecycle": "ready", "weight": 1, "startedAtMs": 0,
 		})
 	}
-	address, log := startAlone(b, n, s, entries)
-	streams := []*stream{{address: n.address(1, firstOwnPort)}, {address: address}}
-	conns := pace(b, streams, rate, seed)
-	b.ReportMetric(100*float64(rested(b, log))/float64(len(streams[1].took)), "waited-%")
+	address, log := startSingleSidecar(b, n, s, entries)
+	streams := []*callStream{{address: n.address(1, firstOwnPort)}, {address: address}}
+	conns := playCalls(b, streams, rate, seed)
+	b.ReportMetric(100*float64(attemptsThatWaited(b, log))/float64(len(streams[1].latencies)), "waited-%")
 	for _, at := range []float64{0.5, 0.99, 0.999} {
 		direct, through := streams[0].quantile(at), streams[1].quantile(at)
 		for what, ms := range map[string]float64{"direct": direct, "through": through, "added": through - direct} {
@@ -98,8 +98,8 @@
 	b.ReportMetric(0, "ns/op") // the run has its length
 }
 
-// answerAtOnce serves whoever connects.
-func answerAtOnce(l net.Listener, accepted *atomic.Int64) {
+// serveAtOnce serves whoever connects.
+func serveAtOnce(l net.Listener, accepted *atomic.Int64) {
 	for {
 		c, err := l.Accept()
 		if err != nil {
@@ -122,16 +122,16 @@
 	}
 }
 
-// rested counts the attempts that waited for a connection to rest, those of the first calls too, by the sidecar's
+// attemptsThatWaited counts the attempts that waited for a connection to rest, those of the first calls too, by the sidecar's
 // counters. It waits until these have been written once more.
-func rested(b *testing.B, log string) int {
+func attemptsThatWaited(b *testing.B, log string) int {
 	b.Helper()
-	time.Sleep(countersEvery)
+	time.Sleep(countersInterval)
 	text, err := os.ReadFile(log)
 	if err != nil {
 		b.Fatal(err)
 	}
-	found := quietCount.FindAllSubmatch(text, -1)
+	found := waitedCounter.FindAllSubmatch(text, -1)
 	if len(found) == 0 {
 		b.Fatal("the sidecar's log has no counters")
 	}
@@ -142,8 +142,8 @@
 	return n
 }
 
-// startAlone starts the real program as one sidecar of the fleet, and returns where clients connect and its log.
-func startAlone(b *testing.B, n *subnet, s *Scenario, entries []map[string]any) (address, log string) {
+// startSingleSidecar starts the real program as one sidecar of the fleet, and returns where clients connect and its log.
+func startSingleSidecar(b *testing.B, n *subnet, s *Scenario, entries []map[string]any) (address, log string) {
 	b.Helper()
 	program := realProgram(b)
 	known := map[string]any{"generation": 1, "reset": true, "instances": entries}
@@ -201,32 +201,32 @@
 	return n.address(0, clientPort), q.log
 }
 
-// stream is one timetable of calls to one address, over connections that are kept.
-type stream struct {
+// callStream is one timetable of calls to one address, over connections that are kept.
+type callStream struct {
 	address string
 
-	mu     sync.Mutex
-	idle   []net.Conn // the one used last is used next
-	due    map[net.Conn]time.Time
-	count  bool
-	took   []time.Duration
-	failed int
-	opened int64
-	out    sync.WaitGroup
+	mu        sync.Mutex
+	idle      []net.Conn // the one used last is used next
+	dueTimes  map[net.Conn]time.Time
+	counted   bool
+	latencies []time.Duration
+	failed    int
+	opened    int64
+	inFlight  sync.WaitGroup
 }
 
-// pace plays both streams' timetables, and returns how many connections the first one opened. It holds a thread of
+// playCalls plays both streams' timetables, and returns how many connections the first one opened. It holds a thread of
 // its own, and looks at the clock all the time just before a call is due: timers are late by more than is measured.
-func pace(b *testing.B, streams []*stream, rate int, seed uint64) (opened int64) {
+func playCalls(b *testing.B, streams []*callStream, rate int, seed uint64) (opened int64) {
 	type call struct {
 		at     time.Duration
-		stream *stream
+		stream *callStream
 	}
 	var calls []call
 	for i, s := range streams {
-		s.due = make(map[net.Conn]time.Time)
+		s.dueTimes = make(map[net.Conn]time.Time)
 		rng := rand.New(rand.NewPCG(seed, uint64(i)))
-		for at := time.Duration(0); at < addedWarm+*addedFor; at += time.Duration(rng.ExpFloat64() * float64(time.Second) / float64(rate)) {
+		for at := time.Duration(0); at < addedWarmup+*addedTimeLength; at += time.Duration(rng.ExpFloat64() * float64(time.Second) / float64(rate)) {
 			calls = append(calls, call{at, s})
 		}
 	}
@@ -235,24 +235,24 @@
 	defer runtime.UnlockOSThread()
 	for i, began := 0, time.Now(); i < len(calls); i++ {
 		due := began.Add(calls[i].at)
-		if ahead := time.Until(due) - spinTime; ahead > 0 {
+		if ahead := time.Until(due) - timerTolerance; ahead > 0 {
 			left := unix.NsecToTimespec(int64(ahead))
 			_ = unix.Nanosleep(&left, nil) // what a signal cuts off is spun away
 		}
 		for time.Until(due) > 0 {
 		}
-		calls[i].stream.call(i, due, calls[i].at >= addedWarm)
+		calls[i].stream.send(i, due, calls[i].at >= addedWarmup)
 	}
 	ended := make(chan struct{})
 	go func() {
 		for _, s := range streams {
-			s.out.Wait()
+			s.inFlight.Wait()
 		}
 		close(ended)
 	}()
 	select {
 	case <-ended:
-	case <-time.After(addedLast):
+	case <-time.After(addedAnswerTimeout):
 		b.Error("calls are left with no answer")
 	}
 	for _, s := range streams {
@@ -265,16 +265,16 @@
 	return streams[0].opened
 }
 
-// call sends the call of a number, which was due at a moment.
-func (s *stream) call(number int, due time.Time, counts bool) {
+// send sends the call of a number, which was due at a moment.
+func (s *callStream) send(number int, due time.Time, counts bool) {
 	text := fmt.Sprintf("POST /publish HTTP/1.1\r\nHost: service.internal\r\nX-Request-ID: %016x\r\nX-Priority-Class: publish\r\n"+
 		"X-Tenant-Id: %s\r\nX-Timeout: 500m\r\nContent-Length: 7\r\n\r\n{\"n\":1}", number, tenants[number%len(tenants)].name)
-	s.out.Add(1)
+	s.inFlight.Add(1)
 	s.mu.Lock()
-	s.count = counts
+	s.counted = counts
 	if last := len(s.idle) - 1; last >= 0 {
 		c := s.idle[last]
-		s.idle, s.due[c] = s.idle[:last], due
+		s.idle, s.dueTimes[c] = s.idle[:last], due
 		s.mu.Unlock()
 		_, _ = io.WriteString(c, text) // where it breaks, so does the read
 		return
@@ -287,19 +287,19 @@
 			s.mu.Lock()
 			s.failed++
 			s.mu.Unlock()
-			s.out.Done()
+			s.inFlight.Done()
 			return
 		}
 		s.mu.Lock()
-		s.due[c] = due
+		s.dueTimes[c] = due
 		s.mu.Unlock()
 		_, _ = io.WriteString(c, text)
-		s.answers(c)
+		s.readAnswers(c)
 	}()
 }
 
-// answers takes the answers on a connection until it ends.
-func (s *stream) answers(c net.Conn) {
+// readAnswers takes the answers on a connection until it ends.
+func (s *callStream) readAnswers(c net.Conn) {
 	defer c.Close()
 	for r := bufio.NewReader(c); ; {
 		res, err := http.ReadResponse(r, nil)
@@ -308,13 +308,13 @@
 		}
 		now := time.Now()
 		s.mu.Lock()
-		due, out := s.due[c]
-		delete(s.due, c)
+		due, out := s.dueTimes[c]
+		delete(s.dueTimes, c)
 		switch {
 		case out && (err != nil || res.StatusCode != http.StatusOK):
 			s.failed++
-		case out && s.count:
-			s.took = append(s.took, now.Sub(due))
+		case out && s.counted:
+			s.latencies = append(s.latencies, now.Sub(due))
 		}
 		if err == nil {
 			s.idle = append(s.idle, c)
@@ -323,7 +323,7 @@
 		}
 		s.mu.Unlock()
 		if out {
-			s.out.Done()
+			s.inFlight.Done()
 		}
 		if err != nil {
 			return
@@ -332,12 +332,12 @@
 }
 
 // quantile is a quantile of the calls' times in ms.
-func (s *stream) quantile(at float64) float64 {
+func (s *callStream) quantile(at float64) float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if len(s.took) == 0 {
+	if len(s.latencies) == 0 {
 		return 0
 	}
-	slices.Sort(s.took)
-	return s.took[int(at*float64(len(s.took)-1))].Seconds() * 1e3
+	slices.Sort(s.latencies)
+	return s.latencies[int(at*float64(len(s.latencies)-1))].Seconds() * 1e3
 }
--- a/internal/lab/conform_test.go
+++ b/internal/lab/conform_test.go
@@ -15,8 +15,8 @@
 	"arrowgw/internal/world"
 )
 
-// stage is a run with no clients and no faults of its own: tests play both.
-func stage(t *testing.T, s *Scenario) *run {
+// newStage is a run with no clients and no faults of its own: tests play both.
+func newStage(t *testing.T, s *Scenario) *run {
 	t.Helper()
 	rec, err := newProcessRecord()
 	if err != nil {
@@ -49,14 +49,14 @@
 	return r
 }
 
-// talk is a connection to somebody who is to hold to the protocol.
-type talk struct {
+// rawConn is a connection to somebody who is to hold to the protocol.
+type rawConn struct {
 	t *testing.T
 	net.Conn
 	r *bufio.Reader
 }
 
-func dial(t *testing.T, address string) *talk {
+func dialRaw(t *testing.T, address string) *rawConn {
 	t.Helper()
 	c, err := net.Dial("tcp", address)
 	if err != nil {
@@ -64,19 +64,19 @@
 	}
 	t.Cleanup(func() { c.Close() })
 	_ = c.SetDeadline(time.Now().Add(20 * time.Second))
-	return &talk{t, c, bufio.NewReader(c)}
+	return &rawConn{t, c, bufio.NewReader(c)}
 }
 
-// say writes some of a request.
-func (k *talk) say(text string) {
+// write writes some of a request.
+func (k *rawConn) write(text string) {
 	k.t.Helper()
 	if _, err := io.WriteString(k, text); err != nil {
 		k.t.Fatal(err)
 	}
 }
 
-// hear reads an answer.
-func (k *talk) hear() (int, string) {
+// readAnswer reads an answer.
+func (k *rawConn) readAnswer() (int, string) {
 	k.t.Helper()
 	res, err := http.ReadResponse(k.r, nil)
 	if err != nil {
@@ -90,18 +90,18 @@
 	return res.StatusCode, string(body)
 }
 
-// ended waits until the other side closes.
-func (k *talk) ended() bool {
+// waitForClose waits until the other side closes.
+func (k *rawConn) waitForClose() bool {
 	_, err := k.r.ReadByte()
 	return err != nil && !strings.Contains(err.Error(), "timeout")
 }
 
 // The same checks run against a stand-in for a queue server and against the real sidecar: both serve the same HTTP.
-func TestServerAndSidecarHoldToTheProtocol(t *testing.T) {
+func TestServerAndSidecarProtocol(t *testing.T) {
 	t.Parallel()
 	s := readScenario(t, "[fleet]\nsidecars=1\nservers=1")
 	s.TimeLimits = 9 * time.Second // as its requests have; an attempt is given up at its aim, which a busy machine may pass
-	r := stage(t, s)
+	r := newStage(t, s)
 	if _, err := r.processes.start(0); err != nil {
 		t.Fatal(err)
 	}
@@ -131,16 +131,16 @@
 			defer r.history.mu.Unlock()
 			return len(r.history.findTry(id).Reached)
 		}
-		served := func(k *talk, id string) {
+		served := func(k *rawConn, id string) {
 			t.Helper()
-			if status, body := k.hear(); status != http.StatusOK || !strings.HasPrefix(body, id) || reached(id) != 1 {
+			if status, body := k.readAnswer(); status != http.StatusOK || !strings.HasPrefix(body, id) || reached(id) != 1 {
 				t.Errorf("%s: answered %d %q, and %d servers had it", who, status, body, reached(id))
 			}
 		}
-		k := dial(t, address)
+		k := dialRaw(t, address)
 		for range 3 { // one connection carries one request after another
 			head, body, id := request("1ms")
-			k.say(head + body)
+			k.write(head + body)
 			served(k, id)
 		}
 		head, body, id := request("1ms")
@@ -148,53 +148,53 @@
 			if reached(id) != 0 {
 				t.Errorf("%s: a request began before its last byte", who)
 			}
-			k.say(piece)
+			k.write(piece)
 		}
 		served(k, id)
 		head, body, id = request("1ms", "Connection: close\r\n")
-		k.say(head + body)
-		if served(k, id); !k.ended() {
+		k.write(head + body)
+		if served(k, id); !k.waitForClose() {
 			t.Errorf("%s: the connection goes on after Connection: close", who)
 		}
-		k = dial(t, address)
+		k = dialRaw(t, address)
 		head, body, _ = request("1ms")
-		k.say(strings.Replace(head, "X-Request-ID", "X-Other", 1) + body)
-		if status, _ := k.hear(); status < 400 || status > 499 {
+		k.write(strings.Replace(head, "X-Request-ID", "X-Other", 1) + body)
+		if status, _ := k.readAnswer(); status < 400 || status > 499 {
 			t.Errorf("%s: a request with no id was answered %d", who, status)
 		}
-		k = dial(t, address)
-		k.say("this is no request\r\n\r\n")
-		if status, _ := k.hear(); status != http.StatusBadRequest {
+		k = dialRaw(t, address)
+		k.write("this is no request\r\n\r\n")
+		if status, _ := k.readAnswer(); status != http.StatusBadRequest {
 			t.Errorf("%s: what is no request was answered %d", who, status)
 		}
-		k = dial(t, address)
+		k = dialRaw(t, address)
 		head, _, id = request("1ms")
-		k.say(head)
+		k.write(head)
 		k.Close() // its last byte never comes
-		k = dial(t, address)
+		k = dialRaw(t, address)
 		head, body, id2 := request("1ms")
-		k.say(head + body)
+		k.write(head + body)
 		if served(k, id2); reached(id) != 0 {
 			t.Errorf("%s: a request with no end began", who)
 		}
-		k = dial(t, address) // whoever closes gives up: what waits does not run
+		k = dialRaw(t, address) // whoever closes gives up: what waits does not run
 		r.servers.changeModel(0, func(m *world.Server) { m.Slow(1000) })
-		var waiting []*talk
+		var waiting []*rawConn
 		for range s.Server.Slots + 1 {
-			w := dial(t, r.servers.address(0, 0))
+			w := dialRaw(t, r.servers.address(0, 0))
 			head, body, _ := request("5ms")
-			w.say(head + body)
+			w.write(head + body)
 			waiting = append(waiting, w)
 		}
 		until("the server is full", func() bool { return held() == s.Server.Slots+1 })
 		head, body, id = request("5ms")
-		k.say(head + body)
+		k.write(head + body)
 		until("one more waits", func() bool { return held() == s.Server.Slots+2 && reached(id) == 1 })
 		k.Close()
 		until(who+": it is called off", func() bool { return held() == s.Server.Slots+1 })
 		r.servers.changeModel(0, func(m *world.Server) { m.Slow(0.001) })
 		for _, w := range waiting {
-			if status, _ := w.hear(); status != http.StatusOK {
+			if status, _ := w.readAnswer(); status != http.StatusOK {
 				t.Errorf("%s: one that waited was answered %d", who, status)
 			}
 		}
@@ -214,16 +214,16 @@
 
 // A machine that has vanished says nothing: what is open stays open, new connections never come up, and once it is
 // back all of that is reset.
-func TestVanishedServer(t *testing.T) {
+func TestSilentServer(t *testing.T) {
 	t.Parallel()
-	r := stage(t, readScenario(t, "[fleet]\nsidecars=1\nservers=1"))
-	k := dial(t, r.servers.address(0, 0))
-	k.say("GET /alive HTTP/1.1\r\nHost: x\r\n\r\n")
-	if status, _ := k.hear(); status != http.StatusOK {
+	r := newStage(t, readScenario(t, "[fleet]\nsidecars=1\nservers=1"))
+	k := dialRaw(t, r.servers.address(0, 0))
+	k.write("GET /alive HTTP/1.1\r\nHost: x\r\n\r\n")
+	if status, _ := k.readAnswer(); status != http.StatusOK {
 		t.Fatalf("probe answered %d", status)
 	}
 	r.servers.silence(0, true)
-	k.say("GET /alive HTTP/1.1\r\nHost: x\r\n\r\n")
+	k.write("GET /alive HTTP/1.1\r\nHost: x\r\n\r\n")
 	up := 0
 	for range 4 { // one may be in the queue of the kernel's own; it is answered by nobody
 		if c, err := net.DialTimeout("tcp", r.servers.address(0, 0), 20*time.Millisecond); err == nil {
@@ -240,20 +240,20 @@
 	}
 	r.servers.silence(0, false)
 	_ = k.SetReadDeadline(time.Now().Add(20 * time.Second))
-	if !k.ended() {
+	if !k.waitForClose() {
 		t.Error("an old connection goes on")
 	}
-	k = dial(t, r.servers.address(0, 0))
-	k.say("GET /alive HTTP/1.1\r\nHost: x\r\n\r\n")
-	if status, _ := k.hear(); status != http.StatusOK {
+	k = dialRaw(t, r.servers.address(0, 0))
+	k.write("GET /alive HTTP/1.1\r\nHost: x\r\n\r\n")
+	if status, _ := k.readAnswer(); status != http.StatusOK {
 		t.Errorf("probe answered %d", status)
 	}
 }
 
 // Discovery answers as the protocol has it: the whole list, a watch that waits for news or its time, failures.
-func TestDiscoveryHoldsToTheProtocol(t *testing.T) {
+func TestDiscoveryProtocol(t *testing.T) {
 	t.Parallel()
-	r := stage(t, readScenario(t, "[fleet]\nsidecars=2\nservers=3"))
+	r := newStage(t, readScenario(t, "[fleet]\nsidecars=2\nservers=3"))
 	get := func(sidecar int, query string) (int, listingJSON) {
 		t.Helper()
 		res, err := http.Get("http://" + r.roster.address(sidecar) + "/discovery/hosts" + query)
--- a/internal/lab/hollow_test.go
+++ b/internal/lab/hollow_test.go
@@ -9,8 +9,8 @@
 	"arrowgw/internal/conf"
 )
 
-// hollowFleet is a scenario with so many hollow sidecars, and more lines of its fleet and faults.
-func hollowFleet(t *testing.T, fleet, faults string) *Scenario {
+// hollowScenario is a scenario with so many hollow sidecars, and more lines of its fleet and faults.
+func hollowScenario(t *testing.T, fleet, faults string) *Scenario {
 	t.Helper()
 	s, err := ReadScenario("hollow.toml", []byte(`about = "x"
 for = "8s"
@@ -38,8 +38,8 @@
 
 // Whole and hollow sidecars stand in one fleet: all see all, a set that one kind pushes is in force at the other, and bytes are
 // counted at both. Nothing is judged by how long it took.
-func TestHollow(t *testing.T) {
-	s := hollowFleet(t, "sidecars = 2\nhollow = 30\nservers = 3", "[[fault]]\nat = '1s'\ndo = 'push'\ntarget = '20'\n[[fault]]\nat = '2s'\ndo = 'kill'\ntarget = '25'\n[[fault]]\nat = '3s'\ndo = 'move'\n")
+func TestHollowSidecars(t *testing.T) {
+	s := hollowScenario(t, "sidecars = 2\nhollow = 30\nservers = 3", "[[fault]]\nat = '1s'\ndo = 'push'\ntarget = '20'\n[[fault]]\nat = '2s'\ndo = 'kill'\ntarget = '25'\n[[fault]]\nat = '3s'\ndo = 'move'\n")
 	s.For = conf.Duration(25 * time.Second) // a busy machine may take most of that
 	res, err := Play(context.Background(), s, Options{Seed: 1, Program: realProgram(t)})
 	if err != nil {
@@ -66,7 +66,7 @@
 }
 
 // A size that can't be held is refused before the start, with key and line.
-func TestHollowRefused(t *testing.T) {
+func TestHollowSizeRefused(t *testing.T) {
 	for _, c := range []struct{ fleet, want string }{
 		{"hollow = -1", `x.toml:3: key "fleet.hollow" is -1`},
 		{"hollow = 10001", `x.toml:3: key "fleet.hollow" is 10001`},
@@ -78,7 +78,7 @@
 			t.Errorf("%q: %v, want %q", c.fleet, err, c.want)
 		}
 	}
-	s := hollowFleet(t, "hollow = 300", "")
+	s := hollowScenario(t, "hollow = 300", "")
 	if err := s.checkHollowFits(600 << 20); err == nil || !strings.Contains(err.Error(), `hollow.toml:5: key "fleet.hollow" is 300: about`) {
 		t.Errorf("a machine of 600 MiB: %v", err)
 	}
--- a/internal/lab/spread_test.go
+++ b/internal/lab/spread_test.go
@@ -9,9 +9,9 @@
 	"time"
 )
 
-// history gives a run whose sends are drawn: each of some servers has so many a second, by its weight, unless skip says
+// runWithSends gives a run whose sends are drawn: each of some servers has so many a second, by its weight, unless skip says
 // that it has none then.
-func history(t *testing.T, text string, weight func(server int) float64, skip func(at time.Duration, server int) bool) *run {
+func runWithSends(t *testing.T, text string, weight func(server int) float64, skip func(at time.Duration, server int) bool) *run {
 	t.Helper()
 	r := &run{scenario: readScenario(t, text), history: new(History), servers: &servers{connections: newCounter(60)}}
 	rng := rand.New(rand.NewPCG(1, 1))
@@ -32,7 +32,7 @@
 }
 
 // Histories whose spread is known: what chance does is taken for chance, and what is none is found, where it is.
-func TestSpreadOfKnownHistories(t *testing.T) {
+func TestSpreadFigures(t *testing.T) {
 	const s = time.Second
 	even := func(int) float64 { return 1 }
 	never := func(time.Duration, int) bool { return false }
@@ -72,7 +72,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			r := history(t, c.text, c.weight, c.skip)
+			r := runWithSends(t, c.text, c.weight, c.skip)
 			try := r.history.tries[0]
 			for i := range c.herd {
 				try.Reached = append(try.Reached, Reached{Server: 3, At: 20*s + time.Duration(i)*time.Millisecond})
--- a/internal/lab/state_test.go
+++ b/internal/lab/state_test.go
@@ -16,8 +16,8 @@
 	"arrowgw/internal/store"
 )
 
-// figures reads a console's figures.
-func figures(t *testing.T, console string) map[string]string {
+// consoleFigures reads a console's figures.
+func consoleFigures(t *testing.T, console string) map[string]string {
 	t.Helper()
 	c, err := net.Dial("tcp", console)
 	if err != nil {
@@ -40,9 +40,9 @@
 // A real sidecar with one of two servers out by hand is killed, its state folder is damaged in every file, and it starts
 // again: either that server is still out and no other, or the console says that the state is damaged until an operator
 // confirms. With the folder as it was, the server is out and nothing is said.
-func TestDamagedStateIsNeverSilent(t *testing.T) {
+func TestDamagedStateIsReported(t *testing.T) {
 	t.Parallel()
-	r := stage(t, readScenario(t, "[fleet]\nsidecars=1\nservers=2"))
+	r := newStage(t, readScenario(t, "[fleet]\nsidecars=1\nservers=2"))
 	rng := rand.New(rand.NewPCG(1, 1))
 	told, kept := 0, 0
 	for i := range 24 {
@@ -63,7 +63,7 @@
 		if q, err = r.processes.start(0); err != nil {
 			t.Fatal(err)
 		}
-		f := figures(t, q.console)
+		f := consoleFigures(t, q.console)
 		out := f["app.members_unavailable"] == "1"
 		switch {
 		case f["app.state_damaged"] == "":
@@ -80,7 +80,7 @@
 		if answer, err := callConsole(q.console, "confirm-state"); err != nil || !strings.HasPrefix(answer, "200") {
 			t.Errorf("confirm-state: %q, error %v", answer, err)
 		}
-		if f := figures(t, q.console); f["app.state_damaged"] != "0" {
+		if f := consoleFigures(t, q.console); f["app.state_damaged"] != "0" {
 			t.Errorf("after it was confirmed: %s", fmt.Sprint(f))
 		}
 		r.processes.kill(0)
@@ -88,16 +88,16 @@
 	t.Logf("told %d times, kept %d times", told, kept)
 }
 
-// says makes a call at a sidecar's console that has to be answered with 200 yes.
-func says(t *testing.T, q *process, call string) {
+// callConfirmed makes a call at a sidecar's console that has to be answered with 200 yes.
+func callConfirmed(t *testing.T, q *process, call string) {
 	t.Helper()
 	if answer, err := callConsole(q.console, call); err != nil || !strings.HasPrefix(answer, "200") {
 		t.Fatalf("%s: %q, error %v", call, answer, err)
 	}
 }
 
-// forgetOlder removes the file for older programs, which would make good for what the state itself has lost.
-func forgetOlder(t *testing.T, r *run) {
+// removeOldStateFile removes the file for older programs, which would make good for what the state itself has lost.
+func removeOldStateFile(t *testing.T, r *run) {
 	t.Helper()
 	if err := os.Remove(filepath.Join(r.processes.stateDir(0), "sidecar-n0.state")); err != nil && !os.IsNotExist(err) {
 		t.Fatal(err)
@@ -105,39 +105,39 @@
 }
 
 // A state folder that is removed at work is made again by the next call, which holds over the next kill.
-func TestStateFolderRemovedAtWork(t *testing.T) {
+func TestStateFolderRemovedWhileRunning(t *testing.T) {
 	t.Parallel()
-	r := stage(t, readScenario(t, "[fleet]\nsidecars=1\nservers=3"))
+	r := newStage(t, readScenario(t, "[fleet]\nsidecars=1\nservers=3"))
 	for i := range 4 {
 		q, err := r.processes.start(0)
 		if err != nil {
 			t.Fatal(err)
 		}
-		says(t, q, "disable-server "+serverName(i%2))
+		callConfirmed(t, q, "disable-server "+serverName(i%2))
 		if err := os.RemoveAll(filepath.Join(r.processes.stateDir(0), "sidecar-n0.kept")); err != nil {
 			t.Fatal(err)
 		}
-		says(t, q, "enable-server "+serverName(i%2))
-		says(t, q, "disable-server "+serverName(2))
+		callConfirmed(t, q, "enable-server "+serverName(i%2))
+		callConfirmed(t, q, "disable-server "+serverName(2))
 		r.processes.kill(0)
-		forgetOlder(t, r)
+		removeOldStateFile(t, r)
 		if q, err = r.processes.start(0); err != nil {
 			t.Fatal(err)
 		}
-		if f := figures(t, q.console); f["app.members_unavailable"] != "1" || f["app.state_damaged"] != "0" {
+		if f := consoleFigures(t, q.console); f["app.members_unavailable"] != "1" || f["app.state_damaged"] != "0" {
 			t.Errorf("after the kill: %v", f)
 		}
-		says(t, q, "enable-server "+serverName(2))
+		callConfirmed(t, q, "enable-server "+serverName(2))
 		r.processes.kill(0)
 	}
 }
 
 // A real sidecar is killed at the moment that its state's next file is being written, in the one turn with a second
 // process beside it, amid a storm of calls: the last call of each caller that was confirmed holds at the next start.
-func TestKilledAmidACompaction(t *testing.T) {
+func TestKillDuringCompaction(t *testing.T) {
 	t.Parallel()
 	const callers = 4
-	r := stage(t, readScenario(t, fmt.Sprintf("[fleet]\nsidecars=1\nservers=%d\nfile='''[state]\nlimit=32'''", callers+1)))
+	r := newStage(t, readScenario(t, fmt.Sprintf("[fleet]\nsidecars=1\nservers=%d\nfile='''[state]\nlimit=32'''", callers+1)))
 	folder := filepath.Join(r.processes.stateDir(0), "sidecar-n0.kept")
 	half := func() bool { // a file is being written
 		names, _ := filepath.Glob(filepath.Join(folder, "*.tmp"))
@@ -203,11 +203,11 @@
 		if half() {
 			amid++
 		}
-		forgetOlder(t, r)
+		removeOldStateFile(t, r)
 		if q, err = r.processes.start(0); err != nil {
 			t.Fatal(err)
 		}
-		if f := figures(t, q.console); f["app.state_damaged"] != "0" {
+		if f := consoleFigures(t, q.console); f["app.state_damaged"] != "0" {
 			t.Errorf("turn %d: a kill is taken for damage: %v", turn, f)
 		}
 		in, err := store.Inspect(store.OS{}, folder)
--- a/internal/lab/views_test.go
+++ b/internal/lab/views_test.go
@@ -10,7 +10,7 @@
 )
 
 // Each way in which a view can be wrong is found, and none where a fault has just been or still is.
-func TestViewsAreJudged(t *testing.T) {
+func TestMembershipInvariants(t *testing.T) {
 	s := readScenario(t, "[fleet]\nsidecars=3")
 	const sec = time.Second
 	for what, c := range map[string]struct {
@@ -57,10 +57,10 @@
 
 // Real sidecars are sent garbage where their peers speak: packets and streams of nonsense, with and without the fleet's name on
 // them, cut short, far too long, and streams that say nothing. None ends, all see each other, and each still serves its console.
-func TestGarbageAtRealSidecars(t *testing.T) {
+func TestMalformedMembershipTraffic(t *testing.T) {
 	t.Parallel()
 	const n = 3
-	r := stage(t, readScenario(t, "[fleet]\nsidecars=3\nservers=2\nmemory_mb=48"))
+	r := newStage(t, readScenario(t, "[fleet]\nsidecars=3\nservers=2\nmemory_mb=48"))
 	r.scenario.Fleet.File = fmt.Sprintf("[member]\nlisten='{peer}'\ncluster='lab'\nseeds=['%s','%s']", r.net.address(0, peerPort), r.net.address(1, peerPort))
 	var all []*process
 	for i := range n {
@@ -137,15 +137,15 @@
 		if rss, _, ok := processUsage(q.cmd.Process.Pid); !ok || rss > 48 {
 			t.Errorf("sidecar %d: %v, %.1f MiB", i, ok, rss)
 		}
-		says(t, q, "ready")
+		callConfirmed(t, q, "ready")
 	}
 	if len(r.history.processFailures) > 0 {
 		t.Error(r.history.processFailures)
 	}
 }
 
-// amid plays half a minute of four real sidecars that reach each other, with a fleet file and faults, and wants all to hold.
-func amid(t *testing.T, file, faults string) *Result {
+// playWithFaults plays half a minute of four real sidecars that reach each other, with a fleet file and faults, and wants all to hold.
+func playWithFaults(t *testing.T, file, faults string) *Result {
 	t.Helper()
 	file = "[member]\nlisten = \"{peer}\"\ncluster = \"lab\"\nseeds = [\"n0\", \"n1\"]\n" + file
 	s := readScenario(t, "for = '30s'\n[fleet]\nsidecars = 4\nservers = 4\nmesh = true\nfile = '''"+file+"'''\n[load]\nuse = 0.1\n"+faults)
@@ -161,9 +161,9 @@
 
 // The short form of membership's scenarios: the network between four real sidecars is cut in halves for three seconds, one is
 // killed meanwhile and one upgraded, and all see all, and agree, in the end.
-func TestMembersAmidFaults(t *testing.T) {
+func TestMembersUnderFaults(t *testing.T) {
 	t.Parallel()
-	res := amid(t, "", `
+	res := playWithFaults(t, "", `
 [[fault]]
 at = "2s"
 do = "cut"
@@ -186,7 +186,7 @@
 }
 
 // A duty that is held by an older token after a newer one, or by two, is found; looks that overlap prove nothing.
-func TestOneHolderIsJudged(t *testing.T) {
+func TestSingleHolderInvariant(t *testing.T) {
 	const sec = time.Second
 	for what, c := range map[string]struct {
 		seen []observedToken
@@ -209,9 +209,9 @@
 
 // The short form of the duties' scenarios: of four real sidecars, three of which vote, one after another is killed or stands still for
 // longer than a lease, and the network is cut. The duty is never at two, and passes on.
-func TestDutiesAmidFaults(t *testing.T) {
+func TestDutiesUnderFaults(t *testing.T) {
 	t.Parallel()
-	res := amid(t, "[duty]\nvoters = [\"n0\", \"n1\", \"n2\"]\nlease = \"1s\"\nreport = true\n", `
+	res := playWithFaults(t, "[duty]\nvoters = [\"n0\", \"n1\", \"n2\"]\nlease = \"1s\"\nreport = true\n", `
 [[fault]]
 at = "5s"
 do = "kill"
