--- a/internal/lab/added_test.go
+++ b/internal/lab/added_test.go
@@ -29,21 +29,21 @@
 var addedTimeLength = flag.Duration("added-for", 15*time.Second, "how long a run of BenchmarkAddedTime counts calls")
 
 const (
-	addedSidecars      = 1900                   // sidecars by the settings
-	addedRate          = 142                    // and calls a second at each of them by the quotas
-	addedWarmup        = 2 * time.Second        // calls before are made and not counted
-	addedAnswerTimeout = 2 * time.Second        // an answer that has not come so long after the last call is none
-	timerTolerance     = 200 * time.Microsecond // timers go off late by less than this, mostly
+	addedSidecars      = 1900                   // in the fleet, according to the settings
+	addedRate          = 142                    // calls per second at each of them, on which the quotas are based
+	addedWarmup        = 2 * time.Second        // at the start, in which calls are made and not counted
+	addedAnswerTimeout = 2 * time.Second        // after the last call
+	timerTolerance     = 200 * time.Microsecond // timers are usually late by less
 
 	countersInterval = 6 * time.Second // the sidecar writes its counters at least this often
 )
 
-// waitedCounter is how many attempts waited, in a line of the sidecar's counters.
+// waitedCounter matches the number of attempts that waited for a connection in a line of the sidecar's counters.
 var waitedCounter = regexp.MustCompile(`\bquiet:(\d+)`)
 
-// BenchmarkAddedTime measures what the sidecar adds to a call: calls straight to a server and calls through the real
-// program, each by chance at its rate on a timetable of its own, side by side in one run. A call's time counts from
-// when it was due.
+// BenchmarkAddedTime measures the latency that the sidecar adds to a call. One run makes calls directly to a server and calls
+// through the real program concurrently, each at random times of the same mean rate. The latency of a call counts from the
+// time at which it was due.
 func BenchmarkAddedTime(b *testing.B) {
 	for _, servers := range []int{10, 200, 1900} {
 		for _, rate := range []int{addedRate, 700} {
@@ -56,19 +56,20 @@
 	}
 }
 
+// measureAddedTime makes one run of BenchmarkAddedTime and reports its metrics.
 func measureAddedTime(b *testing.B, servers, rate int, seed uint64) {
 	n, err := claimSubnet()
 	if err != nil {
 		b.Fatal(err)
 	}
-	b.Cleanup(n.release) // behind the end of the sidecar, or another lab has its addresses meanwhile
+	b.Cleanup(n.release) // runs after the sidecar has ended; otherwise another lab could claim its addresses
 	s := readScenario(b, "[fleet]\nsidecars=1\nsockets=1024")
 	s.Fleet.Servers, s.Fleet.StatedSidecars = servers, addedSidecars
-	mean := 0.0
+	meanWork := 0.0 // seconds per call
 	for _, c := range s.classes() {
-		mean += c.Share * c.Work.Seconds()
+		meanWork += c.Share * c.Work.Seconds()
 	}
-	s.Fleet.Quota = addedSidecars * addedRate * mean / s.capacity()
+	s.Fleet.Quota = addedSidecars * addedRate * meanWork / s.capacity()
 	var accepted atomic.Int64
 	var entries []map[string]any
 	for i := range servers {
@@ -95,10 +96,10 @@
 	}
 	b.ReportMetric(float64(streams[0].failed+streams[1].failed), "failed")
 	b.ReportMetric(float64(accepted.Load()-conns), "server-conns")
-	b.ReportMetric(0, "ns/op") // the run has its length
+	b.ReportMetric(0, "ns/op") // the length of a run is fixed
 }
 
-// serveAtOnce serves whoever connects.
+// serveAtOnce answers every request on every connection immediately, and counts the connections.
 func serveAtOnce(l net.Listener, accepted *atomic.Int64) {
 	for {
 		c, err := l.Accept()
@@ -113,7 +114,7 @@
 				if err != nil {
 					return
 				}
-				_, _ = io.Copy(io.Discard, req.Body) // what is cut short ends the next read
+				_, _ = io.Copy(io.Discard, req.Body) // a truncated body fails the next read
 				if _, err := io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"); err != nil {
 					return
 				}
@@ -122,8 +123,8 @@
 	}
 }
 
-// attemptsThatWaited counts the attempts that waited for a connection to rest, those of the first calls too, by the sidecar's
-// counters. It waits until these have been written once more.
+// attemptsThatWaited returns how many attempts waited for a connection, including those of the warm-up, according to the
+// sidecar's counters. It waits until the counters have been written once more.
 func attemptsThatWaited(b *testing.B, log string) int {
 	b.Helper()
 	time.Sleep(countersInterval)
@@ -142,7 +143,8 @@
 	return n
 }
 
-// startSingleSidecar starts the real program as one sidecar of the fleet, and returns where clients connect and its log.
+// startSingleSidecar starts the real program as one sidecar of a larger fleet. It returns the address for clients and the path
+// of its log.
 func startSingleSidecar(b *testing.B, n *subnet, s *Scenario, entries []map[string]any) (address, log string) {
 	b.Helper()
 	program := realProgram(b)
@@ -151,12 +153,12 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	place, err := net.Listen("tcp", n.address(0, firstOwnPort))
+	listener, err := net.Listen("tcp", n.address(0, firstOwnPort))
 	if err != nil {
 		b.Fatal(err)
 	}
 	discovery := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if wait, err := strconv.Atoi(r.FormValue("wait")); err == nil { // nothing changes
+		if wait, err := strconv.Atoi(r.FormValue("wait")); err == nil { // a watch: nothing ever changes
 			select {
 			case <-time.After(time.Duration(wait) * time.Millisecond):
 			case <-r.Context().Done():
@@ -164,11 +166,11 @@
 		}
 		_, _ = w.Write(list)
 	})}
-	go func() { _ = discovery.Serve(place) }() // ends with the run
+	go func() { _ = discovery.Serve(listener) }() // returns when the benchmark ends
 	b.Cleanup(func() { discovery.Close() })
 	p := newProcesses(s, newClock(), new(History), n, nil, program, b.TempDir(), "", nil, 1)
 	raw, err := json.Marshal(map[string]any{
-		"name": sidecarName(0), "listen": n.address(0, clientPort), "discovery": place.Addr().String(), "console": n.address(0, consolePort), "seed": "1",
+		"name": sidecarName(0), "listen": n.address(0, clientPort), "discovery": listener.Addr().String(), "console": n.address(0, consolePort), "seed": "1",
 		"limits": map[string]any{"cores": 1, "memory_mb": 192, "sockets": s.Fleet.Sockets}, "known": known, "settings": p.settings(0),
 	})
 	config := filepath.Join(p.dir, "config.json")
@@ -193,7 +195,7 @@
 	if err := <-started; err != nil {
 		b.Fatal(err)
 	}
-	go func() { _ = q.cmd.Wait(); close(q.ended) }() // ready tells of an early end
+	go func() { _ = q.cmd.Wait(); close(q.ended) }() // p.ready reports an early end
 	b.Cleanup(func() { p.stop(q); close(p.starter) })
 	if err := p.waitReady(q); err != nil {
 		b.Fatal(err)
@@ -201,22 +203,22 @@
 	return n.address(0, clientPort), q.log
 }
 
-// callStream is one timetable of calls to one address, over connections that are kept.
+// callStream is a series of calls to one address over connections that are kept open.
 type callStream struct {
 	address string
 
 	mu        sync.Mutex
-	idle      []net.Conn // the one used last is used next
-	dueTimes  map[net.Conn]time.Time
-	counted   bool
+	idle      []net.Conn             // the most recently used one is used next
+	dueTimes  map[net.Conn]time.Time // of the calls in flight
+	counted   bool                   // answers are counted
 	latencies []time.Duration
 	failed    int
 	opened    int64
 	inFlight  sync.WaitGroup
 }
 
-// playCalls plays both streams' timetables, and returns how many connections the first one opened. It holds a thread of
-// its own, and looks at the clock all the time just before a call is due: timers are late by more than is measured.
+// playCalls makes the calls of both streams at random times, and returns how many connections the first stream opened. It locks
+// a thread and polls the clock just before a call is due, because timers are late by more than the latencies measured here.
 func playCalls(b *testing.B, streams []*callStream, rate int, seed uint64) (opened int64) {
 	type call struct {
 		at     time.Duration
@@ -237,7 +239,7 @@
 		due := began.Add(calls[i].at)
 		if ahead := time.Until(due) - timerTolerance; ahead > 0 {
 			left := unix.NsecToTimespec(int64(ahead))
-			_ = unix.Nanosleep(&left, nil) // what a signal cuts off is spun away
+			_ = unix.Nanosleep(&left, nil) // if a signal interrupts it, the loop below waits for the rest
 		}
 		for time.Until(due) > 0 {
 		}
@@ -253,7 +255,7 @@
 	select {
 	case <-ended:
 	case <-time.After(addedAnswerTimeout):
-		b.Error("calls are left with no answer")
+		b.Error("calls have got no answer")
 	}
 	for _, s := range streams {
 		s.mu.Lock()
@@ -265,7 +267,7 @@
 	return streams[0].opened
 }
 
-// send sends the call of a number, which was due at a moment.
+// send sends a call with a number that was due at a time. counts says whether its latency is recorded.
 func (s *callStream) send(number int, due time.Time, counts bool) {
 	text := fmt.Sprintf("POST /publish HTTP/1.1\r\nHost: service.internal\r\nX-Request-ID: %016x\r\nX-Priority-Class: publish\r\n"+
 		"X-Tenant-Id: %s\r\nX-Timeout: 500m\r\nContent-Length: 7\r\n\r\n{\"n\":1}", number, tenants[number%len(tenants)].name)
@@ -276,7 +278,7 @@
 		c := s.idle[last]
 		s.idle, s.dueTimes[c] = s.idle[:last], due
 		s.mu.Unlock()
-		_, _ = io.WriteString(c, text) // where it breaks, so does the read
+		_, _ = io.WriteString(c, text) // if it fails, so does reading the answer
 		return
 	}
 	s.opened++
@@ -298,7 +300,7 @@
 	}()
 }
 
-// readAnswers takes the answers on a connection until it ends.
+// readAnswers reads the answers on a connection until it ends, and returns the connection to the idle ones after each.
 func (s *callStream) readAnswers(c net.Conn) {
 	defer c.Close()
 	for r := bufio.NewReader(c); ; {
@@ -331,7 +333,7 @@
 	}
 }
 
-// quantile is a quantile of the calls' times in ms.
+// quantile returns a quantile of the latencies in ms.
 func (s *callStream) quantile(at float64) float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/lab/conform_test.go
+++ b/internal/lab/conform_test.go
@@ -15,7 +15,7 @@
 	"arrowgw/internal/world"
 )
 
-// newStage is a run with no clients and no faults of its own: tests play both.
+// newStage starts the stand-ins of a run without clients and faults. The test acts as both.
 func newStage(t *testing.T, s *Scenario) *run {
 	t.Helper()
 	rec, err := newProcessRecord()
@@ -49,7 +49,7 @@
 	return r
 }
 
-// rawConn is a connection to somebody who is to hold to the protocol.
+// rawConn is a client connection on which a test writes HTTP in pieces, to check that the other side follows the protocol.
 type rawConn struct {
 	t *testing.T
 	net.Conn
@@ -67,7 +67,7 @@
 	return &rawConn{t, c, bufio.NewReader(c)}
 }
 
-// write writes some of a request.
+// write writes a part of a request.
 func (k *rawConn) write(text string) {
 	k.t.Helper()
 	if _, err := io.WriteString(k, text); err != nil {
@@ -75,7 +75,7 @@
 	}
 }
 
-// readAnswer reads an answer.
+// readAnswer reads an answer, and returns its status and body.
 func (k *rawConn) readAnswer() (int, string) {
 	k.t.Helper()
 	res, err := http.ReadResponse(k.r, nil)
@@ -90,17 +90,17 @@
 	return res.StatusCode, string(body)
 }
 
-// waitForClose waits until the other side closes.
+// waitForClose waits until the other side closes the connection, and reports whether it did.
 func (k *rawConn) waitForClose() bool {
 	_, err := k.r.ReadByte()
 	return err != nil && !strings.Contains(err.Error(), "timeout")
 }
 
-// The same checks run against a stand-in for a queue server and against the real sidecar: both serve the same HTTP.
+// The same checks of HTTP/1.1 run against a stand-in for a server and against the real sidecar.
 func TestServerAndSidecarProtocol(t *testing.T) {
 	t.Parallel()
 	s := readScenario(t, "[fleet]\nsidecars=1\nservers=1")
-	s.TimeLimits = 9 * time.Second // as its requests have; an attempt is given up at its aim, which a busy machine may pass
+	s.TimeLimits = 9 * time.Second // the time-out of the requests; with the usual aims a busy machine may abandon attempts
 	r := newStage(t, s)
 	if _, err := r.processes.start(0); err != nil {
 		t.Fatal(err)
@@ -111,11 +111,11 @@
 		r.servers.all[0].advance()
 		return r.servers.all[0].model.Held()
 	}
-	until := func(what string, holds func() bool) {
+	waitUntil := func(what string, holds func() bool) {
 		t.Helper()
 		for end := time.Now().Add(20 * time.Second); !holds(); time.Sleep(time.Millisecond) {
 			if time.Now().After(end) {
-				t.Fatalf("waited in vain: %s", what)
+				t.Fatalf("timed out waiting until %s", what)
 			}
 		}
 	}
@@ -134,19 +134,19 @@
 		served := func(k *rawConn, id string) {
 			t.Helper()
 			if status, body := k.readAnswer(); status != http.StatusOK || !strings.HasPrefix(body, id) || reached(id) != 1 {
-				t.Errorf("%s: answered %d %q, and %d servers had it", who, status, body, reached(id))
+				t.Errorf("%s: answered %d %q, and the request reached servers %d times", who, status, body, reached(id))
 			}
 		}
 		k := dialRaw(t, address)
-		for range 3 { // one connection carries one request after another
+		for range 3 { // several requests on one connection
 			head, body, id := request("1ms")
 			k.write(head + body)
 			served(k, id)
 		}
 		head, body, id := request("1ms")
-		for _, piece := range []string{head[:9], head[9:60], head[60:], body[:1], body[1:]} { // in pieces, by any borders
+		for _, piece := range []string{head[:9], head[9:60], head[60:], body[:1], body[1:]} { // split at arbitrary places
 			if reached(id) != 0 {
-				t.Errorf("%s: a request began before its last byte", who)
+				t.Errorf("%s: a request was executed before its last byte arrived", who)
 			}
 			k.write(piece)
 		}
@@ -154,30 +154,30 @@
 		head, body, id = request("1ms", "Connection: close\r\n")
 		k.write(head + body)
 		if served(k, id); !k.waitForClose() {
-			t.Errorf("%s: the connection goes on after Connection: close", who)
+			t.Errorf("%s: the connection stays open after Connection: close", who)
 		}
 		k = dialRaw(t, address)
 		head, body, _ = request("1ms")
 		k.write(strings.Replace(head, "X-Request-ID", "X-Other", 1) + body)
 		if status, _ := k.readAnswer(); status < 400 || status > 499 {
-			t.Errorf("%s: a request with no id was answered %d", who, status)
+			t.Errorf("%s: a request without an id was answered %d", who, status)
 		}
 		k = dialRaw(t, address)
 		k.write("this is no request\r\n\r\n")
 		if status, _ := k.readAnswer(); status != http.StatusBadRequest {
-			t.Errorf("%s: what is no request was answered %d", who, status)
+			t.Errorf("%s: a malformed request was answered %d", who, status)
 		}
 		k = dialRaw(t, address)
 		head, _, id = request("1ms")
 		k.write(head)
-		k.Close() // its last byte never comes
+		k.Close() // the body never arrives
 		k = dialRaw(t, address)
 		head, body, id2 := request("1ms")
 		k.write(head + body)
 		if served(k, id2); reached(id) != 0 {
-			t.Errorf("%s: a request with no end began", who)
+			t.Errorf("%s: an incomplete request was executed", who)
 		}
-		k = dialRaw(t, address) // whoever closes gives up: what waits does not run
+		k = dialRaw(t, address) // a client that closes cancels its request, which is then not executed
 		r.servers.changeModel(0, func(m *world.Server) { m.Slow(1000) })
 		var waiting []*rawConn
 		for range s.Server.Slots + 1 {
@@ -186,16 +186,16 @@
 			w.write(head + body)
 			waiting = append(waiting, w)
 		}
-		until("the server is full", func() bool { return held() == s.Server.Slots+1 })
+		waitUntil("the server is full", func() bool { return held() == s.Server.Slots+1 })
 		head, body, id = request("5ms")
 		k.write(head + body)
-		until("one more waits", func() bool { return held() == s.Server.Slots+2 && reached(id) == 1 })
+		waitUntil("the request waits at the server", func() bool { return held() == s.Server.Slots+2 && reached(id) == 1 })
 		k.Close()
-		until(who+": it is called off", func() bool { return held() == s.Server.Slots+1 })
+		waitUntil(who+": the request is cancelled", func() bool { return held() == s.Server.Slots+1 })
 		r.servers.changeModel(0, func(m *world.Server) { m.Slow(0.001) })
 		for _, w := range waiting {
 			if status, _ := w.readAnswer(); status != http.StatusOK {
-				t.Errorf("%s: one that waited was answered %d", who, status)
+				t.Errorf("%s: a request that had waited was answered %d", who, status)
 			}
 		}
 		r.servers.changeModel(0, func(m *world.Server) { m.Slow(1) })
@@ -203,17 +203,17 @@
 	r.servers.crash(0)
 	if c, err := net.DialTimeout("tcp", r.servers.address(0, 0), time.Second); err == nil {
 		c.Close()
-		t.Error("a server whose process is dead accepts")
+		t.Error("a server whose process is dead accepts connections")
 	}
 	r.processes.kill(0)
 	if c, err := net.DialTimeout("tcp", r.net.address(0, clientPort), time.Second); err == nil {
 		c.Close()
-		t.Error("a sidecar whose process is dead accepts")
+		t.Error("a sidecar whose process is dead accepts connections")
 	}
 }
 
-// A machine that has vanished says nothing: what is open stays open, new connections never come up, and once it is
-// back all of that is reset.
+// A machine that has vanished answers nothing: open connections stay open, new ones are not established, and once the machine is
+// back, all old connections are reset.
 func TestSilentServer(t *testing.T) {
 	t.Parallel()
 	r := newStage(t, readScenario(t, "[fleet]\nsidecars=1\nservers=1"))
@@ -225,23 +225,23 @@
 	r.servers.silence(0, true)
 	k.write("GET /alive HTTP/1.1\r\nHost: x\r\n\r\n")
 	up := 0
-	for range 4 { // one may be in the queue of the kernel's own; it is answered by nobody
+	for range 4 { // the kernel may establish one in its accept queue, which nobody answers
 		if c, err := net.DialTimeout("tcp", r.servers.address(0, 0), 20*time.Millisecond); err == nil {
 			defer c.Close()
 			up++
 		}
 	}
 	if up > 1 {
-		t.Errorf("%d of 4 connections came up", up)
+		t.Errorf("%d of 4 connections were established", up)
 	}
 	_ = k.SetReadDeadline(time.Now().Add(20 * time.Millisecond))
 	if _, err := k.r.ReadByte(); err == nil || !strings.Contains(err.Error(), "timeout") {
-		t.Errorf("it says something: %v", err)
+		t.Errorf("a silent server answered: error %v", err)
 	}
 	r.servers.silence(0, false)
 	_ = k.SetReadDeadline(time.Now().Add(20 * time.Second))
 	if !k.waitForClose() {
-		t.Error("an old connection goes on")
+		t.Error("an old connection stays open")
 	}
 	k = dialRaw(t, r.servers.address(0, 0))
 	k.write("GET /alive HTTP/1.1\r\nHost: x\r\n\r\n")
@@ -250,7 +250,7 @@
 	}
 }
 
-// Discovery answers as the protocol has it: the whole list, a watch that waits for news or its time, failures.
+// The stand-in for discovery follows the protocol: it sends the whole list, holds a watch until news or its time-out, and fails calls.
 func TestDiscoveryProtocol(t *testing.T) {
 	t.Parallel()
 	r := newStage(t, readScenario(t, "[fleet]\nsidecars=2\nservers=3"))
@@ -281,26 +281,26 @@
 	_, a := get(0, "")
 	_, b := get(1, "")
 	if a.Instances[0].InstanceID != b.Instances[0].InstanceID || a.Instances[0].HostPort == b.Instances[0].HostPort {
-		t.Errorf("two sidecars see %+v and %+v: the same id, at addresses of their own", a.Instances[0], b.Instances[0])
+		t.Errorf("two sidecars see %+v and %+v, want the same id at different addresses", a.Instances[0], b.Instances[0])
 	}
 	want(0, "?index=1&wait=1", 1, false, 0, "")
 	done := make(chan listingJSON)
 	go func() { _, l := get(0, "?index=1&wait=20000"); done <- l }()
 	r.roster.scheduleUpdate(0, world.Entry{Server: 1, Life: world.Draining})
 	if l := <-done; l.Generation != 2 || l.Reset || len(l.Instances) != 1 || l.Instances[0].Lifecycle != "draining" {
-		t.Errorf("a watch ends with %+v", l)
+		t.Errorf("a watch returned %+v", l)
 	}
 	want(1, "?index=1&wait=20000", 2, false, 1, "draining")
-	want(1, "?index=77&wait=20000", 2, true, 3, "ready") // a version that it never had
+	want(1, "?index=77&wait=20000", 2, true, 3, "ready") // a version that never existed
 	if status, _ := get(0, "?index=x&wait=1"); status != http.StatusBadRequest {
-		t.Errorf("nonsense is answered %d", status)
+		t.Errorf("a malformed index is answered %d", status)
 	}
-	if told := r.history.serverUpdates; len(told) != 2 || !told[0].Out || told[0].Server != 1 {
-		t.Errorf("told: %+v", told)
+	if updates := r.history.serverUpdates; len(updates) != 2 || !updates[0].Out || updates[0].Server != 1 {
+		t.Errorf("updates: %+v", updates)
 	}
 	r.roster.setOutage(true)
 	if status, _ := get(0, ""); status != http.StatusServiceUnavailable {
-		t.Errorf("when it is away it answers %d", status)
+		t.Errorf("during an outage it answers %d", status)
 	}
 	r.roster.setOutage(false)
 	want(0, "", 2, true, 3, "ready")
@@ -310,6 +310,6 @@
 	}
 	want(0, "", 2, true, 3, "ready")
 	if _, err := net.Dial("tcp", old); err == nil {
-		t.Error("the old address takes new connections")
+		t.Error("the old address accepts new connections")
 	}
 }
--- a/internal/lab/hollow_test.go
+++ b/internal/lab/hollow_test.go
@@ -9,7 +9,7 @@
 	"arrowgw/internal/conf"
 )
 
-// hollowScenario is a scenario with so many hollow sidecars, and more lines of its fleet and faults.
+// hollowScenario returns a scenario with hollow sidecars; fleet and faults are further lines of its file.
 func hollowScenario(t *testing.T, fleet, faults string) *Scenario {
 	t.Helper()
 	s, err := ReadScenario("hollow.toml", []byte(`about = "x"
@@ -36,11 +36,11 @@
 	return s
 }
 
-// Whole and hollow sidecars stand in one fleet: all see all, a set that one kind pushes is in force at the other, and bytes are
-// counted at both. Nothing is judged by how long it took.
+// Whole and hollow sidecars form one fleet: all see all, a rule set that one kind pushes is in force at the other, and bytes are
+// counted at both. No check depends on how long something took.
 func TestHollowSidecars(t *testing.T) {
 	s := hollowScenario(t, "sidecars = 2\nhollow = 30\nservers = 3", "[[fault]]\nat = '1s'\ndo = 'push'\ntarget = '20'\n[[fault]]\nat = '2s'\ndo = 'kill'\ntarget = '25'\n[[fault]]\nat = '3s'\ndo = 'move'\n")
-	s.For = conf.Duration(25 * time.Second) // a busy machine may take most of that
+	s.For = conf.Duration(25 * time.Second) // a busy machine may need most of it
 	res, err := Play(context.Background(), s, Options{Seed: 1, Program: realProgram(t)})
 	if err != nil {
 		t.Fatal(err)
@@ -54,8 +54,8 @@
 	for _, name := range []string{"hollow_see_all_s", "push_s", "kill_all_s", "lists_s", "push_each_in", "lists_in_bytes"} {
 		switch {
 		case f[name] > 0:
-		case res.Late != "": // what was not there by the end may have come later
-			t.Logf("not judged: %s, as the run was late: %s", name, res.Late)
+		case res.Late != "": // on a slow machine it may happen after the end of the run
+			t.Logf("%s is not judged, because the run was late: %s", name, res.Late)
 		default:
 			t.Errorf("%s is %v, though the run was on time", name, f[name])
 		}
@@ -65,7 +65,7 @@
 	}
 }
 
-// A size that can't be held is refused before the start, with key and line.
+// A number of hollow sidecars that does not fit is refused before the start, with key and line.
 func TestHollowSizeRefused(t *testing.T) {
 	for _, c := range []struct{ fleet, want string }{
 		{"hollow = -1", `x.toml:3: key "fleet.hollow" is -1`},
@@ -86,6 +86,6 @@
 		t.Errorf("a machine of 24 GiB: %v", err)
 	}
 	if s.Resize(0, 0, -1) == nil || s.Resize(0, 0, 10_001) == nil {
-		t.Error("a size by flag is not refused")
+		t.Error("an invalid number given by a flag is not refused")
 	}
 }
--- a/internal/lab/spread_test.go
+++ b/internal/lab/spread_test.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// runWithSends gives a run whose sends are drawn: each of some servers has so many a second, by its weight, unless skip says
-// that it has none then.
+// runWithSends returns a run whose sends are drawn at random: each server gets a mean of 12 a second times its weight, except
+// at times for which skip returns true.
 func runWithSends(t *testing.T, text string, weight func(server int) float64, skip func(at time.Duration, server int) bool) *run {
 	t.Helper()
 	r := &run{scenario: readScenario(t, text), history: new(History), servers: &servers{connections: newCounter(60)}}
@@ -31,7 +31,7 @@
 	return r
 }
 
-// Histories whose spread is known: what chance does is taken for chance, and what is none is found, where it is.
+// Drawn histories whose spread is known: random variation is attributed to chance, and any other unevenness is found.
 func TestSpreadFigures(t *testing.T) {
 	const s = time.Second
 	even := func(int) float64 { return 1 }
@@ -42,27 +42,27 @@
 		text   string
 		weight func(int) float64
 		skip   func(time.Duration, int) bool
-		herd   int // sends more to server 3, at 20 s
+		herd   int // additional sends to server 3 at 20 s
 		want   map[string][2]float64
 	}{
 		{"even", fleet, even, never, 0, map[string][2]float64{
 			"spread_1s_over": {0, 0.06}, "spread_10s_over": {0, 0.03}, "spread_10s": {0.08, 0.1}, "busiest_over": {1, 1.1}, "least_over": {0.9, 1},
 			"idle_most_s": {0.5, 1.5}, "herd": {4, 8},
 		}},
-		{"every second server has half more than the others", fleet, func(i int) float64 { return 0.8 + 0.4*float64(i%2) }, never, 0, map[string][2]float64{
+		{"every second server gets half as much again", fleet, func(i int) float64 { return 0.8 + 0.4*float64(i%2) }, never, 0, map[string][2]float64{
 			"spread_1s_over": {0.17, 0.23}, "spread_10s_over": {0.185, 0.215}, "busiest_over": {1.3, 1.6}, "least_over": {0.4, 0.75},
 		}},
 		{"a herd", fleet, even, never, 30, map[string][2]float64{"herd": {30, 36}, "herd_chance": {4, 8}}},
 		{"an idle server", fleet, even, func(at time.Duration, i int) bool { return i == 7 && at > 10*s && at < 18*s }, 0, map[string][2]float64{
 			"idle_most_s": {8, 9}, "idle_s": {8, 16}, "idle_most_s_chance": {0.5, 1.5},
 		}},
-		{"a dead one is not idle", fleet + "[[fault]]\nat='12s'\ndo='crash'\ntarget='7'\nfor='4s'", even,
+		{"a dead server is not idle", fleet + "[[fault]]\nat='12s'\ndo='crash'\ntarget='7'\nfor='4s'", even,
 			func(at time.Duration, i int) bool { return i == 7 && at > 12*s && at < 25*s }, 0, map[string][2]float64{
 				"after_idle_most_s": {0.4, 1.5}, "after_spread_10s_over": {0, 0.03}, "herd": {4, 8},
 			}},
-		{"one that is back and warm is", fleet + "[[fault]]\nat='12s'\ndo='crash'\ntarget='7'\nfor='4s'", even,
+		{"a server that is back and warm is idle", fleet + "[[fault]]\nat='12s'\ndo='crash'\ntarget='7'\nfor='4s'", even,
 			func(at time.Duration, i int) bool { return i == 7 && at > 12*s && at < 32*s }, 0, map[string][2]float64{"after_idle_most_s": {5, 7}}},
-		{"one that was replaced has no turns, and the other has", fleet + "[[fault]]\nat='12s'\ndo='replace'\ntarget='7'\nfor='1s'", even,
+		{"a replaced server is not counted, and its replacement is", fleet + "[[fault]]\nat='12s'\ndo='replace'\ntarget='7'\nfor='1s'", even,
 			func(at time.Duration, i int) bool { return i == 7 && at > 12*s || i == 200 && at < 28*s }, 0, map[string][2]float64{
 				"after_idle_most_s": {4.5, 6.5}, "idle_most_s": {0.3, 1.5},
 			}},
@@ -90,7 +90,8 @@
 	}
 }
 
-// The spread's scenarios at a small size: each can be played, one of them is, and its figures are those of its sends.
+// All scenarios of the spread can be read and drawn at their request rate. One of them is played at a small size, and its
+// figures match its sends.
 func TestSpreadScenarios(t *testing.T) {
 	t.Parallel()
 	names, _ := filepath.Glob("../../scenarios/spread-*.toml")
@@ -107,7 +108,7 @@
 			t.Fatal(err)
 		}
 		if rate := float64(len(s.arrivals(1))) / s.For.Std().Seconds() / 300; rate < 7.8 || rate > 8.2 {
-			t.Errorf("%s: %v requests a second for each sidecar", name, rate)
+			t.Errorf("%s: %v requests per second and sidecar", name, rate)
 		}
 		if err := s.Resize(10, 6, 0); err != nil {
 			t.Fatal(err)
@@ -129,12 +130,12 @@
 			}
 		}
 		f := res.Figures
-		if all := f["attempts"] * f["requests"]; len(res.Sends) != 6 || len(res.Sends[0]) != 14 || sum > all+0.5 || sum < 0.95*all { // some come after the end
+		if all := f["attempts"] * f["requests"]; len(res.Sends) != 6 || len(res.Sends[0]) != 14 || sum > all+0.5 || sum < 0.95*all { // some arrive after the end
 			t.Errorf("%v sends in %d rows, figures %v", sum, len(res.Sends), f)
 		}
 		for _, name := range []string{"spread_1s", "after_spread_1s", "after_herd", "server_conns", "after_idle_most_s"} {
 			if _, ok := f[name]; !ok {
-				t.Errorf("there is no %s", name)
+				t.Errorf("figure %s is missing", name)
 			}
 		}
 	}
--- a/internal/lab/state_test.go
+++ b/internal/lab/state_test.go
@@ -16,7 +16,7 @@
 	"arrowgw/internal/store"
 )
 
-// consoleFigures reads a console's figures.
+// consoleFigures returns the figures of a console as text.
 func consoleFigures(t *testing.T, console string) map[string]string {
 	t.Helper()
 	c, err := net.Dial("tcp", console)
@@ -37,14 +37,14 @@
 	return all
 }
 
-// A real sidecar with one of two servers out by hand is killed, its state folder is damaged in every file, and it starts
-// again: either that server is still out and no other, or the console says that the state is damaged until an operator
-// confirms. With the folder as it was, the server is out and nothing is said.
+// A real sidecar in which an operator has disabled one of two servers is killed, all files of its state folder are damaged, and
+// it is started again. Either exactly that server is still disabled, or the console reports damaged state until an operator
+// confirms it. With an undamaged folder the server is disabled and no damage is reported.
 func TestDamagedStateIsReported(t *testing.T) {
 	t.Parallel()
 	r := newStage(t, readScenario(t, "[fleet]\nsidecars=1\nservers=2"))
 	rng := rand.New(rand.NewPCG(1, 1))
-	told, kept := 0, 0
+	reported, kept := 0, 0
 	for i := range 24 {
 		how := []string{"kept", "emptied", "truncated", "flipped", "flipped", "flipped"}[i%6]
 		q, err := r.processes.start(0)
@@ -67,13 +67,13 @@
 		out := f["app.members_unavailable"] == "1"
 		switch {
 		case f["app.state_damaged"] == "":
-			t.Fatalf("no figure of the state in %v", f)
+			t.Fatalf("no figure app.state_damaged in %v", f)
 		case how == "kept" && (!out || f["app.state_damaged"] != "0"):
-			t.Errorf("a sound folder: out %v, damaged %s", out, f["app.state_damaged"])
+			t.Errorf("undamaged folder: out %v, damaged %s", out, f["app.state_damaged"])
 		case f["app.state_damaged"] != "0":
-			told++
+			reported++
 		case !out:
-			t.Errorf("%s: the server is back in service, and nobody is told", how)
+			t.Errorf("%s: the server is back in service, and no damage is reported", how)
 		default:
 			kept++
 		}
@@ -81,14 +81,14 @@
 			t.Errorf("confirm-state: %q, error %v", answer, err)
 		}
 		if f := consoleFigures(t, q.console); f["app.state_damaged"] != "0" {
-			t.Errorf("after it was confirmed: %s", fmt.Sprint(f))
+			t.Errorf("after confirm-state: %s", fmt.Sprint(f))
 		}
 		r.processes.kill(0)
 	}
-	t.Logf("told %d times, kept %d times", told, kept)
+	t.Logf("damage reported %d times, call kept %d times", reported, kept)
 }
 
-// callConfirmed makes a call at a sidecar's console that has to be answered with 200 yes.
+// callConfirmed makes a console call that must be answered with status 200.
 func callConfirmed(t *testing.T, q *process, call string) {
 	t.Helper()
 	if answer, err := callConsole(q.console, call); err != nil || !strings.HasPrefix(answer, "200") {
@@ -96,7 +96,7 @@
 	}
 }
 
-// removeOldStateFile removes the file for older programs, which would make good for what the state itself has lost.
+// removeOldStateFile removes the state file for older programs, from which the sidecar would restore what its state folder has lost.
 func removeOldStateFile(t *testing.T, r *run) {
 	t.Helper()
 	if err := os.Remove(filepath.Join(r.processes.stateDir(0), "sidecar-n0.state")); err != nil && !os.IsNotExist(err) {
@@ -104,7 +104,7 @@
 	}
 }
 
-// A state folder that is removed at work is made again by the next call, which holds over the next kill.
+// A state folder that is removed while the sidecar runs is created again by the next operator call, which survives a kill.
 func TestStateFolderRemovedWhileRunning(t *testing.T) {
 	t.Parallel()
 	r := newStage(t, readScenario(t, "[fleet]\nsidecars=1\nservers=3"))
@@ -132,39 +132,40 @@
 	}
 }
 
-// A real sidecar is killed at the moment that its state's next file is being written, in the one turn with a second
-// process beside it, amid a storm of calls: the last call of each caller that was confirmed holds at the next start.
+// A real sidecar is killed while the next file of its state is being written, amid a storm of operator calls; in every second
+// turn both processes of an upgrade are killed. The last confirmed call of each caller must hold after the next start, and the
+// kill must not be reported as damage.
 func TestKillDuringCompaction(t *testing.T) {
 	t.Parallel()
 	const callers = 4
 	r := newStage(t, readScenario(t, fmt.Sprintf("[fleet]\nsidecars=1\nservers=%d\nfile='''[state]\nlimit=32'''", callers+1)))
 	folder := filepath.Join(r.processes.stateDir(0), "sidecar-n0.kept")
-	half := func() bool { // a file is being written
+	writing := func() bool { // a state file is being written
 		names, _ := filepath.Glob(filepath.Join(folder, "*.tmp"))
 		return len(names) > 0
 	}
-	amid := 0
-	for turn := 0; turn < 40 && amid < 5; turn++ {
+	interrupted := 0 // kills that left a temporary file
+	for turn := 0; turn < 40 && interrupted < 5; turn++ {
 		q, err := r.processes.start(0)
 		if err != nil {
 			t.Fatal(err)
 		}
 		var first *process
-		if turn%2 == 1 { // an upgrade in that moment: both processes write
+		if turn%2 == 1 { // an upgrade at that moment: both processes write
 			first = q
 			if q, err = r.processes.start(0); err != nil {
 				t.Fatal(err)
 			}
 		}
 		var all sync.WaitGroup
-		var confirmed [callers]string // the last call that was answered with yes; the one under way may hold too
-		var under [callers]string
+		var confirmed [callers]string // the last call that was confirmed; a later one that was in flight may hold as well
+		var attempted [callers]string // the last call that was sent
 		done := make(chan struct{})
 		for i := range callers {
 			all.Go(func() {
 				for n := 0; ; n++ {
 					call := []string{"disable-server", "enable-server"}[n%2]
-					under[i] = call
+					attempted[i] = call
 					answer, err := callConsole(q.console, call+" "+serverName(i))
 					if err != nil {
 						return
@@ -180,8 +181,8 @@
 				}
 			})
 		}
-		for end := time.Now().Add(20 * time.Second); !half() && time.Now().Before(end); {
-			time.Sleep(100 * time.Microsecond) // a file is half written for some hundreds
+		for end := time.Now().Add(20 * time.Second); !writing() && time.Now().Before(end); {
+			time.Sleep(100 * time.Microsecond) // a file stays half written for some hundred microseconds
 		}
 		ending := []*process{q}
 		if first != nil {
@@ -193,22 +194,22 @@
 		}
 		r.processes.mu.Unlock()
 		for _, p := range ending {
-			_ = p.cmd.Process.Kill() // it has not ended yet
+			_ = p.cmd.Process.Kill() // fails only if it has already ended
 		}
 		for _, p := range ending {
 			<-p.ended
 		}
 		close(done)
 		all.Wait()
-		if half() {
-			amid++
+		if writing() {
+			interrupted++
 		}
 		removeOldStateFile(t, r)
 		if q, err = r.processes.start(0); err != nil {
 			t.Fatal(err)
 		}
 		if f := consoleFigures(t, q.console); f["app.state_damaged"] != "0" {
-			t.Errorf("turn %d: a kill is taken for damage: %v", turn, f)
+			t.Errorf("turn %d: a kill is reported as damage: %v", turn, f)
 		}
 		in, err := store.Inspect(store.OS{}, folder)
 		if err != nil {
@@ -219,11 +220,11 @@
 			out[v.Key] = out[v.Key] || v.Section == "calls" && strings.Contains(string(v.Bytes), `"out":true`)
 		}
 		for i := range callers {
-			if confirmed[i] == under[i] && out[serverName(i)] != (confirmed[i] == "disable-server") {
-				t.Errorf("turn %d: server %d out %v, though %s was confirmed", turn, i, out[serverName(i)], confirmed[i])
+			if confirmed[i] == attempted[i] && out[serverName(i)] != (confirmed[i] == "disable-server") {
+				t.Errorf("turn %d: server %d out %v, although %s was confirmed", turn, i, out[serverName(i)], confirmed[i])
 			}
 		}
 		r.processes.kill(0)
 	}
-	t.Logf("%d kills left a file half written", amid)
+	t.Logf("%d kills left a file half written", interrupted)
 }
--- a/internal/lab/views_test.go
+++ b/internal/lab/views_test.go
@@ -9,38 +9,39 @@
 	"time"
 )
 
-// Each way in which a view can be wrong is found, and none where a fault has just been or still is.
+// The invariants "members" and "agreed" find each way in which a view can be wrong, and nothing while a change or a fault is
+// recent or lasts.
 func TestMembershipInvariants(t *testing.T) {
 	s := readScenario(t, "[fleet]\nsidecars=3")
 	const sec = time.Second
 	for what, c := range map[string]struct {
-		at      time.Duration
-		born    time.Duration
-		present []bool
-		others  int
-		agreed  bool
-		links   []time.Duration
-		cuts    []sidecarSpan
-		want    []string
+		at             time.Duration
+		readyAt        time.Duration
+		present        []bool
+		unknownMembers int
+		agreed         bool
+		links          []time.Duration
+		cuts           []sidecarSpan
+		want           []string
 	}{
-		"as it is":                   {at: 60 * sec, present: []bool{true, true, false}, agreed: true},
-		"one that runs is missing":   {at: 60 * sec, present: []bool{true, false, false}, agreed: true, want: []string{"members"}},
-		"one that ended is seen":     {at: 60 * sec, present: []bool{true, true, true}, agreed: true, want: []string{"members"}},
-		"one that never was":         {at: 60 * sec, present: []bool{true, true, false}, others: 1, agreed: true, want: []string{"members"}},
-		"no agreement":               {at: 60 * sec, present: []bool{true, true, false}, want: []string{"agreed"}},
-		"just ended":                 {at: 36 * sec, present: []bool{true, true, true}},
-		"ended nine seconds before":  {at: 39 * sec, present: []bool{true, true, true}, want: []string{"members"}},
-		"a young process":            {at: 60 * sec, born: 55 * sec, present: []bool{true, false, false}},
-		"a link changed":             {at: 60 * sec, present: []bool{true, false, false}, links: []time.Duration{55 * sec}},
-		"a link changed before that": {at: 60 * sec, present: []bool{true, false, false}, links: []time.Duration{50 * sec}, want: []string{"members"}},
-		"the network is cut":         {at: 60 * sec, present: []bool{true, false, false}, links: []time.Duration{10 * sec}, cuts: []sidecarSpan{{0, 10 * sec, 70 * sec}}},
-		"it was cut long ago":        {at: 60 * sec, present: []bool{true, false, false}, cuts: []sidecarSpan{{0, 10 * sec, 20 * sec}}, want: []string{"agreed", "members"}},
-		"the first moments":          {at: 3 * sec, present: []bool{true, false, false}},
+		"correct view":                    {at: 60 * sec, present: []bool{true, true, false}, agreed: true},
+		"a running sidecar is missing":    {at: 60 * sec, present: []bool{true, false, false}, agreed: true, want: []string{"members"}},
+		"an ended sidecar is listed":      {at: 60 * sec, present: []bool{true, true, true}, agreed: true, want: []string{"members"}},
+		"an unknown member is listed":     {at: 60 * sec, present: []bool{true, true, false}, unknownMembers: 1, agreed: true, want: []string{"members"}},
+		"no agreement":                    {at: 60 * sec, present: []bool{true, true, false}, want: []string{"agreed"}},
+		"just ended":                      {at: 36 * sec, present: []bool{true, true, true}},
+		"ended nine seconds ago":          {at: 39 * sec, present: []bool{true, true, true}, want: []string{"members"}},
+		"a process that has just started": {at: 60 * sec, readyAt: 55 * sec, present: []bool{true, false, false}},
+		"a link changed":                  {at: 60 * sec, present: []bool{true, false, false}, links: []time.Duration{55 * sec}},
+		"a link changed earlier":          {at: 60 * sec, present: []bool{true, false, false}, links: []time.Duration{50 * sec}, want: []string{"members"}},
+		"the network is cut":              {at: 60 * sec, present: []bool{true, false, false}, links: []time.Duration{10 * sec}, cuts: []sidecarSpan{{0, 10 * sec, 70 * sec}}},
+		"the network was cut long ago":    {at: 60 * sec, present: []bool{true, false, false}, cuts: []sidecarSpan{{0, 10 * sec, 20 * sec}}, want: []string{"agreed", "members"}},
+		"the start of the run":            {at: 3 * sec, present: []bool{true, false, false}},
 	} {
 		h := &History{
 			processChanges: []processChange{{0, 0, true}, {0, 1, true}, {0, 2, true}, {30 * sec, 2, false}},
 			linkChanges:    c.links, linkOutages: c.cuts,
-			views: []observedView{{at: c.at, readyAt: c.born, sidecar: 0, agreed: c.agreed, present: c.present, unknownMembers: c.others}},
+			views: []observedView{{at: c.at, readyAt: c.readyAt, sidecar: 0, agreed: c.agreed, present: c.present, unknownMembers: c.unknownMembers}},
 		}
 		var broken []string
 		for _, v := range judge(h, s, false) {
@@ -55,8 +56,9 @@
 	}
 }
 
-// Real sidecars are sent garbage where their peers speak: packets and streams of nonsense, with and without the fleet's name on
-// them, cut short, far too long, and streams that say nothing. None ends, all see each other, and each still serves its console.
+// Real sidecars receive malformed packets and streams on their membership port: random bytes with and without the fleet's
+// label, truncated, oversized, and streams that send nothing more. No process may end, all must see each other, and each
+// must still answer its console.
 func TestMalformedMembershipTraffic(t *testing.T) {
 	t.Parallel()
 	const n = 3
@@ -70,7 +72,7 @@
 		}
 		all = append(all, q)
 	}
-	agree := func(when string) {
+	waitForAgreement := func(when string) {
 		t.Helper()
 		for end := time.Now().Add(30 * time.Second); ; time.Sleep(50 * time.Millisecond) {
 			good := 0
@@ -88,14 +90,14 @@
 			}
 		}
 	}
-	agree("at first")
+	waitForAgreement("at first")
 	rng := rand.New(rand.NewPCG(1, 2))
 	label := append([]byte{244, 3}, "lab"...)
-	// An exchange that says that a million members and 20 MB follow: its header in msgpack, and nothing behind it.
-	boast := append(append([]byte(nil), label...), 6, 0x83, 0xa5)
-	boast = append(append(boast, "Nodes"...), 0xce, 0x00, 0x10, 0x00, 0x00, 0xac)
-	boast = append(append(boast, "UserStateLen"...), 0xce, 0x01, 0x40, 0x00, 0x00, 0xa4)
-	boast = append(append(boast, "Join"...), 0xc3)
+	// The msgpack header of an exchange that announces a million members and 20 MB of state, without the data.
+	oversized := append(append([]byte(nil), label...), 6, 0x83, 0xa5)
+	oversized = append(append(oversized, "Nodes"...), 0xce, 0x00, 0x10, 0x00, 0x00, 0xac)
+	oversized = append(append(oversized, "UserStateLen"...), 0xce, 0x01, 0x40, 0x00, 0x00, 0xa4)
+	oversized = append(append(oversized, "Join"...), 0xc3)
 	var held []net.Conn
 	for i := range 600 {
 		target := r.net.address(i%n, peerPort)
@@ -107,13 +109,13 @@
 		case 0:
 			b = append(append(append([]byte(nil), label...), byte(rng.IntN(14))), b...)
 		case 1:
-			b = boast[:1+rng.IntN(len(boast))]
+			b = oversized[:1+rng.IntN(len(oversized))]
 		}
 		c, err := net.Dial("udp", target)
 		if err != nil {
 			t.Fatal(err)
 		}
-		_, _ = c.Write(b) // what is too long for a packet does not go
+		_, _ = c.Write(b) // fails for data that is too long for a packet
 		c.Close()
 		if i%4 > 0 {
 			continue
@@ -126,10 +128,10 @@
 		if i%8 == 0 {
 			s.Close()
 		} else {
-			held = append(held, s) // 75 streams that say nothing more
+			held = append(held, s) // 75 streams that send nothing more
 		}
 	}
-	agree("after it")
+	waitForAgreement("after the malformed traffic")
 	for _, s := range held {
 		s.Close()
 	}
@@ -144,7 +146,8 @@
 	}
 }
 
-// playWithFaults plays half a minute of four real sidecars that reach each other, with a fleet file and faults, and wants all to hold.
+// playWithFaults plays 30 s of four real sidecars with links between them, further sections of the fleet file and faults, and
+// requires all invariants to hold.
 func playWithFaults(t *testing.T, file, faults string) *Result {
 	t.Helper()
 	file = "[member]\nlisten = \"{peer}\"\ncluster = \"lab\"\nseeds = [\"n0\", \"n1\"]\n" + file
@@ -159,8 +162,8 @@
 	return res
 }
 
-// The short form of membership's scenarios: the network between four real sidecars is cut in halves for three seconds, one is
-// killed meanwhile and one upgraded, and all see all, and agree, in the end.
+// A short form of the membership scenarios: the network between four real sidecars is split for three seconds, during which one
+// is killed and one upgraded. In the end all see all and agree.
 func TestMembersUnderFaults(t *testing.T) {
 	t.Parallel()
 	res := playWithFaults(t, "", `
@@ -181,23 +184,24 @@
 target = "0"
 `)
 	if res.Figures["relay_packets"] == 0 {
-		t.Error("nothing passed between the sidecars")
+		t.Error("no packets passed between the sidecars")
 	}
 }
 
-// A duty that is held by an older token after a newer one, or by two, is found; looks that overlap prove nothing.
+// The invariant "duties" finds a duty that is held by an older token after a newer one, or by two sidecars. Queries that overlap
+// in time prove nothing.
 func TestSingleHolderInvariant(t *testing.T) {
 	const sec = time.Second
 	for what, c := range map[string]struct {
 		seen []observedToken
 		good bool
 	}{
-		"passed on":             {[]observedToken{{0, sec, 0, "x", 5}, {2 * sec, 3 * sec, 1, "x", 6}}, true},
-		"the older one later":   {[]observedToken{{0, sec, 0, "x", 6}, {2 * sec, 3 * sec, 1, "x", 5}}, false},
-		"asked before":          {[]observedToken{{2 * sec, 3 * sec, 0, "x", 6}, {sec, 5 * sec, 1, "x", 5}}, true},
-		"another duty":          {[]observedToken{{0, sec, 0, "x", 6}, {2 * sec, 3 * sec, 1, "y", 5}}, true},
-		"one token at two":      {[]observedToken{{0, sec, 0, "x", 6}, {0, sec, 1, "x", 6}}, false},
-		"the same one all time": {[]observedToken{{0, sec, 0, "x", 6}, {2 * sec, 3 * sec, 0, "x", 6}}, true},
+		"handed over":                      {[]observedToken{{0, sec, 0, "x", 5}, {2 * sec, 3 * sec, 1, "x", 6}}, true},
+		"an older token later":             {[]observedToken{{0, sec, 0, "x", 6}, {2 * sec, 3 * sec, 1, "x", 5}}, false},
+		"an older token asked for earlier": {[]observedToken{{2 * sec, 3 * sec, 0, "x", 6}, {sec, 5 * sec, 1, "x", 5}}, true},
+		"another duty":                     {[]observedToken{{0, sec, 0, "x", 6}, {2 * sec, 3 * sec, 1, "y", 5}}, true},
+		"one token at two sidecars":        {[]observedToken{{0, sec, 0, "x", 6}, {0, sec, 1, "x", 6}}, false},
+		"one holder all the time":          {[]observedToken{{0, sec, 0, "x", 6}, {2 * sec, 3 * sec, 0, "x", 6}}, true},
 	} {
 		s := readScenario(t, "[fleet]\nsidecars=2")
 		s.Invariants = []string{"duties"}
@@ -207,8 +211,8 @@
 	}
 }
 
-// The short form of the duties' scenarios: of four real sidecars, three of which vote, one after another is killed or stands still for
-// longer than a lease, and the network is cut. The duty is never at two, and passes on.
+// A short form of the duty scenarios: of four real sidecars, three of which vote, one after another is killed or paused for
+// longer than a lease, and one is cut off. No two sidecars may hold the duty at once, and it must pass to another.
 func TestDutiesUnderFaults(t *testing.T) {
 	t.Parallel()
 	res := playWithFaults(t, "[duty]\nvoters = [\"n0\", \"n1\", \"n2\"]\nlease = \"1s\"\nreport = true\n", `
@@ -230,8 +234,8 @@
 target = "0"
 for = "2s"
 `)
-	t.Logf("%v tokens, nobody held the duty for %v s at the longest", res.Figures["duty_tokens_report"], res.Figures["duty_unheld_s"])
+	t.Logf("%v tokens, the duty was without a holder for at most %v s", res.Figures["duty_tokens_report"], res.Figures["duty_unheld_s"])
 	if res.Late == "" && res.Figures["duty_tokens_report"] < 2 {
-		t.Errorf("the duty did not pass on: %v tokens", res.Figures["duty_tokens_report"])
+		t.Errorf("the duty did not pass to another sidecar: %v tokens", res.Figures["duty_tokens_report"])
 	}
 }
--- a/scenarios/scenarios.go
+++ b/scenarios/scenarios.go
@@ -1,9 +1,9 @@
-// Package scenarios holds the scenario files that come with the lab. To add one, put a file beside the others.
+// Package scenarios embeds the scenario files of the lab. To add a scenario, add a TOML file to this folder.
 package scenarios
 
 import "embed"
 
-// Files are the scenario files, NAME.toml each.
+// Files contains the scenario files, one NAME.toml for each scenario.
 //
 //go:embed *.toml
 var Files embed.FS
