--- a/internal/lab/conform_test.go
+++ b/internal/lab/conform_test.go
@@ -56,6 +56,7 @@
 	r *bufio.Reader
 }
 
+// dialRaw connects to an address, with a deadline for the whole test.
 func dialRaw(t *testing.T, address string) *rawConn {
 	t.Helper()
 	c, err := net.Dial("tcp", address)
--- a/internal/lab/experiment.go
+++ b/internal/lab/experiment.go
@@ -91,27 +91,27 @@
 
 // plannedRun is one run of an experiment, a cell of its grid.
 type plannedRun struct {
-	scene   *Scenario
-	options Options
-	label   string
+	scenario *Scenario
+	options  Options
+	label    string
 }
 
 // Run plays all runs of an experiment and returns their results. A result in dir that the same program produced is reused.
 // find returns a scenario by its name. Run writes a line to w for each run that it plays.
 func (e *Experiment) Run(ctx context.Context, dir string, w io.Writer, find func(string) (*Scenario, error)) ([]*Result, error) {
-	cells, err := e.plannedRuns(dir, find)
+	runs, err := e.plannedRuns(dir, find)
 	if err != nil {
 		return nil, err
 	}
 	var mu sync.Mutex
 	var all []*Result
 	var bad []error
-	uses := e.Edge.loads()
+	loads := e.Edge.loads()
 	playOne := func(c plannedRun) (*Result, error) {
 		r, err := ReadResult(filepath.Join(c.options.Out, ResultName))
 		reused := err == nil && r.Program == programDigest(c.options.Program)
-		for n := 0; !reused && (n == 0 || n < maxPlaysWhenLate && err == nil && r.Late != "" && len(uses) > 0); n++ {
-			if r, err = Play(ctx, c.scene, c.options); err == nil {
+		for n := 0; !reused && (n == 0 || n < maxPlaysWhenLate && err == nil && r.Late != "" && len(loads) > 0); n++ {
+			if r, err = Play(ctx, c.scenario, c.options); err == nil {
 				r.Label = c.label
 				err = r.rewrite(c.options.Out)
 			}
@@ -119,29 +119,29 @@
 		mu.Lock()
 		defer mu.Unlock()
 		if err != nil {
-			bad = append(bad, fmt.Errorf("%s, seed %d: %w", c.scene.Name, c.options.Seed, err))
+			bad = append(bad, fmt.Errorf("%s, seed %d: %w", c.scenario.Name, c.options.Seed, err))
 			return nil, err
 		}
 		all = append(all, r)
 		if !reused {
-			fmt.Fprintf(w, "%-10s %-24s seed %-3d worth %.3f  %s\n", c.label, c.scene.Name, c.options.Seed, r.Figures["worth"], r.summary())
+			fmt.Fprintf(w, "%-10s %-24s seed %-3d worth %.3f  %s\n", c.label, c.scenario.Name, c.options.Seed, r.Figures["worth"], r.summary())
 		}
 		return r, nil
 	}
 	slots, work := make(chan struct{}, e.Parallel), sync.WaitGroup{}
-	for _, c := range cells {
+	for _, c := range runs {
 		slots <- struct{}{}
 		if ctx.Err() != nil {
 			break
 		}
 		work.Go(func() {
 			defer func() { <-slots }()
-			if len(uses) == 0 {
+			if len(loads) == 0 {
 				_, _ = playOne(c) // records its error
 				return
 			}
-			_, _ = bisect(len(uses), func(i int) (bool, error) {
-				r, err := playOne(c.withLoad(uses[i]))
+			_, _ = bisect(len(loads), func(i int) (bool, error) {
+				r, err := playOne(c.withLoad(loads[i]))
 				if err != nil {
 					return false, err
 				}
@@ -149,7 +149,7 @@
 				if !ok {
 					mu.Lock()
 					defer mu.Unlock()
-					err = fmt.Errorf("%s: the run ends too soon after its last fault to tell whether the fleet recovers", c.scene.Name)
+					err = fmt.Errorf("%s: the run ends too soon after its last fault to tell whether the fleet recovers", c.scenario.Name)
 					bad = append(bad, err)
 				}
 				return returned > 0, err
@@ -165,10 +165,10 @@
 
 // withLoad returns the same run at another load.
 func (c plannedRun) withLoad(use float64) plannedRun {
-	scene := *c.scene
-	scene.Load.Utilization = use
-	scene.Name = fmt.Sprintf("%s@%.3g", c.scene.Name, use)
-	c.scene = &scene
+	scenario := *c.scenario
+	scenario.Load.Utilization = use
+	scenario.Name = fmt.Sprintf("%s@%.3g", c.scenario.Name, use)
+	c.scenario = &scenario
 	c.options.Out = filepath.Join(filepath.Dir(c.options.Out), fmt.Sprintf("use-%.3g", use), filepath.Base(c.options.Out))
 	return c
 }
@@ -216,7 +216,7 @@
 		}
 		s := distributionOf(values)
 		fmt.Fprintf(w, "| %s | %s | %s | %d | %d | %.3g (%.3g to %.3g) | %s |\n",
-			k.label, k.scenario, k.size, len(values), late[k], s.median, s.min, s.max, strings.Join(by, ", "))
+			k.label, k.scenario, k.size, len(values), late[k], s.median, s.minimum, s.maximum, strings.Join(by, ", "))
 	}
 }
 
@@ -261,18 +261,18 @@
 					if err != nil {
 						return nil, err
 					}
-					scene, folder := *s, s.Name
+					scenario, folder := *s, s.Name
 					if size > 0 {
-						scene.Fleet.Sidecars = size
+						scenario.Fleet.Sidecars = size
 						folder = fmt.Sprintf("%s-%d", s.Name, size)
 						if err := scene.validate(); err != nil {
 							return nil, fmt.Errorf("%s with %d sidecars: %w", name, size, err)
 						}
 					}
 					if with.File != "" {
-						scene.Fleet.File = with.File
+						scenario.Fleet.File = with.File
 					}
-					c := plannedRun{scene: &scene, label: with.Label}
+					c := plannedRun{scenario: &scenario, label: with.Label}
 					c.options = Options{Seed: uint64(seed), Program: with.Program, Out: filepath.Join(dir, with.Label, folder, fmt.Sprintf("seed-%d", seed))}
 					if c.options.Program == "" {
 						if treeProgram == "" {
@@ -310,7 +310,7 @@
 }
 
 // distribution holds the minimum, median and maximum of some values.
-type distribution struct{ min, median, max float64 }
+type distribution struct{ minimum, median, maximum float64 }
 
 // distributionOf returns the distribution of values, of which there must be at least one.
 func distributionOf(values []float64) distribution {
@@ -352,7 +352,7 @@
 				continue
 			}
 			s := distributionOf(values)
-			fmt.Fprintf(w, " %.4g (%.4g to %.4g) |", s.median, s.min, s.max)
+			fmt.Fprintf(w, " %.4g (%.4g to %.4g) |", s.median, s.minimum, s.maximum)
 		}
 		fmt.Fprintln(w)
 	}
@@ -403,7 +403,7 @@
 			ratio := "-"
 			if len(ratios) > 0 {
 				s := distributionOf(ratios)
-				ratio = fmt.Sprintf("%.3f (%.3f to %.3f)", s.median, s.min, s.max)
+				ratio = fmt.Sprintf("%.3f (%.3f to %.3f)", s.median, s.minimum, s.maximum)
 			}
 			fmt.Fprintf(w, "  %-20s a %-10.4g b %-10.4g b/a %-26s b above a in %d of %d\n",
 				figure, distributionOf(x).median, distributionOf(y).median, ratio, above, len(x))
--- a/internal/lab/hollow.go
+++ b/internal/lab/hollow.go
@@ -24,8 +24,8 @@
 )
 
 // Hollow sidecars run the control plane alone (sidecar.Hollow). Many of them run in each worker process, which is the lab's own
-// program. They form one fleet with the whole sidecars and are numbered after them. Without fleet.mesh all reach each other
-// directly, at their own addresses.
+// program. They form one fleet with the whole sidecars, which are processes of the real program, and are numbered after them.
+// Without fleet.mesh all reach each other directly, at their own addresses.
 const (
 	maxHollow            = 10_000
 	maxHollowPerWorker   = 1000 // because each has several descriptors
@@ -201,8 +201,8 @@
 		io.Reader
 		io.WriteCloser
 	}{out, in})
-	var l StatusReply
-	if err := h.call(worker, "Hold.Look", StatusRequest{}, &l); err != nil {
+	var status StatusReply
+	if err := h.call(worker, "Hold.Look", StatusRequest{}, &status); err != nil {
 		return nil, errors.Join(fmt.Errorf("worker of hollow sidecars: %w", err), worker.cmd.Process.Kill())
 	}
 	worker.baseRSS, _, _ = processUsage(worker.cmd.Process.Pid)
@@ -260,22 +260,22 @@
 	all.Views = make(map[uint64]int)
 	first := true
 	err = h.eachWorker(func(worker *workerProcess) error {
-		var l StatusReply
-		if err := h.call(worker, "Hold.Look", q, &l); err != nil {
+		var status StatusReply
+		if err := h.call(worker, "Hold.Look", q, &status); err != nil {
 			return err
 		}
 		mu.Lock()
 		defer mu.Unlock()
-		if l.Running > 0 {
-			if first || l.Least < all.Least {
-				all.Least = l.Least
+		if status.Running > 0 {
+			if first || status.Least < all.Least {
+				all.Least = status.Least
 			}
 			first = false
 		}
-		all.Running, all.See, all.InForce, all.Agreed = all.Running+l.Running, all.See+l.See, all.InForce+l.InForce, all.Agreed+l.Agreed
-		all.Whole, all.Failed, all.Most = all.Whole+l.Whole, all.Failed+l.Failed, max(all.Most, l.Most)
-		all.Refused = cmp.Or(l.Refused, all.Refused)
-		for view, n := range l.Views {
+		all.Running, all.See, all.InForce, all.Agreed = all.Running+status.Running, all.See+status.See, all.InForce+status.InForce, all.Agreed+status.Agreed
+		all.Whole, all.Failed, all.Most = all.Whole+status.Whole, all.Failed+status.Failed, max(all.Most, status.Most)
+		all.Refused = cmp.Or(status.Refused, all.Refused)
+		for view, n := range status.Views {
 			all.Views[view] += n
 		}
 		return nil
@@ -339,19 +339,20 @@
 	return nil
 }
 
-// measureLoss measures how long after from the first and the last of the hollow sidecars stop listing a member as present.
+// measureLoss measures the time from a moment until the first and until the last of the hollow sidecars stops listing a
+// member as present.
 func (h *hollowGroup) measureLoss(ctx context.Context, sidecar int, from time.Time) error {
-	first := false
+	noticed := false
 	for time.Since(from) < statusTimeout {
-		l, err := h.queryStatus(StatusRequest{Name: sidecarName(sidecar)})
+		status, err := h.queryStatus(StatusRequest{Name: sidecarName(sidecar)})
 		if err != nil {
 			return err
 		}
-		if !first && l.See < l.Running {
-			first = true
+		if !noticed && status.See < status.Running {
+			noticed = true
 			h.addMeasurement("kill_first_s", time.Since(from).Seconds())
 		}
-		if l.See == 0 {
+		if status.See == 0 {
 			h.addMeasurement("kill_all_s", time.Since(from).Seconds())
 			return nil
 		}
@@ -392,11 +393,11 @@
 		return err
 	}
 	for time.Since(from) < statusTimeout {
-		l, err := h.queryStatus(StatusRequest{Version: version})
+		status, err := h.queryStatus(StatusRequest{Version: version})
 		if err != nil {
 			return err
 		}
-		if l.InForce == l.Running && h.inForceAtWhole(version) {
+		if status.InForce == status.Running && h.inForceAtWhole(version) {
 			took := time.Since(from)
 			h.addMeasurement("push_s", took.Seconds())
 			after, err := h.readUsage(false)
@@ -411,11 +412,11 @@
 			return nil
 		}
 	}
-	l, err := h.queryStatus(StatusRequest{Version: version})
+	status, err := h.queryStatus(StatusRequest{Version: version})
 	h.addMeasurement("push_unknown", 1)
-	h.addMeasurement("push_missed", float64(l.Running-l.InForce))
+	h.addMeasurement("push_missed", float64(status.Running-status.InForce))
 	h.run.history.addFinding(&h.run.history.processFailures, "version %d is in force at %d of %d hollow sidecars %v after its push; refused: %s",
-		version, l.InForce, l.Running, statusTimeout, cmp.Or(l.Refused, "none"))
+		version, status.InForce, status.Running, statusTimeout, cmp.Or(status.Refused, "none"))
 	return err
 }
 
@@ -461,13 +462,13 @@
 		return err
 	}
 	for time.Since(from) < statusTimeout {
-		l, err := h.queryStatus(StatusRequest{})
+		status, err := h.queryStatus(StatusRequest{})
 		if err != nil {
 			return err
 		}
-		if l.Whole-before.Whole >= l.Running {
+		if status.Whole-before.Whole >= status.Running {
 			h.addMeasurement("lists_s", time.Since(from).Seconds())
-			h.addMeasurement("lists_failed", float64(l.Failed-before.Failed))
+			h.addMeasurement("lists_failed", float64(status.Failed-before.Failed))
 			after, err := h.readUsage(false)
 			if err != nil {
 				return err
--- a/internal/lab/report.go
+++ b/internal/lab/report.go
@@ -91,7 +91,7 @@
 		}},
 		{"Latency, from when a request was due", "milliseconds", []curve{{"p50", p50}, {"p99", p99}}},
 		{"Attempts that reached each server", "attempts a second", servers},
-		{"Servers slowed down by overload", "servers", []curve{{"tipped", run.servers.congested.values()}}},
+		{"Servers slowed down by overload", "servers", []curve{{"congested", run.servers.congested.values()}}},
 		{"Requests served by each sidecar", "requests a second", sidecars},
 		{"Attempts at the ready, warm servers", "relative to their mean", spreadCurves(run.servers.arrivals, run.fits, run.scenario.For.Std())},
 	} {
--- a/internal/lab/result.go
+++ b/internal/lab/result.go
@@ -97,7 +97,7 @@
 			worthInTime += worth
 		}
 	}
-	n := max(1, float64(len(h.requests)))
+	n := max(1, float64(len(h.requests))) // figures per request are divided by it
 	f["requests"] = float64(len(h.requests))
 	f["worth"] = worthInTime / max(worthAsked, 1e-9)
 	for _, o := range []Outcome{Served, Refused, Failed, GaveUp, Broken, Unreachable} {
--- a/internal/lab/roster.go
+++ b/internal/lab/roster.go
@@ -29,7 +29,7 @@
 	clock          clock
 	history        *History
 	net            *subnet
-	scene          *Scenario
+	scenario       *Scenario
 	servers        *servers
 	port           int           // of the current address
 	pendingUpdates []*time.Timer // updates that scheduleUpdate has yet to make
@@ -50,9 +50,10 @@
 	listeners   []*net.TCPListener // of the current address
 }
 
+// newRoster starts discovery with a list of all servers of the scenario, which it serves at a first address.
 func newRoster(s *Scenario, c clock, h *History, n *subnet, servers *servers) (*roster, error) {
 	r := &roster{
-		clock: c, history: h, net: n, scene: s, servers: servers, changed: make(chan struct{}), watchesSilenced: make(chan struct{}),
+		clock: c, history: h, net: n, scenario: s, servers: servers, changed: make(chan struct{}), watchesSilenced: make(chan struct{}),
 		list: world.NewRoster(s.Fleet.Servers, firstVersion),
 		desk: world.NewDesk(s.Discovery.CallCost.Std(), s.Discovery.LineCost.Std(), s.Discovery.MaxWait.Std()),
 	}
@@ -69,7 +70,7 @@
 	if err != nil {
 		return err
 	}
-	all, err := r.net.listen(port, r.scene.totalSidecars(), "discovery")
+	all, err := r.net.listen(port, r.scenario.totalSidecars(), "discovery")
 	if err != nil {
 		return err
 	}
@@ -83,6 +84,7 @@
 	return nil
 }
 
+// close stops discovery: pending updates of the list are dropped and all addresses closed.
 func (r *roster) close() {
 	r.mu.Lock()
 	for _, t := range r.pendingUpdates {
@@ -165,7 +167,7 @@
 func (r *roster) setExtraDelay(by time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.desk.Call = r.scene.Discovery.CallCost.Std() + by
+	r.desk.Call = r.scenario.Discovery.CallCost.Std() + by
 }
 
 // ServeHTTP answers a call of a sidecar by the protocol of discovery: the whole list, or a watch where the query has an index.
@@ -193,7 +195,7 @@
 	}
 	raw, err := json.Marshal(r.listing(sidecar, version, whole, entries))
 	if err != nil {
-		panic(err) // cannot happen: plain fields only
+		panic(err) // cannot happen: listingJSON has only plain fields
 	}
 	w.Header().Set("Content-Type", "application/json")
 	if _, err := w.Write(raw); err == nil && http.NewResponseController(w).Flush() == nil {
@@ -330,7 +332,7 @@
 	for _, e := range entries {
 		i := instance{
 			InstanceID: serverName(e.Server), HostPort: r.servers.address(sidecar, e.Server),
-			Zone: zoneName(r.scene.zoneOf(e.Server)), MachineType: "one-core", Cell: e.Server / 4, Lifecycle: string(e.Life), Weight: 1,
+			Zone: zoneName(r.scenario.zoneOf(e.Server)), MachineType: "one-core", Cell: e.Server / 4, Lifecycle: string(e.Life), Weight: 1,
 		}
 		if e.Started > 0 {
 			i.StartedAtMs = r.clock.timeAt(e.Started).UnixMilli()
--- a/internal/lab/views.go
+++ b/internal/lab/views.go
@@ -257,6 +257,7 @@
 	links     []time.Duration
 }
 
+// stability collects the history's changes of processes and links.
 func (h *History) stability() stability {
 	s := stability{links: h.linkChanges}
 	for _, c := range h.processChanges {
