--- a/internal/lab/experiment.go
+++ b/internal/lab/experiment.go
@@ -265,7 +265,7 @@
 					if size > 0 {
 						scenario.Fleet.Sidecars = size
 						folder = fmt.Sprintf("%s-%d", s.Name, size)
-						if err := scene.validate(); err != nil {
+						if err := scenario.validate(); err != nil {
 							return nil, fmt.Errorf("%s with %d sidecars: %w", name, size, err)
 						}
 					}
