--- a/internal/lab/judge.go
+++ b/internal/lab/judge.go
@@ -24,7 +24,7 @@
 }
 
 // invariants lists every invariant that a scenario can require. timed ones compare times, and are judged only where the
-// lab ran on time. find calls its last argument once for each violation.
+// lab ran on time. find calls its last argument, report, once for each violation.
 var invariants = []struct {
 	name  string
 	timed bool
@@ -73,9 +73,9 @@
 
 // fromFindings returns the check of an invariant whose violations were recorded as they happened.
 func fromFindings(of func(*History) []string) func(*History, *Scenario, func(string, ...any)) {
-	return func(h *History, _ *Scenario, broken func(string, ...any)) {
+	return func(h *History, _ *Scenario, report func(string, ...any)) {
 		for _, line := range of(h) {
-			broken("%s", line)
+			report("%s", line)
 		}
 	}
 }
@@ -83,12 +83,12 @@
 // checkAnswered finds requests that a running sidecar accepted and did not answer completely. A request was certainly
 // accepted if it reached a server or if part of an answer arrived. Requests that were open when the sidecar's process was
 // killed do not count.
-func checkAnswered(h *History, _ *Scenario, broken func(string, ...any)) {
+func checkAnswered(h *History, _ *Scenario, report func(string, ...any)) {
 	for _, t := range h.tries {
 		if t.End != Broken || t.Left > 0 || brokenByServer(t) || !t.Partial && len(t.Reached) == 0 || endedByKill(h, t) {
 			continue
 		}
-		broken("request %s, sent to sidecar %s at %v, was accepted and lost: the connection ended at %v without a complete answer%s",
+		report("request %s, sent to sidecar %s at %v, was accepted and lost: the connection ended at %v without a complete answer%s",
 			t.ID, sidecarName(t.Sidecar), t.Sent, t.Ended, t.describeServerSide())
 	}
 }
@@ -130,7 +130,7 @@
 
 // checkRepeats finds requests that may have been executed more than once although their class does not allow it. Keyed
 // requests may reach another server of the same zone within the class's deduplication window.
-func checkRepeats(h *History, s *Scenario, broken func(string, ...any)) {
+func checkRepeats(h *History, s *Scenario, report func(string, ...any)) {
 	classes := s.classes()
 	for _, t := range h.tries {
 		class, runs := classes[t.Class], arrivalsThatMayHaveRun(t)
@@ -143,7 +143,7 @@
 			if class.Effect == world.Keyed && sameZone && r.At-first.At < class.Window+socketTolerance {
 				continue // the zone deduplicates it, unless the first execution was lost with its server
 			}
-			broken("request %s (%s) may have run twice: at server %d at %v and at server %d at %v",
+			report("request %s (%s) may have run twice: at server %d at %v and at server %d at %v",
 				t.ID, class.Name, first.Server, first.At, r.Server, r.At)
 		}
 	}
@@ -151,21 +151,21 @@
 
 // checkHonest finds answers that no server made for their request, and refusals of requests that may have been executed
 // and whose repetition is not harmless.
-func checkHonest(h *History, s *Scenario, broken func(string, ...any)) {
+func checkHonest(h *History, s *Scenario, report func(string, ...any)) {
 	classes := s.classes()
 	for _, t := range h.tries {
 		switch {
 		case t.End == Served && !slices.ContainsFunc(t.Reached, func(r Reached) bool { return r.Answer != "" && r.Answer == t.Body }):
-			broken("request %s was served at %v an answer that no server made for it: %.60q", t.ID, t.Ended, t.Body)
+			report("request %s was served at %v an answer that no server made for it: %.60q", t.ID, t.Ended, t.Body)
 		case t.End == Refused && classes[t.Class].Effect != world.Safe && len(arrivalsThatMayHaveRun(t)) > 0:
-			broken("request %s (%s) was refused at %v though it may have run at server %d", t.ID, classes[t.Class].Name, t.Ended, arrivalsThatMayHaveRun(t)[0].Server)
+			report("request %s (%s) was refused at %v though it may have run at server %d", t.ID, classes[t.Class].Name, t.Ended, arrivalsThatMayHaveRun(t)[0].Server)
 		}
 	}
 }
 
 // checkDrains finds requests that a sidecar sent to a server more than drainGrace after discovery had informed it that the
 // server is draining or gone, or that it received after it had confirmed an operator's call to disable the server.
-func checkDrains(h *History, _ *Scenario, broken func(string, ...any)) {
+func checkDrains(h *History, _ *Scenario, report func(string, ...any)) {
 	type pair struct{ sidecar, server int }
 	updates := make(map[pair][]ServerUpdate)
 	for _, u := range h.serverUpdates {
@@ -192,10 +192,10 @@
 			switch {
 			case backInService:
 			case byOperator != nil && byOperator.Out:
-				broken("request %s, sent at %v, went to server %d at %v; sidecar %s had confirmed at %v that it is disabled",
+				report("request %s, sent at %v, went to server %d at %v; sidecar %s had confirmed at %v that it is disabled",
 					t.ID, t.Sent, r.Server, r.At, sidecarName(r.Sidecar), byOperator.At)
 			case byDiscovery != nil && byDiscovery.Out && r.At > byDiscovery.At+drainGrace+socketTolerance:
-				broken("request %s went to server %d at %v; sidecar %s was informed at %v that it is draining or gone",
+				report("request %s went to server %d at %v; sidecar %s was informed at %v that it is draining or gone",
 					t.ID, r.Server, r.At, sidecarName(r.Sidecar), byDiscovery.At)
 			}
 		}
@@ -210,39 +210,39 @@
 // checkFinalAnswer finds requests that a sidecar accepted, whose client stayed connected, and that got no final answer in
 // time. A sidecar is taken to have accepted every request on a new connection; on a reused one, which it may have been
 // closing, those for which the client waited until its time was up.
-func checkFinalAnswer(h *History, _ *Scenario, broken func(string, ...any)) {
+func checkFinalAnswer(h *History, _ *Scenario, report func(string, ...any)) {
 	for _, t := range h.tries {
 		if t.Left > 0 || endedByKill(h, t) {
 			continue
 		}
 		switch {
 		case t.End == GaveUp:
-			broken("request %s, sent to sidecar %s at %v, had no final answer at %v; it was due at %v; the request reached %d servers%s",
+			report("request %s, sent to sidecar %s at %v, had no final answer at %v; it was due at %v; the request reached %d servers%s",
 				t.ID, sidecarName(t.Sidecar), t.Sent, t.Ended, t.Owed, len(t.Reached), t.describeServerSide())
 		case t.End == Broken && t.Fresh && !brokenByServer(t) && !closedUnread(h, t):
-			broken("request %s, sent to sidecar %s at %v on a new connection, was dropped at %v by closing the connection; it reached %d servers%s",
+			report("request %s, sent to sidecar %s at %v on a new connection, was dropped at %v by closing the connection; it reached %d servers%s",
 				t.ID, sidecarName(t.Sidecar), t.Sent, t.Ended, len(t.Reached), t.describeServerSide())
 		}
 	}
 }
 
 // checkNoAttemptAfterLeaving finds attempts that started after their client had disconnected.
-func checkNoAttemptAfterLeaving(h *History, _ *Scenario, broken func(string, ...any)) {
+func checkNoAttemptAfterLeaving(h *History, _ *Scenario, report func(string, ...any)) {
 	for _, t := range h.tries {
 		for _, r := range t.Reached {
 			if t.Left > 0 && r.At > t.Left+leftTolerance+maxStall+socketTolerance {
-				broken("request %s reached server %d at %v; its client had disconnected at %v", t.ID, r.Server, r.At, t.Left)
+				report("request %s reached server %d at %v; its client had disconnected at %v", t.ID, r.Server, r.At, t.Left)
 			}
 		}
 	}
 }
 
 // checkTimeToldToServers finds attempts that sent a server a longer time-out than their client had left.
-func checkTimeToldToServers(h *History, _ *Scenario, broken func(string, ...any)) {
+func checkTimeToldToServers(h *History, _ *Scenario, report func(string, ...any)) {
 	for _, t := range h.tries {
 		for _, r := range t.Reached {
 			if left := t.Owed - r.At; r.Told > max(left, 0)+toldTolerance+socketTolerance {
-				broken("request %s was sent to server %d with a time-out of %v at %v; its client had %v left", t.ID, r.Server, r.Told, r.At, left)
+				report("request %s was sent to server %d with a time-out of %v at %v; its client had %v left", t.ID, r.Server, r.Told, r.At, left)
 			}
 		}
 	}
--- a/internal/lab/views.go
+++ b/internal/lab/views.go
@@ -153,7 +153,7 @@
 
 // checkSingleHolder finds sidecars that held a duty by a token after another sidecar had held it by a higher one, and tokens
 // that two sidecars held. Only a report that was complete before the other was asked for counts as earlier.
-func checkSingleHolder(h *History, _ *Scenario, broken func(string, ...any)) {
+func checkSingleHolder(h *History, _ *Scenario, report func(string, ...any)) {
 	for _, duty := range observedDuties(h) {
 		var all []observedToken
 		holder := make(map[uint64]int)
@@ -163,7 +163,7 @@
 			}
 			all = append(all, s)
 			if other, ok := holder[s.token]; ok && other != s.sidecar {
-				broken("at %v sidecar %s holds %s by token %d, which is %s's", s.to, sidecarName(s.sidecar), duty, s.token, sidecarName(other))
+				report("at %v sidecar %s holds %s by token %d, which is %s's", s.to, sidecarName(s.sidecar), duty, s.token, sidecarName(other))
 			}
 			holder[s.token] = s.sidecar
 		}
@@ -171,7 +171,7 @@
 		for i, s := range all {
 			for _, b := range all[:i] { // b is earlier only if it was answered before s was asked for
 				if b.to < s.from && b.token > s.token {
-					broken("at %v sidecar %s holds %s by token %d; at %v %s held it by %d", s.from, sidecarName(s.sidecar), duty, s.token, b.to, sidecarName(b.sidecar), b.token)
+					report("at %v sidecar %s holds %s by token %d; at %v %s held it by %d", s.from, sidecarName(s.sidecar), duty, s.token, b.to, sidecarName(b.sidecar), b.token)
 					break
 				}
 			}
@@ -296,7 +296,7 @@
 
 // checkMembers finds views that lack a running sidecar or list one that does not run, although no process concerned and no
 // link had changed for membersSettleTime.
-func checkMembers(h *History, _ *Scenario, broken func(string, ...any)) {
+func checkMembers(h *History, _ *Scenario, report func(string, ...any)) {
 	s := h.stability()
 	for _, v := range h.views {
 		from := v.at - membersSettleTime
@@ -307,14 +307,14 @@
 			continue
 		}
 		if v.unknownMembers > 0 {
-			broken("at %v sidecar %s sees %d members that never existed", v.at, sidecarName(v.sidecar), v.unknownMembers)
+			report("at %v sidecar %s sees %d members that never existed", v.at, sidecarName(v.sidecar), v.unknownMembers)
 		}
 		for i, present := range v.present {
 			switch up, down := s.unchanged(i, from, v.at+consoleTimeout); {
 			case up && !present:
-				broken("at %v sidecar %s does not see %s, which has been running for %v or more", v.at, sidecarName(v.sidecar), sidecarName(i), membersSettleTime)
+				report("at %v sidecar %s does not see %s, which has been running for %v or more", v.at, sidecarName(v.sidecar), sidecarName(i), membersSettleTime)
 			case down && present:
-				broken("at %v sidecar %s sees %s, which has been down for %v or more", v.at, sidecarName(v.sidecar), sidecarName(i), membersSettleTime)
+				report("at %v sidecar %s sees %s, which has been down for %v or more", v.at, sidecarName(v.sidecar), sidecarName(i), membersSettleTime)
 			}
 		}
 	}
@@ -328,7 +328,7 @@
 
 // checkAgreement finds sidecars that do not report that all views agree, although no process and no link had changed for
 // agreementSettleTime.
-func checkAgreement(h *History, s *Scenario, broken func(string, ...any)) {
+func checkAgreement(h *History, s *Scenario, report func(string, ...any)) {
 	changes := h.stability()
 	for _, v := range h.views {
 		from := v.at - agreementSettleTime
@@ -345,7 +345,7 @@
 			}
 		}
 		if self, _ := changes.unchanged(v.sidecar, from, v.at+consoleTimeout); stable && self && running > 1 && !v.agreed {
-			broken("at %v sidecar %s does not report that all agree, though nothing changed for %v", v.at, sidecarName(v.sidecar), agreementSettleTime)
+			report("at %v sidecar %s does not report that all agree, though nothing changed for %v", v.at, sidecarName(v.sidecar), agreementSettleTime)
 		}
 	}
 }
