--- a/internal/lab/address.go
+++ b/internal/lab/address.go
@@ -28,22 +28,22 @@
 
 	// Ports that labs share out among them, below those that the system gives to connections. The first port of each
 	// chunk is its claim: whoever listens there has the others.
-	chunksFrom = 10400
-	chunksTo   = 30000
-	chunkPorts = 32
+	firstChunkPort = 10400
+	endChunkPorts  = 30000
+	portsPerChunk  = 32
 )
 
 // subnet is what a run has for itself: a part of 127.0.0.0/8, which is 127.N.0.0/16, and ports in all of it. Its methods
 // are safe for concurrent use.
 type subnet struct {
-	octet int
-	claim net.Listener
-	wide  bool // one socket hears all sidecars
+	octet         int
+	claim         net.Listener
+	sharedSockets bool // one socket hears all sidecars
 
-	mu     sync.Mutex
-	chunks []net.Listener
-	next   int // the next port of the last chunk
-	last   int // and its end
+	mu       sync.Mutex
+	chunks   []net.Listener
+	nextPort int // the next port of the last chunk
+	chunkEnd int // and its end
 }
 
 // claimSubnet takes the first subnet that no other lab has. It is given up when the lab ends, however that is.
@@ -56,7 +56,7 @@
 			continue
 		}
 		s := &subnet{octet: n, claim: l}
-		s.wide, err = widePermitted()
+		s.sharedSockets, err = sharedSocketsPermitted()
 		if err != nil {
 			l.Close()
 			return nil, err
@@ -66,9 +66,9 @@
 	return nil, fmt.Errorf("no part of 127.0.0.0/8 is free for a run: %w", last)
 }
 
-// widePermitted says whether this user may have sockets that hear a whole device.
-func widePermitted() (bool, error) {
-	l, err := listenWide(0)
+// sharedSocketsPermitted says whether this user may have sockets that hear a whole device.
+func sharedSocketsPermitted() (bool, error) {
+	l, err := listenLoopback(0)
 	switch {
 	case errors.Is(err, unix.EPERM) || errors.Is(err, unix.ENODEV) || errors.Is(err, unix.ENOPROTOOPT):
 		return false, nil
@@ -91,36 +91,36 @@
 func (s *subnet) allocatePort() (int, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if !s.wide { // all of its addresses are its own
-		s.next++
-		return firstOwnPort + s.next - 1, nil
+	if !s.sharedSockets { // all of its addresses are its own
+		s.nextPort++
+		return firstOwnPort + s.nextPort - 1, nil
 	}
 	for {
-		for ; s.next < s.last; s.next++ {
-			if l, err := listenWide(s.next); err == nil { // or it is somebody's who is no lab
+		for ; s.nextPort < s.chunkEnd; s.nextPort++ {
+			if l, err := listenLoopback(s.nextPort); err == nil { // or it is somebody's who is no lab
 				closeListener(l)
-				s.next++
-				return s.next - 1, nil
+				s.nextPort++
+				return s.nextPort - 1, nil
 			}
 		}
-		if err := s.chunk(); err != nil {
+		if err := s.claimChunk(); err != nil {
 			return 0, err
 		}
 	}
 }
 
-// chunk claims the next chunk that nobody has.
-func (s *subnet) chunk() error {
+// claimChunk claims the next chunk that nobody has.
+func (s *subnet) claimChunk() error {
 	var last error
-	for from := chunksFrom; from+chunkPorts <= chunksTo; from += chunkPorts {
-		l, err := listenWide(from)
+	for from := firstChunkPort; from+portsPerChunk <= endChunkPorts; from += portsPerChunk {
+		l, err := listenLoopback(from)
 		if err == nil {
-			s.chunks, s.next, s.last = append(s.chunks, l), from+1, from+chunkPorts
+			s.chunks, s.nextPort, s.chunkEnd = append(s.chunks, l), from+1, from+portsPerChunk
 			return nil
 		}
 		last = err
 	}
-	return fmt.Errorf("no ports from %d to %d are free for a run: %w", chunksFrom, chunksTo-1, last)
+	return fmt.Errorf("no ports from %d to %d are free for a run: %w", firstChunkPort, endChunkPorts-1, last)
 }
 
 // host is a sidecar's address.
@@ -154,8 +154,8 @@
 
 // listen listens at a port of all sidecars' addresses: with one socket, or with one for each.
 func (s *subnet) listen(port, sidecars int, whose string) (all []*net.TCPListener, err error) {
-	if s.wide {
-		l, err := listenWide(port)
+	if s.sharedSockets {
+		l, err := listenLoopback(port)
 		if err != nil {
 			return nil, fmt.Errorf("%s, for all sidecars: %w", whose, err)
 		}
@@ -174,16 +174,16 @@
 	return all, nil
 }
 
-// openPackets is open for packets.
-func (s *subnet) openPackets(port, sidecars int, whose string) (all []*net.UDPConn, err error) {
+// listenPackets is open for packets.
+func (s *subnet) listenPackets(port, sidecars int, whose string) (all []*net.UDPConn, err error) {
 	at := make([]string, sidecars)
 	for i := range at {
 		at[i] = s.address(i, port)
 	}
-	lc := net.ListenConfig{Control: tellDestination}
-	if s.wide {
+	lc := net.ListenConfig{Control: requestDestination}
+	if s.sharedSockets {
 		at, lc.Control = []string{fmt.Sprintf("0.0.0.0:%d", port)}, func(network, address string, c syscall.RawConn) error {
-			return errors.Join(bindLoopback(network, address, c), tellDestination(network, address, c))
+			return errors.Join(bindLoopback(network, address, c), requestDestination(network, address, c))
 		}
 	}
 	for _, address := range at {
@@ -199,8 +199,8 @@
 	return all, nil
 }
 
-// listenWide listens at a port of all loopback addresses, and at no other; at one of the system's choice for port 0.
-func listenWide(port int) (*net.TCPListener, error) {
+// listenLoopback listens at a port of all loopback addresses, and at no other; at one of the system's choice for port 0.
+func listenLoopback(port int) (*net.TCPListener, error) {
 	lc := net.ListenConfig{Control: bindLoopback}
 	l, err := lc.Listen(context.Background(), "tcp4", fmt.Sprintf("0.0.0.0:%d", port))
 	if err != nil {
@@ -212,21 +212,21 @@
 // closeListener closes a listener, at once: a process that is being started holds what this one has open, until it is another program.
 func closeListener(l *net.TCPListener) {
 	if raw, err := l.SyscallConn(); err == nil {
-		_ = control(raw, func(fd int) error { return unix.Shutdown(fd, unix.SHUT_RD) }) // fails only on a closed one
+		_ = withDescriptor(raw, func(fd int) error { return unix.Shutdown(fd, unix.SHUT_RD) }) // fails only on a closed one
 	}
 	l.Close()
 }
 
 func bindLoopback(_, _ string, c syscall.RawConn) error {
-	return control(c, func(fd int) error { return unix.BindToDevice(fd, "lo") })
+	return withDescriptor(c, func(fd int) error { return unix.BindToDevice(fd, "lo") })
 }
 
-// tellDestination has each packet come with the address that it was sent to.
-func tellDestination(_, _ string, c syscall.RawConn) error {
-	return control(c, func(fd int) error { return unix.SetsockoptInt(fd, unix.IPPROTO_IP, unix.IP_PKTINFO, 1) })
+// requestDestination has each packet come with the address that it was sent to.
+func requestDestination(_, _ string, c syscall.RawConn) error {
+	return withDescriptor(c, func(fd int) error { return unix.SetsockoptInt(fd, unix.IPPROTO_IP, unix.IP_PKTINFO, 1) })
 }
 
-func control(c syscall.RawConn, f func(fd int) error) error {
+func withDescriptor(c syscall.RawConn, f func(fd int) error) error {
 	var err error
 	if closed := c.Control(func(fd uintptr) { err = f(int(fd)) }); closed != nil {
 		return closed
--- a/internal/lab/address_test.go
+++ b/internal/lab/address_test.go
@@ -11,30 +11,30 @@
 	"time"
 )
 
-// land claims a subnet whose listeners hear all sidecars, or one each, as where the system does not permit the other.
-func land(t testing.TB, wide bool) *subnet {
+// newTestSubnet claims a subnet whose listeners hear all sidecars, or one each, as where the system does not permit the other.
+func newTestSubnet(t testing.TB, wide bool) *subnet {
 	t.Helper()
 	n, err := claimSubnet()
 	if err != nil {
 		t.Fatal(err)
 	}
-	if wide && !n.wide {
+	if wide && !n.sharedSockets {
 		t.Skip("one socket may not hear all of loopback here")
 	}
-	n.wide = wide
+	n.sharedSockets = wide
 	t.Cleanup(n.release)
 	return n
 }
 
-// eachWay runs a test with one listener for all sidecars, and with one for each.
-func eachWay(t *testing.T, f func(t *testing.T, wide bool)) {
+// withBothSocketModes runs a test with one listener for all sidecars, and with one for each.
+func withBothSocketModes(t *testing.T, f func(t *testing.T, wide bool)) {
 	t.Run("wide", func(t *testing.T) { f(t, true) })
 	t.Run("each", func(t *testing.T) { f(t, false) })
 }
 
 // Two labs at once: every server knows who calls without asking, hears nobody by another lab's addresses, is refused
 // when its process dies, and says nothing when its machine vanishes, to all of its sidecars and to nobody else's.
-func TestServersKnowTheirCallers(t *testing.T) { eachWay(t, serversKnowTheirCallers) }
+func TestServersKnowTheirCallers(t *testing.T) { withBothSocketModes(t, serversKnowTheirCallers) }
 
 func serversKnowTheirCallers(t *testing.T, wide bool) {
 	const sidecars, count = 253, 3 // past one part of the addresses
@@ -44,7 +44,7 @@
 	for i := range labs {
 		var err error
 		told[i] = new(History)
-		if labs[i], err = newServers(s, 1, newClock(), told[i], land(t, wide)); err != nil {
+		if labs[i], err = newServers(s, 1, newClock(), told[i], newTestSubnet(t, wide)); err != nil {
 			t.Fatal(err)
 		}
 		defer labs[i].close()
@@ -102,7 +102,7 @@
 		var timeout net.Error
 		if err := dial(labs[0].address(sidecar, 1)); !errors.As(err, &timeout) || !timeout.Timeout() {
 			d := labs[0].all[1].endpoints[min(sidecar, len(labs[0].all[1].endpoints)-1)]
-			t.Errorf("a silent server, to sidecar %d: %v; its queue is full: %v, fillers %d", sidecar, err, d.full(), len(d.fillers))
+			t.Errorf("a silent server, to sidecar %d: %v; its queue is full: %v, fillers %d", sidecar, err, d.backlogFull(), len(d.fillers))
 		}
 	}
 	if err := errors.Join(dial(labs[0].address(0, 2)), dial(labs[1].address(0, 0)), dial(labs[1].address(0, 1))); err != nil {
@@ -116,9 +116,9 @@
 
 // A port is given out once, to one lab, and not where somebody else has it; what a fleet needs grows with it, not with its pairs.
 func TestPortsAndDescriptors(t *testing.T) {
-	a, b := land(t, true), land(t, true)
+	a, b := newTestSubnet(t, true), newTestSubnet(t, true)
 	seen := make(map[int]bool)
-	taken, err := listenWide(chunksTo - 1) // no lab's, in the last chunk
+	taken, err := listenLoopback(endChunkPorts - 1) // no lab's, in the last chunk
 	if err == nil {
 		defer taken.Close()
 	}
@@ -131,17 +131,17 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if seen[port] || port == chunksTo-1 {
+		if seen[port] || port == endChunkPorts-1 {
 			t.Fatalf("port %d was given out twice", port)
 		}
 		seen[port] = true
 	}
-	l, err := a.listen(a.next, 1, "a test") // the next that it would give out
+	l, err := a.listen(a.nextPort, 1, "a test") // the next that it would give out
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer l[0].Close()
-	if port, err := a.allocatePort(); err != nil || port == a.next-1 && port == l[0].Addr().(*net.TCPAddr).Port {
+	if port, err := a.allocatePort(); err != nil || port == a.nextPort-1 && port == l[0].Addr().(*net.TCPAddr).Port {
 		t.Errorf("port %d, error %v: it is in use", port, err)
 	}
 	if _, err := b.listen(l[0].Addr().(*net.TCPAddr).Port, 1, "server 7"); err == nil || !strings.Contains(err.Error(), "server 7") {
--- a/internal/lab/busy.go
+++ b/internal/lab/busy.go
@@ -13,8 +13,8 @@
 // busyEnv has a lab's program keep one core busy for a time, and end.
 const busyEnv = "FLEETLAB_BUSY"
 
-// busyMost bounds the busy loops that run at a time.
-const busyMost = 16
+// maxBusyLoops bounds the busy loops that run at a time.
+const maxBusyLoops = 16
 
 // RunBusyLoop keeps a core busy where the lab has started this process for that. It says whether it has; a program that plays scenarios
 // calls it before anything else.
@@ -28,10 +28,10 @@
 	return true
 }
 
-// keepBusy runs so many busy loops beside the fleet, each a process of its own that start begins, for a time or until ctx ends.
-func keepBusy(ctx context.Context, start func(*exec.Cmd) error, loops int, length time.Duration) error {
-	if loops > busyMost {
-		return fmt.Errorf("%d busy loops: %d are allowed", loops, busyMost)
+// runBusyLoops runs so many busy loops beside the fleet, each a process of its own that start begins, for a time or until ctx ends.
+func runBusyLoops(ctx context.Context, start func(*exec.Cmd) error, loops int, length time.Duration) error {
+	if loops > maxBusyLoops {
+		return fmt.Errorf("%d busy loops: %d are allowed", loops, maxBusyLoops)
 	}
 	self, err := os.Executable()
 	if err != nil {
@@ -55,5 +55,5 @@
 	}
 	all.Wait()
 	close(errs)
-	return joined(errs)
+	return joinErrors(errs)
 }
--- a/internal/lab/client.go
+++ b/internal/lab/client.go
@@ -19,8 +19,8 @@
 	"arrowgw/internal/world"
 )
 
-// answerLimit is how much of an answer a client reads, in bytes.
-const answerLimit = 1 << 20
+// maxAnswerBytes is how much of an answer a client reads, in bytes.
+const maxAnswerBytes = 1 << 20
 
 // clients make the requests of a run when they are due, whatever became of the ones before. The time of an answer
 // counts from when its request was due, so that a sidecar or a lab that stands still is not hidden.
@@ -33,7 +33,7 @@
 	classes  []world.Class
 
 	perSidecar []*http.Client
-	once       *http.Client // for requests that are sent once more: each on a connection of its own
+	unpooled   *http.Client // for requests that are sent once more: each on a connection of its own
 
 	open            sync.WaitGroup
 	mu              sync.Mutex
@@ -42,9 +42,9 @@
 	outcomes        map[Outcome]*counter      // requests by how they ended, in the second in which they were due
 	inTime          *counter                  // those served within their aim
 	servedBySidecar []*counter                // by sidecar
-	live            atomic.Int64              // requests open now
+	openCount       atomic.Int64              // requests open now
 
-	clinging atomic.Int64 // requests of clients that keep their connections through a termination
+	persistentRequests atomic.Int64 // requests of clients that keep their connections through a termination
 }
 
 func newClients(s *Scenario, c clock, h *History, n *subnet, late *lateness) *clients {
@@ -60,14 +60,14 @@
 		k.outcomes[o] = newCounter(seconds)
 	}
 	k.inTime = newCounter(seconds)
-	dial := (&net.Dialer{Timeout: dialTime}).DialContext
+	dial := (&net.Dialer{Timeout: dialTimeout}).DialContext
 	for range s.Fleet.Sidecars {
 		k.servedBySidecar = append(k.servedBySidecar, newCounter(seconds))
 		k.perSidecar = append(k.perSidecar, &http.Client{Transport: &http.Transport{
 			DialContext: dial, DisableCompression: true, MaxIdleConnsPerHost: 256, IdleConnTimeout: 30 * time.Second,
 		}})
 	}
-	k.once = &http.Client{Transport: &http.Transport{DialContext: dial, DisableCompression: true, DisableKeepAlives: true}}
+	k.unpooled = &http.Client{Transport: &http.Transport{DialContext: dial, DisableCompression: true, DisableKeepAlives: true}}
 	return k
 }
 
@@ -91,17 +91,17 @@
 			}
 		}
 		k.lateness.record(a.At, k.clock.now())
-		k.open.Go(func() { k.request(i, a) })
+		k.open.Go(func() { k.runRequest(i, a) })
 	}
 }
 
-// request makes a request and its further tries, and counts how it ended.
-func (k *clients) request(n int, a world.Arrival) {
-	k.live.Add(1)
-	defer k.live.Add(-1)
+// runRequest makes a request and its further tries, and counts how it ended.
+func (k *clients) runRequest(n int, a world.Arrival) {
+	k.openCount.Add(1)
+	defer k.openCount.Add(-1)
 	class := k.classes[a.Class]
 	end, last := Asked{Arrival: a}, a.At+class.Deadline
-	heeds := float64(n%100) < 100*k.scenario.Load.Heed
+	heeds := float64(n%100) < 100*k.scenario.Load.RetryAfterShare
 	for {
 		t, pause := k.try(n, a, class, last, end.Tries > 0)
 		end.Tries++
@@ -137,38 +137,38 @@
 // try makes one try and tells how long the answer asks to wait.
 func (k *clients) try(n int, a world.Arrival, class world.Class, last time.Duration, again bool) (*Try, time.Duration) {
 	now := k.clock.now()
-	patience := max(min(time.Duration(float64(class.Deadline)*k.scenario.Load.Try), last-now), time.Millisecond)
+	patience := max(min(time.Duration(float64(class.Deadline)*k.scenario.Load.TryShare), last-now), time.Millisecond)
 	rng := rand.New(rand.NewPCG(uint64(n), uint64(now)))
-	m := k.scenario.mannerAt(now, rng)
-	if m.hurry > 0 {
-		patience = min(patience, m.hurry)
+	m := k.scenario.behaviourAt(now, rng)
+	if m.timeLimit > 0 {
+		patience = min(patience, m.timeLimit)
 	}
 	begin := func() *Try { return k.history.begin(n, a.Sidecar, a.Class, k.clock.now()) }
-	word := func(t *Try) *http.Request { return k.message(t, n, a, class, m, patience, again) }
+	word := func(t *Try) *http.Request { return k.newRequest(t, n, a, class, m, patience, again) }
 	if m.pipeline > 0 {
-		return k.pipelined(m, patience, word, begin), 0
+		return k.sendPipelined(m, patience, word, begin), 0
 	}
 	t := begin()
 	t.Owed = now + patience
-	ctx, cancel := context.WithDeadline(context.Background(), k.clock.timeAt(t.Owed+m.slow+k.scenario.Load.extraWait()))
+	ctx, cancel := context.WithDeadline(context.Background(), k.clock.timeAt(t.Owed+m.bodyTime+k.scenario.Load.extraWait()))
 	defer cancel()
-	if m.leaves {
-		leaver := time.AfterFunc(m.slow+time.Duration(rng.Int64N(int64(patience))), func() {
+	if m.leavesEarly {
+		leaver := time.AfterFunc(m.bodyTime+time.Duration(rng.Int64N(int64(patience))), func() {
 			k.history.left(t, k.clock.now())
 			cancel()
 		})
 		defer leaver.Stop()
 	}
-	a0 := attempt{k: k, t: t}
+	a0 := exchange{k: k, t: t}
 	res, body, err := a0.do(ctx, k.perSidecar[a.Sidecar], word(t))
-	if err != nil && a0.crossed(ctx) {
-		res, body, err = a0.do(ctx, k.once, word(t))
+	if err != nil && a0.mayResend(ctx) {
+		res, body, err = a0.do(ctx, k.unpooled, word(t))
 	}
 	end, status := Failed, 0
 	switch {
 	case err == nil:
 		status = res.StatusCode
-		end = outcomeOf(status)
+		end = outcomeOfStatus(status)
 	case ctx.Err() != nil:
 		end = GaveUp
 	case !a0.connected.Load():
@@ -184,13 +184,13 @@
 	return t, time.Duration(min(max(seconds, 0), 60) * float64(time.Second))
 }
 
-// message words a try in the protocol.
-func (k *clients) message(t *Try, n int, a world.Arrival, class world.Class, m manner, patience time.Duration, again bool) *http.Request {
+// newRequest words a try in the protocol.
+func (k *clients) newRequest(t *Try, n int, a world.Arrival, class world.Class, m behaviour, patience time.Duration, again bool) *http.Request {
 	method, text, body := http.MethodPost, "", io.Reader(nil)
 	if class.Effect == world.Safe {
 		method = http.MethodGet
 	} else {
-		text, body = k.bodyOf(t, m, patience)
+		text, body = k.tryBody(t, m, patience)
 	}
 	url := fmt.Sprintf("http://%s/%s?%s", k.net.address(a.Sidecar, clientPort), class.Name, m.query(a, text))
 	req, err := http.NewRequest(method, url, body)
@@ -214,8 +214,8 @@
 	return req
 }
 
-// attempt is a try on one connection after another.
-type attempt struct {
+// exchange is a try on one connection after another.
+type exchange struct {
 	k         *clients
 	t         *Try
 	connected atomic.Bool // these are set by net/http's goroutines, which may outlive the try
@@ -223,7 +223,7 @@
 	partial   atomic.Bool // some of an answer came
 }
 
-func (a *attempt) do(ctx context.Context, client *http.Client, req *http.Request) (*http.Response, string, error) {
+func (a *exchange) do(ctx context.Context, client *http.Client, req *http.Request) (*http.Response, string, error) {
 	for _, flag := range []*atomic.Bool{&a.connected, &a.reused, &a.partial} {
 		flag.Store(false)
 	}
@@ -236,15 +236,15 @@
 		return nil, "", err
 	}
 	defer res.Body.Close()
-	raw, err := io.ReadAll(io.LimitReader(res.Body, answerLimit+1))
-	if err == nil && len(raw) > answerLimit {
+	raw, err := io.ReadAll(io.LimitReader(res.Body, maxAnswerBytes+1))
+	if err == nil && len(raw) > maxAnswerBytes {
 		err = errors.New("the answer is too long")
 	}
 	return res, string(raw), err
 }
 
-// crossed says whether the sidecar may have closed a kept connection just as the request was on its way: nothing
+// mayResend says whether the sidecar may have closed a kept connection just as the request was on its way: nothing
 // came back, and no server has it. Then clients send it once more, on a new connection.
-func (a *attempt) crossed(ctx context.Context) bool {
+func (a *exchange) mayResend(ctx context.Context) bool {
 	return ctx.Err() == nil && a.reused.Load() && !a.partial.Load() && !a.k.history.touched(a.t)
 }
--- a/internal/lab/faults.go
+++ b/internal/lab/faults.go
@@ -19,8 +19,8 @@
 	Description string
 }
 
-// reloadGap is the time between two signals to read the configuration again, in a row of them.
-const reloadGap = 15 * time.Millisecond
+// reloadInterval is the time between two signals to read the configuration again, in a row of them.
+const reloadInterval = 15 * time.Millisecond
 
 // faults plays a plan. Each action has a goroutine while it lasts; all end with the context.
 type faults struct {
@@ -52,7 +52,7 @@
 		mark := len(f.played) - 1
 		f.mu.Unlock()
 		f.work.Go(func() {
-			if err := f.act(ctx, a); err != nil && ctx.Err() == nil {
+			if err := f.apply(ctx, a); err != nil && ctx.Err() == nil {
 				f.mu.Lock()
 				f.errs = append(f.errs, fmt.Errorf("fault %s: %w", a.describe(), err))
 				f.mu.Unlock()
@@ -96,11 +96,11 @@
 	}
 }
 
-// act carries out one action on all its targets: at once, or one after another where it has a pause.
-func (f *faults) act(ctx context.Context, a PlannedFault) error {
+// apply carries out one action on all its targets: at once, or one after another where it has a pause.
+func (f *faults) apply(ctx context.Context, a PlannedFault) error {
 	one := map[string]func(context.Context, PlannedFault, int) error{
-		"sidecar": f.sidecarFault, "server": f.serverFault, "discovery": f.discovery, "link": f.link,
-		"load": f.load,
+		"sidecar": f.sidecarFault, "server": f.serverFault, "discovery": f.discoveryFault, "link": f.linkFault,
+		"load": f.loadFault,
 	}[faultKinds[a.Kind].on]
 	var all sync.WaitGroup
 	errs := make(chan error, len(a.Targets))
@@ -112,11 +112,11 @@
 	}
 	all.Wait()
 	close(errs)
-	return joined(errs)
+	return joinErrors(errs)
 }
 
-// joined are all errors of a channel that is closed.
-func joined(errs <-chan error) error {
+// joinErrors are all errors of a channel that is closed.
+func joinErrors(errs <-chan error) error {
 	var bad []error
 	for err := range errs {
 		bad = append(bad, err)
@@ -124,16 +124,18 @@
 	return errors.Join(bad...)
 }
 
-// load carries out what is not in the arrivals already.
-func (f *faults) load(ctx context.Context, a PlannedFault, _ int) error {
+// loadFault carries out what is not in the arrivals already.
+func (f *faults) loadFault(ctx context.Context, a PlannedFault, _ int) error {
 	if a.Kind != "busy" {
 		return nil
 	}
-	return keepBusy(ctx, f.run.processes.launch, int(a.Size), a.For.Std())
+	return runBusyLoops(ctx, f.run.processes.launch, int(a.Size), a.For.Std())
 }
 
-// mended waits until an action's time is over; false: it is for good, or the run ends before.
-func mended(ctx context.Context, a PlannedFault) bool { return a.For > 0 && sleep(ctx, a.For.Std()) }
+// waitForEnd waits until an action's time is over; false: it is for good, or the run ends before.
+func waitForEnd(ctx context.Context, a PlannedFault) bool {
+	return a.For > 0 && sleep(ctx, a.For.Std())
+}
 
 func (f *faults) sidecarFault(ctx context.Context, a PlannedFault, i int) error {
 	p := f.run.processes
@@ -147,7 +149,7 @@
 		if err == nil && a.For == 0 {
 			err = h.lost(ctx, i, from)
 		}
-		if err == nil && mended(ctx, a) {
+		if err == nil && waitForEnd(ctx, a) {
 			err = h.again(i)
 		}
 		return err
@@ -164,7 +166,7 @@
 	switch a.Kind {
 	case "kill":
 		p.kill(i)
-		if !mended(ctx, a) {
+		if !waitForEnd(ctx, a) {
 			return nil
 		}
 		f.mu.Lock()
@@ -175,14 +177,14 @@
 		if q := p.running(i); q != nil {
 			p.stop(q)
 		}
-		if mended(ctx, a) {
+		if waitForEnd(ctx, a) {
 			return again()
 		}
 	case "pause":
 		q := p.running(i)
-		p.pause(q, true)
-		mended(ctx, a)
-		p.pause(q, false)
+		p.setPaused(q, true)
+		waitForEnd(ctx, a)
+		p.setPaused(q, false)
 	case "starve":
 		if a.For > 0 {
 			var cancel context.CancelFunc
@@ -196,26 +198,26 @@
 	case "term":
 		return f.terminate(ctx, a, i)
 	case "swap":
-		return f.replaceBySeries(ctx, a, i)
+		return f.replaceWithSignals(ctx, a, i)
 	case "crowd":
-		f.crowd(ctx, a, i)
+		f.holdIdleConnections(ctx, a, i)
 	case "full":
-		return p.fileLimit(i, uint64(a.Size))
+		return p.setFileSizeLimit(i, uint64(a.Size))
 	case "calls", "deaf", "forward", "back", "rude":
-		f.disturb(ctx, a, i)
+		f.disturbProcess(ctx, a, i)
 	case "hup":
-		return f.hangUps(ctx, a, i)
+		return f.reloadRepeatedly(ctx, a, i)
 	}
 	return nil
 }
 
-// hangUps has a sidecar read its configuration again, several times in a row.
-func (f *faults) hangUps(ctx context.Context, a PlannedFault, i int) error {
+// reloadRepeatedly has a sidecar read its configuration again, several times in a row.
+func (f *faults) reloadRepeatedly(ctx context.Context, a PlannedFault, i int) error {
 	for range int(a.Size) {
 		if err := f.run.processes.reload(i); err != nil {
 			return err
 		}
-		if !sleep(ctx, reloadGap) {
+		if !sleep(ctx, reloadInterval) {
 			break
 		}
 	}
@@ -234,7 +236,7 @@
 	case "crash":
 		s.crash(i)
 		r.hear(list.UpdateDelay.Std(), entry(world.Gone))
-		if mended(ctx, a) {
+		if waitForEnd(ctx, a) {
 			r.hear(list.UpdateDelay.Std(), fresh())
 			return s.start(i)
 		}
@@ -249,109 +251,109 @@
 		}
 	case "silence":
 		s.silence(i, true)
-		r.hear(list.Silence.Std(), entry(world.Gone))
-		if mended(ctx, a) {
+		r.hear(list.SilenceDelay.Std(), entry(world.Gone))
+		if waitForEnd(ctx, a) {
 			s.silence(i, false)
 			r.hear(list.UpdateDelay.Std(), fresh())
 		}
 	case "drain":
 		r.hear(list.UpdateDelay.Std(), entry(world.Draining))
-		if mended(ctx, a) {
+		if waitForEnd(ctx, a) {
 			r.hear(list.UpdateDelay.Std(), entry(world.Ready))
 		}
 	case "slow":
 		s.changeModel(i, func(m *world.Server) { m.Slow(a.Size) })
-		if mended(ctx, a) {
+		if waitForEnd(ctx, a) {
 			s.changeModel(i, func(m *world.Server) { m.Slow(1) })
 		}
 	case "err":
 		s.changeModel(i, func(m *world.Server) { m.Err(a.Size) })
-		if mended(ctx, a) {
+		if waitForEnd(ctx, a) {
 			s.changeModel(i, func(m *world.Server) { m.Err(0) })
 		}
 	case "refuse":
 		s.changeModel(i, func(m *world.Server) { m.Refuse(true) })
-		if mended(ctx, a) {
+		if waitForEnd(ctx, a) {
 			s.changeModel(i, func(m *world.Server) { m.Refuse(false) })
 		}
 	case "spoil", "hang", "reset", "close":
-		f.misbehaviour(ctx, a, i)
+		f.misbehave(ctx, a, i)
 	case "late":
-		s.hold(i, true)
-		mended(ctx, a)
-		s.hold(i, false)
+		s.holdConnections(i, true)
+		waitForEnd(ctx, a)
+		s.holdConnections(i, false)
 	case "out":
-		f.byHand(ctx, "disable-server", i)
-		if mended(ctx, a) {
-			f.byHand(ctx, "enable-server", i)
+		f.callConsoles(ctx, "disable-server", i)
+		if waitForEnd(ctx, a) {
+			f.callConsoles(ctx, "enable-server", i)
 		}
 	}
 	return nil
 }
 
-// disturb does something to a sidecar's surroundings: its system calls, its clock, or who connects. It ends at the
+// disturbProcess does something to a sidecar's surroundings: its system calls, its clock, or who connects. It ends at the
 // process that it began at, whichever is the sidecar's by then.
-func (f *faults) disturb(ctx context.Context, a PlannedFault, i int) {
+func (f *faults) disturbProcess(ctx context.Context, a PlannedFault, i int) {
 	q := f.run.processes.running(i)
 	switch a.Kind {
 	case "calls":
-		q.disturb(a.Size)
-		mended(ctx, a)
-		q.disturb(0)
+		q.setCallFaultShare(a.Size)
+		waitForEnd(ctx, a)
+		q.setCallFaultShare(0)
 	case "deaf":
-		q.deafen(true)
-		mended(ctx, a)
-		q.deafen(false)
+		q.failAccepts(true)
+		waitForEnd(ctx, a)
+		q.failAccepts(false)
 	case "forward":
 		q.stepClock(time.Duration(a.Size * float64(time.Second)))
 	case "back":
 		q.stepClock(-time.Duration(a.Size * float64(time.Second)))
 	case "rude":
-		f.beRude(ctx, a, i)
+		f.sendMalformedRequests(ctx, a, i)
 	}
 }
 
-// misbehaviour has a server answer badly while a fault lasts.
-func (f *faults) misbehaviour(ctx context.Context, a PlannedFault, i int) {
+// misbehave has a server answer badly while a fault lasts.
+func (f *faults) misbehave(ctx context.Context, a PlannedFault, i int) {
 	s := f.run.servers
 	switch a.Kind {
 	case "reset":
-		s.misbehave(i, (*server).reset)
+		s.setMisbehaviour(i, (*server).reset)
 		return
 	case "close":
-		s.misbehave(i, (*server).closeAll)
+		s.setMisbehaviour(i, (*server).closeAll)
 		return
 	}
 	set := func(share float64) func(u *server) {
 		return func(u *server) {
 			if a.Kind == "hang" {
-				u.hangs = share
+				u.hangShare = share
 			} else {
-				u.spoils = share
+				u.spoilShare = share
 			}
 		}
 	}
-	s.misbehave(i, set(a.Size))
-	mended(ctx, a)
-	s.misbehave(i, set(0))
+	s.setMisbehaviour(i, set(a.Size))
+	waitForEnd(ctx, a)
+	s.setMisbehaviour(i, set(0))
 }
 
-// beRude has strangers connect to a sidecar, one after the other, while the fault lasts.
-func (f *faults) beRude(ctx context.Context, a PlannedFault, sidecar int) {
+// sendMalformedRequests has strangers connect to a sidecar, one after the other, while the fault lasts.
+func (f *faults) sendMalformedRequests(ctx context.Context, a PlannedFault, sidecar int) {
 	ctx, cancel := context.WithTimeout(ctx, a.For.Std())
 	defer cancel()
 	h, c := f.run.history, f.run.clock
 	for n := 0; ctx.Err() == nil; n++ {
 		from := c.now()
-		if err := rude(f.run.net.address(sidecar, clientPort), rudeKinds[n%len(rudeKinds)]); err != nil {
+		if err := sendMalformed(f.run.net.address(sidecar, clientPort), malformedRequests[n%len(malformedRequests)]); err != nil {
 			h.note(&h.peers, "a stranger that came to sidecar %s at %v: %v", sidecarName(sidecar), from, err)
 		}
-		sleep(ctx, rudeRest)
+		sleep(ctx, malformedInterval)
 	}
 }
 
-// byHand calls at every sidecar's console, as an operator does: again and again until it says yes.
-func (f *faults) byHand(ctx context.Context, call string, server int) {
+// callConsoles calls at every sidecar's console, as an operator does: again and again until it says yes.
+func (f *faults) callConsoles(ctx context.Context, call string, server int) {
 	var all sync.WaitGroup
 	for i := range f.run.scenario.Fleet.Sidecars {
 		all.Go(func() {
@@ -374,24 +376,24 @@
 	all.Wait()
 }
 
-func (f *faults) discovery(ctx context.Context, a PlannedFault, _ int) error {
+func (f *faults) discoveryFault(ctx context.Context, a PlannedFault, _ int) error {
 	r := f.run.roster
 	switch a.Kind {
 	case "away":
 		r.outage(true)
-		if mended(ctx, a) {
+		if waitForEnd(ctx, a) {
 			r.outage(false)
 		}
 	case "stale":
 		r.freeze(true)
-		if mended(ctx, a) {
+		if waitForEnd(ctx, a) {
 			r.freeze(false)
 		}
 	case "mute":
 		r.mute()
 	case "crawl":
 		r.crawl(a.Pause.Std())
-		if mended(ctx, a) {
+		if waitForEnd(ctx, a) {
 			r.crawl(0)
 		}
 	case "move":
@@ -407,9 +409,9 @@
 	return nil
 }
 
-func (f *faults) link(ctx context.Context, a PlannedFault, i int) error {
+func (f *faults) linkFault(ctx context.Context, a PlannedFault, i int) error {
 	set := func(on bool) {
-		change := func(w *weather) {
+		change := func(w *conditions) {
 			size := a.Size
 			if !on {
 				size = 0
@@ -439,11 +441,11 @@
 			if peer == i {
 				continue
 			}
-			if a.Way != "in" {
-				f.run.mesh.set(i, peer, change)
+			if a.Direction != "in" {
+				f.run.mesh.setConditions(i, peer, change)
 			}
-			if a.Way != "out" {
-				f.run.mesh.set(peer, i, change)
+			if a.Direction != "out" {
+				f.run.mesh.setConditions(peer, i, change)
 			}
 		}
 	}
@@ -451,11 +453,11 @@
 	from := f.run.clock.now()
 	set(true)
 	h.changed(f.run.clock)
-	if mended(ctx, a) {
+	if waitForEnd(ctx, a) {
 		set(false)
 		h.changed(f.run.clock)
 	}
-	oneLink := a.Way != "both" && len(a.Targets)*len(a.Peers) == 1 // the others ask for those two
+	oneLink := a.Direction != "both" && len(a.Targets)*len(a.Peers) == 1 // the others ask for those two
 	if a.Kind == "cut" && !oneLink || a.Kind == "limit" {
 		h.life(&h.cuts, span{i, from, f.run.clock.now()})
 	}
--- a/internal/lab/lab.go
+++ b/internal/lab/lab.go
@@ -28,26 +28,26 @@
 // clock tells the time of a run. It is far below zero until begin is called, and goes on from just below zero then:
 // it never goes back.
 type clock struct {
-	made   time.Time
-	offset *atomic.Int64
+	created time.Time
+	offset  *atomic.Int64
 }
 
-// prepTime is how far below zero a clock starts; far more than the preparations of a run may take.
-const prepTime = 10 * time.Minute
+// preparationTime is how far below zero a clock starts; far more than the preparations of a run may take.
+const preparationTime = 10 * time.Minute
 
 func newClock() clock {
 	c := clock{time.Now(), new(atomic.Int64)}
-	c.offset.Store(int64(prepTime))
+	c.offset.Store(int64(preparationTime))
 	return c
 }
 
 // startIn has the clock come to zero after d.
-func (c clock) startIn(d time.Duration) { c.offset.Store(int64(time.Since(c.made) + d)) }
+func (c clock) startIn(d time.Duration) { c.offset.Store(int64(time.Since(c.created) + d)) }
 
-func (c clock) now() time.Duration { return time.Since(c.made) - time.Duration(c.offset.Load()) }
+func (c clock) now() time.Duration { return time.Since(c.created) - time.Duration(c.offset.Load()) }
 
 func (c clock) timeAt(d time.Duration) time.Time {
-	return c.made.Add(d + time.Duration(c.offset.Load()))
+	return c.created.Add(d + time.Duration(c.offset.Load()))
 }
 
 // lateness is how late the lab itself ran: a timer that should go off does so later where the machine is busy.
@@ -61,20 +61,20 @@
 type gap struct{ from, to time.Duration }
 
 const (
-	latePoll  = 5 * time.Millisecond
-	lateGap   = 100 * time.Millisecond // the lab is very late from here on
-	lateTail  = 25 * time.Millisecond  // and a run is late whose 99th percentile is above this,
-	lateParts = 0.02                   // or which was very late in more than this part of its time
-	gapsMost  = 10_000
+	latenessInterval = 5 * time.Millisecond
+	gapThreshold     = 100 * time.Millisecond // the lab is very late from here on
+	maxP99Lateness   = 25 * time.Millisecond  // and a run is late whose 99th percentile is above this,
+	maxGapShare      = 0.02                   // or which was very late in more than this part of its time
+	maxGaps          = 10_000
 )
 
 func newLateness() *lateness { return &lateness{hist: hdrhistogram.New(1, 60_000_000, 3)} }
 
 // measure measures until stop is closed.
 func (l *lateness) measure(c clock, stop <-chan struct{}) {
-	t := time.NewTimer(latePoll)
+	t := time.NewTimer(latenessInterval)
 	defer t.Stop()
-	for due := c.now() + latePoll; ; {
+	for due := c.now() + latenessInterval; ; {
 		select {
 		case <-stop:
 			return
@@ -82,8 +82,8 @@
 		}
 		now := c.now()
 		l.record(due, now)
-		due = now + latePoll
-		t.Reset(latePoll)
+		due = now + latenessInterval
+		t.Reset(latenessInterval)
 	}
 }
 
@@ -92,10 +92,10 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	_ = l.hist.RecordValue(min(max(1, (done-due).Microseconds()), 60_000_000)) // in range
-	if done-due < lateGap {
+	if done-due < gapThreshold {
 		return
 	}
-	if len(l.gaps) >= gapsMost {
+	if len(l.gaps) >= maxGaps {
 		l.gapsDropped++
 		return
 	}
@@ -118,11 +118,11 @@
 	for _, g := range l.gaps {
 		lost += g.to - g.from
 	}
-	if p99 := time.Duration(l.hist.ValueAtQuantile(99)) * time.Microsecond; p99 > lateTail {
-		return fmt.Sprintf("the lab's timers went off up to %v late in 99 of 100 cases, %v is allowed", p99, lateTail)
+	if p99 := time.Duration(l.hist.ValueAtQuantile(99)) * time.Microsecond; p99 > maxP99Lateness {
+		return fmt.Sprintf("the lab's timers went off up to %v late in 99 of 100 cases, %v is allowed", p99, maxP99Lateness)
 	}
-	if part := float64(lost) / float64(length); part > lateParts || l.gapsDropped > 0 {
-		return fmt.Sprintf("the lab stood still for %v in all, in gaps of over %v", lost, lateGap)
+	if part := float64(lost) / float64(length); part > maxGapShare || l.gapsDropped > 0 {
+		return fmt.Sprintf("the lab stood still for %v in all, in gaps of over %v", lost, gapThreshold)
 	}
 	return ""
 }
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -34,7 +34,7 @@
 	}
 	switch {
 	case os.Getenv("EDGE_CONFIG") != "":
-		badSidecar()
+		faultySidecar()
 	case os.Getenv("LAB_TO_BE_KILLED") != "":
 		s, err := ReadScenario("killed.toml", []byte("about='x'\nfor='60s'\n[fleet]\nsidecars=2\nservers=2\n[load]\nuse=0.1"))
 		if err == nil {
@@ -43,16 +43,16 @@
 		fmt.Println(err)
 	default:
 		code := m.Run()
-		if builtIn != "" {
-			_ = os.RemoveAll(builtIn)
+		if programDir != "" {
+			_ = os.RemoveAll(programDir)
 		}
 		os.Exit(code)
 	}
 }
 
-// badSidecar carries requests as well as it must to be noticed for one thing that it does wrong: the one that the
+// faultySidecar carries requests as well as it must to be noticed for one thing that it does wrong: the one that the
 // fleet file names.
-func badSidecar() {
+func faultySidecar() {
 	var cfg struct {
 		Listen, Console, Discovery, Fleet string
 		Known                             listingJSON
@@ -255,12 +255,12 @@
 
 // program is the real sidecar, built once in the folder builtIn.
 var (
-	builtIn string
-	program = sync.OnceValues(func() (path string, err error) {
-		if builtIn, err = os.MkdirTemp("", "lab-test-"); err != nil {
+	programDir string
+	program    = sync.OnceValues(func() (path string, err error) {
+		if programDir, err = os.MkdirTemp("", "lab-test-"); err != nil {
 			return "", err
 		}
-		return Build(builtIn)
+		return Build(programDir)
 	})
 )
 
--- a/internal/lab/process.go
+++ b/internal/lab/process.go
@@ -30,21 +30,21 @@
 )
 
 const (
-	readyTime    = 10 * time.Second       // a sidecar that is not ready by then has failed, where it is alone;
-	readyEach    = 200 * time.Millisecond // with each other that starts beside it, it may take so much longer
-	readyPoll    = 10 * time.Millisecond
-	busyTime     = 2 * time.Second // another lab in this process may be starting one of its own, which holds the program open to be written until then
-	endTime      = 5 * time.Second // a sidecar told to stop has to end by then: the longest deadline, the linger, and room
-	starvePeriod = 200 * time.Millisecond
-	consoles     = 50      // console ports, used in turn by a sidecar's processes
-	tailBytes    = 2 << 10 // of a log, for an error
-	ordinary     = 65534   // whom sidecars run as where the lab is root: the platform has them as an ordinary user
+	readyTimeout           = 10 * time.Second       // a sidecar that is not ready by then has failed, where it is alone;
+	readyTimeoutPerSidecar = 200 * time.Millisecond // with each other that starts beside it, it may take so much longer
+	readyPollInterval      = 10 * time.Millisecond
+	execRetryTime          = 2 * time.Second // another lab in this process may be starting one of its own, which holds the program open to be written until then
+	stopTimeout            = 5 * time.Second // a sidecar told to stop has to end by then: the longest deadline, the linger, and room
+	starvePeriod           = 200 * time.Millisecond
+	consolePorts           = 50      // console ports, used in turn by a sidecar's processes
+	logTailBytes           = 2 << 10 // of a log, for an error
+	unprivilegedUser       = 65534   // whom sidecars run as where the lab is root: the platform has them as an ordinary user
 )
 
 // process is one process of a sidecar.
 type process struct {
 	sidecar      int
-	turn         int // number among its sidecar's processes
+	ordinal      int // number among its sidecar's processes
 	cmd          *exec.Cmd
 	console      string
 	log          string
@@ -74,7 +74,7 @@
 
 	mu           sync.Mutex
 	current      []*process // by sidecar; nil: none
-	turns        []int
+	startCounts  []int
 	all          []*process
 	maxRSS       float64 // MiB
 	maxTotalRSS  float64 // of all at once
@@ -86,7 +86,7 @@
 func newProcesses(s *Scenario, c clock, h *History, n *subnet, r *roster, program, dir, logs string, rec *record, seed uint64) *processes {
 	p := &processes{
 		clock: c, scenario: s, history: h, net: n, roster: r, program: program, dir: dir, logs: logs, record: rec, seed: seed,
-		starter: make(chan func()), current: make([]*process, s.Fleet.Sidecars), turns: make([]int, s.Fleet.Sidecars),
+		starter: make(chan func()), current: make([]*process, s.Fleet.Sidecars), startCounts: make([]int, s.Fleet.Sidecars),
 		routes: func(int) map[string]string { return nil },
 	}
 	go func() {
@@ -110,14 +110,14 @@
 		return "", err
 	}
 	if os.Getuid() == 0 {
-		if err := os.Chown(p.stateDir(sidecar), ordinary, ordinary); err != nil {
+		if err := os.Chown(p.stateDir(sidecar), unprivilegedUser, unprivilegedUser); err != nil {
 			return "", err
 		}
 	}
 	s := p.scenario
 	file := map[string]any{
 		"name": sidecarName(sidecar), "listen": p.net.address(sidecar, clientPort), "discovery": p.roster.address(sidecar),
-		"console": p.net.address(sidecar, consolePort+turn%consoles),
+		"console": p.net.address(sidecar, consolePort+turn%consolePorts),
 		"seed":    strconv.FormatUint(rand.New(rand.NewPCG(p.seed, 5+uint64(sidecar)<<16+uint64(turn)<<40)).Uint64(), 16),
 		"limits":  map[string]any{"cores": 1, "memory_mb": s.Fleet.MemoryMB, "sockets": s.Fleet.Sockets},
 	}
@@ -133,7 +133,7 @@
 		}
 		text = strings.NewReplacer(
 			"{name}", sidecarName(sidecar), "{host}", p.net.host(sidecar), "{peer}", p.net.address(sidecar, peerPort), "{rules}", p.rulesFile(sidecar),
-			"{seed0}", p.joinBy(0), "{seed1}", p.joinBy(1), "{seed2}", p.joinBy(2),
+			"{seed0}", p.seedAddress(0), "{seed1}", p.seedAddress(1), "{seed2}", p.seedAddress(2),
 		).Replace(text)
 		fleet := filepath.Join(folder, fmt.Sprintf("%d.toml", sidecar))
 		if err := os.WriteFile(fleet, []byte(text), 0o644); err != nil {
@@ -154,8 +154,8 @@
 	return filepath.Join(p.dir, "config", fmt.Sprintf("%d.rules", sidecar))
 }
 
-// joinBy is a sidecar as others can join by it without a route.
-func (p *processes) joinBy(sidecar int) string {
+// seedAddress is a sidecar as others can join by it without a route.
+func (p *processes) seedAddress(sidecar int) string {
 	return sidecarName(sidecar) + "/" + p.net.address(sidecar, peerPort)
 }
 
@@ -185,7 +185,7 @@
 		"balancers": cmp.Or(s.Fleet.StatedSidecars, s.totalSidecars()), "me": sidecar, "zone": s.zoneOf(sidecar), "zones": zones, "period_ms": 2,
 		"discovery": "ask", "weights": "nominal", "worth_by": "work",
 		"caps": map[string]any{
-			"conn_idle_ms": ms(serverIdle), "dial_timeout_ms": 75, "may_cancel": true, "most_tries": 6, "max_open": 26451,
+			"conn_idle_ms": ms(serverIdleTimeout), "dial_timeout_ms": 75, "may_cancel": true, "most_tries": 6, "max_open": 26451,
 			"max_retry_after_ms": 800, "probes": true, "retry_after": true, "second_copies": true, "peers": s.Fleet.Mesh,
 		},
 		"charges": map[string]any{"cross_zone": 0.03}, "client_habits": map[string]any{"marks_retry": true},
@@ -203,15 +203,15 @@
 // start starts a sidecar's next process, and returns once it is ready. One that is not is an error that names it.
 func (p *processes) start(sidecar int) (*process, error) {
 	p.mu.Lock()
-	turn := p.turns[sidecar]
-	p.turns[sidecar]++
+	turn := p.startCounts[sidecar]
+	p.startCounts[sidecar]++
 	p.mu.Unlock()
 	config, err := p.writeConfig(sidecar, turn)
 	if err != nil {
 		return nil, err
 	}
 	q := &process{
-		sidecar: sidecar, turn: turn, console: p.net.address(sidecar, consolePort+turn%consoles), ended: make(chan struct{}),
+		sidecar: sidecar, ordinal: turn, console: p.net.address(sidecar, consolePort+turn%consolePorts), ended: make(chan struct{}),
 		log: filepath.Join(p.logs, fmt.Sprintf("%s-%d.log", sidecarName(sidecar), turn)),
 	}
 	q.readyAt.Store(math.MaxInt64)
@@ -221,15 +221,15 @@
 	}
 	defer out.Close()
 	born := p.clock.now()
-	for end := born + busyTime; ; time.Sleep(time.Millisecond) {
+	for end := born + execRetryTime; ; time.Sleep(time.Millisecond) {
 		q.cmd = exec.Command(p.program)
 		q.cmd.Dir, q.cmd.Stdout, q.cmd.Stderr = p.dir, out, out
 		q.cmd.Env = append(os.Environ(), "EDGE_CONFIG="+config, "TMPDIR="+p.stateDir(sidecar), "EDGE_LISTEN=", "EDGE_FLEET=")
 		q.cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
 		if os.Getuid() == 0 && !p.scenario.Fleet.Supervised { // this program, which begins each supervised one, may be nobody else's to run
-			q.cmd.SysProcAttr.Credential = &syscall.Credential{Uid: ordinary, Gid: ordinary}
+			q.cmd.SysProcAttr.Credential = &syscall.Credential{Uid: unprivilegedUser, Gid: unprivilegedUser}
 		}
-		err := p.onStarter(func() error { return p.startProcess(q) })
+		err := p.runOnStarter(func() error { return p.startProcess(q) })
 		if err == nil {
 			break
 		}
@@ -245,7 +245,7 @@
 	p.current[sidecar] = q
 	p.all = append(p.all, q)
 	p.mu.Unlock()
-	go p.wait(q)
+	go p.awaitExit(q)
 	if err := p.waitReady(q); err != nil {
 		return q, err
 	}
@@ -258,22 +258,22 @@
 	return q, nil
 }
 
-// onStarter runs a function on the thread that lives as long as the lab.
-func (p *processes) onStarter(f func() error) error {
+// runOnStarter runs a function on the thread that lives as long as the lab.
+func (p *processes) runOnStarter(f func() error) error {
 	ended := make(chan error)
 	p.starter <- func() { ended <- f() }
 	return <-ended
 }
 
 // launch starts a program that dies with the lab.
-func (p *processes) launch(cmd *exec.Cmd) error { return p.onStarter(cmd.Start) }
+func (p *processes) launch(cmd *exec.Cmd) error { return p.runOnStarter(cmd.Start) }
 
 // begin starts a process, under supervision where the scenario wants that.
 func (p *processes) startProcess(q *process) (err error) {
 	if !p.scenario.Fleet.Supervised {
 		return q.cmd.Start()
 	}
-	q.calls, err = startSupervised(q.cmd, p.seed+uint64(q.sidecar)<<16+uint64(q.turn)<<40, p.roster.servers.noteBrokenConnection)
+	q.calls, err = startSupervised(q.cmd, p.seed+uint64(q.sidecar)<<16+uint64(q.ordinal)<<40, p.roster.servers.noteBrokenConnection)
 	return err
 }
 
@@ -281,16 +281,16 @@
 func (q *process) supervised() bool { return q != nil && q.calls != nil }
 
 // disturb has a share of a process's system calls be disturbed.
-func (q *process) disturb(share float64) {
+func (q *process) setCallFaultShare(share float64) {
 	if q.supervised() {
-		q.calls.disturb(share)
+		q.calls.setShare(share)
 	}
 }
 
-// deafen has all of a process's calls of accept fail, or none.
-func (q *process) deafen(on bool) {
+// failAccepts has all of a process's calls of accept fail, or none.
+func (q *process) failAccepts(on bool) {
 	if q.supervised() {
-		q.calls.deafen(on)
+		q.calls.failAccepts(on)
 	}
 }
 
@@ -301,8 +301,8 @@
 	}
 }
 
-// brokenByLogs lists the breaches of invariants that sidecars have found themselves.
-func (p *processes) brokenByLogs() (lines []string, err error) {
+// violationsInLogs lists the breaches of invariants that sidecars have found themselves.
+func (p *processes) violationsInLogs() (lines []string, err error) {
 	logs, err := filepath.Glob(filepath.Join(p.logs, "*.log"))
 	if err != nil {
 		return nil, err
@@ -321,8 +321,8 @@
 	return lines, nil
 }
 
-// wait sees a process to its end.
-func (p *processes) wait(q *process) {
+// awaitExit sees a process to its end.
+func (p *processes) awaitExit(q *process) {
 	err := q.cmd.Wait()
 	p.mu.Lock()
 	p.cpu += q.cmd.ProcessState.UserTime() + q.cmd.ProcessState.SystemTime()
@@ -337,23 +337,23 @@
 	}
 	if !wanted {
 		p.history.note(&p.history.ends, "at %v sidecar %s ended though nobody had told it to: %v; its log ends with: %s",
-			p.clock.now(), sidecarName(q.sidecar), err, q.tail())
+			p.clock.now(), sidecarName(q.sidecar), err, q.logTail())
 	} else if status, _ := q.cmd.ProcessState.Sys().(syscall.WaitStatus); err != nil && !status.Signaled() {
 		p.history.note(&p.history.ends, "at %v sidecar %s was told to stop and ended with %v; its log ends with: %s",
-			p.clock.now(), sidecarName(q.sidecar), err, q.tail())
+			p.clock.now(), sidecarName(q.sidecar), err, q.logTail())
 	}
 	close(q.ended)
 }
 
-// tail is the end of a process's log.
-func (q *process) tail() string {
+// logTail is the end of a process's log.
+func (q *process) logTail() string {
 	f, err := os.Open(q.log)
 	if err != nil {
 		return err.Error()
 	}
 	defer f.Close()
-	if info, err := f.Stat(); err == nil && info.Size() > tailBytes {
-		_, _ = f.Seek(-tailBytes, io.SeekEnd) // or it is all shown
+	if info, err := f.Stat(); err == nil && info.Size() > logTailBytes {
+		_, _ = f.Seek(-logTailBytes, io.SeekEnd) // or it is all shown
 	}
 	raw, _ := io.ReadAll(f)
 	return strings.TrimSpace(string(raw))
@@ -361,15 +361,15 @@
 
 // waitReady waits until the process serves: its console says so, and it answers where clients connect.
 func (p *processes) waitReady(q *process) error {
-	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: readyTime}
-	most := readyTime + time.Duration(p.scenario.Fleet.Sidecars)*readyEach
+	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: readyTimeout}
+	most := readyTimeout + time.Duration(p.scenario.Fleet.Sidecars)*readyTimeoutPerSidecar
 	end := time.Now().Add(most)
 	var last error
 	for time.Now().Before(end) {
 		select {
 		case <-q.ended:
-			return fmt.Errorf("sidecar %s ended before it was ready: %s", sidecarName(q.sidecar), q.tail())
-		case <-time.After(readyPoll):
+			return fmt.Errorf("sidecar %s ended before it was ready: %s", sidecarName(q.sidecar), q.logTail())
+		case <-time.After(readyPollInterval):
 		}
 		answer, err := callConsole(q.console, "ready")
 		if err != nil || !strings.HasPrefix(answer, "200") {
@@ -386,7 +386,7 @@
 		}
 		last = err
 	}
-	return fmt.Errorf("sidecar %s is not ready after %v: %w; its log ends with: %s", sidecarName(q.sidecar), most, last, q.tail())
+	return fmt.Errorf("sidecar %s is not ready after %v: %w; its log ends with: %s", sidecarName(q.sidecar), most, last, q.logTail())
 }
 
 // callConsole makes one call at a console.
@@ -434,15 +434,15 @@
 	_ = q.cmd.Process.Signal(syscall.SIGTERM) // it may have ended by itself
 	select {
 	case <-q.ended:
-	case <-time.After(endTime):
-		p.history.note(&p.history.ends, "at %v sidecar %s goes on %v after it was told to stop", p.clock.now(), sidecarName(q.sidecar), endTime)
+	case <-time.After(stopTimeout):
+		p.history.note(&p.history.ends, "at %v sidecar %s goes on %v after it was told to stop", p.clock.now(), sidecarName(q.sidecar), stopTimeout)
 		_ = q.cmd.Process.Kill()
 		<-q.ended
 	}
 }
 
-// pause stands a process still, or lets it go on; nil is none.
-func (p *processes) pause(q *process, on bool) {
+// setPaused stands a process still, or lets it go on; nil is none.
+func (p *processes) setPaused(q *process, on bool) {
 	if q == nil {
 		return
 	}
@@ -493,7 +493,7 @@
 	if q == nil {
 		return nil
 	}
-	if _, err := p.writeConfig(sidecar, q.turn); err != nil {
+	if _, err := p.writeConfig(sidecar, q.ordinal); err != nil {
 		return err
 	}
 	if q.mayReload(p.clock.now()) {
@@ -505,7 +505,7 @@
 			select {
 			case <-q.ended:
 				return
-			case <-time.After(readyPoll):
+			case <-time.After(readyPollInterval):
 			}
 		}
 		_ = q.cmd.Process.Signal(syscall.SIGHUP)
@@ -513,17 +513,17 @@
 	return nil
 }
 
-// noReload is how long the platform sends no SIGHUP to a process that has become ready.
-const noReload = time.Second
+// reloadDelay is how long the platform sends no SIGHUP to a process that has become ready.
+const reloadDelay = time.Second
 
 // mayReload says whether the platform may tell a process to read its configuration again.
 func (q *process) mayReload(now time.Duration) bool {
 	born := q.readyAt.Load()
-	return born != math.MaxInt64 && now >= time.Duration(born)+noReload
+	return born != math.MaxInt64 && now >= time.Duration(born)+reloadDelay
 }
 
-// fileLimit bounds what files of a process may hold, in place of a disk that is full.
-func (p *processes) fileLimit(sidecar int, bytes uint64) error {
+// setFileSizeLimit bounds what files of a process may hold, in place of a disk that is full.
+func (p *processes) setFileSizeLimit(sidecar int, bytes uint64) error {
 	q := p.running(sidecar)
 	if q == nil {
 		return nil
@@ -535,7 +535,7 @@
 	}
 	// A root without that right has to ask as the user that the sidecar runs as.
 	cmd := exec.Command("prlimit", "--pid", strconv.Itoa(q.cmd.Process.Pid), fmt.Sprintf("--fsize=%d:", bytes))
-	cmd.SysProcAttr = &syscall.SysProcAttr{Credential: &syscall.Credential{Uid: ordinary, Gid: ordinary}}
+	cmd.SysProcAttr = &syscall.SysProcAttr{Credential: &syscall.Credential{Uid: unprivilegedUser, Gid: unprivilegedUser}}
 	if out, err := cmd.CombinedOutput(); err != nil {
 		return fmt.Errorf("the file limit can't be set: %w: %s", err, out)
 	}
@@ -599,7 +599,7 @@
 		sum += rss
 		p.mu.Lock()
 		p.maxRSS, p.maxFDs = max(p.maxRSS, rss), max(p.maxFDs, fds)
-		if now := writtenBy(q.cmd.Process.Pid); now > q.bytesWritten {
+		if now := diskBytesWritten(q.cmd.Process.Pid); now > q.bytesWritten {
 			p.bytesWritten, q.bytesWritten = p.bytesWritten+now-q.bytesWritten, now
 		}
 		p.mu.Unlock()
@@ -630,8 +630,8 @@
 	return pages * float64(os.Getpagesize()) / (1 << 20), len(names), err == nil
 }
 
-// writtenBy reads how many bytes a process has had written to disks; 0 where the kernel does not say.
-func writtenBy(pid int) (bytes float64) {
+// diskBytesWritten reads how many bytes a process has had written to disks; 0 where the kernel does not say.
+func diskBytesWritten(pid int) (bytes float64) {
 	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/io", pid))
 	if err != nil {
 		return 0
--- a/internal/lab/relay.go
+++ b/internal/lab/relay.go
@@ -12,17 +12,17 @@
 )
 
 const (
-	linkQueue   = 4096     // packets under way on a link at most; more are lost, as in a full buffer
-	linkStreams = 64       // connections on a link at most; more are reset
-	linkChunk   = 16 << 10 // bytes of a stream that are passed on at a time
-	packetMost  = 64 << 10
-	packetRoom  = 1 << 20 // bytes of packets that wait for the relay at one port
-	meshQueue   = 1 << 16 // packets under way on all links
-	meshStreams = 1 << 12 // connections on all links; each has five goroutines
+	maxLinkPackets    = 4096     // packets under way on a link at most; more are lost, as in a full buffer
+	maxLinkStreams    = 64       // connections on a link at most; more are reset
+	streamChunkBytes  = 16 << 10 // bytes of a stream that are passed on at a time
+	maxPacketBytes    = 64 << 10
+	packetBufferBytes = 1 << 20 // bytes of packets that wait for the relay at one port
+	maxMeshPackets    = 1 << 16 // packets under way on all links
+	maxMeshStreams    = 1 << 12 // connections on all links; each has five goroutines
 )
 
-// weather is what a link does to what passes.
-type weather struct {
+// conditions is what a link does to what passes.
+type conditions struct {
 	cut       bool
 	delay     time.Duration
 	jitter    time.Duration // up to so much more, drawn for each packet: they overtake each other
@@ -37,34 +37,34 @@
 	from, to int
 
 	mu         sync.Mutex
-	conditions weather
+	conditions conditions
 	changed    chan struct{} // closed with each change
 	rng        *rand.Rand
-	free       time.Time // when the link has room for the next bytes, where it is limited
-	flying     int       // packets under way
+	freeAt     time.Time // when the link has room for the next bytes, where it is limited
+	inFlight   int       // packets under way
 	lost       int       // and those that were cut off or dropped
 	open       int       // connections
 }
 
 // gate is where all others reach one sidecar: one socket for packets and one for streams, or one of each for each of the
 // others where the system permits no other. The address that was called tells who calls.
-type gate struct {
+type relay struct {
 	port int
 	udp  []*net.UDPConn
 	tcp  []*net.TCPListener
 }
 
 // sendSocket is the socket by which packets go out from a sidecar's address at the gate's port.
-func (g *gate) sendSocket(sidecar int) *net.UDPConn { return g.udp[min(sidecar, len(g.udp)-1)] }
+func (g *relay) sendSocket(sidecar int) *net.UDPConn { return g.udp[min(sidecar, len(g.udp)-1)] }
 
 // mesh is the network between sidecars: a gate for each sidecar, and a link for each ordered pair.
 type mesh struct {
 	net        *subnet
-	gates      []*gate
+	relays     []*relay
 	links      [][]*link // by from and to
-	addedDelay *lateSum  // the relays' own added time
+	addedDelay *delaySum // the relays' own added time
 
-	flying atomic.Int64 // packets under way on all links
+	inFlight atomic.Int64 // packets under way on all links
 
 	mu    sync.Mutex
 	conns map[net.Conn]bool
@@ -73,29 +73,29 @@
 	work  sync.WaitGroup
 }
 
-// lateSum sums how much later than wanted the relays passed packets on.
-type lateSum struct {
+// delaySum sums how much later than wanted the relays passed packets on.
+type delaySum struct {
 	mu  sync.Mutex
 	sum time.Duration
 	n   int
 	max time.Duration
 }
 
-func (l *lateSum) add(d time.Duration) {
+func (l *delaySum) add(d time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.sum, l.n, l.max = l.sum+d, l.n+1, max(l.max, d)
 }
 
 func newMesh(sidecars int, n *subnet, seed uint64) (*mesh, error) {
-	m := &mesh{net: n, addedDelay: new(lateSum), conns: make(map[net.Conn]bool), done: make(chan struct{})}
+	m := &mesh{net: n, addedDelay: new(delaySum), conns: make(map[net.Conn]bool), done: make(chan struct{})}
 	for to := range sidecars {
-		g, err := m.gate(to, sidecars)
+		g, err := m.openRelay(to, sidecars)
 		if err != nil {
 			m.close()
 			return nil, err
 		}
-		m.gates = append(m.gates, g)
+		m.relays = append(m.relays, g)
 	}
 	for from := range sidecars {
 		m.links = append(m.links, make([]*link, sidecars))
@@ -108,30 +108,30 @@
 			m.links[from][to] = l
 		}
 	}
-	for to, g := range m.gates { // once all are there: a packet goes on from the address of the way back
+	for to, g := range m.relays { // once all are there: a packet goes on from the address of the way back
 		for _, p := range g.udp {
-			m.work.Go(func() { m.packets(to, p) })
+			m.work.Go(func() { m.relayPackets(to, p) })
 		}
 		for _, l := range g.tcp {
-			m.work.Go(func() { m.streams(to, l) })
+			m.work.Go(func() { m.acceptStreams(to, l) })
 		}
 	}
 	return m, nil
 }
 
-// gate opens one.
-func (m *mesh) gate(to, sidecars int) (*gate, error) {
+// openRelay opens one.
+func (m *mesh) openRelay(to, sidecars int) (*relay, error) {
 	port, err := m.net.allocatePort()
 	if err != nil {
 		return nil, err
 	}
 	whose := "the way to sidecar " + sidecarName(to)
-	udp, err := m.net.openPackets(port, sidecars, whose)
+	udp, err := m.net.listenPackets(port, sidecars, whose)
 	if err != nil {
 		return nil, err
 	}
 	for _, p := range udp {
-		_ = p.SetReadBuffer(packetRoom) // as much as the system gives
+		_ = p.SetReadBuffer(packetBufferBytes) // as much as the system gives
 	}
 	tcp, err := m.net.listen(port, sidecars, whose)
 	if err != nil {
@@ -140,11 +140,11 @@
 		}
 		return nil, err
 	}
-	return &gate{port, udp, tcp}, nil
+	return &relay{port, udp, tcp}, nil
 }
 
 // link is the way from the sidecar at an address that was called to another; nil: there is none.
-func (m *mesh) link(called netip.Addr, to int) *link {
+func (m *mesh) linkFrom(called netip.Addr, to int) *link {
 	from := m.net.sidecarAt(called)
 	if from < 0 || from >= len(m.links) {
 		return nil
@@ -155,7 +155,7 @@
 // routes are how a sidecar reaches its peers, by their names.
 func (m *mesh) routes(sidecar int) map[string]string {
 	r := make(map[string]string)
-	for to, g := range m.gates {
+	for to, g := range m.relays {
 		if to != sidecar {
 			r[sidecarName(to)] = m.net.address(sidecar, g.port)
 		}
@@ -163,8 +163,8 @@
 	return r
 }
 
-// set changes the weather of a link.
-func (m *mesh) set(from, to int, change func(*weather)) {
+// setConditions changes the weather of a link.
+func (m *mesh) setConditions(from, to int, change func(*conditions)) {
 	l := m.links[from][to]
 	if l == nil {
 		return
@@ -178,7 +178,7 @@
 
 func (m *mesh) close() {
 	close(m.done)
-	for _, g := range m.gates {
+	for _, g := range m.relays {
 		for _, l := range g.tcp {
 			l.Close()
 		}
@@ -194,9 +194,9 @@
 	m.work.Wait()
 }
 
-// packets passes the packets to one sidecar on until the mesh is closed.
-func (m *mesh) packets(to int, p *net.UDPConn) {
-	buffer, oob := make([]byte, packetMost), make([]byte, 256)
+// relayPackets passes the packets to one sidecar on until the mesh is closed.
+func (m *mesh) relayPackets(to int, p *net.UDPConn) {
+	buffer, oob := make([]byte, maxPacketBytes), make([]byte, 256)
 	address, from := netip.AddrPortFrom(m.net.ip(to), peerPort), sourceAddress(m.net.ip(to))
 	for {
 		n, more, _, _, err := p.ReadMsgUDPAddrPort(buffer, oob)
@@ -208,12 +208,12 @@
 		}
 		came := time.Now()
 		called, _ := destination(oob[:more])
-		l := m.link(called, to)
+		l := m.linkFrom(called, to)
 		if l == nil {
 			continue // by an address that is no other's of this run
 		}
-		back := m.gates[l.from].sendSocket(to) // the address at its port is where the receiver reaches the sender
-		for _, wait := range l.fate(n) {
+		back := m.relays[l.from].sendSocket(to) // the address at its port is where the receiver reaches the sender
+		for _, wait := range l.packetDelays(n) {
 			if wait == 0 {
 				_, _, _ = back.WriteMsgUDPAddrPort(buffer[:n], from, address) // packets may be lost
 				m.addedDelay.add(time.Since(came))
@@ -222,9 +222,9 @@
 			packet := append([]byte(nil), buffer[:n]...)
 			due := came.Add(wait)
 			time.AfterFunc(wait, func() {
-				m.flying.Add(-1)
+				m.inFlight.Add(-1)
 				l.mu.Lock()
-				l.flying--
+				l.inFlight--
 				cut := l.conditions.cut
 				l.mu.Unlock()
 				if !cut {
@@ -236,8 +236,8 @@
 	}
 }
 
-// fate draws after which times a packet arrives: never, once, or twice.
-func (l *link) fate(bytes int) (waits []time.Duration) {
+// packetDelays draws after which times a packet arrives: never, once, or twice.
+func (l *link) packetDelays(bytes int) (waits []time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	w := l.conditions
@@ -250,16 +250,16 @@
 		copies = 2
 	}
 	for range copies {
-		wait := w.delay + l.queue(bytes)
+		wait := w.delay + l.queueDelay(bytes)
 		if w.jitter > 0 {
 			wait += time.Duration(l.rng.Int64N(int64(w.jitter)))
 		}
 		if wait > 0 {
-			if l.flying >= linkQueue || l.mesh.flying.Load() >= meshQueue {
+			if l.inFlight >= maxLinkPackets || l.mesh.inFlight.Load() >= maxMeshPackets {
 				continue
 			}
-			l.flying++
-			l.mesh.flying.Add(1)
+			l.inFlight++
+			l.mesh.inFlight.Add(1)
 		}
 		waits = append(waits, wait)
 	}
@@ -267,21 +267,21 @@
 }
 
 // queue is how long bytes wait for a link that is limited.
-func (l *link) queue(bytes int) time.Duration {
+func (l *link) queueDelay(bytes int) time.Duration {
 	if l.conditions.rate <= 0 {
 		return 0
 	}
 	now := time.Now()
-	if l.free.Before(now) {
-		l.free = now
+	if l.freeAt.Before(now) {
+		l.freeAt = now
 	}
-	wait := l.free.Sub(now)
-	l.free = l.free.Add(time.Duration(float64(bytes) / l.conditions.rate * float64(time.Second)))
+	wait := l.freeAt.Sub(now)
+	l.freeAt = l.freeAt.Add(time.Duration(float64(bytes) / l.conditions.rate * float64(time.Second)))
 	return wait
 }
 
-// streams passes connections to one sidecar on until the mesh is closed.
-func (m *mesh) streams(to int, from *net.TCPListener) {
+// acceptStreams passes connections to one sidecar on until the mesh is closed.
+func (m *mesh) acceptStreams(to int, from *net.TCPListener) {
 	for {
 		c, err := from.AcceptTCP()
 		if errors.Is(err, net.ErrClosed) {
@@ -291,24 +291,24 @@
 			time.Sleep(time.Millisecond) // no descriptor is free, or whoever called has gone already
 			continue
 		}
-		l := m.link(c.LocalAddr().(*net.TCPAddr).AddrPort().Addr(), to)
-		if l == nil || !l.enter(1) {
+		l := m.linkFrom(c.LocalAddr().(*net.TCPAddr).AddrPort().Addr(), to)
+		if l == nil || !l.countConnections(1) {
 			_ = c.SetLinger(0) // fails only on a closed one
 			c.Close()
 			continue
 		}
 		m.work.Go(func() {
-			defer l.enter(-1)
+			defer l.countConnections(-1)
 			l.relayStream(c)
 		})
 	}
 }
 
-// enter counts connections; false: there are as many as there may be.
-func (l *link) enter(n int) bool {
+// countConnections counts connections; false: there are as many as there may be.
+func (l *link) countConnections(n int) bool {
 	l.mesh.mu.Lock()
 	defer l.mesh.mu.Unlock()
-	if n > 0 && (l.open >= linkStreams || l.mesh.open >= meshStreams) {
+	if n > 0 && (l.open >= maxLinkStreams || l.mesh.open >= maxMeshStreams) {
 		return false
 	}
 	l.open += n
@@ -319,28 +319,28 @@
 // relayStream passes one connection on. While the link is cut nothing passes, and nothing ends: nobody is told.
 func (l *link) relayStream(c net.Conn) {
 	defer c.Close()
-	if !l.mesh.hold(c) || !l.clear() {
+	if !l.mesh.track(c) || !l.waitUncut() {
 		return
 	}
-	defer l.mesh.drop(c)
+	defer l.mesh.untrack(c)
 	dialer := net.Dialer{Timeout: 5 * time.Second}
 	peer, err := dialer.Dial("tcp", l.mesh.net.address(l.to, peerPort))
 	if err != nil {
 		return
 	}
 	defer peer.Close()
-	if !l.mesh.hold(peer) {
+	if !l.mesh.track(peer) {
 		return
 	}
-	defer l.mesh.drop(peer)
+	defer l.mesh.untrack(peer)
 	var both sync.WaitGroup
-	both.Go(func() { l.pass(peer, c) })
-	both.Go(func() { l.mesh.links[l.to][l.from].pass(c, peer) })
+	both.Go(func() { l.forward(peer, c) })
+	both.Go(func() { l.mesh.links[l.to][l.from].forward(c, peer) })
 	both.Wait()
 }
 
 // hold keeps a connection to be closed with the mesh; false: that is closed already.
-func (m *mesh) hold(c net.Conn) bool {
+func (m *mesh) track(c net.Conn) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	select {
@@ -352,14 +352,14 @@
 	}
 }
 
-func (m *mesh) drop(c net.Conn) {
+func (m *mesh) untrack(c net.Conn) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	delete(m.conns, c)
 }
 
-// clear waits while the link is cut; false: until the mesh was closed.
-func (l *link) clear() bool {
+// waitUncut waits while the link is cut; false: until the mesh was closed.
+func (l *link) waitUncut() bool {
 	for {
 		l.mu.Lock()
 		cut, changed := l.conditions.cut, l.changed
@@ -375,8 +375,8 @@
 	}
 }
 
-// pass carries one direction of a connection in the link's weather.
-func (l *link) pass(to io.Writer, from io.Reader) {
+// forward carries one direction of a connection in the link's weather.
+func (l *link) forward(to io.Writer, from io.Reader) {
 	type piece struct {
 		due  time.Time
 		data []byte
@@ -385,11 +385,11 @@
 	go func() {
 		defer close(pieces)
 		for {
-			data := make([]byte, linkChunk)
+			data := make([]byte, streamChunkBytes)
 			n, err := from.Read(data)
 			if n > 0 {
 				l.mu.Lock()
-				wait := l.conditions.delay + l.queue(n)
+				wait := l.conditions.delay + l.queueDelay(n)
 				l.mu.Unlock()
 				select {
 				case pieces <- piece{time.Now().Add(wait), data[:n]}:
@@ -406,22 +406,22 @@
 	for p := range pieces { // to the end, so that its reader ends too
 		if ok {
 			time.Sleep(time.Until(p.due))
-			ok = l.clear()
+			ok = l.waitUncut()
 		}
 		if ok {
 			_, err := to.Write(p.data)
 			ok = err == nil
 		}
 		if !ok {
-			closeBoth(to, from)
+			closeAll(to, from)
 		}
 	}
-	if w, half := to.(interface{ CloseWrite() error }); half && l.clear() {
+	if w, half := to.(interface{ CloseWrite() error }); half && l.waitUncut() {
 		_ = w.CloseWrite() // the other end may have gone
 	}
 }
 
-func closeBoth(ends ...any) {
+func closeAll(ends ...any) {
 	for _, e := range ends {
 		if c, ok := e.(io.Closer); ok {
 			c.Close()
--- a/internal/lab/relay_test.go
+++ b/internal/lab/relay_test.go
@@ -20,7 +20,7 @@
 
 func newPeers(t testing.TB, wide bool) *relayPeers {
 	t.Helper()
-	n := land(t, wide)
+	n := newTestSubnet(t, wide)
 	var err error
 	p := new(relayPeers)
 	if p.mesh, err = newMesh(len(p.udp), n, 1); err != nil {
@@ -61,7 +61,7 @@
 	return string(b[:n]), from
 }
 
-func TestRelayPackets(t *testing.T) { eachWay(t, relayPackets) }
+func TestRelayPackets(t *testing.T) { withBothSocketModes(t, relayPackets) }
 
 func relayPackets(t *testing.T, wide bool) {
 	p := newPeers(t, wide)
@@ -73,20 +73,20 @@
 	if back, _ := p.receive(t, 0); text != "there" || back != "and back" {
 		t.Errorf("received %q and %q", text, back)
 	}
-	p.mesh.set(0, 1, func(w *weather) { w.duplicate = 1 })
+	p.mesh.setConditions(0, 1, func(w *conditions) { w.duplicate = 1 })
 	p.send(t, 0, "twice")
 	for range 2 {
 		if text, _ := p.receive(t, 1); text != "twice" {
 			t.Errorf("received %q", text)
 		}
 	}
-	p.mesh.set(0, 1, func(w *weather) { *w = weather{drop: 1} })
+	p.mesh.setConditions(0, 1, func(w *conditions) { *w = conditions{drop: 1} })
 	p.send(t, 0, "lost")
 	p.send(t, 1, "the other way") // which is open
 	if text, _ := p.receive(t, 0); text != "the other way" {
 		t.Errorf("received %q", text)
 	}
-	p.mesh.set(0, 1, func(w *weather) { *w = weather{cut: true} })
+	p.mesh.setConditions(0, 1, func(w *conditions) { *w = conditions{cut: true} })
 	p.send(t, 0, "cut off")
 	link := p.mesh.links[0][1]
 	for lost := 0; lost < 2; time.Sleep(time.Millisecond) {
@@ -94,13 +94,13 @@
 		lost = link.lost
 		link.mu.Unlock()
 	}
-	p.mesh.set(0, 1, func(w *weather) { *w = weather{delay: 30 * time.Millisecond} })
+	p.mesh.setConditions(0, 1, func(w *conditions) { *w = conditions{delay: 30 * time.Millisecond} })
 	began := time.Now()
 	p.send(t, 0, "late")
 	if text, _ := p.receive(t, 1); text != "late" || time.Since(began) < 30*time.Millisecond {
 		t.Errorf("received %q after %v", text, time.Since(began))
 	}
-	p.mesh.set(0, 1, func(w *weather) { *w = weather{jitter: 50 * time.Millisecond} })
+	p.mesh.setConditions(0, 1, func(w *conditions) { *w = conditions{jitter: 50 * time.Millisecond} })
 	for i := range 100 {
 		p.send(t, 0, fmt.Sprintf("%03d", i))
 	}
@@ -119,7 +119,7 @@
 
 // Each pair has a link of its own: packets and connections come to whom they were sent, an answer to where they came from
 // finds its way back, and one link that is cut is cut alone.
-func TestRelayPairs(t *testing.T) { eachWay(t, relayPairs) }
+func TestRelayPairs(t *testing.T) { withBothSocketModes(t, relayPairs) }
 
 func relayPairs(t *testing.T, wide bool) {
 	p := newPeers(t, wide)
@@ -137,7 +137,7 @@
 	}
 	for round := range 2 {
 		if round == 1 {
-			p.mesh.set(0, 2, func(w *weather) { w.cut = true })
+			p.mesh.setConditions(0, 2, func(w *conditions) { w.cut = true })
 		}
 		for from := range p.udp {
 			for to := range p.udp {
@@ -178,7 +178,7 @@
 	}
 }
 
-func TestRelayStreams(t *testing.T) { eachWay(t, relayStreams) }
+func TestRelayStreams(t *testing.T) { withBothSocketModes(t, relayStreams) }
 
 func relayStreams(t *testing.T, wide bool) {
 	p := newPeers(t, wide)
@@ -212,16 +212,16 @@
 	}
 	say("hello")
 	hear("hello")
-	p.mesh.set(1, 0, func(w *weather) { w.cut = true }) // the way back
+	p.mesh.setConditions(1, 0, func(w *conditions) { w.cut = true }) // the way back
 	say("are you there")
 	_ = c.SetReadDeadline(time.Now().Add(50 * time.Millisecond))
 	if n, err := c.Read(make([]byte, 1)); n > 0 || err == io.EOF {
 		t.Errorf("a cut link passed %d bytes, error %v", n, err)
 	}
 	_ = c.SetDeadline(time.Now().Add(20 * time.Second))
-	p.mesh.set(1, 0, func(w *weather) { w.cut = false })
+	p.mesh.setConditions(1, 0, func(w *conditions) { w.cut = false })
 	hear("are you there")
-	p.mesh.set(0, 1, func(w *weather) { w.rate = 200_000 })
+	p.mesh.setConditions(0, 1, func(w *conditions) { w.rate = 200_000 })
 	began, long := time.Now(), string(bytes.Repeat([]byte("x"), 50_000))
 	say(long)
 	hear(long)
@@ -234,9 +234,9 @@
 	if rest, err := io.ReadAll(c); err != nil || len(rest) > 0 {
 		t.Errorf("after the end: %q, error %v", rest, err)
 	}
-	p.mesh.set(0, 1, func(w *weather) { *w = weather{cut: true} })
+	p.mesh.setConditions(0, 1, func(w *conditions) { *w = conditions{cut: true} })
 	var held []net.Conn
-	for range linkStreams + 1 {
+	for range maxLinkStreams + 1 {
 		c, err := net.Dial("tcp", p.mesh.routes(0)[sidecarName(1)])
 		if errors.Is(err, syscall.ECONNRESET) {
 			return // so soon
--- a/internal/lab/run.go
+++ b/internal/lab/run.go
@@ -26,15 +26,15 @@
 
 // Progress is what a run has come to, second by second.
 type Progress struct {
-	At                             time.Duration
-	Asked, InTime, Refused, Failed int // in the second before last: later ones are not settled
-	Open, Sidecars, Servers        int
-	Tipped, RequestsHeld           int      // servers that a crowd has made slow; requests that all servers have
-	Marks                          []string // faults that began in the last second
+	At                                time.Duration
+	Requests, InTime, Refused, Failed int // in the second before last: later ones are not settled
+	Open, Sidecars, Servers           int
+	Congested, RequestsHeld           int      // servers that a crowd has made slow; requests that all servers have
+	Faults                            []string // faults that began in the last second
 }
 
-// exitTime is how long the end of a run may take before processes are killed.
-const exitTime = 8 * time.Second
+// shutdownTimeout is how long the end of a run may take before processes are killed.
+const shutdownTimeout = 8 * time.Second
 
 // run is one play of a scenario.
 type run struct {
@@ -74,7 +74,7 @@
 	if _, err := Sweep(); err != nil {
 		return nil, fmt.Errorf("what an earlier lab left can't be removed: %w", err)
 	}
-	wide, err := widePermitted()
+	wide, err := sharedSocketsPermitted()
 	if err != nil {
 		return nil, err
 	}
@@ -117,7 +117,7 @@
 	}
 	r.processes = newProcesses(s, r.clock, r.history, r.net, r.roster, o.Program, rec.dir, logs, rec, o.Seed)
 	defer func() {
-		soon, cancel := context.WithTimeout(context.Background(), exitTime)
+		soon, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 		defer cancel()
 		r.processes.close(soon)
 	}()
@@ -151,7 +151,7 @@
 // descriptorsNeeded is how many descriptors the lab may need for a scenario; wide: one listener hears all sidecars.
 func descriptorsNeeded(s *Scenario, wide bool) int {
 	n, listeners := s.totalSidecars(), s.Fleet.Servers+s.replacementServers()+4
-	need := 200 + int(90*s.busiest()) + s.Fleet.Sidecars*2*min(s.Fleet.Servers, 12) + 2*s.Fleet.Hollow // requests under way, for a second and at two ends; connections kept
+	need := 200 + int(90*s.peakOfferedWork()) + s.Fleet.Sidecars*2*min(s.Fleet.Servers, 12) + 2*s.Fleet.Hollow // requests under way, for a second and at two ends; connections kept
 	if s.Fleet.Mesh {
 		listeners += 2 * n
 		need += 8 * n // streams
@@ -191,7 +191,7 @@
 	arrivals, plan := s.arrivals(o.Seed), s.Plan(o.Seed)
 	r.history.asked = make([]Asked, len(arrivals))
 	r.clients = newClients(s, r.clock, r.history, r.net, r.lateness)
-	if err := r.startAll(ctx); err != nil {
+	if err := r.startSidecars(ctx); err != nil {
 		return nil, err
 	}
 	defer func() { r.hollow.close() }()
@@ -236,7 +236,7 @@
 	}
 	r.processes.sample()
 	r.hollow.close()
-	soon, cancelSoon := context.WithTimeout(context.Background(), exitTime)
+	soon, cancelSoon := context.WithTimeout(context.Background(), shutdownTimeout)
 	r.processes.close(soon)
 	cancelSoon()
 	if failed != nil {
@@ -245,7 +245,7 @@
 	if err := errors.Join(r.faults.errs...); err != nil {
 		return nil, err
 	}
-	broken, err := r.processes.brokenByLogs()
+	broken, err := r.processes.violationsInLogs()
 	if err != nil {
 		return nil, err
 	}
@@ -257,8 +257,8 @@
 	return res, nil
 }
 
-// startAll starts all sidecars, some at a time.
-func (r *run) startAll(ctx context.Context) error {
+// startSidecars starts all sidecars, some at a time.
+func (r *run) startSidecars(ctx context.Context) error {
 	places := make(chan struct{}, 16)
 	errs := make(chan error, r.scenario.Fleet.Sidecars)
 	for i := range r.scenario.Fleet.Sidecars {
@@ -298,8 +298,8 @@
 		}
 		r.processes.sample()
 		now := r.clock.now()
-		p := Progress{At: now, Open: int(r.clients.live.Load())}
-		p.Tipped, p.RequestsHeld, p.Servers = r.servers.sample()
+		p := Progress{At: now, Open: int(r.clients.openCount.Load())}
+		p.Congested, p.RequestsHeld, p.Servers = r.servers.sample()
 		if live == nil {
 			continue
 		}
@@ -307,7 +307,7 @@
 		if second >= 0 && second < len(r.clients.inTime.perSecond) {
 			for o, c := range r.clients.outcomes {
 				n := int(c.perSecond[second].Load())
-				p.Asked += n
+				p.Requests += n
 				switch o {
 				case Served:
 				case Refused:
@@ -325,7 +325,7 @@
 		}
 		r.faults.mu.Lock()
 		for ; told < len(r.faults.played); told++ {
-			p.Marks = append(p.Marks, r.faults.played[told].Description)
+			p.Faults = append(p.Faults, r.faults.played[told].Description)
 		}
 		r.faults.mu.Unlock()
 		live(p)
@@ -344,10 +344,10 @@
 // Live prints a line a second.
 func ProgressPrinter(w io.Writer) func(Progress) {
 	return func(p Progress) {
-		for _, m := range p.Marks {
+		for _, m := range p.Faults {
 			fmt.Fprintf(w, "%6s  *** %s\n", p.At.Round(time.Second), m)
 		}
 		fmt.Fprintf(w, "%6s  asked %4d/s  in time %4d  refused %3d  failed %3d  open %3d  sidecars %d  servers %d, %d tipped, with %d\n",
-			p.At.Round(time.Second), p.Asked, p.InTime, p.Refused, p.Failed, p.Open, p.Sidecars, p.Servers, p.Tipped, p.RequestsHeld)
+			p.At.Round(time.Second), p.Requests, p.InTime, p.Refused, p.Failed, p.Open, p.Sidecars, p.Servers, p.Congested, p.RequestsHeld)
 	}
 }
--- a/internal/lab/scenario.go
+++ b/internal/lab/scenario.go
@@ -27,8 +27,8 @@
 	Fleet      fleetSpec     `toml:"fleet"`
 	Load       loadSpec      `toml:"load"`
 	Server     serverSpec    `toml:"server"`
-	Discovery  listSpec      `toml:"discovery"`
-	Fault      []Fault       `toml:"fault"`
+	Discovery  discoverySpec `toml:"discovery"`
+	Faults     []Fault       `toml:"fault"`
 }
 
 type fleetSpec struct {
@@ -46,20 +46,20 @@
 }
 
 type loadSpec struct {
-	Utilization float64       `toml:"use" default:"0.5" min:"0" max:"5" help:"work asked for, as a share of what the servers can do when warm"`
-	Each        float64       `toml:"each" default:"0" min:"0" max:"1000" help:"requests a second for each sidecar in the mean, whatever the servers can do; 0: by use"`
-	Skew        float64       `toml:"skew" default:"0.5" min:"0" max:"3" help:"standard deviation of the sidecars' parts of the traffic, against the mean"`
-	Keys        int           `toml:"keys" default:"2500" min:"1" max:"1000000" help:"distinct keys"`
-	Zipf        float64       `toml:"zipf" default:"1" min:"0" max:"3" help:"exponent of the keys' popularity"`
-	Retries     int           `toml:"retries" default:"3" min:"0" max:"10" help:"a client's further tries"`
-	Try         float64       `toml:"try" default:"0.4" min:"0.05" max:"1" help:"a try is given up after this share of the deadline"`
-	Backoff     conf.Duration `toml:"backoff" default:"15ms" min:"0s" max:"10s" help:"pause before a client's further try, where it was told none"`
-	ExtraWait   conf.Duration `toml:"late" default:"0s" min:"0s" max:"10s" help:"how much longer than its time a client waits for its answer"`
-	Publish     string        `toml:"publish" default:"unsafe" oneof:"unsafe keyed safe" help:"what a repeat of a publish request may do"`
-	Rebuild     string        `toml:"rebuild" default:"keyed" oneof:"unsafe keyed safe" help:"and of a rebuild request"`
-	Within      conf.Duration `toml:"within" default:"4s" min:"50ms" max:"1m" help:"keyed requests: for how long a zone drops repeats"`
-	Urgent      float64       `toml:"urgent" default:"1" min:"0.1" max:"10" help:"every class's aim and deadline, against the usual"`
-	Heed        float64       `toml:"heed" default:"0.4" min:"0" max:"1" help:"share of clients that heed Retry-After"`
+	Utilization     float64       `toml:"use" default:"0.5" min:"0" max:"5" help:"work asked for, as a share of what the servers can do when warm"`
+	RatePerSidecar  float64       `toml:"each" default:"0" min:"0" max:"1000" help:"requests a second for each sidecar in the mean, whatever the servers can do; 0: by use"`
+	Skew            float64       `toml:"skew" default:"0.5" min:"0" max:"3" help:"standard deviation of the sidecars' parts of the traffic, against the mean"`
+	Keys            int           `toml:"keys" default:"2500" min:"1" max:"1000000" help:"distinct keys"`
+	Zipf            float64       `toml:"zipf" default:"1" min:"0" max:"3" help:"exponent of the keys' popularity"`
+	Retries         int           `toml:"retries" default:"3" min:"0" max:"10" help:"a client's further tries"`
+	TryShare        float64       `toml:"try" default:"0.4" min:"0.05" max:"1" help:"a try is given up after this share of the deadline"`
+	Backoff         conf.Duration `toml:"backoff" default:"15ms" min:"0s" max:"10s" help:"pause before a client's further try, where it was told none"`
+	ExtraWait       conf.Duration `toml:"late" default:"0s" min:"0s" max:"10s" help:"how much longer than its time a client waits for its answer"`
+	PublishEffect   string        `toml:"publish" default:"unsafe" oneof:"unsafe keyed safe" help:"what a repeat of a publish request may do"`
+	RebuildEffect   string        `toml:"rebuild" default:"keyed" oneof:"unsafe keyed safe" help:"and of a rebuild request"`
+	DedupWindow     conf.Duration `toml:"within" default:"4s" min:"50ms" max:"1m" help:"keyed requests: for how long a zone drops repeats"`
+	TimeScale       float64       `toml:"urgent" default:"1" min:"0.1" max:"10" help:"every class's aim and deadline, against the usual"`
+	RetryAfterShare float64       `toml:"heed" default:"0.4" min:"0" max:"1" help:"share of clients that heed Retry-After"`
 }
 
 type serverSpec struct {
@@ -87,25 +87,25 @@
 	Cancel    string        `toml:"cancel" default:"queued" oneof:"queued all" help:"what a cancel stops: waiting requests, or those in work too"`
 }
 
-type listSpec struct {
-	UpdateDelay conf.Duration `toml:"notice" default:"2s" min:"0s" max:"5m" help:"until the list knows that a server's process died, drains or is back"`
-	Silence     conf.Duration `toml:"silence" default:"8s" min:"0s" max:"5m" help:"until it knows that one is silent"`
-	CallCost    conf.Duration `toml:"call" default:"2ms" min:"0s" max:"10s" help:"of discovery's service that a call takes"`
-	LineCost    conf.Duration `toml:"line" default:"200us" min:"0s" max:"1s" help:"and each line of its answer"`
-	MaxWait     conf.Duration `toml:"wait" default:"1s" min:"1ms" max:"1m" help:"a call that would wait longer fails"`
+type discoverySpec struct {
+	UpdateDelay  conf.Duration `toml:"notice" default:"2s" min:"0s" max:"5m" help:"until the list knows that a server's process died, drains or is back"`
+	SilenceDelay conf.Duration `toml:"silence" default:"8s" min:"0s" max:"5m" help:"until it knows that one is silent"`
+	CallCost     conf.Duration `toml:"call" default:"2ms" min:"0s" max:"10s" help:"of discovery's service that a call takes"`
+	LineCost     conf.Duration `toml:"line" default:"200us" min:"0s" max:"1s" help:"and each line of its answer"`
+	MaxWait      conf.Duration `toml:"wait" default:"1s" min:"1ms" max:"1m" help:"a call that would wait longer fails"`
 }
 
 // Fault is one line of the timetable.
 type Fault struct {
-	At     conf.Duration `toml:"at" need:"yes" min:"0s" max:"1h" help:"when, after the first request"`
-	Kind   string        `toml:"do" need:"yes" oneof:"kill stop term swap crowd busy pause starve upgrade full push calls deaf forward back hup rude spoil hang reset close late mute leave long dawdle hurry pipeline crash slow err silence replace refuse drain out away move stale crawl burst cut delay drop duplicate reorder limit" help:"what; docs/lab.md words them"`
-	Target string        `toml:"target" help:"whom: all, 3, 0-2, 25%, or zone a; of sidecars, servers or links, as the fault has it"`
-	Peer   string        `toml:"peer" help:"links only: the other end, in the same form; empty: all others"`
-	Way    string        `toml:"way" default:"both" oneof:"both out in" help:"links only: both ways, or from or to the target"`
-	For    conf.Duration `toml:"for" default:"0s" min:"0s" max:"1h" help:"until it is mended; 0s: never"`
-	Size   float64       `toml:"size" default:"0" min:"0" help:"how many times slower or more, the share, bytes, or bytes a second, as the fault has it"`
-	Pause  conf.Duration `toml:"pause" default:"0s" min:"0s" max:"1m" help:"delay, reorder, crawl: by how much; many targets: the time between two of them"`
-	State  string        `toml:"state" default:"kept" oneof:"kept emptied truncated flipped readonly" help:"kill: what becomes of the state folder before the restart"`
+	At        conf.Duration `toml:"at" need:"yes" min:"0s" max:"1h" help:"when, after the first request"`
+	Kind      string        `toml:"do" need:"yes" oneof:"kill stop term swap crowd busy pause starve upgrade full push calls deaf forward back hup rude spoil hang reset close late mute leave long dawdle hurry pipeline crash slow err silence replace refuse drain out away move stale crawl burst cut delay drop duplicate reorder limit" help:"what; docs/lab.md words them"`
+	Target    string        `toml:"target" help:"whom: all, 3, 0-2, 25%, or zone a; of sidecars, servers or links, as the fault has it"`
+	Peer      string        `toml:"peer" help:"links only: the other end, in the same form; empty: all others"`
+	Direction string        `toml:"way" default:"both" oneof:"both out in" help:"links only: both ways, or from or to the target"`
+	For       conf.Duration `toml:"for" default:"0s" min:"0s" max:"1h" help:"until it is mended; 0s: never"`
+	Size      float64       `toml:"size" default:"0" min:"0" help:"how many times slower or more, the share, bytes, or bytes a second, as the fault has it"`
+	Pause     conf.Duration `toml:"pause" default:"0s" min:"0s" max:"1m" help:"delay, reorder, crawl: by how much; many targets: the time between two of them"`
+	State     string        `toml:"state" default:"kept" oneof:"kept emptied truncated flipped readonly" help:"kill: what becomes of the state folder before the restart"`
 }
 
 // faultKinds says what each fault is done to, and which of them need a size.
@@ -148,7 +148,7 @@
 // validate finds what no single key can be blamed for.
 func (s *Scenario) validate() error {
 	var bad []error
-	for i, f := range s.Fault {
+	for i, f := range s.Faults {
 		fail := func(format string, args ...any) {
 			bad = append(bad, fmt.Errorf("fault[%d], %s at %v: %s", i, f.Kind, f.At, fmt.Sprintf(format, args...)))
 		}
@@ -159,7 +159,7 @@
 		if f.At > s.For {
 			fail("it is past the end at %v", s.For)
 		}
-		if _, err := s.targets(f, f.Target, nil); err != nil {
+		if _, err := s.resolveTargets(f, f.Target, nil); err != nil {
 			fail("target: %v", err)
 		}
 		switch kind.on {
@@ -167,7 +167,7 @@
 			if !s.Fleet.Mesh {
 				fail("there are no links without fleet.mesh")
 			}
-			if _, err := s.targets(f, cmp.Or(f.Peer, "all"), nil); err != nil {
+			if _, err := s.resolveTargets(f, cmp.Or(f.Peer, "all"), nil); err != nil {
 				fail("peer: %v", err)
 			}
 		case "load":
@@ -175,7 +175,7 @@
 				fail("a time (for) is needed")
 			}
 		}
-		if slices.Contains(supervisedOnly, f.Kind) && !s.Fleet.Supervised {
+		if slices.Contains(supervisedFaults, f.Kind) && !s.Fleet.Supervised {
 			fail("it needs fleet.supervised")
 		}
 		if kind.on != "link" && f.Peer != "" {
@@ -185,14 +185,14 @@
 	return errors.Join(append(bad, s.bounds())...)
 }
 
-// targets lists whom a fault is done to, in order. A share is drawn at random; with no rng the first ones are taken.
-func (s *Scenario) targets(f Fault, text string, rng *rand.Rand) ([]int, error) {
+// resolveTargets lists whom a fault is done to, in order. A share is drawn at random; with no rng the first ones are taken.
+func (s *Scenario) resolveTargets(f Fault, text string, rng *rand.Rand) ([]int, error) {
 	n := s.Fleet.Sidecars
 	switch faultKinds[f.Kind].on {
 	case "link":
 		n = s.totalSidecars()
 	case "sidecar":
-		if slices.Contains(toHollow, f.Kind) {
+		if slices.Contains(hollowFaults, f.Kind) {
 			n = s.totalSidecars()
 		}
 	case "server":
@@ -251,11 +251,11 @@
 	return []int{i}, nil
 }
 
-// supervisedOnly are the faults that need sidecars under supervision.
-var supervisedOnly = []string{"calls", "deaf", "forward", "back"}
+// supervisedFaults are the faults that need sidecars under supervision.
+var supervisedFaults = []string{"calls", "deaf", "forward", "back"}
 
-// toHollow are the faults of sidecars that hollow ones take too.
-var toHollow = []string{"kill", "stop", "push"}
+// hollowFaults are the faults of sidecars that hollow ones take too.
+var hollowFaults = []string{"kill", "stop", "push"}
 
 // totalSidecars is the number of sidecars of both kinds.
 func (s *Scenario) totalSidecars() int { return s.Fleet.Sidecars + s.Fleet.Hollow }
@@ -277,9 +277,9 @@
 	rng := rand.New(rand.NewPCG(seed, 3))
 	var plan []PlannedFault
 	spare := s.Fleet.Servers
-	for _, f := range s.Fault {
+	for _, f := range s.Faults {
 		a := PlannedFault{Fault: f}
-		a.Targets, _ = s.targets(f, f.Target, rng) // checked when the file was read
+		a.Targets, _ = s.resolveTargets(f, f.Target, rng) // checked when the file was read
 		if f.Kind == "replace" {
 			for range a.Targets {
 				a.Replacements = append(a.Replacements, spare)
@@ -287,7 +287,7 @@
 			}
 		}
 		if faultKinds[f.Kind].on == "link" {
-			a.Peers, _ = s.targets(f, cmp.Or(f.Peer, "all"), rng)
+			a.Peers, _ = s.resolveTargets(f, cmp.Or(f.Peer, "all"), rng)
 		}
 		plan = append(plan, a)
 	}
@@ -299,17 +299,17 @@
 func (s *Scenario) classes() []world.Class {
 	const ms = time.Millisecond
 	classes := []world.Class{
-		{Name: "publish", Share: 0.62, Work: 15 * ms, Spread: 1.1, Aim: 150 * ms, Deadline: 500 * ms, Worth: 10, Effect: world.Effect(s.Load.Publish)},
-		{Name: "rebuild", Share: 0.38, Work: 23 * ms, Spread: 1, Aim: 200 * ms, Deadline: 800 * ms, Worth: 3, Effect: world.Effect(s.Load.Rebuild)},
+		{Name: "publish", Share: 0.62, Work: 15 * ms, Spread: 1.1, Aim: 150 * ms, Deadline: 500 * ms, Worth: 10, Effect: world.Effect(s.Load.PublishEffect)},
+		{Name: "rebuild", Share: 0.38, Work: 23 * ms, Spread: 1, Aim: 200 * ms, Deadline: 800 * ms, Worth: 3, Effect: world.Effect(s.Load.RebuildEffect)},
 	}
 	for i := range classes {
 		c := &classes[i]
-		c.Aim, c.Deadline = scaled(c.Aim, s.Load.Urgent), scaled(c.Deadline, s.Load.Urgent)
+		c.Aim, c.Deadline = scaled(c.Aim, s.Load.TimeScale), scaled(c.Deadline, s.Load.TimeScale)
 		if s.TimeLimits > 0 {
 			c.Aim, c.Deadline = s.TimeLimits, s.TimeLimits
 		}
 		if c.Effect == world.Keyed {
-			c.Window = s.Load.Within.Std()
+			c.Window = s.Load.DedupWindow.Std()
 		}
 	}
 	return classes
@@ -334,8 +334,8 @@
 	for _, t := range tenants {
 		spec.Tenants = append(spec.Tenants, t.share)
 	}
-	spec.Rate = s.work() / spec.MeanWork().Seconds()
-	for _, f := range s.Fault {
+	spec.Rate = s.offeredWork() / spec.MeanWork().Seconds()
+	for _, f := range s.Faults {
 		if f.Kind == "burst" {
 			spec.Bursts = append(spec.Bursts, world.Burst{At: f.At.Std(), For: f.For.Std(), Times: f.Size})
 		}
@@ -343,19 +343,19 @@
 	return world.Draw(spec, seed)
 }
 
-// work is the work in seconds that is asked for in a second, before bursts.
-func (s *Scenario) work() float64 {
-	if s.Load.Each > 0 {
+// offeredWork is the work in seconds that is asked for in a second, before bursts.
+func (s *Scenario) offeredWork() float64 {
+	if s.Load.RatePerSidecar > 0 {
 		mean := (&world.LoadSpec{Classes: s.classes()}).MeanWork().Seconds()
-		return s.Load.Each * float64(s.Fleet.Sidecars) * mean
+		return s.Load.RatePerSidecar * float64(s.Fleet.Sidecars) * mean
 	}
 	return s.Load.Utilization * s.capacity()
 }
 
-// busiest is the same with all bursts.
-func (s *Scenario) busiest() float64 {
-	work := s.work()
-	for _, f := range s.Fault {
+// peakOfferedWork is the same with all bursts.
+func (s *Scenario) peakOfferedWork() float64 {
+	work := s.offeredWork()
+	for _, f := range s.Faults {
 		if f.Kind == "burst" {
 			work *= max(1, f.Size)
 		}
@@ -365,9 +365,9 @@
 
 // replacementServers is how many servers come in others' places, numbered after the servers that there are at the start.
 func (s *Scenario) replacementServers() (n int) {
-	for _, f := range s.Fault {
+	for _, f := range s.Faults {
 		if f.Kind == "replace" {
-			some, _ := s.targets(f, f.Target, nil) // checked when the file was read
+			some, _ := s.resolveTargets(f, f.Target, nil) // checked when the file was read
 			n += len(some)
 		}
 	}
@@ -418,9 +418,9 @@
 	}
 	by := float64(length) / float64(s.For.Std())
 	s.For = conf.Duration(length)
-	for i := range s.Fault {
-		s.Fault[i].At = conf.Duration(float64(s.Fault[i].At) * by)
-		s.Fault[i].For = conf.Duration(float64(s.Fault[i].For) * by)
+	for i := range s.Faults {
+		s.Faults[i].At = conf.Duration(float64(s.Faults[i].At) * by)
+		s.Faults[i].For = conf.Duration(float64(s.Faults[i].For) * by)
 	}
 	return s.validate()
 }
--- a/internal/lab/soak_test.go
+++ b/internal/lab/soak_test.go
@@ -72,8 +72,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if more := len(s.Fault) > soakFaults; more != (seed >= ExtendedSoakFrom) {
-			t.Errorf("seed %d draws %d faults", seed, len(s.Fault))
+		if more := len(s.Faults) > soakFaults; more != (seed >= ExtendedSoakFrom) {
+			t.Errorf("seed %d draws %d faults", seed, len(s.Faults))
 		}
 		kinds = append(kinds, s.FaultKinds()...)
 	}
@@ -134,7 +134,7 @@
 		close(q.ended)
 	}()
 	from := time.Now()
-	p.terminate(q, hangupBehind, after)
+	p.terminate(q, seriesTermHup, after)
 	if took := time.Since(from); took < after {
 		t.Errorf("killed %v behind SIGTERM, want %v", took, after)
 	}
@@ -155,13 +155,13 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if !slices.Equal(a.Fault, b.Fault) || a.Fleet != b.Fleet {
+		if !slices.Equal(a.Faults, b.Faults) || a.Fleet != b.Fleet {
 			t.Errorf("seed %d draws two scenarios", seed)
 		}
 		kinds = append(kinds, a.FaultKinds()...)
 		overlap := 0
-		for i, f := range a.Fault {
-			for _, g := range a.Fault[:i] {
+		for i, f := range a.Faults {
+			for _, g := range a.Faults[:i] {
 				if f.At <= g.At+g.For && g.At <= f.At+f.For {
 					overlap++
 				}
@@ -171,9 +171,9 @@
 			t.Errorf("seed %d: %d pairs of faults overlap", seed, overlap)
 		}
 	}
-	for _, k := range soakKinds {
-		if !slices.Contains(kinds, k.do) {
-			t.Errorf("no seed draws %q", k.do)
+	for _, k := range soakFaultKinds {
+		if !slices.Contains(kinds, k.kind) {
+			t.Errorf("no seed draws %q", k.kind)
 		}
 	}
 }
@@ -221,7 +221,7 @@
 // A slow client's time begins as its last byte is handed over, neither before nor at a later read.
 func TestSlowBodyEndsWithItsLastByte(t *testing.T) {
 	whole := 0
-	b := &requestBody{text: strings.NewReader("abcde"), piece: 2, whole: func() { whole++ }}
+	b := &requestBody{text: strings.NewReader("abcde"), piece: 2, onEnd: func() { whole++ }}
 	for _, want := range []struct{ n, whole int }{{2, 0}, {2, 0}, {1, 1}, {0, 1}} {
 		if n, err := b.Read(make([]byte, 10)); n != want.n || whole != want.whole || (err == io.EOF) != (n == 0) {
 			t.Errorf("read %d bytes, error %v, ended %d times; want %+v", n, err, whole, want)
--- a/internal/lab/spoil.go
+++ b/internal/lab/spoil.go
@@ -10,20 +10,20 @@
 	"time"
 )
 
-// trail is how long behind an answer a second one comes, at most.
-const trail = 3 * time.Millisecond
+// maxSecondAnswerDelay is how long behind an answer a second one comes, at most.
+const maxSecondAnswerDelay = 3 * time.Millisecond
 
-// spoilt are ways in which a server spoils its answer. Each gets the true body, and writes to the hijacked connection;
+// spoiltAnswers are ways in which a server spoils its answer. Each gets the true body, and writes to the hijacked connection;
 // whole says that a client may take what comes for the answer.
-var spoilt = []struct {
+var spoiltAnswers = []struct {
 	name  string
 	whole bool
 	write func(c net.Conn, body string)
 }{
 	{"twice", true, func(c net.Conn, body string) {
-		answerWith(c, body)
-		time.Sleep(rand.N(trail))
-		answerWith(c, "nobody's")
+		writeAnswer(c, body)
+		time.Sleep(rand.N(maxSecondAnswerDelay))
+		writeAnswer(c, "nobody's")
 	}},
 	{"cut", false, func(c net.Conn, body string) {
 		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body)+100, body)
@@ -36,12 +36,12 @@
 	}},
 	{"no length, reset", false, func(c net.Conn, body string) {
 		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\n\r\n%s", body[:len(body)/2])
-		resetWith(c)
+		resetOnClose(c)
 	}},
 	{"two lengths", false, func(c net.Conn, body string) {
 		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\nContent-Length: 3\r\n\r\n%s", len(body), body)
 	}},
-	{"no answer", false, func(c net.Conn, _ string) { resetWith(c) }},
+	{"no answer", false, func(c net.Conn, _ string) { resetOnClose(c) }},
 	{"half a line", false, func(c net.Conn, _ string) { _, _ = io.WriteString(c, "HTTP/1.1 20") }},
 	{"never ends", false, func(c net.Conn, body string) {
 		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n", len(body), body)
@@ -49,12 +49,12 @@
 	}},
 }
 
-func answerWith(c net.Conn, body string) {
+func writeAnswer(c net.Conn, body string) {
 	fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 }
 
-// resetWith has the close of a connection reset it.
-func resetWith(c net.Conn) {
+// resetOnClose has the close of a connection reset it.
+func resetOnClose(c net.Conn) {
 	if wrapped, ok := c.(*conn); ok {
 		_ = wrapped.SetLinger(0) // fails only on a closed one
 	}
@@ -62,7 +62,7 @@
 
 // writeSpoilt answers in one of the ways, and ends the connection. It says whether the answer may be taken for whole.
 func writeSpoilt(w http.ResponseWriter, body string, draw int, settle func(way string, whole bool)) {
-	way := spoilt[draw%len(spoilt)]
+	way := spoiltAnswers[draw%len(spoiltAnswers)]
 	c, _, err := http.NewResponseController(w).Hijack()
 	if err != nil {
 		return // it is gone
@@ -72,28 +72,28 @@
 	way.write(c, body)
 }
 
-// rudeKinds are what strangers send, and then wait.
-var rudeKinds = []string{
+// malformedRequests are what strangers send, and then wait.
+var malformedRequests = []string{
 	"", "GET", "GET /publish HTTP/1.1\r\nHost: x\r\n", "BREW /coffee HTTP/1.1\r\nHost: x\r\n\r\n", "\x16\x03\x01\x02\x00",
 	"POST /publish HTTP/1.1\r\nHost: x\r\nContent-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
 	"POST /publish HTTP/1.1\r\nHost: x\r\nContent-Length: 50\r\n\r\nhalf", strings.Repeat("GET / HTTP/1.1\r\nHost: x\r\n\r\n", 40),
 }
 
 const (
-	rudeOwed = 3 * time.Second // a stranger is owed an error or a close within this
-	rudeRoom = 500 * time.Millisecond
-	rudeRest = 100 * time.Millisecond // between two strangers
+	malformedTimeout  = 3 * time.Second // a stranger is owed an error or a close within this
+	malformedSlack    = 500 * time.Millisecond
+	malformedInterval = 100 * time.Millisecond // between two strangers
 )
 
-// rude connects as a stranger, sends what is no proper request and says whether it got an error or a close in time.
-func rude(address, text string) error {
+// sendMalformed connects as a stranger, sends what is no proper request and says whether it got an error or a close in time.
+func sendMalformed(address, text string) error {
 	c, err := net.DialTimeout("tcp", address, time.Second)
 	if err != nil {
 		return nil // nobody is there: no stranger either
 	}
 	defer c.Close()
-	_ = c.SetDeadline(time.Now().Add(rudeOwed + rudeRoom)) // fails only on a closed one
-	_, _ = io.WriteString(c, text)                         // it may be closed by now
+	_ = c.SetDeadline(time.Now().Add(malformedTimeout + malformedSlack)) // fails only on a closed one
+	_, _ = io.WriteString(c, text)                                       // it may be closed by now
 	if _, err := c.Read(make([]byte, 1)); err != nil {
 		if late, ok := err.(net.Error); ok && late.Timeout() {
 			return fmt.Errorf("%.20q got neither an error nor a close", text)
--- a/internal/lab/terminate.go
+++ b/internal/lab/terminate.go
@@ -14,48 +14,48 @@
 )
 
 const (
-	killSlack    = 700 * time.Millisecond // SIGKILL comes so long behind SIGTERM and the longest deadline
-	killedFrom   = 3 * time.Second        // a longer deadline counts as this
-	signalGap    = 50 * time.Millisecond  // between two signals of a series
-	clingers     = 8                      // clients that keep a connection and send on it through a termination
-	clingRest    = 60 * time.Millisecond  // between two of a clinger's requests, at most
-	clingWork    = 3 * time.Millisecond   // of its requests at a server
-	clingArrival = 1 << 40                // arrivals of its requests count from here on
+	killSlack              = 700 * time.Millisecond // SIGKILL comes so long behind SIGTERM and the longest deadline
+	maxKillDeadline        = 3 * time.Second        // a longer deadline counts as this
+	signalInterval         = 50 * time.Millisecond  // between two signals of a series
+	persistentClients      = 8                      // clients that keep a connection and send on it through a termination
+	maxPersistentPause     = 60 * time.Millisecond  // between two of a clinger's requests, at most
+	persistentWork         = 3 * time.Millisecond   // of its requests at a server
+	firstPersistentArrival = 1 << 40                // arrivals of its requests count from here on
 )
 
 // The series of signals that a termination may come with, as a fault's size has them.
 const (
-	plainTerm    = 1 + iota // SIGTERM alone
-	termTwice               // and once more
-	hangupBefore            // behind SIGHUP
-	hangupBehind            // with SIGHUP right behind it
-	earlyTerm               // in the first second of a process that has just been started in its place
+	seriesTerm      = 1 + iota // SIGTERM alone
+	seriesTermTwice            // and once more
+	seriesHupTerm              // behind SIGHUP
+	seriesTermHup              // with SIGHUP right behind it
+	seriesEarlyTerm            // in the first second of a process that has just been started in its place
 )
 
 // lastSeries is the largest size of a termination.
-const lastSeries = earlyTerm
+const lastSeries = seriesEarlyTerm
 
-// killAfter is how long behind SIGTERM the platform may kill a process.
-func (s *Scenario) killAfter() time.Duration {
+// killDelay is how long behind SIGTERM the platform may kill a process.
+func (s *Scenario) killDelay() time.Duration {
 	longest := time.Duration(0)
 	for _, c := range s.classes() {
 		longest = max(longest, c.Deadline)
 	}
-	return min(longest, killedFrom) + killSlack
+	return min(longest, maxKillDeadline) + killSlack
 }
 
 // terminate ends a sidecar's process by a series of signals, and kills it at the page's earliest. Clients use their
 // connections until then.
 func (f *faults) terminate(ctx context.Context, a PlannedFault, i int) error {
-	if int(a.Size) == earlyTerm {
-		f.terminateOne(ctx, f.run.processes.running(i), plainTerm)
+	if int(a.Size) == seriesEarlyTerm {
+		f.terminateProcess(ctx, f.run.processes.running(i), seriesTerm)
 		f.run.roster.restarted(i)
 		if _, err := f.run.processes.start(i); err != nil {
 			return err
 		}
 	}
-	f.terminateOne(ctx, f.run.processes.running(i), int(a.Size))
-	if !mended(ctx, a) {
+	f.terminateProcess(ctx, f.run.processes.running(i), int(a.Size))
+	if !waitForEnd(ctx, a) {
 		return nil
 	}
 	f.run.roster.restarted(i)
@@ -63,41 +63,41 @@
 	return err
 }
 
-// replaceBySeries starts a process beside the old one, which is terminated once the new one is ready.
-func (f *faults) replaceBySeries(ctx context.Context, a PlannedFault, i int) error {
+// replaceWithSignals starts a process beside the old one, which is terminated once the new one is ready.
+func (f *faults) replaceWithSignals(ctx context.Context, a PlannedFault, i int) error {
 	defer f.run.history.changed(f.run.clock)
 	old := f.run.processes.running(i)
 	if _, err := f.run.processes.start(i); err != nil {
 		return err
 	}
-	f.terminateOne(ctx, old, int(a.Size))
+	f.terminateProcess(ctx, old, int(a.Size))
 	return nil
 }
 
-// terminateOne sends one process its signals, and returns once it has ended.
-func (f *faults) terminateOne(ctx context.Context, q *process, series int) {
+// terminateProcess sends one process its signals, and returns once it has ended.
+func (f *faults) terminateProcess(ctx context.Context, q *process, series int) {
 	if q == nil {
 		return
 	}
 	f.mu.Lock()
 	seed := f.rng.Uint64()
 	f.mu.Unlock()
-	after := f.run.scenario.killAfter()
+	after := f.run.scenario.killDelay()
 	clung, release := context.WithCancel(ctx)
 	var clients sync.WaitGroup
 	defer clients.Wait()
 	defer release()
-	for n := range clingers {
+	for n := range persistentClients {
 		rng := rand.New(rand.NewPCG(seed, uint64(n)))
 		clients.Go(func() {
 			if n%2 == 0 {
-				f.run.clients.cling(clung, q.sidecar, rng)
+				f.run.clients.sendPersistently(clung, q.sidecar, rng)
 			} else {
-				f.run.clients.holdBack(clung, q.sidecar, rng, after)
+				f.run.clients.withholdEnd(clung, q.sidecar, rng, after)
 			}
 		})
 	}
-	sleep(ctx, signalGap) // they have connected
+	sleep(ctx, signalInterval) // they have connected
 	f.run.processes.terminate(q, series, after)
 }
 
@@ -108,16 +108,16 @@
 	q.endExpected = true
 	p.mu.Unlock()
 	send := func(signal syscall.Signal) { _ = q.cmd.Process.Signal(signal) } // it may have ended by itself
-	if series == hangupBefore {
+	if series == seriesHupTerm {
 		send(syscall.SIGHUP)
 	}
 	send(syscall.SIGTERM)
 	told, due := p.clock.now(), time.After(after)
 	switch series {
-	case hangupBehind:
+	case seriesTermHup:
 		send(syscall.SIGHUP)
-	case termTwice:
-		time.Sleep(signalGap)
+	case seriesTermTwice:
+		time.Sleep(signalInterval)
 		send(syscall.SIGTERM)
 	}
 	select {
@@ -131,63 +131,63 @@
 	p.history.killedLate(span{q.sidecar, from, p.clock.now()}, told+killSlack)
 }
 
-// clung begins a request of a client that keeps its connection.
-func (k *clients) clung(sidecar int, rng *rand.Rand) (t *Try, text []byte) {
+// beginPersistentRequest begins a request of a client that keeps its connection.
+func (k *clients) beginPersistentRequest(sidecar int, rng *rand.Rand) (t *Try, text []byte) {
 	class := rng.IntN(len(k.classes))
-	n := clingArrival + int(k.clinging.Add(1))
-	a := world.Arrival{Sidecar: sidecar, Class: class, Tenant: rng.IntN(len(tenants)), Key: rng.Uint64(), Work: clingWork}
+	n := firstPersistentArrival + int(k.persistentRequests.Add(1))
+	a := world.Arrival{Sidecar: sidecar, Class: class, Tenant: rng.IntN(len(tenants)), Key: rng.Uint64(), Work: persistentWork}
 	now := k.clock.now()
 	t = k.history.begin(n, sidecar, class, now)
 	patience := k.classes[class].Deadline
 	k.history.sent(t, now, patience)
-	var out writer
-	if err := k.message(t, n, a, k.classes[class], manner{}, patience, false).Write(&out); err != nil {
+	var out byteWriter
+	if err := k.newRequest(t, n, a, k.classes[class], behaviour{}, patience, false).Write(&out); err != nil {
 		panic(err) // of parts that are all well formed
 	}
 	return t, out
 }
 
-// writer collects what is written.
-type writer []byte
+// byteWriter collects what is written.
+type byteWriter []byte
 
-func (w *writer) Write(p []byte) (int, error) { *w = append(*w, p...); return len(p), nil }
+func (w *byteWriter) Write(p []byte) (int, error) { *w = append(*w, p...); return len(p), nil }
 
-// cling sends requests one behind the other on connections that it keeps for as long as they stay open, until ctx ends.
-func (k *clients) cling(ctx context.Context, sidecar int, rng *rand.Rand) {
+// sendPersistently sends requests one behind the other on connections that it keeps for as long as they stay open, until ctx ends.
+func (k *clients) sendPersistently(ctx context.Context, sidecar int, rng *rand.Rand) {
 	for ctx.Err() == nil {
-		c, err := net.DialTimeout("tcp", k.net.address(sidecar, clientPort), dialTime)
+		c, err := net.DialTimeout("tcp", k.net.address(sidecar, clientPort), dialTimeout)
 		if err != nil {
-			sleep(ctx, clingRest)
+			sleep(ctx, maxPersistentPause)
 			continue
 		}
 		r := bufio.NewReader(c)
 		for fresh := true; ctx.Err() == nil; fresh = false {
-			t, text := k.clung(sidecar, rng)
+			t, text := k.beginPersistentRequest(sidecar, rng)
 			_, _ = c.Write(text) // that it is closed shows as the answer is read
 			if k.readTryAnswer(c, r, t, fresh) == Broken {
 				break
 			}
-			sleep(ctx, time.Duration(rng.Int64N(int64(clingRest))))
+			sleep(ctx, time.Duration(rng.Int64N(int64(maxPersistentPause))))
 		}
 		c.Close()
 	}
 }
 
-// holdBack connects, sends all but the end of a request, and the end at some moment within a time.
-func (k *clients) holdBack(ctx context.Context, sidecar int, rng *rand.Rand, within time.Duration) {
+// withholdEnd connects, sends all but the end of a request, and the end at some moment within a time.
+func (k *clients) withholdEnd(ctx context.Context, sidecar int, rng *rand.Rand, within time.Duration) {
 	const end = 2 // bytes
-	c, err := net.DialTimeout("tcp", k.net.address(sidecar, clientPort), dialTime)
+	c, err := net.DialTimeout("tcp", k.net.address(sidecar, clientPort), dialTimeout)
 	if err != nil {
 		return
 	}
 	defer c.Close()
-	t, text := k.clung(sidecar, rng)
+	t, text := k.beginPersistentRequest(sidecar, rng)
 	body := len(text) - end
 	_, _ = c.Write(text[:body]) // that it is closed shows below
 	at := time.Now().Add(time.Duration(rng.Int64N(int64(within))))
 	r := bufio.NewReader(c)
 	_ = c.SetReadDeadline(at) // fails only on a closed one
-	if _, err := r.Peek(1); err == nil || endOf(err) == Broken {
+	if _, err := r.Peek(1); err == nil || outcomeOfError(err) == Broken {
 		k.history.end(t, k.clock.now(), Unreachable, 0, "", false, false) // it ended before the request was whole
 		return
 	}
@@ -210,8 +210,8 @@
 	return end
 }
 
-// crowd holds so many idle connections to a sidecar while a fault lasts, and opens others for those that it closes.
-func (f *faults) crowd(ctx context.Context, a PlannedFault, i int) {
+// holdIdleConnections holds so many idle connections to a sidecar while a fault lasts, and opens others for those that it closes.
+func (f *faults) holdIdleConnections(ctx context.Context, a PlannedFault, i int) {
 	ctx, cancel := context.WithTimeout(ctx, a.For.Std())
 	defer cancel()
 	h, from := f.run.history, f.run.clock.now()
@@ -219,14 +219,14 @@
 	for range int(a.Size) {
 		all.Go(func() {
 			for ctx.Err() == nil {
-				c, err := net.DialTimeout("tcp", f.run.net.address(i, clientPort), dialTime)
+				c, err := net.DialTimeout("tcp", f.run.net.address(i, clientPort), dialTimeout)
 				if err == nil {
 					stop := context.AfterFunc(ctx, func() { c.Close() })
 					_, _ = io.Copy(io.Discard, c) // until either side ends it
 					stop()
 					c.Close()
 				}
-				sleep(ctx, crowdRest)
+				sleep(ctx, idleReconnectDelay)
 			}
 		})
 	}
@@ -234,5 +234,5 @@
 	h.life(&h.crowded, span{i, from, f.run.clock.now()})
 }
 
-// crowdRest is the pause before an idle client that was closed on comes again.
-const crowdRest = 200 * time.Millisecond
+// idleReconnectDelay is the pause before an idle client that was closed on comes again.
+const idleReconnectDelay = 200 * time.Millisecond
--- a/internal/lab/twice_test.go
+++ b/internal/lab/twice_test.go
@@ -19,12 +19,12 @@
 // A fault of a sidecar's process ends at the process that it began at, also where an upgrade has put another in its place.
 func TestFaultEndsAtTheProcessThatItBeganAt(t *testing.T) {
 	for do, struck := range map[string]func(q *process) bool{
-		"pause": func(q *process) bool { return stands(t, q) },
-		"deaf":  func(q *process) bool { q.calls.mu.Lock(); defer q.calls.mu.Unlock(); return q.calls.deaf },
+		"pause": func(q *process) bool { return isStopped(t, q) },
+		"deaf":  func(q *process) bool { q.calls.mu.Lock(); defer q.calls.mu.Unlock(); return q.calls.acceptFails },
 		"calls": func(q *process) bool { q.calls.mu.Lock(); defer q.calls.mu.Unlock(); return q.calls.share > 0 },
 	} {
 		t.Run(do, func(t *testing.T) {
-			old, next := sleeper(t), sleeper(t)
+			old, next := startSleeper(t), startSleeper(t)
 			p := &processes{clock: newClock(), history: new(History), current: []*process{old}}
 			f := &faults{run: &run{processes: p, hollow: new(hollows), clock: p.clock, history: p.history}, restartMu: make([]sync.Mutex, 1)}
 			ctx, mend := context.WithCancel(t.Context())
@@ -52,14 +52,14 @@
 // A process has a configuration of its own, and hears of a new one only once it has been ready for a second: by one file for all of a
 // sidecar's processes, and a signal at any time, a reload beside an upgrade had two listen at one console, or ended the new one.
 func TestReloadDisturbsNoProcessThatStarts(t *testing.T) {
-	q := sleeper(t) // SIGHUP ends it
+	q := startSleeper(t) // SIGHUP ends it
 	q.ended = make(chan struct{})
 	q.readyAt.Store(math.MaxInt64)
 	if q.mayReload(time.Hour) {
 		t.Error("a process that is not ready may be told")
 	}
 	q.readyAt.Store(int64(time.Minute))
-	if q.mayReload(time.Minute+noReload-1) || !q.mayReload(time.Minute+noReload) {
+	if q.mayReload(time.Minute+reloadDelay-1) || !q.mayReload(time.Minute+reloadDelay) {
 		t.Error("a process may be told at another moment than a second behind being ready")
 	}
 	s := readScenario(t, "[fleet]\nsidecars=1\nservers=1")
@@ -93,8 +93,8 @@
 	}
 }
 
-// sleeper is a process that does nothing.
-func sleeper(t *testing.T) *process {
+// startSleeper is a process that does nothing.
+func startSleeper(t *testing.T) *process {
 	t.Helper()
 	cmd := exec.Command("sleep", "60")
 	if err := cmd.Start(); err != nil {
@@ -107,8 +107,8 @@
 	return &process{cmd: cmd, calls: new(callFaults)}
 }
 
-// stands says whether a process stands still.
-func stands(t *testing.T, q *process) bool {
+// isStopped says whether a process stands still.
+func isStopped(t *testing.T, q *process) bool {
 	t.Helper()
 	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", q.cmd.Process.Pid))
 	if err != nil {
--- a/internal/lab/upstream.go
+++ b/internal/lab/upstream.go
@@ -25,14 +25,14 @@
 )
 
 const (
-	bodyLimit  = 1 << 20 // bytes of a body that a server reads
-	serverIdle = 15 * time.Second
-	backlog    = 4096
-	fillMost   = 8 // connections that fill a silent server's queue, which is for one
-	fillTime   = 50 * time.Millisecond
-	parkTime   = time.Second
-	pieceSize  = 16 << 10 // of a long answer
-	piecePause = 2 * time.Millisecond
+	maxBodyBytes      = 1 << 20 // bytes of a body that a server reads
+	serverIdleTimeout = 15 * time.Second
+	backlog           = 4096
+	maxFillers        = 8 // connections that fill a silent server's queue, which is for one
+	fillTimeout       = 50 * time.Millisecond
+	parkTimeout       = time.Second
+	answerChunkBytes  = 16 << 10 // of a long answer
+	answerChunkPause  = 2 * time.Millisecond
 )
 
 // servers are the stand-ins for all queue servers. One lock serialises their models, which share zones.
@@ -55,19 +55,19 @@
 	number      int
 	port        int
 	sockets     int
-	callers     int // sidecars
+	sidecars    int // sidecars
 	model       *world.Server
 	waiting     map[uint64]chan world.Ended // by job
-	last        uint64
+	lastJob     uint64
 	timer       *time.Timer
-	endpoints   []*door // none while its process is dead
+	endpoints   []*endpoint // none while its process is dead
 	conns       map[*conn]bool
 	collapsed   bool          // over, in this life
 	collapsedAt time.Duration // when it was, for good
 	silent      chan struct{} // not nil while it says nothing; closed when it speaks again
 	http        *http.Server
-	spoils      float64 // share of answers that it spoils
-	hangs       float64 // and of requests that it never answers
+	spoilShare  float64 // share of answers that it spoils
+	hangShare   float64 // and of requests that it never answers
 }
 
 func newServers(s *Scenario, seed uint64, c clock, h *History, n *subnet) (*servers, error) {
@@ -86,12 +86,12 @@
 	}
 	for i := range s.Fleet.Servers + s.replacementServers() {
 		u := &server{
-			servers: all, number: i, sockets: s.Server.Sockets, callers: s.Fleet.Sidecars, model: s.serverModel(i, zones[s.zoneOf(i)], seed),
+			servers: all, number: i, sockets: s.Server.Sockets, sidecars: s.Fleet.Sidecars, model: s.serverModel(i, zones[s.zoneOf(i)], seed),
 			waiting: make(map[uint64]chan world.Ended), conns: make(map[*conn]bool),
 		}
 		u.timer = time.AfterFunc(time.Hour, u.tick)
 		u.http = &http.Server{
-			Handler: u, IdleTimeout: serverIdle, ErrorLog: slog.NewLogLogger(slog.DiscardHandler, slog.LevelDebug),
+			Handler: u, IdleTimeout: serverIdleTimeout, ErrorLog: slog.NewLogLogger(slog.DiscardHandler, slog.LevelDebug),
 			ConnState: func(_ net.Conn, state http.ConnState) {
 				if state == http.StateNew {
 					all.mu.Lock()
@@ -139,7 +139,7 @@
 	defer a.mu.Unlock()
 	for c := range a.all[i].conns {
 		if at, ok := c.RemoteAddr().(*net.TCPAddr); ok && at.AddrPort().Port() == local.Port() {
-			c.breakOff("broken for the sidecar alone")
+			c.noteCut("broken for the sidecar alone")
 		}
 	}
 	return true
@@ -172,17 +172,17 @@
 	for _, u := range a.all {
 		u.timer.Stop()
 		a.mu.Lock()
-		u.speak() // or Close would wait for it
+		u.endSilence() // or Close would wait for it
 		a.mu.Unlock()
 		u.http.Close()
 		a.mu.Lock()
-		u.shut()
+		u.closeEndpoints()
 		a.mu.Unlock()
 	}
 }
 
-// door is where sidecars reach a server: one for all, or one for each where the system permits no other.
-type door struct {
+// endpoint is where sidecars reach a server: one for all, or one for each where the system permits no other.
+type endpoint struct {
 	server   *server
 	mu       sync.Mutex
 	listener *net.TCPListener              // nil: refused
@@ -193,7 +193,7 @@
 
 // listen listens, and serves what comes.
 func (u *server) listen() error {
-	all, err := u.servers.net.listen(u.port, u.callers, fmt.Sprintf("server %d", u.number))
+	all, err := u.servers.net.listen(u.port, u.sidecars, fmt.Sprintf("server %d", u.number))
 	if err != nil {
 		return err
 	}
@@ -201,21 +201,21 @@
 	defer u.servers.mu.Unlock()
 	u.endpoints = nil
 	for _, l := range all {
-		d := &door{server: u, listener: l, parked: make(chan struct{}, 1)}
+		d := &endpoint{server: u, listener: l, parked: make(chan struct{}, 1)}
 		u.endpoints = append(u.endpoints, d)
-		go func() { _ = u.http.Serve(&doorway{d, l}) }() // ends with the listener
+		go func() { _ = u.http.Serve(&endpointListener{d, l}) }() // ends with the listener
 	}
 	return nil
 }
 
-// ways are a server's doors of now.
-func (u *server) ways() []*door {
+// currentEndpoints are a server's doors of now.
+func (u *server) currentEndpoints() []*endpoint {
 	u.servers.mu.Lock()
 	defer u.servers.mu.Unlock()
 	return u.endpoints
 }
 
-func (d *door) shut() {
+func (d *endpoint) close() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.listener != nil {
@@ -226,45 +226,45 @@
 }
 
 // closeFillers lets the fillers go.
-func (d *door) closeFillers() {
+func (d *endpoint) closeFillers() {
 	for _, c := range d.fillers {
 		c.Close()
 	}
 	d.fillers = nil
 }
 
-// hush makes the door that of a machine that has vanished: nobody accepts, and the queue of those that may come up
+// silence makes the door that of a machine that has vanished: nobody accepts, and the queue of those that may come up
 // by themselves is full, so that new connections never do.
-func (d *door) hush() {
+func (d *endpoint) silence() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.listener == nil {
 		return
 	}
 	_ = d.listener.SetDeadline(time.Unix(1, 0)) // fails only on a closed one, as the next does
-	d.queue(0)
+	d.setBacklog(0)
 	select {
 	case <-d.parked: // or who is about to accept would take the first filler
-	case <-time.After(parkTime): // there is nobody: the door was closed meanwhile
+	case <-time.After(parkTimeout): // there is nobody: the door was closed meanwhile
 	}
 	at := d.listener.Addr().(*net.TCPAddr)
 	if at.IP.IsUnspecified() {
 		at.IP = net.IP(d.server.servers.net.ip(0).AsSlice())
 	}
-	for range fillMost {
-		if c, err := net.DialTimeout("tcp", at.String(), fillTime); err == nil {
+	for range maxFillers {
+		if c, err := net.DialTimeout("tcp", at.String(), fillTimeout); err == nil {
 			d.fillers = append(d.fillers, c)
 		}
-		for end := time.Now().Add(fillTime); time.Now().Before(end); time.Sleep(time.Millisecond) {
-			if d.full() { // the last of a connection's coming up is done by the kernel in its own time
+		for end := time.Now().Add(fillTimeout); time.Now().Before(end); time.Sleep(time.Millisecond) {
+			if d.backlogFull() { // the last of a connection's coming up is done by the kernel in its own time
 				return
 			}
 		}
 	}
 }
 
-// unhush makes it a door again.
-func (d *door) unhush() {
+// endSilence makes it a door again.
+func (d *endpoint) endSilence() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.listener == nil {
@@ -284,21 +284,21 @@
 		_ = c.SetLinger(0)
 		c.Close()
 	}
-	d.queue(backlog)
+	d.setBacklog(backlog)
 	_ = d.listener.SetDeadline(time.Time{})
 }
 
 // hold keeps new connections from coming up until release; those that there are go on. A connection that is tried
 // meanwhile comes up when its first packet is sent again, after a second.
-func (d *door) hold() {
+func (d *endpoint) hold() {
 	held := make(chan struct{})
 	if d.resumed.CompareAndSwap(nil, &held) {
-		d.hush()
+		d.silence()
 	}
 }
 
 // release ends hold.
-func (d *door) release() {
+func (d *endpoint) release() {
 	held := d.resumed.Swap(nil)
 	if held == nil {
 		return
@@ -308,13 +308,13 @@
 	defer d.mu.Unlock()
 	d.closeFillers()
 	if d.listener != nil {
-		d.queue(backlog)
+		d.setBacklog(backlog)
 		_ = d.listener.SetDeadline(time.Time{}) // fails only on a closed one
 	}
 }
 
-// full says whether the queue has no room.
-func (d *door) full() (full bool) {
+// backlogFull says whether the queue has no room.
+func (d *endpoint) backlogFull() (full bool) {
 	raw, err := d.listener.SyscallConn()
 	if err != nil {
 		return true // closed
@@ -326,27 +326,27 @@
 	return full
 }
 
-// queue sets how many connections may come up before they are accepted.
-func (d *door) queue(n int) {
+// setBacklog sets how many connections may come up before they are accepted.
+func (d *endpoint) setBacklog(n int) {
 	raw, err := d.listener.SyscallConn()
 	if err == nil {
 		_ = raw.Control(func(fd uintptr) { _ = syscall.Listen(int(fd), n) }) // fails only on a closed one
 	}
 }
 
-// doorway is a door's listener as net/http has it.
-type doorway struct {
-	endpoint *door
+// endpointListener is a door's listener as net/http has it.
+type endpointListener struct {
+	endpoint *endpoint
 	*net.TCPListener
 }
 
 // Accept waits while the server is silent.
-func (w *doorway) Accept() (net.Conn, error) {
+func (w *endpointListener) Accept() (net.Conn, error) {
 	for {
 		c, err := w.TCPListener.AcceptTCP()
 		u, caller := w.endpoint.server, -1
 		if err == nil {
-			if caller = u.servers.net.callerAt(c.LocalAddr()); caller < 0 || caller >= u.callers { // by an address that is none of this run's
+			if caller = u.servers.net.callerAt(c.LocalAddr()); caller < 0 || caller >= u.sidecars { // by an address that is none of this run's
 				c.Close()
 				continue
 			}
@@ -369,12 +369,12 @@
 		case !late:
 			return nil, err
 		}
-		w.endpoint.park(silent)
+		w.endpoint.waitWhileBlocked(silent)
 	}
 }
 
-// park waits while the server is silent, or the door is held.
-func (d *door) park(silent chan struct{}) {
+// waitWhileBlocked waits while the server is silent, or the door is held.
+func (d *endpoint) waitWhileBlocked(silent chan struct{}) {
 	untils := []chan struct{}{silent}
 	if held := d.resumed.Load(); held != nil {
 		untils = append(untils, *held)
@@ -399,8 +399,8 @@
 	onCut   atomic.Pointer[func(why string)] // notes that the exchange on it is cut off by the server; nil: there is none
 }
 
-// breakOff takes that the server ends the connection, whatever is on it.
-func (c *conn) breakOff(why string) {
+// noteCut takes that the server ends the connection, whatever is on it.
+func (c *conn) noteCut(why string) {
 	if cut := c.onCut.Load(); cut != nil {
 		(*cut)(why)
 	}
@@ -408,8 +408,8 @@
 
 var errVanished = errors.New("the server had vanished")
 
-// heard waits while the server is silent; afterwards the connection is reset.
-func (c *conn) heard() error {
+// waitWhileSilent waits while the server is silent; afterwards the connection is reset.
+func (c *conn) waitWhileSilent() error {
 	c.server.servers.mu.Lock()
 	silent := c.server.silent
 	c.server.servers.mu.Unlock()
@@ -417,21 +417,21 @@
 		return nil
 	}
 	<-silent
-	c.breakOff("reset behind a silence")
+	c.noteCut("reset behind a silence")
 	c.Close()
 	return errVanished
 }
 
 func (c *conn) Read(p []byte) (int, error) {
 	n, err := c.TCPConn.Read(p)
-	if gone := c.heard(); gone != nil {
+	if gone := c.waitWhileSilent(); gone != nil {
 		return 0, gone
 	}
 	return n, err
 }
 
 func (c *conn) Write(p []byte) (int, error) {
-	if gone := c.heard(); gone != nil {
+	if gone := c.waitWhileSilent(); gone != nil {
 		return 0, gone
 	}
 	return c.TCPConn.Write(p)
@@ -447,7 +447,7 @@
 // reset ends all connections as the death of a process does.
 func (u *server) reset() {
 	for c := range u.conns {
-		c.breakOff("reset")
+		c.noteCut("reset")
 		_ = c.TCPConn.SetLinger(0) // fails only on a closed one
 		c.TCPConn.Close()
 		delete(u.conns, c)
@@ -457,14 +457,14 @@
 // closeAll ends all connections as a server does that takes them for idle: with no reset, unless a request is on its way.
 func (u *server) closeAll() {
 	for c := range u.conns {
-		c.breakOff("closed")
+		c.noteCut("closed")
 		c.TCPConn.Close()
 		delete(u.conns, c)
 	}
 }
 
-// speak ends the server's silence; all that was open is reset.
-func (u *server) speak() {
+// endSilence ends the server's silence; all that was open is reset.
+func (u *server) endSilence() {
 	if u.silent != nil {
 		u.reset()
 		close(u.silent)
@@ -472,10 +472,10 @@
 	}
 }
 
-func (u *server) shut() {
+func (u *server) closeEndpoints() {
 	for _, d := range u.endpoints {
 		d.release()
-		d.shut()
+		d.close()
 	}
 	u.reset()
 }
@@ -484,18 +484,18 @@
 func (a *servers) crash(i int) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.all[i].down()
+	a.all[i].crash()
 }
 
-func (u *server) down() {
+func (u *server) crash() {
 	u.model.Crash(u.servers.clock.now())
-	u.drop()
-	u.speak()
-	u.shut()
+	u.dropJobs()
+	u.endSilence()
+	u.closeEndpoints()
 }
 
-// drop forgets the jobs of a life that has ended; their connections are reset.
-func (u *server) drop() {
+// dropJobs forgets the jobs of a life that has ended; their connections are reset.
+func (u *server) dropJobs() {
 	for id, c := range u.waiting {
 		close(c)
 		delete(u.waiting, id)
@@ -525,8 +525,8 @@
 		}
 		a.mu.Unlock()
 		var all sync.WaitGroup
-		for _, d := range u.ways() {
-			all.Go(d.hush)
+		for _, d := range u.currentEndpoints() {
+			all.Go(d.silence)
 		}
 		all.Wait()
 		return
@@ -534,21 +534,21 @@
 	a.mu.Lock()
 	now := a.clock.now()
 	u.model.Crash(now)
-	u.drop()
+	u.dropJobs()
 	u.model.Start(now)
 	a.mu.Unlock()
-	for _, d := range u.ways() {
-		d.unhush()
+	for _, d := range u.currentEndpoints() {
+		d.endSilence()
 	}
 	a.mu.Lock()
-	u.speak()
+	u.endSilence()
 	a.mu.Unlock()
 }
 
-// hold keeps new connections to a server from coming up, or lets them; those that there are go on.
-func (a *servers) hold(i int, on bool) {
+// holdConnections keeps new connections to a server from coming up, or lets them; those that there are go on.
+func (a *servers) holdConnections(i int, on bool) {
 	var all sync.WaitGroup
-	for _, d := range a.all[i].ways() {
+	for _, d := range a.all[i].currentEndpoints() {
 		if on {
 			all.Go(d.hold)
 		} else {
@@ -592,9 +592,9 @@
 		u.collapsed, u.collapsedAt = true, u.servers.clock.now()
 		h := u.servers.history
 		h.note(&h.fallen, "at %v server %d was pushed over when it was cold", u.servers.clock.now(), u.number)
-		u.drop()
-		u.speak()
-		u.shut()
+		u.dropJobs()
+		u.endSilence()
+		u.closeEndpoints()
 	}
 	if at, ok := u.model.Next(); ok {
 		u.timer.Reset(max(0, at-u.servers.clock.now()))
@@ -619,11 +619,11 @@
 		return
 	}
 	c.onCut.Store(nil)
-	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, bodyLimit))
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBodyBytes))
 	if err != nil {
 		return // its last byte never came: it has not begun
 	}
-	t, n := u.servers.history.reach(id, Reached{Server: u.number, Sidecar: c.sidecar, At: at, Verdict: world.Full, Told: toldTime(r.Header.Get("X-Timeout")), Port: portOf(c.RemoteAddr())})
+	t, n := u.servers.history.reach(id, Reached{Server: u.number, Sidecar: c.sidecar, At: at, Verdict: world.Full, Told: parseTimeout(r.Header.Get("X-Timeout")), Port: portOf(c.RemoteAddr())})
 	if t == nil {
 		http.Error(w, "an id that no client sent", http.StatusBadRequest)
 		return
@@ -638,7 +638,7 @@
 		http.Error(w, "no work", http.StatusBadRequest)
 		return
 	}
-	ended, job, verdict := u.take(work, keyHash(r.Header.Get("X-Route-Key")), keyHash(r.Header.Get("Idempotency-Key")))
+	ended, job, verdict := u.submit(work, keyHash(r.Header.Get("X-Route-Key")), keyHash(r.Header.Get("Idempotency-Key")))
 	u.servers.history.settle(t, n, verdict, "")
 	step := func(format string, args ...any) { u.servers.history.step(t, n, u.servers.clock.now(), format, args...) }
 	cut := func(why string) { step("%s", why) }
@@ -673,9 +673,9 @@
 func (u *server) answer(w http.ResponseWriter, r *http.Request, t *Try, n int) {
 	body := fmt.Sprintf("%s served by s-%d, arrival %d", t.ID, u.number, n)
 	if size, err := strconv.Atoi(r.URL.Query().Get("answer")); err == nil {
-		body = strings.Repeat(body, 1+min(size, bodyLimit)/len(body))
+		body = strings.Repeat(body, 1+min(size, maxBodyBytes)/len(body))
 	}
-	hang, spoils, draw := u.misbehaves()
+	hang, spoils, draw := u.drawMisbehaviour()
 	step := func(format string, args ...any) { u.servers.history.step(t, n, u.servers.clock.now(), format, args...) }
 	if hang {
 		u.servers.history.spoil(t, n)
@@ -695,7 +695,7 @@
 		step("connection ended")
 		return
 	}
-	if len(body) <= pieceSize {
+	if len(body) <= answerChunkBytes {
 		_, _ = io.WriteString(w, body) // fails where the sidecar has gone
 		step("answered")
 		return
@@ -707,7 +707,7 @@
 	}
 	c.onCut.Store(&cut)
 	step("begins a long answer")
-	sent, err := answerLong(w, body, draw)
+	sent, err := writeLongAnswer(w, body, draw)
 	step("sent %d of %d bytes, error %v", sent, len(body), err)
 }
 
@@ -719,15 +719,15 @@
 	return 0
 }
 
-// answerLong sends an answer in pieces, with its length told or not. It returns how much has gone out; an error says that the
+// writeLongAnswer sends an answer in pieces, with its length told or not. It returns how much has gone out; an error says that the
 // sidecar has gone.
-func answerLong(w http.ResponseWriter, body string, draw int) (sent int, err error) {
+func writeLongAnswer(w http.ResponseWriter, body string, draw int) (sent int, err error) {
 	if draw%2 == 0 {
 		w.Header().Set("Content-Length", strconv.Itoa(len(body)))
 	}
 	flush := http.NewResponseController(w).Flush
 	for sent < len(body) {
-		n, err := io.WriteString(w, body[sent:min(sent+pieceSize, len(body))])
+		n, err := io.WriteString(w, body[sent:min(sent+answerChunkBytes, len(body))])
 		if err == nil {
 			err = flush()
 		}
@@ -735,27 +735,27 @@
 			return sent, err
 		}
 		sent += n
-		time.Sleep(piecePause)
+		time.Sleep(answerChunkPause)
 	}
 	return sent, nil
 }
 
-// misbehaves draws whether a request is never answered, or its answer spoilt, and in which way.
-func (u *server) misbehaves() (hangs, spoils bool, draw int) {
+// drawMisbehaviour draws whether a request is never answered, or its answer spoilt, and in which way.
+func (u *server) drawMisbehaviour() (hangs, spoils bool, draw int) {
 	u.servers.mu.Lock()
 	defer u.servers.mu.Unlock()
-	return rand.Float64() < u.hangs, rand.Float64() < u.spoils, rand.IntN(len(spoilt))
+	return rand.Float64() < u.hangShare, rand.Float64() < u.spoilShare, rand.IntN(len(spoiltAnswers))
 }
 
-// misbehave has a server hang for a share of its requests, or spoil a share of its answers.
-func (a *servers) misbehave(i int, set func(u *server)) {
+// setMisbehaviour has a server hang for a share of its requests, or spoil a share of its answers.
+func (a *servers) setMisbehaviour(i int, set func(u *server)) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	set(a.all[i])
 }
 
-// toldTime reads X-Timeout; 0: it is missing or malformed.
-func toldTime(text string) time.Duration {
+// parseTimeout reads X-Timeout; 0: it is missing or malformed.
+func parseTimeout(text string) time.Duration {
 	d, err := time.ParseDuration(strings.NewReplacer("m", "ms", "u", "us").Replace(text))
 	if err != nil {
 		return 0
@@ -773,8 +773,8 @@
 	return h.Sum64() | 1
 }
 
-// take hands a request to the model.
-func (u *server) take(work time.Duration, key, unique uint64) (chan world.Ended, uint64, world.Verdict) {
+// submit hands a request to the model.
+func (u *server) submit(work time.Duration, key, unique uint64) (chan world.Ended, uint64, world.Verdict) {
 	u.servers.mu.Lock()
 	defer u.servers.mu.Unlock()
 	u.advance()
@@ -782,14 +782,14 @@
 	if len(u.conns) > u.sockets {
 		return nil, 0, world.Full
 	}
-	u.last++
-	v := u.model.Arrive(u.servers.clock.now(), world.Job{ID: u.last, Work: work, Key: key, Unique: unique})
+	u.lastJob++
+	v := u.model.Arrive(u.servers.clock.now(), world.Job{ID: u.lastJob, Work: work, Key: key, Unique: unique})
 	if v != world.Taken {
 		return nil, 0, v
 	}
 	c := make(chan world.Ended, 1)
-	u.waiting[u.last] = c
-	return c, u.last, v
+	u.waiting[u.lastJob] = c
+	return c, u.lastJob, v
 }
 
 // cancel takes that nobody waits for a job any more.
