--- a/internal/lab/faults.go
+++ b/internal/lab/faults.go
@@ -15,27 +15,27 @@
 
 // PlayedFault is a fault as it was played, for the report.
 type PlayedFault struct {
-	At, Until   time.Duration // Until is 0 where it was never mended
+	At, Until   time.Duration // Until is 0 if the fault lasted until the end of the run
 	Description string
 }
 
-// reloadInterval is the time between two signals to read the configuration again, in a row of them.
+// reloadInterval is the time between two signals of a fault that reloads a configuration several times.
 const reloadInterval = 15 * time.Millisecond
 
-// faults plays a plan. Each action has a goroutine while it lasts; all end with the context.
+// faults plays a plan of faults. Each fault has a goroutine while it lasts; all of them end with the context.
 type faults struct {
 	run  *run
-	rng  *rand.Rand // of damages; guarded by mu
+	rng  *rand.Rand // draws damage to state files and the clients' behaviour at a termination; guarded by mu
 	work sync.WaitGroup
 
-	restartMu []sync.Mutex // by sidecar: one end and new start after the other
+	restartMu []sync.Mutex // by sidecar; held while a fault stops, replaces or restarts the sidecar's process
 
 	mu     sync.Mutex
 	played []PlayedFault
 	errs   []error
 }
 
-// play plays the plan until the context ends, and returns once all that was begun has ended too.
+// play plays the plan until the context ends, and returns once every fault that began has ended.
 func (f *faults) play(ctx context.Context, plan []PlannedFault) {
 	defer f.work.Wait()
 	for _, a := range plan {
@@ -49,7 +49,7 @@
 		}
 		f.mu.Lock()
 		f.played = append(f.played, PlayedFault{At: a.At.Std(), Description: a.describe()})
-		mark := len(f.played) - 1
+		index := len(f.played) - 1
 		f.mu.Unlock()
 		f.work.Go(func() {
 			if err := f.apply(ctx, a); err != nil && ctx.Err() == nil {
@@ -60,13 +60,13 @@
 			f.mu.Lock()
 			defer f.mu.Unlock()
 			if a.For > 0 || a.Kind == "upgrade" {
-				f.played[mark].Until = f.run.clock.now()
+				f.played[index].Until = f.run.clock.now()
 			}
 		})
 	}
 }
 
-// describe words an action for people.
+// describe returns a one-line description of the fault.
 func (a PlannedFault) describe() string {
 	words := []string{a.Kind}
 	if faultKinds[a.Kind].on != "discovery" && faultKinds[a.Kind].on != "load" {
@@ -84,7 +84,7 @@
 	return strings.Join(words, " ")
 }
 
-// sleep waits; false: the context has ended.
+// sleep waits for d and reports whether the context is still alive.
 func sleep(ctx context.Context, d time.Duration) bool {
 	t := time.NewTimer(max(0, d))
 	defer t.Stop()
@@ -96,9 +96,9 @@
 	}
 }
 
-// apply carries out one action on all its targets: at once, or one after another where it has a pause.
+// apply carries out a fault on all its targets: at once, or one after another if the fault has a pause.
 func (f *faults) apply(ctx context.Context, a PlannedFault) error {
-	one := map[string]func(context.Context, PlannedFault, int) error{
+	applyToTarget := map[string]func(context.Context, PlannedFault, int) error{
 		"sidecar": f.sidecarFault, "server": f.serverFault, "discovery": f.discoveryFault, "link": f.linkFault,
 		"load": f.loadFault,
 	}[faultKinds[a.Kind].on]
@@ -108,14 +108,14 @@
 		if i > 0 && a.Pause > 0 && faultKinds[a.Kind].on != "link" && faultKinds[a.Kind].on != "discovery" && !sleep(ctx, a.Pause.Std()) {
 			break
 		}
-		all.Go(func() { errs <- one(ctx, a, target) })
+		all.Go(func() { errs <- applyToTarget(ctx, a, target) })
 	}
 	all.Wait()
 	close(errs)
 	return joinErrors(errs)
 }
 
-// joinErrors are all errors of a channel that is closed.
+// joinErrors drains a closed channel and joins its errors.
 func joinErrors(errs <-chan error) error {
 	var bad []error
 	for err := range errs {
@@ -124,7 +124,8 @@
 	return errors.Join(bad...)
 }
 
-// loadFault carries out what is not in the arrivals already.
+// loadFault carries out a fault of the load. Only "busy" needs anything done; the others are part of the arrivals or of
+// the clients' behaviour.
 func (f *faults) loadFault(ctx context.Context, a PlannedFault, _ int) error {
 	if a.Kind != "busy" {
 		return nil
@@ -132,11 +133,13 @@
 	return runBusyLoops(ctx, f.run.processes.launch, int(a.Size), a.For.Std())
 }
 
-// waitForEnd waits until an action's time is over; false: it is for good, or the run ends before.
+// waitForEnd waits until a fault's time is over. It returns false if the fault lasts until the end of the run or the
+// context ends first.
 func waitForEnd(ctx context.Context, a PlannedFault) bool {
 	return a.For > 0 && sleep(ctx, a.For.Std())
 }
 
+// sidecarFault carries out a fault of sidecar i, real or hollow, and undoes it at its end.
 func (f *faults) sidecarFault(ctx context.Context, a PlannedFault, i int) error {
 	p := f.run.processes
 	h := f.run.hollow
@@ -144,17 +147,17 @@
 		return h.push(ctx, i, int(a.Size))
 	}
 	if h.holder(i) != nil {
-		from := time.Now()
+		endedAt := time.Now()
 		err := h.end(i, a.Kind == "stop")
 		if err == nil && a.For == 0 {
-			err = h.lost(ctx, i, from)
+			err = h.lost(ctx, i, endedAt)
 		}
 		if err == nil && waitForEnd(ctx, a) {
 			err = h.again(i)
 		}
 		return err
 	}
-	again := func() error {
+	restart := func() error {
 		f.run.roster.restarted(i)
 		_, err := p.start(i)
 		return err
@@ -172,13 +175,13 @@
 		f.mu.Lock()
 		err := p.damageState(i, a.State, f.rng)
 		f.mu.Unlock()
-		return errors.Join(err, again())
+		return errors.Join(err, restart())
 	case "stop":
 		if q := p.running(i); q != nil {
 			p.stop(q)
 		}
 		if waitForEnd(ctx, a) {
-			return again()
+			return restart()
 		}
 	case "pause":
 		q := p.running(i)
@@ -193,7 +196,7 @@
 		}
 		p.starve(ctx, i, a.Size)
 	case "upgrade":
-		defer f.run.history.changed(f.run.clock) // a member is another process now
+		defer f.run.history.changed(f.run.clock) // the member's process is replaced
 		return p.upgrade(i)
 	case "term":
 		return f.terminate(ctx, a, i)
@@ -211,7 +214,7 @@
 	return nil
 }
 
-// reloadRepeatedly has a sidecar read its configuration again, several times in a row.
+// reloadRepeatedly makes a sidecar reload its configuration a.Size times in a row.
 func (f *faults) reloadRepeatedly(ctx context.Context, a PlannedFault, i int) error {
 	for range int(a.Size) {
 		if err := f.run.processes.reload(i); err != nil {
@@ -224,42 +227,43 @@
 	return nil
 }
 
+// serverFault carries out a fault of server i and undoes it at its end. Discovery hears of changes after its delays.
 func (f *faults) serverFault(ctx context.Context, a PlannedFault, i int) error {
 	s, r, list := f.run.servers, f.run.roster, f.run.scenario.Discovery
-	entry := func(life world.Life) world.Entry { return world.Entry{Server: i, Life: life} }
-	fresh := func() world.Entry {
-		e := entry(world.Ready)
+	listEntry := func(life world.Life) world.Entry { return world.Entry{Server: i, Life: life} }
+	readyEntry := func() world.Entry {
+		e := listEntry(world.Ready)
 		e.Started = f.run.clock.now()
 		return e
 	}
 	switch a.Kind {
 	case "crash":
 		s.crash(i)
-		r.hear(list.UpdateDelay.Std(), entry(world.Gone))
+		r.hear(list.UpdateDelay.Std(), listEntry(world.Gone))
 		if waitForEnd(ctx, a) {
-			r.hear(list.UpdateDelay.Std(), fresh())
+			r.hear(list.UpdateDelay.Std(), readyEntry())
 			return s.start(i)
 		}
 	case "replace":
 		s.crash(i)
-		r.hear(list.UpdateDelay.Std(), entry(world.Gone))
+		r.hear(list.UpdateDelay.Std(), listEntry(world.Gone))
 		sleep(ctx, a.For.Std())
 		if ctx.Err() == nil {
 			i = a.Replacements[slices.Index(a.Targets, i)]
-			r.hear(list.UpdateDelay.Std(), fresh())
+			r.hear(list.UpdateDelay.Std(), readyEntry())
 			return s.start(i)
 		}
 	case "silence":
 		s.silence(i, true)
-		r.hear(list.SilenceDelay.Std(), entry(world.Gone))
+		r.hear(list.SilenceDelay.Std(), listEntry(world.Gone))
 		if waitForEnd(ctx, a) {
 			s.silence(i, false)
-			r.hear(list.UpdateDelay.Std(), fresh())
+			r.hear(list.UpdateDelay.Std(), readyEntry())
 		}
 	case "drain":
-		r.hear(list.UpdateDelay.Std(), entry(world.Draining))
+		r.hear(list.UpdateDelay.Std(), listEntry(world.Draining))
 		if waitForEnd(ctx, a) {
-			r.hear(list.UpdateDelay.Std(), entry(world.Ready))
+			r.hear(list.UpdateDelay.Std(), listEntry(world.Ready))
 		}
 	case "slow":
 		s.changeModel(i, func(m *world.Server) { m.Slow(a.Size) })
@@ -291,8 +295,8 @@
 	return nil
 }
 
-// disturbProcess does something to a sidecar's surroundings: its system calls, its clock, or who connects. It ends at the
-// process that it began at, whichever is the sidecar's by then.
+// disturbProcess makes a sidecar's system calls fail, steps its clock, or sends it malformed requests. It stops with the
+// process that it began with, even if another one has taken that process's place.
 func (f *faults) disturbProcess(ctx context.Context, a PlannedFault, i int) {
 	q := f.run.processes.running(i)
 	switch a.Kind {
@@ -313,7 +317,7 @@
 	}
 }
 
-// misbehave has a server answer badly while a fault lasts.
+// misbehave makes server i answer badly while a fault lasts, or ends its connections once.
 func (f *faults) misbehave(ctx context.Context, a PlannedFault, i int) {
 	s := f.run.servers
 	switch a.Kind {
@@ -338,7 +342,7 @@
 	s.setMisbehaviour(i, set(0))
 }
 
-// sendMalformedRequests has strangers connect to a sidecar, one after the other, while the fault lasts.
+// sendMalformedRequests sends malformed requests to a sidecar, one after another, while the fault lasts.
 func (f *faults) sendMalformedRequests(ctx context.Context, a PlannedFault, sidecar int) {
 	ctx, cancel := context.WithTimeout(ctx, a.For.Std())
 	defer cancel()
@@ -346,24 +350,25 @@
 	for n := 0; ctx.Err() == nil; n++ {
 		from := c.now()
 		if err := sendMalformed(f.run.net.address(sidecar, clientPort), malformedRequests[n%len(malformedRequests)]); err != nil {
-			h.note(&h.peers, "a stranger that came to sidecar %s at %v: %v", sidecarName(sidecar), from, err)
+			h.note(&h.peers, "malformed request to sidecar %s at %v: %v", sidecarName(sidecar), from, err)
 		}
 		sleep(ctx, malformedInterval)
 	}
 }
 
-// callConsoles calls at every sidecar's console, as an operator does: again and again until it says yes.
-func (f *faults) callConsoles(ctx context.Context, call string, server int) {
+// callConsoles makes a call for one server at every sidecar's console, as an operator does. It repeats the call at each
+// console until that confirms it.
+func (f *faults) callConsoles(ctx context.Context, command string, server int) {
 	var all sync.WaitGroup
 	for i := range f.run.scenario.Fleet.Sidecars {
 		all.Go(func() {
 			for ctx.Err() == nil {
 				if q := f.run.processes.running(i); q != nil {
-					if call == "enable-server" { // from the moment that it may be heard
+					if command == "enable-server" { // the sidecar may apply it before it answers
 						f.run.history.tell(Told{At: f.run.clock.now(), Sidecar: i, Server: server, ByHand: true})
 					}
-					if answer, err := callConsole(q.console, call+" "+serverName(server)); err == nil && strings.HasPrefix(answer, "200") {
-						if call == "disable-server" {
+					if answer, err := callConsole(q.console, command+" "+serverName(server)); err == nil && strings.HasPrefix(answer, "200") {
+						if command == "disable-server" {
 							f.run.history.tell(Told{At: f.run.clock.now(), Sidecar: i, Server: server, Out: true, ByHand: true})
 						}
 						return
@@ -376,6 +381,7 @@
 	all.Wait()
 }
 
+// discoveryFault carries out a fault of discovery and undoes it at its end.
 func (f *faults) discoveryFault(ctx context.Context, a PlannedFault, _ int) error {
 	r := f.run.roster
 	switch a.Kind {
@@ -409,6 +415,7 @@
 	return nil
 }
 
+// linkFault changes the conditions of the links between sidecar i and its peers while a fault lasts.
 func (f *faults) linkFault(ctx context.Context, a PlannedFault, i int) error {
 	set := func(on bool) {
 		change := func(w *conditions) {
@@ -457,7 +464,8 @@
 		set(false)
 		h.changed(f.run.clock)
 	}
-	oneLink := a.Direction != "both" && len(a.Targets)*len(a.Peers) == 1 // the others ask for those two
+	// With a single directed link cut, the other members still probe on behalf of both its ends: views must not differ.
+	oneLink := a.Direction != "both" && len(a.Targets)*len(a.Peers) == 1
 	if a.Kind == "cut" && !oneLink || a.Kind == "limit" {
 		h.life(&h.cuts, span{i, from, f.run.clock.now()})
 	}
--- a/internal/lab/run.go
+++ b/internal/lab/run.go
@@ -16,24 +16,24 @@
 	"time"
 )
 
-// Options say how a scenario is played.
+// Options control how a scenario is played.
 type Options struct {
 	Seed       uint64
-	Program    string                // path of the sidecar; see Build
-	Out        string                // folder for the result, the report and the logs; empty: none are kept
-	OnProgress func(second Progress) // called once a second, where it is not nil
+	Program    string                // path of the sidecar; built by Build if empty
+	Out        string                // folder for the result, the report and the logs; nothing is kept if empty
+	OnProgress func(second Progress) // called once a second if not nil
 }
 
-// Progress is what a run has come to, second by second.
+// Progress describes the state of a run in one second.
 type Progress struct {
 	At                                time.Duration
-	Requests, InTime, Refused, Failed int // in the second before last: later ones are not settled
+	Requests, InTime, Refused, Failed int // in the second before last, the latest whose outcomes are settled
 	Open, Sidecars, Servers           int
-	Congested, RequestsHeld           int      // servers that a crowd has made slow; requests that all servers have
-	Faults                            []string // faults that began in the last second
+	Congested, RequestsHeld           int      // servers slowed down by overload; requests that all servers hold
+	Faults                            []string // descriptions of the faults that began in the last second
 }
 
-// shutdownTimeout is how long the end of a run may take before processes are killed.
+// shutdownTimeout is how long the processes get to end at the end of a run before they are killed.
 const shutdownTimeout = 8 * time.Second
 
 // run is one play of a scenario.
@@ -50,14 +50,14 @@
 	mesh      *mesh
 	faults    *faults
 	hollow    *hollows
-	fits      []fit // once it is over
+	fits      []fit // set once the run is over
 }
 
-// Build builds the sidecar of the tree that the working folder is in, into a folder.
+// Build builds the sidecar of the module that contains the working directory into dir, and returns its path.
 func Build(dir string) (string, error) {
 	root, err := exec.Command("go", "list", "-m", "-f", "{{.Dir}}").Output()
 	if err != nil {
-		return "", errors.New("the sidecar can't be built here: run it inside the project's tree, with Go at hand, or name a program")
+		return "", errors.New("the sidecar can't be built here: run this inside the project's tree with the go command installed, or name a program")
 	}
 	path := filepath.Join(dir, "caperarch")
 	cmd := exec.Command("go", "build", "-o", path, "./cmd/caperarch")
@@ -68,33 +68,33 @@
 	return path, nil
 }
 
-// Play plays a scenario, and returns what came of it. It ends early, with an error, when the context ends. An error
-// says that the run could not be played; what it found when it could is in the result.
+// Play plays a scenario and returns its result. It ends early, with an error, when the context ends. An error means that
+// the run could not be played; invariants that did not hold are reported in the result.
 func Play(ctx context.Context, s *Scenario, o Options) (res *Result, err error) {
 	if _, err := Sweep(); err != nil {
-		return nil, fmt.Errorf("what an earlier lab left can't be removed: %w", err)
+		return nil, fmt.Errorf("cleaning up after an earlier lab: %w", err)
 	}
-	wide, err := sharedSocketsPermitted()
+	sharedSockets, err := sharedSocketsPermitted()
 	if err != nil {
 		return nil, err
 	}
-	if err := ensureDescriptors(s, wide); err != nil {
+	if err := ensureDescriptors(s, sharedSockets); err != nil {
 		return nil, err
 	}
-	rec, err := newRecord()
+	processRecord, err := newRecord()
 	if err != nil {
 		return nil, err
 	}
-	defer func() { err = errors.Join(err, rec.close()) }()
+	defer func() { err = errors.Join(err, processRecord.close()) }()
 	if o.Program == "" {
-		if o.Program, err = Build(rec.dir); err != nil {
+		if o.Program, err = Build(processRecord.dir); err != nil {
 			return nil, err
 		}
 	}
-	if o.Program, err = copyProgram(o.Program, rec.dir); err != nil {
+	if o.Program, err = copyProgram(o.Program, processRecord.dir); err != nil {
 		return nil, err
 	}
-	logs := filepath.Join(rec.dir, "logs")
+	logs := filepath.Join(processRecord.dir, "logs")
 	if o.Out != "" {
 		logs = filepath.Join(o.Out, "logs")
 	}
@@ -115,7 +115,7 @@
 	if err != nil {
 		return nil, err
 	}
-	r.processes = newProcesses(s, r.clock, r.history, r.net, r.roster, o.Program, rec.dir, logs, rec, o.Seed)
+	r.processes = newProcesses(s, r.clock, r.history, r.net, r.roster, o.Program, processRecord.dir, logs, processRecord, o.Seed)
 	defer func() {
 		soon, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 		defer cancel()
@@ -131,8 +131,8 @@
 	return r.play(ctx, o)
 }
 
-// copyProgram copies the program into the run's folder: it stays the same for the whole run, and whoever sidecars run as
-// can reach it.
+// copyProgram copies the program into the run's folder, so that it stays the same for the whole run and can be read by
+// the user that sidecars run as.
 func copyProgram(program, dir string) (string, error) {
 	from, err := os.Open(program)
 	if err != nil {
@@ -148,25 +148,28 @@
 	return path, errors.Join(err, to.Close())
 }
 
-// descriptorsNeeded is how many descriptors the lab may need for a scenario; wide: one listener hears all sidecars.
-func descriptorsNeeded(s *Scenario, wide bool) int {
+// descriptorsNeeded estimates how many descriptors the lab may need for a scenario. sharedSockets reports whether one
+// listener can serve all sidecars.
+func descriptorsNeeded(s *Scenario, sharedSockets bool) int {
 	n, listeners := s.totalSidecars(), s.Fleet.Servers+s.replacementServers()+4
-	need := 200 + int(90*s.peakOfferedWork()) + s.Fleet.Sidecars*2*min(s.Fleet.Servers, 12) + 2*s.Fleet.Hollow // requests under way, for a second and at two ends; connections kept
+	// Open requests of one second with a descriptor at both ends, and the idle connections that are kept.
+	need := 200 + int(90*s.peakOfferedWork()) + s.Fleet.Sidecars*2*min(s.Fleet.Servers, 12) + 2*s.Fleet.Hollow
 	if s.Fleet.Mesh {
 		listeners += 2 * n
-		need += 8 * n // streams
+		need += 8 * n // relayed connections
 	}
-	if !wide {
+	if !sharedSockets {
 		listeners *= n
 	}
 	return need + listeners
 }
 
-// ensureDescriptors sees whether the machine lets the lab open what the scenario needs, and asks for more.
-func ensureDescriptors(s *Scenario, wide bool) error {
-	need, why := descriptorsNeeded(s, wide), ""
-	if !wide {
-		why = "; one listener may not hear all of loopback here (SO_BINDTODEVICE), so that there is one for each pair"
+// ensureDescriptors raises the soft limit of descriptors to the hard one, and returns an error if the scenario may need
+// more than that.
+func ensureDescriptors(s *Scenario, sharedSockets bool) error {
+	need, hint := descriptorsNeeded(s, sharedSockets), ""
+	if !sharedSockets {
+		hint = "; SO_BINDTODEVICE is not permitted here, so each pair of sidecar and server needs a listener of its own"
 	}
 	var limit syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil {
@@ -179,13 +182,13 @@
 		}
 	}
 	if uint64(need) > limit.Cur {
-		return fmt.Errorf("%d descriptors may be needed for %d sidecars and %d servers, and this process may hold %d (ulimit -n): raise the limit or play fewer%s",
-			need, s.Fleet.Sidecars, s.Fleet.Servers, limit.Cur, why)
+		return fmt.Errorf("%d descriptors may be needed for %d sidecars and %d servers, but this process is limited to %d (ulimit -n): raise the limit or play fewer%s",
+			need, s.Fleet.Sidecars, s.Fleet.Servers, limit.Cur, hint)
 	}
 	return nil
 }
 
-// play starts the sidecars, plays all parts, stops everything and judges.
+// play starts the sidecars, makes the clients' requests and plays the faults, stops everything, and judges the history.
 func (r *run) play(ctx context.Context, o Options) (*Result, error) {
 	s := r.scenario
 	arrivals, plan := s.arrivals(o.Seed), s.Plan(o.Seed)
@@ -217,18 +220,18 @@
 	}
 	r.faults = &faults{run: r, restartMu: make([]sync.Mutex, s.Fleet.Sidecars), rng: rand.New(rand.NewPCG(o.Seed, 7))}
 	players.Go(func() { r.faults.play(ctx, plan) })
-	before := cpuTime(syscall.RUSAGE_SELF)
+	cpuBefore := cpuTime(syscall.RUSAGE_SELF)
 	r.clients.play(arrivals, ctx.Done())
-	failed := ctx.Err()
+	interrupted := ctx.Err()
 	sleep(ctx, s.For.Std()-r.clock.now())
 	if err := r.hollow.resting(true); err != nil {
 		return nil, err
 	}
-	cancel() // what is not mended by now is for good
+	cancel() // faults that have not ended by now last until the end of the run
 	players.Wait()
 	close(stop)
 	watchers.Wait()
-	lab := cpuTime(syscall.RUSAGE_SELF) - before
+	labCPU := cpuTime(syscall.RUSAGE_SELF) - cpuBefore
 	if r.scenario.Fleet.Hollow > 0 {
 		if err := r.hollow.lateness(time.Since(began), "whole run"); err != nil {
 			return nil, err
@@ -239,8 +242,8 @@
 	soon, cancelSoon := context.WithTimeout(context.Background(), shutdownTimeout)
 	r.processes.close(soon)
 	cancelSoon()
-	if failed != nil {
-		return nil, errors.New("the run was ended before its time")
+	if interrupted != nil {
+		return nil, errors.New("the run was interrupted")
 	}
 	if err := errors.Join(r.faults.errs...); err != nil {
 		return nil, err
@@ -250,21 +253,21 @@
 		return nil, err
 	}
 	r.history.broken = broken
-	res := r.result(o, plan, lab, time.Since(began))
+	res := r.result(o, plan, labCPU, time.Since(began))
 	if o.Out != "" {
 		return res, res.write(o.Out, r)
 	}
 	return res, nil
 }
 
-// startSidecars starts all sidecars, some at a time.
+// startSidecars starts all sidecars, up to 16 at a time.
 func (r *run) startSidecars(ctx context.Context) error {
-	places := make(chan struct{}, 16)
+	slots := make(chan struct{}, 16)
 	errs := make(chan error, r.scenario.Fleet.Sidecars)
 	for i := range r.scenario.Fleet.Sidecars {
 		go func() {
-			places <- struct{}{}
-			defer func() { <-places }()
+			slots <- struct{}{}
+			defer func() { <-slots }()
 			if ctx.Err() != nil {
 				errs <- ctx.Err()
 				return
@@ -285,11 +288,12 @@
 	return errors.Join(bad...)
 }
 
-// watch samples the processes and tells of the run, once a second.
-func (r *run) monitor(stop <-chan struct{}, live func(Progress)) {
+// monitor samples the processes and servers once a second until stop is closed, and passes the progress to onProgress
+// unless that is nil.
+func (r *run) monitor(stop <-chan struct{}, onProgress func(Progress)) {
 	t := time.NewTicker(time.Second)
 	defer t.Stop()
-	told := 0
+	reported := 0
 	for {
 		select {
 		case <-stop:
@@ -300,7 +304,7 @@
 		now := r.clock.now()
 		p := Progress{At: now, Open: int(r.clients.openCount.Load())}
 		p.Congested, p.RequestsHeld, p.Servers = r.servers.sample()
-		if live == nil {
+		if onProgress == nil {
 			continue
 		}
 		second := int(now/time.Second) - 2
@@ -324,30 +328,30 @@
 			}
 		}
 		r.faults.mu.Lock()
-		for ; told < len(r.faults.played); told++ {
-			p.Faults = append(p.Faults, r.faults.played[told].Description)
+		for ; reported < len(r.faults.played); reported++ {
+			p.Faults = append(p.Faults, r.faults.played[reported].Description)
 		}
 		r.faults.mu.Unlock()
-		live(p)
+		onProgress(p)
 	}
 }
 
-// cpuTime is the processor time of this process, or of its children that have ended.
-func cpuTime(whose int) time.Duration {
+// cpuTime returns the processor time that getrusage reports for who: this process, or its children that have ended.
+func cpuTime(who int) time.Duration {
 	var u syscall.Rusage
-	if err := syscall.Getrusage(whose, &u); err != nil {
+	if err := syscall.Getrusage(who, &u); err != nil {
 		return 0
 	}
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// Live prints a line a second.
+// ProgressPrinter returns a function for Options.OnProgress that prints a line a second to w.
 func ProgressPrinter(w io.Writer) func(Progress) {
 	return func(p Progress) {
 		for _, m := range p.Faults {
 			fmt.Fprintf(w, "%6s  *** %s\n", p.At.Round(time.Second), m)
 		}
-		fmt.Fprintf(w, "%6s  asked %4d/s  in time %4d  refused %3d  failed %3d  open %3d  sidecars %d  servers %d, %d tipped, with %d\n",
+		fmt.Fprintf(w, "%6s  requests %4d/s  in time %4d  refused %3d  failed %3d  open %3d  sidecars %d  servers %d, %d congested, %d requests held\n",
 			p.At.Round(time.Second), p.Requests, p.InTime, p.Refused, p.Failed, p.Open, p.Sidecars, p.Servers, p.Congested, p.RequestsHeld)
 	}
 }
--- a/internal/lab/scenario.go
+++ b/internal/lab/scenario.go
@@ -14,16 +14,16 @@
 	"arrowgw/internal/world"
 )
 
-// Scenario is a scenario file: a fleet, its load, a timetable of faults, and what must hold.
+// Scenario is a scenario file: a fleet, its load, a timetable of faults, and the invariants that must hold.
 type Scenario struct {
-	Name       string         `toml:"-"` // that of its file
-	file       string         // the file
-	keyLines   map[string]int // where its keys stand
-	TimeLimits time.Duration  `toml:"-"` // every class's aim and deadline, where no verdict may hang on them; 0: the operators'
+	Name       string         `toml:"-"` // the base name of the file without .toml
+	file       string         // name of the file, for errors
+	keyLines   map[string]int // line number of each key in the file
+	TimeLimits time.Duration  `toml:"-"` // if not 0, every class's aim and deadline in place of the usual ones, for runs whose verdict must not depend on speed
 
-	About      string        `toml:"about" need:"yes" help:"what the scenario is for, in a line"`
+	About      string        `toml:"about" need:"yes" help:"what the scenario is for, in one line"`
 	For        conf.Duration `toml:"for" default:"20s" min:"1s" max:"1h" help:"how long clients make requests"`
-	Invariants []string      `toml:"hold" default:"answered once honest known drains cold limits members agreed duties alive" oneof:"answered once honest known drains cold limits members agreed duties alive final left told peers guarded" help:"the invariants that are checked over the whole history; docs/lab.md words them"`
+	Invariants []string      `toml:"hold" default:"answered once honest known drains cold limits members agreed duties alive" oneof:"answered once honest known drains cold limits members agreed duties alive final left told peers guarded" help:"invariants that are checked over the whole history; docs/lab.md describes them"`
 	Fleet      fleetSpec     `toml:"fleet"`
 	Load       loadSpec      `toml:"load"`
 	Server     serverSpec    `toml:"server"`
@@ -31,84 +31,88 @@
 	Faults     []Fault       `toml:"fault"`
 }
 
+// fleetSpec sets the size of the fleet and how its sidecars are configured.
 type fleetSpec struct {
 	Sidecars       int     `toml:"sidecars" default:"4" min:"1" max:"400" help:"real sidecar processes, each with clients of its own"`
-	Hollow         int     `toml:"hollow" default:"0" min:"0" max:"10000" help:"hollow sidecars besides: control alone, many in a process, with no clients; numbered after the others"`
+	Hollow         int     `toml:"hollow" default:"0" min:"0" max:"10000" help:"hollow sidecars, which run only the control plane, many in one process, and have no clients; they are numbered after the real ones"`
 	Servers        int     `toml:"servers" default:"8" min:"1" max:"4000" help:"queue servers, spread evenly over the zones"`
 	Zones          int     `toml:"zones" default:"2" min:"1" max:"8" help:"zones, named a, b and so on"`
-	MemoryMB       int     `toml:"memory_mb" default:"64" unit:"MiB" min:"16" max:"4096" help:"a sidecar's limit"`
+	MemoryMB       int     `toml:"memory_mb" default:"64" unit:"MiB" min:"16" max:"4096" help:"memory limit of a sidecar"`
 	Sockets        int     `toml:"sockets" default:"384" min:"64" max:"4096" help:"descriptors that a sidecar may hold"`
-	StatedSidecars int     `toml:"told" default:"0" min:"0" max:"100000" help:"how many sidecars the settings say that there are; 0: as many as there are"`
-	Quota          float64 `toml:"quota" default:"0.83" min:"0.01" max:"10" help:"all tenants' quotas, as a share of what the servers can do"`
-	Mesh           bool    `toml:"mesh" default:"false" help:"whether sidecars reach each other, through the lab's relays"`
-	Supervised     bool    `toml:"supervised" default:"false" help:"whether the faults calls, forward and back can be played: sidecars run with their system calls and clock led by the lab"`
-	File           string  `toml:"file" help:"the fleet file of every sidecar, in TOML; the lab adds the routes"`
+	StatedSidecars int     `toml:"told" default:"0" min:"0" max:"100000" help:"number of sidecars that the settings state; 0: the real number"`
+	Quota          float64 `toml:"quota" default:"0.83" min:"0.01" max:"10" help:"sum of all tenants' quotas, as a share of the servers' capacity"`
+	Mesh           bool    `toml:"mesh" default:"false" help:"whether sidecars reach each other through the lab's relays"`
+	Supervised     bool    `toml:"supervised" default:"false" help:"whether the lab controls the sidecars' system calls and clock, as the faults calls, deaf, forward and back require"`
+	File           string  `toml:"file" help:"fleet file of every sidecar, in TOML; the lab adds the routes"`
 }
 
+// loadSpec sets what clients request and how they retry.
 type loadSpec struct {
-	Utilization     float64       `toml:"use" default:"0.5" min:"0" max:"5" help:"work asked for, as a share of what the servers can do when warm"`
-	RatePerSidecar  float64       `toml:"each" default:"0" min:"0" max:"1000" help:"requests a second for each sidecar in the mean, whatever the servers can do; 0: by use"`
-	Skew            float64       `toml:"skew" default:"0.5" min:"0" max:"3" help:"standard deviation of the sidecars' parts of the traffic, against the mean"`
+	Utilization     float64       `toml:"use" default:"0.5" min:"0" max:"5" help:"requested work, as a share of the capacity of warm servers"`
+	RatePerSidecar  float64       `toml:"each" default:"0" min:"0" max:"1000" help:"mean requests a second per sidecar, regardless of the servers' capacity; 0: use decides"`
+	Skew            float64       `toml:"skew" default:"0.5" min:"0" max:"3" help:"standard deviation of the sidecars' traffic, relative to its mean"`
 	Keys            int           `toml:"keys" default:"2500" min:"1" max:"1000000" help:"distinct keys"`
 	Zipf            float64       `toml:"zipf" default:"1" min:"0" max:"3" help:"exponent of the keys' popularity"`
-	Retries         int           `toml:"retries" default:"3" min:"0" max:"10" help:"a client's further tries"`
-	TryShare        float64       `toml:"try" default:"0.4" min:"0.05" max:"1" help:"a try is given up after this share of the deadline"`
-	Backoff         conf.Duration `toml:"backoff" default:"15ms" min:"0s" max:"10s" help:"pause before a client's further try, where it was told none"`
-	ExtraWait       conf.Duration `toml:"late" default:"0s" min:"0s" max:"10s" help:"how much longer than its time a client waits for its answer"`
-	PublishEffect   string        `toml:"publish" default:"unsafe" oneof:"unsafe keyed safe" help:"what a repeat of a publish request may do"`
-	RebuildEffect   string        `toml:"rebuild" default:"keyed" oneof:"unsafe keyed safe" help:"and of a rebuild request"`
-	DedupWindow     conf.Duration `toml:"within" default:"4s" min:"50ms" max:"1m" help:"keyed requests: for how long a zone drops repeats"`
-	TimeScale       float64       `toml:"urgent" default:"1" min:"0.1" max:"10" help:"every class's aim and deadline, against the usual"`
-	RetryAfterShare float64       `toml:"heed" default:"0.4" min:"0" max:"1" help:"share of clients that heed Retry-After"`
+	Retries         int           `toml:"retries" default:"3" min:"0" max:"10" help:"retries that a client makes after its first try"`
+	TryShare        float64       `toml:"try" default:"0.4" min:"0.05" max:"1" help:"share of the deadline after which a client gives up a try"`
+	Backoff         conf.Duration `toml:"backoff" default:"15ms" min:"0s" max:"10s" help:"pause before a client's retry if the answer asks for none"`
+	ExtraWait       conf.Duration `toml:"late" default:"0s" min:"0s" max:"10s" help:"how long a client waits for an answer after its timeout"`
+	PublishEffect   string        `toml:"publish" default:"unsafe" oneof:"unsafe keyed safe" help:"whether repeating a publish request has a further effect"`
+	RebuildEffect   string        `toml:"rebuild" default:"keyed" oneof:"unsafe keyed safe" help:"whether repeating a rebuild request has a further effect"`
+	DedupWindow     conf.Duration `toml:"within" default:"4s" min:"50ms" max:"1m" help:"how long a zone drops repeats of a keyed request"`
+	TimeScale       float64       `toml:"urgent" default:"1" min:"0.1" max:"10" help:"factor on every class's aim and deadline"`
+	RetryAfterShare float64       `toml:"heed" default:"0.4" min:"0" max:"1" help:"share of clients that honour Retry-After"`
 }
 
+// serverSpec sets how the queue servers are modelled.
 type serverSpec struct {
 	Speed     float64       `toml:"speed" default:"1" min:"0.01" max:"100" help:"mean of the servers' speeds"`
-	Spread    float64       `toml:"spread" default:"0.1" min:"0" max:"1" help:"standard deviation of their speeds"`
-	Cores     float64       `toml:"cores" default:"1" min:"1" max:"64" help:"cores of each"`
-	Slots     int           `toml:"slots" default:"16" min:"1" max:"10000" help:"requests in work at once"`
-	Room      int           `toml:"room" default:"38" min:"0" max:"100000" help:"and waiting; past that they are turned away"`
-	Keys      int           `toml:"keys" default:"240" min:"0" max:"100000" help:"keys that it remembers"`
-	KeyTime   conf.Duration `toml:"key_time" default:"6s" min:"0s" max:"1h" help:"and for how long"`
-	KeyGain   float64       `toml:"key_gain" default:"0.45" min:"0" max:"1" help:"share of the work that a key met lately saves"`
-	ColdFrom  float64       `toml:"cold_from" default:"0.2" min:"0.01" max:"1" help:"share of its capacity that it starts with"`
-	ColdTime  conf.Duration `toml:"cold_time" default:"10s" min:"0s" max:"10m" help:"until it has all"`
-	FallAt    float64       `toml:"fall_at" default:"4" min:"0" max:"100" help:"a cold one falls over when sent more than this multiple of what it can do; 0: never"`
-	FallFor   conf.Duration `toml:"fall_for" default:"2s" min:"100ms" max:"1m" help:"for this long"`
-	ChokeAt   float64       `toml:"choke_at" default:"5.5" min:"0" max:"1000" help:"with more requests than this to a core"`
-	ChokeOver conf.Duration `toml:"choke_over" default:"2s" min:"0s" max:"1m" help:"for this long, it turns slower"`
-	ChokeSlow float64       `toml:"choke_slow" default:"2.7" min:"1" max:"100" help:"so many times"`
-	ChokeRest conf.Duration `toml:"choke_rest" default:"3s" min:"0s" max:"1m" help:"until it was mostly idle for so long"`
-	ChokeBusy float64       `toml:"choke_busy" default:"0.33" min:"0" max:"1" help:"that is, busy for no more than this share of that time"`
-	ChokeMost conf.Duration `toml:"choke_most" default:"24s" min:"0s" max:"10m" help:"or this has passed; 0s: it never chokes"`
-	Sockets   int           `toml:"sockets" default:"750" min:"1" max:"100000" help:"connections that it accepts"`
-	Handshake conf.Duration `toml:"handshake" default:"3ms" min:"0s" max:"1s" help:"work that a new connection costs it"`
-	Errors    float64       `toml:"errors" default:"0.0005" min:"0" max:"1" help:"share of requests that end in an error"`
-	Cancel    string        `toml:"cancel" default:"queued" oneof:"queued all" help:"what a cancel stops: waiting requests, or those in work too"`
+	Spread    float64       `toml:"spread" default:"0.1" min:"0" max:"1" help:"standard deviation of the servers' speeds"`
+	Cores     float64       `toml:"cores" default:"1" min:"1" max:"64" help:"cores of each server"`
+	Slots     int           `toml:"slots" default:"16" min:"1" max:"10000" help:"requests that a server works on at once"`
+	Room      int           `toml:"room" default:"38" min:"0" max:"100000" help:"requests that may wait at a server; further ones are rejected"`
+	Keys      int           `toml:"keys" default:"240" min:"0" max:"100000" help:"keys that a server's cache holds"`
+	KeyTime   conf.Duration `toml:"key_time" default:"6s" min:"0s" max:"1h" help:"how long a key stays in the cache"`
+	KeyGain   float64       `toml:"key_gain" default:"0.45" min:"0" max:"1" help:"share of the work that is saved if the key is cached"`
+	ColdFrom  float64       `toml:"cold_from" default:"0.2" min:"0.01" max:"1" help:"share of its capacity that a cold server starts with"`
+	ColdTime  conf.Duration `toml:"cold_time" default:"10s" min:"0s" max:"10m" help:"time until a cold server has its full capacity"`
+	FallAt    float64       `toml:"fall_at" default:"4" min:"0" max:"100" help:"a cold server collapses when it is sent more than this multiple of its capacity; 0: never"`
+	FallFor   conf.Duration `toml:"fall_for" default:"2s" min:"100ms" max:"1m" help:"how long the excess must last before it collapses"`
+	ChokeAt   float64       `toml:"choke_at" default:"5.5" min:"0" max:"1000" help:"requests per core above which a server becomes congested"`
+	ChokeOver conf.Duration `toml:"choke_over" default:"2s" min:"0s" max:"1m" help:"how long the excess must last before it becomes congested"`
+	ChokeSlow float64       `toml:"choke_slow" default:"2.7" min:"1" max:"100" help:"factor by which a congested server is slower"`
+	ChokeRest conf.Duration `toml:"choke_rest" default:"3s" min:"0s" max:"1m" help:"how long a congested server must be mostly idle to recover"`
+	ChokeBusy float64       `toml:"choke_busy" default:"0.33" min:"0" max:"1" help:"share of that time for which it may be busy"`
+	ChokeMost conf.Duration `toml:"choke_most" default:"24s" min:"0s" max:"10m" help:"time after which it recovers in any case; 0s: servers never become congested"`
+	Sockets   int           `toml:"sockets" default:"750" min:"1" max:"100000" help:"connections that a server accepts"`
+	Handshake conf.Duration `toml:"handshake" default:"3ms" min:"0s" max:"1s" help:"work that a new connection costs a server"`
+	Errors    float64       `toml:"errors" default:"0.0005" min:"0" max:"1" help:"share of requests that are answered with an error"`
+	Cancel    string        `toml:"cancel" default:"queued" oneof:"queued all" help:"whether a cancel stops only waiting requests or also those that are being worked on"`
 }
 
+// discoverySpec sets how fast the stand-in for discovery is.
 type discoverySpec struct {
-	UpdateDelay  conf.Duration `toml:"notice" default:"2s" min:"0s" max:"5m" help:"until the list knows that a server's process died, drains or is back"`
-	SilenceDelay conf.Duration `toml:"silence" default:"8s" min:"0s" max:"5m" help:"until it knows that one is silent"`
-	CallCost     conf.Duration `toml:"call" default:"2ms" min:"0s" max:"10s" help:"of discovery's service that a call takes"`
-	LineCost     conf.Duration `toml:"line" default:"200us" min:"0s" max:"1s" help:"and each line of its answer"`
-	MaxWait      conf.Duration `toml:"wait" default:"1s" min:"1ms" max:"1m" help:"a call that would wait longer fails"`
+	UpdateDelay  conf.Duration `toml:"notice" default:"2s" min:"0s" max:"5m" help:"delay until the list shows that a server's process died, drains or is back"`
+	SilenceDelay conf.Duration `toml:"silence" default:"8s" min:"0s" max:"5m" help:"delay until the list shows that a server is unresponsive"`
+	CallCost     conf.Duration `toml:"call" default:"2ms" min:"0s" max:"10s" help:"service time of a call"`
+	LineCost     conf.Duration `toml:"line" default:"200us" min:"0s" max:"1s" help:"additional service time of each server in the answer"`
+	MaxWait      conf.Duration `toml:"wait" default:"1s" min:"1ms" max:"1m" help:"longest time that a call waits for service; it fails if it would wait longer"`
 }
 
-// Fault is one line of the timetable.
+// Fault is one entry of the timetable.
 type Fault struct {
-	At        conf.Duration `toml:"at" need:"yes" min:"0s" max:"1h" help:"when, after the first request"`
-	Kind      string        `toml:"do" need:"yes" oneof:"kill stop term swap crowd busy pause starve upgrade full push calls deaf forward back hup rude spoil hang reset close late mute leave long dawdle hurry pipeline crash slow err silence replace refuse drain out away move stale crawl burst cut delay drop duplicate reorder limit" help:"what; docs/lab.md words them"`
-	Target    string        `toml:"target" help:"whom: all, 3, 0-2, 25%, or zone a; of sidecars, servers or links, as the fault has it"`
-	Peer      string        `toml:"peer" help:"links only: the other end, in the same form; empty: all others"`
-	Direction string        `toml:"way" default:"both" oneof:"both out in" help:"links only: both ways, or from or to the target"`
-	For       conf.Duration `toml:"for" default:"0s" min:"0s" max:"1h" help:"until it is mended; 0s: never"`
-	Size      float64       `toml:"size" default:"0" min:"0" help:"how many times slower or more, the share, bytes, or bytes a second, as the fault has it"`
-	Pause     conf.Duration `toml:"pause" default:"0s" min:"0s" max:"1m" help:"delay, reorder, crawl: by how much; many targets: the time between two of them"`
-	State     string        `toml:"state" default:"kept" oneof:"kept emptied truncated flipped readonly" help:"kill: what becomes of the state folder before the restart"`
+	At        conf.Duration `toml:"at" need:"yes" min:"0s" max:"1h" help:"time since the start of the load"`
+	Kind      string        `toml:"do" need:"yes" oneof:"kill stop term swap crowd busy pause starve upgrade full push calls deaf forward back hup rude spoil hang reset close late mute leave long dawdle hurry pipeline crash slow err silence replace refuse drain out away move stale crawl burst cut delay drop duplicate reorder limit" help:"kind of the fault; docs/lab.md describes them"`
+	Target    string        `toml:"target" help:"which sidecars, servers or links are affected, depending on the kind: all, 3, 0-2, 25%, or zone a"`
+	Peer      string        `toml:"peer" help:"links only: the sidecars at the other end, in the same form; empty: all others"`
+	Direction string        `toml:"way" default:"both" oneof:"both out in" help:"links only: both directions, or only from (out) or to (in) the target"`
+	For       conf.Duration `toml:"for" default:"0s" min:"0s" max:"1h" help:"how long the fault lasts; 0s: until the end of the run"`
+	Size      float64       `toml:"size" default:"0" min:"0" help:"a factor, a share, a count, bytes, seconds or bytes a second, depending on the kind"`
+	Pause     conf.Duration `toml:"pause" default:"0s" min:"0s" max:"1m" help:"delay, reorder, crawl: the added delay; other kinds: the time between two targets"`
+	State     string        `toml:"state" default:"kept" oneof:"kept emptied truncated flipped readonly" help:"kill: what happens to the files of the state folder before the restart"`
 }
 
-// faultKinds says what each fault is done to, and which of them need a size.
+// faultKinds lists what each kind of fault acts on, and whether it needs a size.
 var faultKinds = map[string]struct {
 	on   string
 	size bool
@@ -125,7 +129,7 @@
 	"cut":   {"link", false}, "delay": {"link", false}, "drop": {"link", true}, "duplicate": {"link", true}, "reorder": {"link", true}, "limit": {"link", true},
 }
 
-// ReadScenario reads a scenario file; name stands for it in errors and results.
+// ReadScenario parses a scenario file. name is used in errors and, without its folder and ending, in results.
 func ReadScenario(name string, raw []byte) (*Scenario, error) {
 	s := &Scenario{Name: strings.TrimSuffix(name, ".toml")}
 	if i := strings.LastIndexByte(s.Name, '/'); i >= 0 {
@@ -145,7 +149,7 @@
 	return s, nil
 }
 
-// validate finds what no single key can be blamed for.
+// validate checks constraints that involve more than one key.
 func (s *Scenario) validate() error {
 	var bad []error
 	for i, f := range s.Faults {
@@ -154,10 +158,10 @@
 		}
 		kind := faultKinds[f.Kind]
 		if kind.size && f.Size == 0 {
-			fail("a size is needed")
+			fail("it needs a size")
 		}
 		if f.At > s.For {
-			fail("it is past the end at %v", s.For)
+			fail("it is after the end of the run at %v", s.For)
 		}
 		if _, err := s.resolveTargets(f, f.Target, nil); err != nil {
 			fail("target: %v", err)
@@ -165,14 +169,14 @@
 		switch kind.on {
 		case "link":
 			if !s.Fleet.Mesh {
-				fail("there are no links without fleet.mesh")
+				fail("it needs fleet.mesh")
 			}
 			if _, err := s.resolveTargets(f, cmp.Or(f.Peer, "all"), nil); err != nil {
 				fail("peer: %v", err)
 			}
 		case "load":
 			if f.For <= 0 {
-				fail("a time (for) is needed")
+				fail("it needs a time (for)")
 			}
 		}
 		if slices.Contains(supervisedFaults, f.Kind) && !s.Fleet.Supervised {
@@ -185,7 +189,8 @@
 	return errors.Join(append(bad, s.bounds())...)
 }
 
-// resolveTargets lists whom a fault is done to, in order. A share is drawn at random; with no rng the first ones are taken.
+// resolveTargets returns the numbers that text selects among what the fault acts on, in ascending order. A percentage is
+// drawn at random with rng; if rng is nil, it selects the first ones.
 func (s *Scenario) resolveTargets(f Fault, text string, rng *rand.Rand) ([]int, error) {
 	n := s.Fleet.Sidecars
 	switch faultKinds[f.Kind].on {
@@ -199,7 +204,7 @@
 		n = s.Fleet.Servers
 	case "discovery", "load":
 		if text != "" {
-			return nil, errors.New("there is only one: leave it out")
+			return nil, errors.New("there is only one, so the key must be left out")
 		}
 		return []int{0}, nil
 	}
@@ -210,7 +215,7 @@
 	number := func(text string) (int, error) {
 		i, err := strconv.Atoi(text)
 		if err != nil || i < 0 || i >= n {
-			return 0, fmt.Errorf("%q is none of 0 to %d", text, n-1)
+			return 0, fmt.Errorf("%q is not a number from 0 to %d", text, n-1)
 		}
 		return i, nil
 	}
@@ -222,13 +227,13 @@
 		return all, nil
 	case ofZone:
 		if len(zone) != 1 || int(zone[0]-'a') >= s.Fleet.Zones || zone[0] < 'a' {
-			return nil, fmt.Errorf("there is no zone %q", zone)
+			return nil, fmt.Errorf("zone %q does not exist", zone)
 		}
 		return slices.DeleteFunc(all, func(i int) bool { return s.zoneOf(i) != int(zone[0]-'a') }), nil
 	case part:
 		p, err := strconv.ParseFloat(share, 64)
 		if err != nil || !(p > 0 && p <= 100) {
-			return nil, fmt.Errorf("%q is no share such as 25%%", text)
+			return nil, fmt.Errorf("%q is not a percentage such as 25%%", text)
 		}
 		if rng != nil {
 			rng.Shuffle(n, func(i, j int) { all[i], all[j] = all[j], all[i] })
@@ -240,39 +245,40 @@
 		a, errA := number(from)
 		b, errB := number(to)
 		if errA != nil || errB != nil || a > b {
-			return nil, fmt.Errorf("%q is no span such as 0-2", text)
+			return nil, fmt.Errorf("%q is not a range such as 0-2", text)
 		}
 		return all[a : b+1], nil
 	}
 	i, err := number(text)
 	if err != nil {
-		return nil, fmt.Errorf("%w, nor all, a span, a share or a zone", err)
+		return nil, fmt.Errorf("%w, nor all, a range, a percentage or a zone", err)
 	}
 	return []int{i}, nil
 }
 
-// supervisedFaults are the faults that need sidecars under supervision.
+// supervisedFaults are the kinds that need supervised sidecars.
 var supervisedFaults = []string{"calls", "deaf", "forward", "back"}
 
-// hollowFaults are the faults of sidecars that hollow ones take too.
+// hollowFaults are the kinds that can also target hollow sidecars.
 var hollowFaults = []string{"kill", "stop", "push"}
 
-// totalSidecars is the number of sidecars of both kinds.
+// totalSidecars returns the number of real and hollow sidecars.
 func (s *Scenario) totalSidecars() int { return s.Fleet.Sidecars + s.Fleet.Hollow }
 
-// zoneOf is the zone of a sidecar or a server by its number.
+// zoneOf returns the zone of a sidecar or server, given its number.
 func (s *Scenario) zoneOf(i int) int { return i % s.Fleet.Zones }
 
 func zoneName(zone int) string { return string(rune('a' + zone)) }
 
-// PlannedFault is one fault as it is played: the targets are drawn.
+// PlannedFault is a fault with its targets drawn.
 type PlannedFault struct {
 	Fault
 	Targets, Peers []int `toml:"-"`
-	Replacements   []int `toml:"-"` // replace: who comes in each target's place
+	Replacements   []int `toml:"-"` // kind replace: the server that takes the place of each target
 }
 
-// Plan draws what the timetable leaves open. The same seed gives the same plan.
+// Plan draws the targets of all faults and returns the faults in the order of their times. The same seed gives the same
+// plan.
 func (s *Scenario) Plan(seed uint64) []PlannedFault {
 	rng := rand.New(rand.NewPCG(seed, 3))
 	var plan []PlannedFault
@@ -295,7 +301,7 @@
 	return plan
 }
 
-// classes are the operators' two.
+// classes returns the operators' two request classes, adjusted by the scenario.
 func (s *Scenario) classes() []world.Class {
 	const ms = time.Millisecond
 	classes := []world.Class{
@@ -317,7 +323,7 @@
 
 func scaled(d time.Duration, by float64) time.Duration { return time.Duration(float64(d) * by) }
 
-// tenants are the operators'.
+// tenants are the operators' tenants with their shares of the requests.
 var tenants = []struct {
 	name  string
 	share float64
@@ -326,7 +332,7 @@
 	{"cypress-hills", 0.07}, {"swift-creek", 0.07}, {"pembina", 0.06}, {"souris-bend", 0.05},
 }
 
-// arrivals draws what clients ask for.
+// arrivals draws the clients' requests.
 func (s *Scenario) arrivals(seed uint64) []world.Arrival {
 	spec := world.LoadSpec{
 		For: s.For.Std(), Sidecars: s.Fleet.Sidecars, Skew: s.Load.Skew, Classes: s.classes(), Keys: s.Load.Keys, Zipf: s.Load.Zipf,
@@ -343,7 +349,7 @@
 	return world.Draw(spec, seed)
 }
 
-// offeredWork is the work in seconds that is asked for in a second, before bursts.
+// offeredWork returns the work that clients request without bursts, in seconds of work a second.
 func (s *Scenario) offeredWork() float64 {
 	if s.Load.RatePerSidecar > 0 {
 		mean := (&world.LoadSpec{Classes: s.classes()}).MeanWork().Seconds()
@@ -352,7 +358,7 @@
 	return s.Load.Utilization * s.capacity()
 }
 
-// peakOfferedWork is the same with all bursts.
+// peakOfferedWork returns offeredWork as if all bursts were at once.
 func (s *Scenario) peakOfferedWork() float64 {
 	work := s.offeredWork()
 	for _, f := range s.Faults {
@@ -363,7 +369,8 @@
 	return work
 }
 
-// replacementServers is how many servers come in others' places, numbered after the servers that there are at the start.
+// replacementServers returns how many servers replace others during the run. They are numbered after the servers that
+// exist from the start.
 func (s *Scenario) replacementServers() (n int) {
 	for _, f := range s.Faults {
 		if f.Kind == "replace" {
@@ -374,12 +381,12 @@
 	return n
 }
 
-// capacity is the work in seconds that all servers can do in a second when they are warm.
+// capacity returns the work that all servers can do when warm, in seconds of work a second.
 func (s *Scenario) capacity() float64 {
 	return float64(s.Fleet.Servers) * s.Server.Cores * s.Server.Speed
 }
 
-// serverModel is the model of one queue server.
+// serverModel returns the model of server i. Its speed is drawn from seed.
 func (s *Scenario) serverModel(i int, zone *world.Zone, seed uint64) *world.Server {
 	rng := rand.New(rand.NewPCG(seed, 4+uint64(i)<<8))
 	c := s.Server
@@ -396,25 +403,25 @@
 	return world.NewServer(spec, zone, rng.Uint64())
 }
 
-// Resize changes the number of sidecars and servers; 0 leaves one as it is.
+// Resize sets the numbers of sidecars, servers and hollow sidecars. 0 leaves a number as it is.
 func (s *Scenario) Resize(sidecars, servers, hollow int) error {
 	for _, n := range []int{sidecars, servers} {
 		if n < 0 || n > 4000 || n > 400 && n == sidecars {
-			return fmt.Errorf("%d sidecars or servers: 1 to 400 sidecars and 4000 servers are allowed", n)
+			return fmt.Errorf("%d sidecars or servers: allowed are 1 to 400 sidecars and 1 to 4000 servers", n)
 		}
 	}
 	if hollow < 0 || hollow > hollowMost {
-		return fmt.Errorf("%d hollow sidecars: 0 to %d are allowed", hollow, hollowMost)
+		return fmt.Errorf("%d hollow sidecars: allowed are 0 to %d", hollow, hollowMost)
 	}
 	s.Fleet.Sidecars, s.Fleet.Servers = cmp.Or(sidecars, s.Fleet.Sidecars), cmp.Or(servers, s.Fleet.Servers)
 	s.Fleet.Hollow = cmp.Or(hollow, s.Fleet.Hollow)
 	return s.validate()
 }
 
-// Stretch makes the scenario last so long. Its faults move with it.
+// Stretch sets the length of the scenario, and scales the times of its faults accordingly.
 func (s *Scenario) Stretch(length time.Duration) error {
 	if length < time.Second || length > time.Hour {
-		return fmt.Errorf("%v is no length: 1s to 1h is allowed", length)
+		return fmt.Errorf("length %v: allowed are 1s to 1h", length)
 	}
 	by := float64(length) / float64(s.For.Std())
 	s.For = conf.Duration(length)
