--- a/internal/lab/client.go
+++ b/internal/lab/client.go
@@ -19,11 +19,11 @@
 	"arrowgw/internal/world"
 )
 
-// maxAnswerBytes is how much of an answer a client reads, in bytes.
+// maxAnswerBytes bounds how much of an answer a client reads.
 const maxAnswerBytes = 1 << 20
 
-// clients make the requests of a run when they are due, whatever became of the ones before. The time of an answer
-// counts from when its request was due, so that a sidecar or a lab that stands still is not hidden.
+// clients make the requests of a run when they are due, whether or not earlier ones have ended. The latency of an answer
+// counts from when its request was due, so that it includes delays of a blocked sidecar or lab.
 type clients struct {
 	clock    clock
 	scenario *Scenario
@@ -32,23 +32,23 @@
 	lateness *lateness
 	classes  []world.Class
 
-	perSidecar []*http.Client
-	unpooled   *http.Client // for requests that are sent once more: each on a connection of its own
+	perSidecar []*http.Client // with a connection pool for each sidecar
+	unpooled   *http.Client   // opens a new connection for each request, for requests that are sent again
 
-	open            sync.WaitGroup
+	open            sync.WaitGroup // open requests
 	mu              sync.Mutex
 	latency         []*hdrhistogram.Histogram // of served requests in microseconds, by class
-	latencyBySecond []*hdrhistogram.Histogram // and by the second in which they were due
-	outcomes        map[Outcome]*counter      // requests by how they ended, in the second in which they were due
-	inTime          *counter                  // those served within their aim
-	servedBySidecar []*counter                // by sidecar
-	openCount       atomic.Int64              // requests open now
+	latencyBySecond []*hdrhistogram.Histogram // of served requests in microseconds, by the second in which they were due
+	outcomes        map[Outcome]*counter      // requests by outcome, in the second in which they were due
+	inTime          *counter                  // requests served within their aim, in the second in which they were due
+	servedBySidecar []*counter                // served requests by sidecar, in the second in which they were due
+	openCount       atomic.Int64              // number of open requests
 
-	persistentRequests atomic.Int64 // requests of clients that keep their connections through a termination
+	persistentRequests atomic.Int64 // requests made by sendPersistently and withholdEnd so far
 }
 
-func newClients(s *Scenario, c clock, h *History, n *subnet, late *lateness) *clients {
-	k := &clients{clock: c, scenario: s, history: h, net: n, lateness: late, classes: s.classes(), outcomes: make(map[Outcome]*counter)}
+func newClients(s *Scenario, c clock, h *History, n *subnet, lateness *lateness) *clients {
+	k := &clients{clock: c, scenario: s, history: h, net: n, lateness: lateness, classes: s.classes(), outcomes: make(map[Outcome]*counter)}
 	seconds := int(s.For.Std() / time.Second)
 	for range k.classes {
 		k.latency = append(k.latency, hdrhistogram.New(1, 60_000_000, 3))
@@ -71,7 +71,7 @@
 	return k
 }
 
-// play makes all requests at their times, until stop is closed, and returns when the last has ended.
+// play makes all requests at their times until stop is closed, and returns when the last one has ended.
 func (k *clients) play(arrivals []world.Arrival, stop <-chan struct{}) {
 	defer func() {
 		k.open.Wait()
@@ -95,24 +95,24 @@
 	}
 }
 
-// runRequest makes a request and its further tries, and counts how it ended.
+// runRequest makes the n-th request, with its retries, and records its outcome.
 func (k *clients) runRequest(n int, a world.Arrival) {
 	k.openCount.Add(1)
 	defer k.openCount.Add(-1)
 	class := k.classes[a.Class]
-	end, last := Asked{Arrival: a}, a.At+class.Deadline
-	heeds := float64(n%100) < 100*k.scenario.Load.RetryAfterShare
+	end, deadline := Asked{Arrival: a}, a.At+class.Deadline
+	honoursRetryAfter := float64(n%100) < 100*k.scenario.Load.RetryAfterShare
 	for {
-		t, pause := k.try(n, a, class, last, end.Tries > 0)
+		t, pause := k.try(n, a, class, deadline, end.Tries > 0)
 		end.Tries++
 		end.Ended, end.End = t.Ended, t.End
 		if t.End == Served || end.Tries > k.scenario.Load.Retries {
 			break
 		}
-		if !heeds || pause == 0 {
+		if !honoursRetryAfter || pause == 0 {
 			pause = k.scenario.Load.Backoff.Std()
 		}
-		if k.clock.now()+pause >= last {
+		if k.clock.now()+pause >= deadline {
 			break
 		}
 		time.Sleep(pause)
@@ -134,35 +134,36 @@
 	_ = k.latencyBySecond[min(max(0, int(a.At/time.Second)), len(k.latencyBySecond)-1)].RecordValue(us)
 }
 
-// try makes one try and tells how long the answer asks to wait.
-func (k *clients) try(n int, a world.Arrival, class world.Class, last time.Duration, again bool) (*Try, time.Duration) {
+// try makes one try of the n-th request, or several if they are pipelined. It returns the first one and how long its answer
+// asks to wait before a retry.
+func (k *clients) try(n int, a world.Arrival, class world.Class, deadline time.Duration, isRetry bool) (*Try, time.Duration) {
 	now := k.clock.now()
-	patience := max(min(time.Duration(float64(class.Deadline)*k.scenario.Load.TryShare), last-now), time.Millisecond)
+	timeout := max(min(time.Duration(float64(class.Deadline)*k.scenario.Load.TryShare), deadline-now), time.Millisecond)
 	rng := rand.New(rand.NewPCG(uint64(n), uint64(now)))
-	m := k.scenario.behaviourAt(now, rng)
-	if m.timeLimit > 0 {
-		patience = min(patience, m.timeLimit)
+	b := k.scenario.behaviourAt(now, rng)
+	if b.timeLimit > 0 {
+		timeout = min(timeout, b.timeLimit)
 	}
 	begin := func() *Try { return k.history.begin(n, a.Sidecar, a.Class, k.clock.now()) }
-	word := func(t *Try) *http.Request { return k.newRequest(t, n, a, class, m, patience, again) }
-	if m.pipeline > 0 {
-		return k.sendPipelined(m, patience, word, begin), 0
+	build := func(t *Try) *http.Request { return k.newRequest(t, n, a, class, b, timeout, isRetry) }
+	if b.pipelined > 0 {
+		return k.sendPipelined(b, timeout, build, begin), 0
 	}
 	t := begin()
-	t.Owed = now + patience
-	ctx, cancel := context.WithDeadline(context.Background(), k.clock.timeAt(t.Owed+m.bodyTime+k.scenario.Load.extraWait()))
+	t.Owed = now + timeout
+	ctx, cancel := context.WithDeadline(context.Background(), k.clock.timeAt(t.Owed+b.bodyTime+k.scenario.Load.extraWait()))
 	defer cancel()
-	if m.leavesEarly {
-		leaver := time.AfterFunc(m.bodyTime+time.Duration(rng.Int64N(int64(patience))), func() {
+	if b.leavesEarly {
+		leaveTimer := time.AfterFunc(b.bodyTime+time.Duration(rng.Int64N(int64(timeout))), func() {
 			k.history.left(t, k.clock.now())
 			cancel()
 		})
-		defer leaver.Stop()
+		defer leaveTimer.Stop()
 	}
-	a0 := exchange{k: k, t: t}
-	res, body, err := a0.do(ctx, k.perSidecar[a.Sidecar], word(t))
-	if err != nil && a0.mayResend(ctx) {
-		res, body, err = a0.do(ctx, k.unpooled, word(t))
+	ex := exchange{clients: k, try: t}
+	res, body, err := ex.do(ctx, k.perSidecar[a.Sidecar], build(t))
+	if err != nil && ex.mayResend(ctx) {
+		res, body, err = ex.do(ctx, k.unpooled, build(t))
 	}
 	end, status := Failed, 0
 	switch {
@@ -171,65 +172,66 @@
 		end = outcomeOfStatus(status)
 	case ctx.Err() != nil:
 		end = GaveUp
-	case !a0.connected.Load():
+	case !ex.connected.Load():
 		end = Unreachable
 	default:
 		end = Broken
 	}
-	k.history.end(t, k.clock.now(), end, status, body, a0.partial.Load(), a0.connected.Load() && !a0.reused.Load())
+	k.history.end(t, k.clock.now(), end, status, body, ex.partial.Load(), ex.connected.Load() && !ex.reused.Load())
 	if end != Refused {
 		return t, 0
 	}
-	seconds, _ := strconv.ParseFloat(res.Header.Get("Retry-After"), 64) // none or no number: no pause
+	seconds, _ := strconv.ParseFloat(res.Header.Get("Retry-After"), 64) // 0 if missing or not a number
 	return t, time.Duration(min(max(seconds, 0), 60) * float64(time.Second))
 }
 
-// newRequest words a try in the protocol.
-func (k *clients) newRequest(t *Try, n int, a world.Arrival, class world.Class, m behaviour, patience time.Duration, again bool) *http.Request {
-	method, text, body := http.MethodPost, "", io.Reader(nil)
+// newRequest builds the HTTP request of a try.
+func (k *clients) newRequest(t *Try, n int, a world.Arrival, class world.Class, b behaviour, timeout time.Duration, isRetry bool) *http.Request {
+	method, bodyText, body := http.MethodPost, "", io.Reader(nil)
 	if class.Effect == world.Safe {
 		method = http.MethodGet
 	} else {
-		text, body = k.tryBody(t, m, patience)
+		bodyText, body = k.tryBody(t, b, timeout)
 	}
-	url := fmt.Sprintf("http://%s/%s?%s", k.net.address(a.Sidecar, clientPort), class.Name, m.query(a, text))
+	url := fmt.Sprintf("http://%s/%s?%s", k.net.address(a.Sidecar, clientPort), class.Name, b.query(a, bodyText))
 	req, err := http.NewRequest(method, url, body)
 	if err != nil {
-		panic(err) // of parts that are all well formed
+		panic(err) // cannot happen: all parts are well formed
 	}
-	req.ContentLength = int64(len(text))
-	req.GetBody = nil // or net/http would send a keyed request once more by itself, wherever its connection broke
+	req.ContentLength = int64(len(bodyText))
+	req.GetBody = nil // without it net/http does not resend keyed requests by itself after a broken connection
 	h := req.Header
 	h.Set("X-Request-ID", t.ID)
 	h.Set("X-Priority-Class", class.Name)
 	h.Set("X-Tenant-Id", tenants[a.Tenant].name)
 	h.Set("X-Route-Key", fmt.Sprintf("%016x", a.Key))
-	h.Set("X-Timeout", strconv.FormatInt(patience.Microseconds(), 10)+"u")
+	h.Set("X-Timeout", strconv.FormatInt(timeout.Microseconds(), 10)+"u")
 	if class.Effect == world.Keyed {
 		h.Set("Idempotency-Key", fmt.Sprintf("%032x", n+1))
 	}
-	if again {
+	if isRetry {
 		h.Set("X-Retried", "1")
 	}
 	return req
 }
 
-// exchange is a try on one connection after another.
+// exchange is one try, which may be sent on a second connection if the first one closed.
 type exchange struct {
-	k         *clients
-	t         *Try
-	connected atomic.Bool // these are set by net/http's goroutines, which may outlive the try
-	reused    atomic.Bool // the connection had carried a request before
-	partial   atomic.Bool // some of an answer came
+	clients   *clients
+	try       *Try
+	connected atomic.Bool // these flags are set by net/http's goroutines, which may outlive the try
+	reused    atomic.Bool // the connection carried an earlier request
+	partial   atomic.Bool // at least one byte of an answer was received
 }
 
-func (a *exchange) do(ctx context.Context, client *http.Client, req *http.Request) (*http.Response, string, error) {
-	for _, flag := range []*atomic.Bool{&a.connected, &a.reused, &a.partial} {
+// do sends the request and reads its answer and the answer's body.
+func (x *exchange) do(ctx context.Context, client *http.Client, req *http.Request) (*http.Response, string, error) {
+	for _, flag := range []*atomic.Bool{&x.connected, &x.reused, &x.partial} {
 		flag.Store(false)
 	}
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
-		GotConn:              func(i httptrace.GotConnInfo) { a.connected.Store(true); a.reused.Store(i.Reused) },
-		GotFirstResponseByte: func() { a.partial.Store(true) },
+		GotConn:              func(i httptrace.GotConnInfo) { x.connected.Store(true); x.reused.Store(i.Reused) },
+		GotFirstResponseByte: func() { x.partial.Store(true) },
 	})
 	res, err := client.Do(req.WithContext(ctx))
 	if err != nil {
@@ -238,13 +240,13 @@
 	defer res.Body.Close()
 	raw, err := io.ReadAll(io.LimitReader(res.Body, maxAnswerBytes+1))
 	if err == nil && len(raw) > maxAnswerBytes {
-		err = errors.New("the answer is too long")
+		err = errors.New("the answer is longer than a client reads")
 	}
 	return res, string(raw), err
 }
 
-// mayResend says whether the sidecar may have closed a kept connection just as the request was on its way: nothing
-// came back, and no server has it. Then clients send it once more, on a new connection.
-func (a *exchange) mayResend(ctx context.Context) bool {
-	return ctx.Err() == nil && a.reused.Load() && !a.partial.Load() && !a.k.history.touched(a.t)
+// mayResend reports whether the sidecar may have closed a kept connection while the request was in transit: nothing was
+// received and no server has seen the request. Clients then send it again on a new connection.
+func (x *exchange) mayResend(ctx context.Context) bool {
+	return ctx.Err() == nil && x.reused.Load() && !x.partial.Load() && !x.clients.history.touched(x.try)
 }
--- a/internal/lab/manners.go
+++ b/internal/lab/manners.go
@@ -14,104 +14,105 @@
 )
 
 const (
-	minLongBody     = 70 << 10               // bytes of a long body, either way
-	maxLongBody     = 300 << 10              // and fewer than so many
-	slowBodyPieces  = 6                      // in which a slow client writes its body
-	maxSlowBodyTime = 600 * time.Millisecond // and how long it may take over it
-	minHurryTime    = 3 * time.Millisecond   // the time of a client in a hurry
-	maxHurryTime    = 40 * time.Millisecond
-	maxPipelined    = 4 // requests that a client sends behind each other at once
+	minLongBody     = 70 << 10               // bytes of a long request or answer body
+	maxLongBody     = 300 << 10              // exclusive
+	slowBodyPieces  = 6                      // pieces in which a slow client sends a body
+	maxSlowBodyTime = 600 * time.Millisecond // longest time that a slow client takes to send a body
+	minHurryTime    = 3 * time.Millisecond   // shortest timeout of a client with a short one
+	maxHurryTime    = 40 * time.Millisecond  // exclusive
+	maxPipelined    = 4                      // requests that a client sends at once on a connection
 	dialTimeout     = time.Second
 )
 
 // behaviour is how a client makes a try.
 type behaviour struct {
-	leavesEarly bool // before its time is up
-	longBytes   int  // bytes of its body and of its answer; 0: short ones
-	bodyTime    time.Duration
-	timeLimit   time.Duration // the time that it has; 0: the usual
-	pipeline    int           // tries on one connection, sent at once; 0: one, on a connection that is kept
+	leavesEarly bool          // the client disconnects before its timeout
+	longBytes   int           // bytes of the request's and of the answer's body; 0: short bodies
+	bodyTime    time.Duration // how long sending the body takes; 0: it is sent at once
+	timeLimit   time.Duration // upper bound of the timeout; 0: the usual timeout
+	pipelined   int           // tries sent at once on a connection of their own; 0: one try on a pooled connection
 }
 
-// behaviourAt draws how a client behaves by what the timetable has at a moment.
-func (s *Scenario) behaviourAt(now time.Duration, rng *rand.Rand) (m behaviour) {
-	drawn := func(do string) bool { return rng.Float64() < s.faultSizeAt(do, now) }
-	m.leavesEarly = drawn("leave")
+// behaviourAt draws how a client behaves at a time, by the faults of the load that the timetable has then.
+func (s *Scenario) behaviourAt(now time.Duration, rng *rand.Rand) (b behaviour) {
+	drawn := func(kind string) bool { return rng.Float64() < s.faultSizeAt(kind, now) }
+	b.leavesEarly = drawn("leave")
 	if drawn("long") {
-		m.longBytes = minLongBody + rng.IntN(maxLongBody-minLongBody)
+		b.longBytes = minLongBody + rng.IntN(maxLongBody-minLongBody)
 	}
 	if drawn("dawdle") {
-		m.bodyTime = time.Duration(rng.Int64N(int64(maxSlowBodyTime)))
+		b.bodyTime = time.Duration(rng.Int64N(int64(maxSlowBodyTime)))
 	}
 	if drawn("hurry") {
-		m.timeLimit = minHurryTime + time.Duration(rng.Int64N(int64(maxHurryTime-minHurryTime)))
+		b.timeLimit = minHurryTime + time.Duration(rng.Int64N(int64(maxHurryTime-minHurryTime)))
 	}
-	if drawn("pipeline") && m.longBytes == 0 && m.bodyTime == 0 {
-		m.pipeline = 2 + rng.IntN(maxPipelined-1)
+	if drawn("pipeline") && b.longBytes == 0 && b.bodyTime == 0 {
+		b.pipelined = 2 + rng.IntN(maxPipelined-1)
 	}
-	return m
+	return b
 }
 
-// faultSizeAt is the size of a fault of the load at a moment, by the timetable; the largest, where there are several.
-func (s *Scenario) faultSizeAt(do string, now time.Duration) (share float64) {
+// faultSizeAt returns the size of a kind of fault at a time, by the timetable; the largest if there are several, 0 if there
+// are none.
+func (s *Scenario) faultSizeAt(kind string, now time.Duration) (size float64) {
 	for _, f := range s.Faults {
-		if f.Kind == do && now >= f.At.Std() && now < f.At.Std()+f.For.Std() {
-			share = max(share, f.Size)
+		if f.Kind == kind && now >= f.At.Std() && now < f.At.Std()+f.For.Std() {
+			size = max(size, f.Size)
 		}
 	}
-	return share
+	return size
 }
 
-// requestBody is a request's body: slow clients write it in pieces, and their time begins with its last byte.
+// requestBody is the body of a request that is long or sent slowly. A client's timeout begins when the last byte is sent.
 type requestBody struct {
-	text  *strings.Reader
-	pause time.Duration // before each piece
-	piece int           // bytes of one; 0: no limit
-	onEnd func()        // hears that the last byte goes out
+	unread     *strings.Reader
+	pause      time.Duration // before each piece
+	pieceBytes int           // largest piece; 0: no limit
+	onEnd      func()        // called when the last byte is handed over
 }
 
 func (b *requestBody) Read(p []byte) (int, error) {
-	if b.text.Len() == 0 {
+	if b.unread.Len() == 0 {
 		return 0, io.EOF
 	}
 	time.Sleep(b.pause)
-	if b.piece > 0 && len(p) > b.piece {
-		p = p[:b.piece]
+	if b.pieceBytes > 0 && len(p) > b.pieceBytes {
+		p = p[:b.pieceBytes]
 	}
-	n, err := b.text.Read(p)
-	if b.text.Len() == 0 {
+	n, err := b.unread.Read(p)
+	if b.unread.Len() == 0 {
 		b.onEnd()
 	}
 	return n, err
 }
 
-// tryBody words a try's body in its manner.
-func (k *clients) tryBody(t *Try, m behaviour, patience time.Duration) (text string, reader io.Reader) {
+// tryBody returns the body of a try, as text and as a reader that sends it the way the client behaves.
+func (k *clients) tryBody(t *Try, b behaviour, timeout time.Duration) (text string, reader io.Reader) {
 	text = `{"n":1}`
-	if m.longBytes > 0 {
-		text = strings.Repeat(t.ID, m.longBytes/len(t.ID))
+	if b.longBytes > 0 {
+		text = strings.Repeat(t.ID, b.longBytes/len(t.ID))
 	}
-	if m.longBytes == 0 && m.bodyTime == 0 {
+	if b.longBytes == 0 && b.bodyTime == 0 {
 		return text, strings.NewReader(text)
 	}
-	b := &requestBody{text: strings.NewReader(text), onEnd: func() { k.history.sent(t, k.clock.now(), patience) }}
-	if m.bodyTime > 0 {
-		b.pause, b.piece = m.bodyTime/slowBodyPieces, len(text)/slowBodyPieces+1
+	body := &requestBody{unread: strings.NewReader(text), onEnd: func() { k.history.sent(t, k.clock.now(), timeout) }}
+	if b.bodyTime > 0 {
+		body.pause, body.pieceBytes = b.bodyTime/slowBodyPieces, len(text)/slowBodyPieces+1
 	}
-	return text, b
+	return text, body
 }
 
-// sendPipelined sends tries behind each other at once, on a connection of their own, and reads their answers in order.
-// It returns the first of them.
-func (k *clients) sendPipelined(m behaviour, patience time.Duration, word func(t *Try) *http.Request, begin func() *Try) *Try {
+// sendPipelined sends several tries at once on a connection of their own, and reads their answers in order. It returns the
+// first try.
+func (k *clients) sendPipelined(b behaviour, timeout time.Duration, build func(t *Try) *http.Request, begin func() *Try) *Try {
 	var tries []*Try
 	var text strings.Builder
-	for range m.pipeline {
+	for range b.pipelined {
 		t := begin()
-		t.Owed = t.Sent + patience
+		t.Owed = t.Sent + timeout
 		tries = append(tries, t)
-		if err := word(t).Write(&text); err != nil {
-			panic(err) // of parts that are all well formed
+		if err := build(t).Write(&text); err != nil {
+			panic(err) // cannot happen: all parts are well formed
 		}
 	}
 	first, last := tries[0], tries[len(tries)-1]
@@ -124,7 +125,7 @@
 	}
 	defer c.Close()
 	_ = c.SetDeadline(k.clock.timeAt(last.Owed + k.scenario.Load.extraWait())) // fails only on a closed one
-	_, _ = io.WriteString(c, text.String())                                    // that it is closed shows as answers are read
+	_, _ = io.WriteString(c, text.String())                                    // an error shows when the answers are read
 	r := bufio.NewReader(c)
 	for i, t := range tries {
 		end, status, answer, partial := readAnswer(r)
@@ -133,7 +134,7 @@
 	return first
 }
 
-// readAnswer reads one answer from a connection.
+// readAnswer reads one answer from a connection. partial reports whether any byte of it was received.
 func readAnswer(r *bufio.Reader) (end Outcome, status int, body string, partial bool) {
 	if _, err := r.Peek(1); err != nil {
 		return outcomeOfError(err), 0, "", false
@@ -149,15 +150,15 @@
 	return outcomeOfStatus(res.StatusCode), res.StatusCode, string(raw), true
 }
 
-// outcomeOfError is how a try ended whose answer could not be read.
+// outcomeOfError returns the outcome of a try whose answer could not be read.
 func outcomeOfError(err error) Outcome {
-	if late, ok := err.(net.Error); ok && late.Timeout() {
+	if netErr, ok := err.(net.Error); ok && netErr.Timeout() {
 		return GaveUp
 	}
 	return Broken
 }
 
-// outcomeOfStatus is how a try ended by the status of its whole answer.
+// outcomeOfStatus returns the outcome of a try that got a complete answer.
 func outcomeOfStatus(status int) Outcome {
 	switch status {
 	case http.StatusOK:
@@ -168,11 +169,12 @@
 	return Failed
 }
 
-// query words the part of a try's URL that tells its server what to answer.
-func (m behaviour) query(a world.Arrival, body string) string {
+// query returns the query of a try's URL, which tells the server how much work to do, how long an answer to send, and the
+// hash of a long request body.
+func (b behaviour) query(a world.Arrival, body string) string {
 	text := fmt.Sprintf("work=%v", a.Work)
-	if m.longBytes > 0 {
-		text += fmt.Sprintf("&answer=%d&sum=%s", m.longBytes, sumOf([]byte(body)))
+	if b.longBytes > 0 {
+		text += fmt.Sprintf("&answer=%d&sum=%s", b.longBytes, sumOf([]byte(body)))
 	}
 	return text
 }
--- a/internal/lab/process.go
+++ b/internal/lab/process.go
@@ -30,33 +30,33 @@
 )
 
 const (
-	readyTimeout           = 10 * time.Second       // a sidecar that is not ready by then has failed, where it is alone;
-	readyTimeoutPerSidecar = 200 * time.Millisecond // with each other that starts beside it, it may take so much longer
+	readyTimeout           = 10 * time.Second       // for a sidecar that starts alone
+	readyTimeoutPerSidecar = 200 * time.Millisecond // added for each sidecar of the fleet, as all may start at once
 	readyPollInterval      = 10 * time.Millisecond
-	execRetryTime          = 2 * time.Second // another lab in this process may be starting one of its own, which holds the program open to be written until then
-	stopTimeout            = 5 * time.Second // a sidecar told to stop has to end by then: the longest deadline, the linger, and room
+	execRetryTime          = 2 * time.Second // a child that another lab in this process forks may hold the program open for writing
+	stopTimeout            = 5 * time.Second // covers the longest deadline and the sidecar's linger time
 	starvePeriod           = 200 * time.Millisecond
-	consolePorts           = 50      // console ports, used in turn by a sidecar's processes
-	logTailBytes           = 2 << 10 // of a log, for an error
-	unprivilegedUser       = 65534   // whom sidecars run as where the lab is root: the platform has them as an ordinary user
+	consolePorts           = 50      // ports that the processes of a sidecar take in turn
+	logTailBytes           = 2 << 10 // of a log that an error quotes
+	unprivilegedUser       = 65534   // user and group ID that sidecars run with if the lab is root, as the platform runs them as an ordinary user
 )
 
-// process is one process of a sidecar.
+// process is one process of a sidecar. A sidecar has several, one after another or, in an upgrade, two at once.
 type process struct {
 	sidecar      int
-	ordinal      int // number among its sidecar's processes
+	ordinal      int // number among the processes of its sidecar
 	cmd          *exec.Cmd
-	console      string
-	log          string
-	ended        chan struct{} // closed at its end
-	endExpected  bool          // that it ends
+	console      string        // address of its console
+	log          string        // path of its log
+	ended        chan struct{} // closed once it has ended
+	endExpected  bool          // the lab has told it to stop or has killed it
 	paused       bool
-	bytesWritten float64      // bytes to disks
-	calls        *callFaults  // nil: it is not under supervision
-	readyAt      atomic.Int64 // when it was ready, by the run's clock; until then far ahead
+	bytesWritten float64      // to disks, as last sampled
+	calls        *callFaults  // nil if it is not supervised
+	readyAt      atomic.Int64 // when it became ready, by the run's clock; math.MaxInt64 before that
 }
 
-// processes are all sidecars' processes.
+// processes starts and stops all processes of the sidecars and measures what they use.
 type processes struct {
 	clock    clock
 	scenario *Scenario
@@ -64,23 +64,23 @@
 	net      *subnet
 	roster   *roster
 	program  string
-	dir      string // of this run
-	logs     string
+	dir      string // folder of the run
+	logs     string // folder of the logs
 	record   *record
 	seed     uint64
-	starter  chan func() // runs on one thread, that lives as long as the lab: the processes die with it
+	starter  chan func() // functions to run on a thread that lives as long as the lab, as a child is killed when the thread that started it ends
 	closed   sync.Once
-	routes   func(sidecar int) map[string]string
+	routes   func(sidecar int) map[string]string // addresses at which a sidecar reaches its peers, by their names
 
 	mu           sync.Mutex
-	current      []*process // by sidecar; nil: none
-	startCounts  []int
+	current      []*process // by sidecar; nil if none runs
+	startCounts  []int      // processes started so far, by sidecar
 	all          []*process
-	maxRSS       float64 // MiB
-	maxTotalRSS  float64 // of all at once
-	maxFDs       int
-	bytesWritten float64       // bytes that all processes have written to disks, by the last looks at them
-	cpu          time.Duration // of all that have ended
+	maxRSS       float64       // MiB, of one process
+	maxTotalRSS  float64       // MiB, of all processes at once
+	maxFDs       int           // of one process
+	bytesWritten float64       // by all processes to disks, as last sampled
+	cpu          time.Duration // of all processes that have ended
 }
 
 func newProcesses(s *Scenario, c clock, h *History, n *subnet, r *roster, program, dir, logs string, rec *record, seed uint64) *processes {
@@ -90,7 +90,7 @@
 		routes: func(int) map[string]string { return nil },
 	}
 	go func() {
-		runtime.LockOSThread() // a process's death signal goes by the thread that made it
+		runtime.LockOSThread() // Pdeathsig is sent when the thread that started the process ends
 		for f := range p.starter {
 			f()
 		}
@@ -98,13 +98,13 @@
 	return p
 }
 
-// stateDir is where a sidecar keeps its state.
+// stateDir returns the folder that a sidecar keeps its state in.
 func (p *processes) stateDir(sidecar int) string {
 	return filepath.Join(p.dir, "state", strconv.Itoa(sidecar))
 }
 
-// writeConfig writes a sidecar's configuration for the process of that turn.
-func (p *processes) writeConfig(sidecar, turn int) (path string, err error) {
+// writeConfig writes the configuration for the process of a sidecar with the given ordinal, and returns its path.
+func (p *processes) writeConfig(sidecar, ordinal int) (path string, err error) {
 	folder := filepath.Join(p.dir, "config")
 	if err := errors.Join(os.MkdirAll(p.stateDir(sidecar), 0o755), os.MkdirAll(folder, 0o755)); err != nil {
 		return "", err
@@ -117,11 +117,11 @@
 	s := p.scenario
 	file := map[string]any{
 		"name": sidecarName(sidecar), "listen": p.net.address(sidecar, clientPort), "discovery": p.roster.address(sidecar),
-		"console": p.net.address(sidecar, consolePort+turn%consolePorts),
-		"seed":    strconv.FormatUint(rand.New(rand.NewPCG(p.seed, 5+uint64(sidecar)<<16+uint64(turn)<<40)).Uint64(), 16),
+		"console": p.net.address(sidecar, consolePort+ordinal%consolePorts),
+		"seed":    strconv.FormatUint(rand.New(rand.NewPCG(p.seed, 5+uint64(sidecar)<<16+uint64(ordinal)<<40)).Uint64(), 16),
 		"limits":  map[string]any{"cores": 1, "memory_mb": s.Fleet.MemoryMB, "sockets": s.Fleet.Sockets},
 	}
-	if sidecar < s.Fleet.Sidecars { // a hollow one asks for it: as many files of long lists would cost more than they tell
+	if sidecar < s.Fleet.Sidecars { // a hollow sidecar asks discovery instead, as thousands of files with long lists would be expensive
 		file["known"] = p.roster.listing(sidecar, firstVersion, true, world.NewRoster(s.Fleet.Servers, firstVersion).Whole())
 	}
 	file["settings"] = p.settings(sidecar)
@@ -145,21 +145,21 @@
 	if err != nil {
 		return "", err
 	}
-	path = filepath.Join(folder, fmt.Sprintf("%d-%d.json", sidecar, turn)) // a reload of the process before must not change it
+	path = filepath.Join(folder, fmt.Sprintf("%d-%d.json", sidecar, ordinal)) // a file of its own, so that writing it does not affect the previous process
 	return path, os.WriteFile(path, raw, 0o644)
 }
 
-// rulesFile is where a sidecar has its rule set to push.
+// rulesFile returns the path of the file from which a sidecar reads the rule set to push.
 func (p *processes) rulesFile(sidecar int) string {
 	return filepath.Join(p.dir, "config", fmt.Sprintf("%d.rules", sidecar))
 }
 
-// seedAddress is a sidecar as others can join by it without a route.
+// seedAddress returns a sidecar's name and peer address in the form of a seed that needs no route.
 func (p *processes) seedAddress(sidecar int) string {
 	return sidecarName(sidecar) + "/" + p.net.address(sidecar, peerPort)
 }
 
-// settings are the platform's settings object.
+// settings returns the settings object of the platform's configuration.
 func (p *processes) settings(sidecar int) map[string]any {
 	s := p.scenario
 	var zones []string
@@ -170,9 +170,9 @@
 	var classes, orgs []any
 	mean := (&world.LoadSpec{Classes: s.classes()}).MeanWork().Seconds()
 	for _, c := range s.classes() {
-		word := map[world.Effect]string{world.Safe: "free", world.Keyed: "guarded", world.Unsafe: "single_shot"}[c.Effect]
+		semantics := map[world.Effect]string{world.Safe: "free", world.Keyed: "guarded", world.Unsafe: "single_shot"}[c.Effect]
 		classes = append(classes, map[string]any{
-			"name": c.Name, "aim_ms": ms(c.Aim), "hard_limit_ms": ms(c.Deadline), "semantics": word, "dedup_scope": "zone",
+			"name": c.Name, "aim_ms": ms(c.Aim), "hard_limit_ms": ms(c.Deadline), "semantics": semantics, "dedup_scope": "zone",
 			"window_ms": ms(c.Window), "worth": c.Worth, "late_share": 0, "stream": false,
 		})
 	}
@@ -200,40 +200,41 @@
 
 func sidecarName(i int) string { return fmt.Sprintf("n%d", i) }
 
-// start starts a sidecar's next process, and returns once it is ready. One that is not is an error that names it.
+// start starts a sidecar's next process and returns it once it is ready. If the process starts but does not become ready,
+// both it and an error are returned.
 func (p *processes) start(sidecar int) (*process, error) {
 	p.mu.Lock()
-	turn := p.startCounts[sidecar]
+	ordinal := p.startCounts[sidecar]
 	p.startCounts[sidecar]++
 	p.mu.Unlock()
-	config, err := p.writeConfig(sidecar, turn)
+	config, err := p.writeConfig(sidecar, ordinal)
 	if err != nil {
 		return nil, err
 	}
 	q := &process{
-		sidecar: sidecar, ordinal: turn, console: p.net.address(sidecar, consolePort+turn%consolePorts), ended: make(chan struct{}),
-		log: filepath.Join(p.logs, fmt.Sprintf("%s-%d.log", sidecarName(sidecar), turn)),
+		sidecar: sidecar, ordinal: ordinal, console: p.net.address(sidecar, consolePort+ordinal%consolePorts), ended: make(chan struct{}),
+		log: filepath.Join(p.logs, fmt.Sprintf("%s-%d.log", sidecarName(sidecar), ordinal)),
 	}
 	q.readyAt.Store(math.MaxInt64)
-	out, err := os.Create(q.log)
+	logFile, err := os.Create(q.log)
 	if err != nil {
 		return nil, err
 	}
-	defer out.Close()
-	born := p.clock.now()
-	for end := born + execRetryTime; ; time.Sleep(time.Millisecond) {
+	defer logFile.Close()
+	startedAt := p.clock.now()
+	for retryUntil := startedAt + execRetryTime; ; time.Sleep(time.Millisecond) {
 		q.cmd = exec.Command(p.program)
-		q.cmd.Dir, q.cmd.Stdout, q.cmd.Stderr = p.dir, out, out
+		q.cmd.Dir, q.cmd.Stdout, q.cmd.Stderr = p.dir, logFile, logFile
 		q.cmd.Env = append(os.Environ(), "EDGE_CONFIG="+config, "TMPDIR="+p.stateDir(sidecar), "EDGE_LISTEN=", "EDGE_FLEET=")
 		q.cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
-		if os.Getuid() == 0 && !p.scenario.Fleet.Supervised { // this program, which begins each supervised one, may be nobody else's to run
+		if os.Getuid() == 0 && !p.scenario.Fleet.Supervised { // a supervised process is started by this program's executable, which another user may not be able to run
 			q.cmd.SysProcAttr.Credential = &syscall.Credential{Uid: unprivilegedUser, Gid: unprivilegedUser}
 		}
 		err := p.runOnStarter(func() error { return p.startProcess(q) })
 		if err == nil {
 			break
 		}
-		if !errors.Is(err, syscall.ETXTBSY) || p.clock.now() > end {
+		if !errors.Is(err, syscall.ETXTBSY) || p.clock.now() > retryUntil {
 			return nil, fmt.Errorf("sidecar %s: %w", sidecarName(sidecar), err)
 		}
 	}
@@ -252,23 +253,23 @@
 	at := p.clock.now()
 	q.readyAt.Store(int64(at))
 	p.history.runs(sidecar, at, true)
-	if turn > 0 {
-		p.history.life(&p.history.started, span{sidecar, born, p.clock.now()})
+	if ordinal > 0 {
+		p.history.life(&p.history.started, span{sidecar, startedAt, p.clock.now()})
 	}
 	return q, nil
 }
 
-// runOnStarter runs a function on the thread that lives as long as the lab.
+// runOnStarter runs f on the thread that lives as long as the lab.
 func (p *processes) runOnStarter(f func() error) error {
 	ended := make(chan error)
 	p.starter <- func() { ended <- f() }
 	return <-ended
 }
 
-// launch starts a program that dies with the lab.
+// launch starts a command whose process is killed when the lab ends, if its SysProcAttr.Pdeathsig says so.
 func (p *processes) launch(cmd *exec.Cmd) error { return p.runOnStarter(cmd.Start) }
 
-// begin starts a process, under supervision where the scenario wants that.
+// startProcess starts a process, supervised if the scenario asks for that.
 func (p *processes) startProcess(q *process) (err error) {
 	if !p.scenario.Fleet.Supervised {
 		return q.cmd.Start()
@@ -277,31 +278,31 @@
 	return err
 }
 
-// supervised says whether a process, which may be nil, is under supervision.
+// supervised reports whether the process is supervised. q may be nil.
 func (q *process) supervised() bool { return q != nil && q.calls != nil }
 
-// disturb has a share of a process's system calls be disturbed.
+// setCallFaultShare sets the share of the process's system calls that are disturbed.
 func (q *process) setCallFaultShare(share float64) {
 	if q.supervised() {
 		q.calls.setShare(share)
 	}
 }
 
-// failAccepts has all of a process's calls of accept fail, or none.
+// failAccepts sets whether all of the process's accept calls fail.
 func (q *process) failAccepts(on bool) {
 	if q.supervised() {
 		q.calls.failAccepts(on)
 	}
 }
 
-// stepClock sets a process's wall clock.
+// stepClock steps the process's wall clock.
 func (q *process) stepClock(by time.Duration) {
 	if q.supervised() {
 		q.calls.supervisor.StepClock(by)
 	}
 }
 
-// violationsInLogs lists the breaches of invariants that sidecars have found themselves.
+// violationsInLogs returns the lines of the sidecars' logs that report a violated invariant or a crash.
 func (p *processes) violationsInLogs() (lines []string, err error) {
 	logs, err := filepath.Glob(filepath.Join(p.logs, "*.log"))
 	if err != nil {
@@ -321,31 +322,31 @@
 	return lines, nil
 }
 
-// awaitExit sees a process to its end.
+// awaitExit waits for the end of a process and notes in the history if that was unexpected.
 func (p *processes) awaitExit(q *process) {
 	err := q.cmd.Wait()
 	p.mu.Lock()
 	p.cpu += q.cmd.ProcessState.UserTime() + q.cmd.ProcessState.SystemTime()
 	wanted := q.endExpected
-	last := p.current[q.sidecar] == q
-	if last {
+	isCurrent := p.current[q.sidecar] == q
+	if isCurrent {
 		p.current[q.sidecar] = nil
 	}
 	p.mu.Unlock()
-	if last {
+	if isCurrent {
 		p.history.runs(q.sidecar, p.clock.now(), false)
 	}
 	if !wanted {
-		p.history.note(&p.history.ends, "at %v sidecar %s ended though nobody had told it to: %v; its log ends with: %s",
+		p.history.note(&p.history.ends, "at %v sidecar %s ended unexpectedly: %v; its log ends with: %s",
 			p.clock.now(), sidecarName(q.sidecar), err, q.logTail())
 	} else if status, _ := q.cmd.ProcessState.Sys().(syscall.WaitStatus); err != nil && !status.Signaled() {
-		p.history.note(&p.history.ends, "at %v sidecar %s was told to stop and ended with %v; its log ends with: %s",
+		p.history.note(&p.history.ends, "at %v sidecar %s failed while stopping: %v; its log ends with: %s",
 			p.clock.now(), sidecarName(q.sidecar), err, q.logTail())
 	}
 	close(q.ended)
 }
 
-// logTail is the end of a process's log.
+// logTail returns the last logTailBytes of the process's log.
 func (q *process) logTail() string {
 	f, err := os.Open(q.log)
 	if err != nil {
@@ -353,19 +354,19 @@
 	}
 	defer f.Close()
 	if info, err := f.Stat(); err == nil && info.Size() > logTailBytes {
-		_, _ = f.Seek(-logTailBytes, io.SeekEnd) // or it is all shown
+		_, _ = f.Seek(-logTailBytes, io.SeekEnd) // if it fails, the whole log is returned
 	}
 	raw, _ := io.ReadAll(f)
 	return strings.TrimSpace(string(raw))
 }
 
-// waitReady waits until the process serves: its console says so, and it answers where clients connect.
+// waitReady waits until the process serves: its console reports that it is ready, and it answers on its client address.
 func (p *processes) waitReady(q *process) error {
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: readyTimeout}
-	most := readyTimeout + time.Duration(p.scenario.Fleet.Sidecars)*readyTimeoutPerSidecar
-	end := time.Now().Add(most)
-	var last error
-	for time.Now().Before(end) {
+	limit := readyTimeout + time.Duration(p.scenario.Fleet.Sidecars)*readyTimeoutPerSidecar
+	giveUpAt := time.Now().Add(limit)
+	var lastErr error
+	for time.Now().Before(giveUpAt) {
 		select {
 		case <-q.ended:
 			return fmt.Errorf("sidecar %s ended before it was ready: %s", sidecarName(q.sidecar), q.logTail())
@@ -373,7 +374,7 @@
 		}
 		answer, err := callConsole(q.console, "ready")
 		if err != nil || !strings.HasPrefix(answer, "200") {
-			last = fmt.Errorf("its console at %s: %q, %w", q.console, answer, err)
+			lastErr = fmt.Errorf("console at %s: %q, %w", q.console, answer, err)
 			continue
 		}
 		res, err := client.Get("http://" + p.net.address(q.sidecar, clientPort) + "/up")
@@ -384,12 +385,12 @@
 			}
 			err = errors.New(res.Status)
 		}
-		last = err
+		lastErr = err
 	}
-	return fmt.Errorf("sidecar %s is not ready after %v: %w; its log ends with: %s", sidecarName(q.sidecar), most, last, q.logTail())
+	return fmt.Errorf("sidecar %s is not ready after %v: %w; its log ends with: %s", sidecarName(q.sidecar), limit, lastErr, q.logTail())
 }
 
-// callConsole makes one call at a console.
+// callConsole sends one line to a console and returns the first line of the answer.
 func callConsole(address, line string) (string, error) {
 	c, err := net.DialTimeout("tcp", address, time.Second)
 	if err != nil {
@@ -404,14 +405,14 @@
 	return strings.TrimSpace(answer), err
 }
 
-// running is a sidecar's process of now, or nil.
+// running returns the sidecar's current process, or nil.
 func (p *processes) running(sidecar int) *process {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.current[sidecar]
 }
 
-// kill ends a sidecar's process at once.
+// kill kills a sidecar's process and waits for its end.
 func (p *processes) kill(sidecar int) {
 	q := p.running(sidecar)
 	if q == nil {
@@ -426,7 +427,7 @@
 	p.history.life(&p.history.killed, span{sidecar, from, p.clock.now()})
 }
 
-// stop tells a process to stop and waits for its end.
+// stop sends SIGTERM to a process and waits for its end. It kills the process after stopTimeout.
 func (p *processes) stop(q *process) {
 	p.mu.Lock()
 	q.endExpected = true
@@ -435,13 +436,13 @@
 	select {
 	case <-q.ended:
 	case <-time.After(stopTimeout):
-		p.history.note(&p.history.ends, "at %v sidecar %s goes on %v after it was told to stop", p.clock.now(), sidecarName(q.sidecar), stopTimeout)
+		p.history.note(&p.history.ends, "at %v sidecar %s still runs %v after SIGTERM", p.clock.now(), sidecarName(q.sidecar), stopTimeout)
 		_ = q.cmd.Process.Kill()
 		<-q.ended
 	}
 }
 
-// setPaused stands a process still, or lets it go on; nil is none.
+// setPaused stops a process with SIGSTOP or continues it. q may be nil.
 func (p *processes) setPaused(q *process, on bool) {
 	if q == nil {
 		return
@@ -452,30 +453,31 @@
 	}
 	p.mu.Lock()
 	q.paused = on
-	last := p.current[q.sidecar] == q
+	isCurrent := p.current[q.sidecar] == q
 	p.mu.Unlock()
-	if last {
+	if isCurrent {
 		p.history.runs(q.sidecar, p.clock.now(), !on)
 	}
 	_ = q.cmd.Process.Signal(sig) // it may have ended by itself
 }
 
-// starve takes a share of the time from a process, a piece in each starvePeriod, until the context ends.
+// starve takes a share of the running time from a process: it stops the process for part of each starvePeriod until the
+// context ends.
 func (p *processes) starve(ctx context.Context, sidecar int, share float64) {
 	q := p.running(sidecar)
 	if q == nil {
 		return
 	}
-	still := time.Duration(min(share, 0.95) * float64(starvePeriod))
+	stopped := time.Duration(min(share, 0.95) * float64(starvePeriod))
 	for ctx.Err() == nil {
 		_ = q.cmd.Process.Signal(syscall.SIGSTOP) // it may have ended by itself
-		sleep(ctx, still)
+		sleep(ctx, stopped)
 		_ = q.cmd.Process.Signal(syscall.SIGCONT)
-		sleep(ctx, starvePeriod-still)
+		sleep(ctx, starvePeriod-stopped)
 	}
 }
 
-// upgrade starts a process beside the old one, which is told to stop once the new one is ready.
+// upgrade starts a process next to the current one, which is stopped once the new one is ready.
 func (p *processes) upgrade(sidecar int) error {
 	old := p.running(sidecar)
 	if _, err := p.start(sidecar); err != nil {
@@ -487,7 +489,7 @@
 	return nil
 }
 
-// reload has a sidecar read its configuration again.
+// reload rewrites a sidecar's configuration and sends SIGHUP, as soon as the platform would.
 func (p *processes) reload(sidecar int) error {
 	q := p.running(sidecar)
 	if q == nil {
@@ -513,16 +515,16 @@
 	return nil
 }
 
-// reloadDelay is how long the platform sends no SIGHUP to a process that has become ready.
+// reloadDelay is how long after a process became ready the platform sends it no SIGHUP.
 const reloadDelay = time.Second
 
-// mayReload says whether the platform may tell a process to read its configuration again.
+// mayReload reports whether the platform may send SIGHUP to the process.
 func (q *process) mayReload(now time.Duration) bool {
 	born := q.readyAt.Load()
 	return born != math.MaxInt64 && now >= time.Duration(born)+reloadDelay
 }
 
-// setFileSizeLimit bounds what files of a process may hold, in place of a disk that is full.
+// setFileSizeLimit bounds the size of files that a sidecar's process can write, to simulate a full disk.
 func (p *processes) setFileSizeLimit(sidecar int, bytes uint64) error {
 	q := p.running(sidecar)
 	if q == nil {
@@ -533,19 +535,19 @@
 	if !errors.Is(err, unix.EPERM) || os.Getuid() != 0 {
 		return err
 	}
-	// A root without that right has to ask as the user that the sidecar runs as.
+	// Root without CAP_SYS_RESOURCE can change the limits of processes only as the user that they run as.
 	cmd := exec.Command("prlimit", "--pid", strconv.Itoa(q.cmd.Process.Pid), fmt.Sprintf("--fsize=%d:", bytes))
 	cmd.SysProcAttr = &syscall.SysProcAttr{Credential: &syscall.Credential{Uid: unprivilegedUser, Gid: unprivilegedUser}}
 	if out, err := cmd.CombinedOutput(); err != nil {
-		return fmt.Errorf("the file limit can't be set: %w: %s", err, out)
+		return fmt.Errorf("setting the file size limit: %w: %s", err, out)
 	}
 	return nil
 }
 
-// damageState does to a state folder what the scenario wants.
-func (p *processes) damageState(sidecar int, how string, rng *rand.Rand) error {
+// damageState changes the files of a sidecar's state folder as the fault's state says.
+func (p *processes) damageState(sidecar int, damage string, rng *rand.Rand) error {
 	dir := p.stateDir(sidecar)
-	if how == "readonly" {
+	if damage == "readonly" {
 		return os.Chmod(dir, 0o555)
 	}
 	return filepath.WalkDir(dir, func(path string, d fs.DirEntry, err error) error {
@@ -556,7 +558,7 @@
 		if err != nil || info.Size() == 0 {
 			return err
 		}
-		switch how {
+		switch damage {
 		case "emptied":
 			return os.Truncate(path, 0)
 		case "truncated":
@@ -573,7 +575,7 @@
 	})
 }
 
-// sample looks at what the processes use, and notes limits that are passed.
+// sample measures what the running processes use and notes in the history where they exceed their limits.
 func (p *processes) sample() {
 	p.mu.Lock()
 	live := make([]*process, 0, len(p.all))
@@ -604,15 +606,15 @@
 		}
 		p.mu.Unlock()
 		if rss > float64(p.scenario.Fleet.MemoryMB) {
-			p.history.note(&p.history.over, "at %v sidecar %s has %.1f MiB of %d", p.clock.now(), sidecarName(q.sidecar), rss, p.scenario.Fleet.MemoryMB)
+			p.history.note(&p.history.over, "at %v sidecar %s uses %.1f MiB, limit %d", p.clock.now(), sidecarName(q.sidecar), rss, p.scenario.Fleet.MemoryMB)
 		}
 		if fds > p.scenario.Fleet.Sockets {
-			p.history.note(&p.history.over, "at %v sidecar %s has %d descriptors of %d", p.clock.now(), sidecarName(q.sidecar), fds, p.scenario.Fleet.Sockets)
+			p.history.note(&p.history.over, "at %v sidecar %s uses %d descriptors, limit %d", p.clock.now(), sidecarName(q.sidecar), fds, p.scenario.Fleet.Sockets)
 		}
 	}
 }
 
-// processUsage reads a process's memory in MiB and its descriptors.
+// processUsage returns a process's resident memory in MiB and its number of descriptors. ok is false if it has ended.
 func processUsage(pid int) (rss float64, fds int, ok bool) {
 	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/statm", pid))
 	if err != nil {
@@ -630,7 +632,7 @@
 	return pages * float64(os.Getpagesize()) / (1 << 20), len(names), err == nil
 }
 
-// diskBytesWritten reads how many bytes a process has had written to disks; 0 where the kernel does not say.
+// diskBytesWritten returns how many bytes a process has caused to be written to disks, or 0 if the kernel doesn't report it.
 func diskBytesWritten(pid int) (bytes float64) {
 	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/io", pid))
 	if err != nil {
@@ -638,13 +640,13 @@
 	}
 	for line := range strings.Lines(string(raw)) {
 		if value, ok := strings.CutPrefix(line, "write_bytes: "); ok {
-			bytes, _ = strconv.ParseFloat(strings.TrimSpace(value), 64) // 0 is the word for unknown here
+			bytes, _ = strconv.ParseFloat(strings.TrimSpace(value), 64) // 0 means unknown
 		}
 	}
 	return bytes
 }
 
-// close ends all processes: gently, all at once, and then surely.
+// close stops all processes at once, and kills those that still run when the context ends.
 func (p *processes) close(ctx context.Context) {
 	var ends sync.WaitGroup
 	p.mu.Lock()
--- a/internal/lab/soak_test.go
+++ b/internal/lab/soak_test.go
@@ -221,7 +221,7 @@
 // A slow client's time begins as its last byte is handed over, neither before nor at a later read.
 func TestSlowBodyEndsWithItsLastByte(t *testing.T) {
 	whole := 0
-	b := &requestBody{text: strings.NewReader("abcde"), piece: 2, onEnd: func() { whole++ }}
+	b := &requestBody{unread: strings.NewReader("abcde"), pieceBytes: 2, onEnd: func() { whole++ }}
 	for _, want := range []struct{ n, whole int }{{2, 0}, {2, 0}, {1, 1}, {0, 1}} {
 		if n, err := b.Read(make([]byte, 10)); n != want.n || whole != want.whole || (err == io.EOF) != (n == 0) {
 			t.Errorf("read %d bytes, error %v, ended %d times; want %+v", n, err, whole, want)
