--- a/internal/lab/upstream.go
+++ b/internal/lab/upstream.go
@@ -25,51 +25,52 @@
 )
 
 const (
-	maxBodyBytes      = 1 << 20 // bytes of a body that a server reads
+	maxBodyBytes      = 1 << 20 // of a request body that a server reads
 	serverIdleTimeout = 15 * time.Second
 	backlog           = 4096
-	maxFillers        = 8 // connections that fill a silent server's queue, which is for one
+	maxFillers        = 8 // connections opened to fill the accept queue of a silent server, which takes one
 	fillTimeout       = 50 * time.Millisecond
 	parkTimeout       = time.Second
-	answerChunkBytes  = 16 << 10 // of a long answer
+	answerChunkBytes  = 16 << 10 // written at a time of a long answer
 	answerChunkPause  = 2 * time.Millisecond
 )
 
-// servers are the stand-ins for all queue servers. One lock serialises their models, which share zones.
+// servers are the stand-ins for all queue servers. One lock serialises their models, because servers of a zone share state.
 type servers struct {
 	clock        clock
 	history      *History
 	net          *subnet
-	arrivals     []*counter // requests that reached each, by second
-	connections  *counter   // connections that were opened to all
-	congested    *counter   // servers that a crowd has made slow, by second
-	requestsHeld *counter   // requests that all servers have
+	arrivals     []*counter // requests that reached each server, by second
+	connections  *counter   // connections opened to all servers, by second
+	congested    *counter   // servers slowed down by overload, by second
+	requestsHeld *counter   // requests that all servers hold, by second
 
 	mu  sync.Mutex
 	all []*server
 }
 
-// server is one of them: a model behind the listeners at its port.
+// server is one queue server: a model and the listeners at its port. Its fields are guarded by the lock of servers.
 type server struct {
 	servers     *servers
 	number      int
 	port        int
-	sockets     int
-	sidecars    int // sidecars
+	sockets     int // connections that it accepts before it rejects requests
+	sidecars    int // number of sidecars that reach it
 	model       *world.Server
-	waiting     map[uint64]chan world.Ended // by job
-	lastJob     uint64
-	timer       *time.Timer
-	endpoints   []*endpoint // none while its process is dead
+	waiting     map[uint64]chan world.Ended // where the handler of each job waits for the job's end
+	lastJob     uint64                      // ID of the latest job
+	timer       *time.Timer                 // advances the model at its next event
+	endpoints   []*endpoint                 // closed while its process is dead
 	conns       map[*conn]bool
-	collapsed   bool          // over, in this life
-	collapsedAt time.Duration // when it was, for good
-	silent      chan struct{} // not nil while it says nothing; closed when it speaks again
+	collapsed   bool          // it collapsed when it was cold, since its process started
+	collapsedAt time.Duration // when it last collapsed
+	silent      chan struct{} // not nil while the server is silent; closed when it responds again
 	http        *http.Server
 	spoilShare  float64 // share of answers that it spoils
-	hangShare   float64 // and of requests that it never answers
+	hangShare   float64 // share of requests that it never answers
 }
 
+// newServers starts the servers of a scenario. Servers that replace others later have a port, but don't listen yet.
 func newServers(s *Scenario, seed uint64, c clock, h *History, n *subnet) (*servers, error) {
 	seconds := int(s.For.Std() / time.Second)
 	all := &servers{
@@ -112,7 +113,7 @@
 		case err != nil:
 		case i < s.Fleet.Servers:
 			err = u.listen()
-		default: // its place is taken by nobody yet
+		default: // it replaces another server later
 			u.model.Crash(c.now())
 		}
 		if err != nil {
@@ -123,13 +124,13 @@
 	return all, nil
 }
 
-// at is where a sidecar reaches a server.
+// address returns the address at which a sidecar reaches a server.
 func (a *servers) address(sidecar, server int) string {
 	return a.net.address(sidecar, a.all[server].port)
 }
 
-// broken takes that a sidecar finds its connection to a server broken, so that a long answer on it is cut off. It says
-// whether there is such a server.
+// noteBrokenConnection records that the lab breaks a connection for the sidecar only, so that a long answer on it is cut
+// off. local and remote are the ends as the sidecar sees them. It reports whether the connection is to a server.
 func (a *servers) noteBrokenConnection(local, remote netip.AddrPort) bool {
 	i := slices.IndexFunc(a.all, func(u *server) bool { return u.port == int(remote.Port()) })
 	if i < 0 {
@@ -139,14 +140,14 @@
 	defer a.mu.Unlock()
 	for c := range a.all[i].conns {
 		if at, ok := c.RemoteAddr().(*net.TCPAddr); ok && at.AddrPort().Port() == local.Port() {
-			c.noteCut("broken for the sidecar alone")
+			c.noteCut("broken at the sidecar's end only")
 		}
 	}
 	return true
 }
 
-// sample counts, once a second, what the servers are at.
-func (a *servers) sample() (tipped, held, up int) {
+// sample advances all models and records their state for the current second. up is the number of servers that respond.
+func (a *servers) sample() (congested, held, up int) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	for _, u := range a.all {
@@ -154,25 +155,27 @@
 		u.update()
 		held += u.model.Held()
 		if u.model.Tipped() {
-			tipped++
+			congested++
 		}
 		if u.model.Up() && u.silent == nil {
 			up++
 		}
 	}
 	now := a.clock.now()
-	a.congested.add(now, int64(tipped))
+	a.congested.add(now, int64(congested))
 	a.requestsHeld.add(now, int64(held))
-	return tipped, held, up
+	return congested, held, up
 }
 
+// connKey is the key of a request's conn in its context.
 type connKey struct{}
 
+// close closes all servers.
 func (a *servers) close() {
 	for _, u := range a.all {
 		u.timer.Stop()
 		a.mu.Lock()
-		u.endSilence() // or Close would wait for it
+		u.endSilence() // else Close would block
 		a.mu.Unlock()
 		u.http.Close()
 		a.mu.Lock()
@@ -181,17 +184,17 @@
 	}
 }
 
-// endpoint is where sidecars reach a server: one for all, or one for each where the system permits no other.
+// endpoint is a listener of a server: one for all sidecars, or one for each if shared sockets are not permitted.
 type endpoint struct {
 	server   *server
 	mu       sync.Mutex
-	listener *net.TCPListener              // nil: refused
-	fillers  []net.Conn                    // fill the queue of a door that is silent
-	parked   chan struct{}                 // has one where nobody accepts any more, as the server is silent or the door is held
-	resumed  atomic.Pointer[chan struct{}] // not nil while connections don't come up here; closed when they do again
+	listener *net.TCPListener              // nil once closed: connections are refused
+	fillers  []net.Conn                    // connections that fill the accept queue of a silent endpoint
+	parked   chan struct{}                 // holds an element while Accept is blocked because the server is silent or the endpoint is held
+	resumed  atomic.Pointer[chan struct{}] // not nil while the endpoint is held; closed on release
 }
 
-// listen listens, and serves what comes.
+// listen opens the server's endpoints and serves the connections that they accept.
 func (u *server) listen() error {
 	all, err := u.servers.net.listen(u.port, u.sidecars, fmt.Sprintf("server %d", u.number))
 	if err != nil {
@@ -201,152 +204,155 @@
 	defer u.servers.mu.Unlock()
 	u.endpoints = nil
 	for _, l := range all {
-		d := &endpoint{server: u, listener: l, parked: make(chan struct{}, 1)}
-		u.endpoints = append(u.endpoints, d)
-		go func() { _ = u.http.Serve(&endpointListener{d, l}) }() // ends with the listener
+		e := &endpoint{server: u, listener: l, parked: make(chan struct{}, 1)}
+		u.endpoints = append(u.endpoints, e)
+		go func() { _ = u.http.Serve(&endpointListener{e, l}) }() // returns when the listener is closed
 	}
 	return nil
 }
 
-// currentEndpoints are a server's doors of now.
+// currentEndpoints returns the server's endpoints.
 func (u *server) currentEndpoints() []*endpoint {
 	u.servers.mu.Lock()
 	defer u.servers.mu.Unlock()
 	return u.endpoints
 }
 
-func (d *endpoint) close() {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if d.listener != nil {
-		closeListener(d.listener)
-		d.listener = nil
+// close closes the listener, so that connections are refused.
+func (e *endpoint) close() {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	if e.listener != nil {
+		closeListener(e.listener)
+		e.listener = nil
 	}
-	d.closeFillers()
+	e.closeFillers()
 }
 
-// closeFillers lets the fillers go.
-func (d *endpoint) closeFillers() {
-	for _, c := range d.fillers {
+// closeFillers closes the connections that fill the accept queue.
+func (e *endpoint) closeFillers() {
+	for _, c := range e.fillers {
 		c.Close()
 	}
-	d.fillers = nil
+	e.fillers = nil
 }
 
-// silence makes the door that of a machine that has vanished: nobody accepts, and the queue of those that may come up
-// by themselves is full, so that new connections never do.
-func (d *endpoint) silence() {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if d.listener == nil {
+// stopResponding makes the endpoint behave like one on a machine that has vanished: nothing is accepted, and the accept
+// queue is full, so that the kernel doesn't complete new connections either.
+func (e *endpoint) stopResponding() {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	if e.listener == nil {
 		return
 	}
-	_ = d.listener.SetDeadline(time.Unix(1, 0)) // fails only on a closed one, as the next does
-	d.setBacklog(0)
+	_ = e.listener.SetDeadline(time.Unix(1, 0)) // fails only on a closed one, as setBacklog does
+	e.setBacklog(0)
 	select {
-	case <-d.parked: // or who is about to accept would take the first filler
-	case <-time.After(parkTimeout): // there is nobody: the door was closed meanwhile
+	case <-e.parked: // wait for Accept to block, or it could accept the first filler
+	case <-time.After(parkTimeout): // Accept has returned: the endpoint was closed meanwhile
 	}
-	at := d.listener.Addr().(*net.TCPAddr)
+	at := e.listener.Addr().(*net.TCPAddr)
 	if at.IP.IsUnspecified() {
-		at.IP = net.IP(d.server.servers.net.ip(0).AsSlice())
+		at.IP = net.IP(e.server.servers.net.ip(0).AsSlice())
 	}
 	for range maxFillers {
 		if c, err := net.DialTimeout("tcp", at.String(), fillTimeout); err == nil {
-			d.fillers = append(d.fillers, c)
+			e.fillers = append(e.fillers, c)
 		}
-		for end := time.Now().Add(fillTimeout); time.Now().Before(end); time.Sleep(time.Millisecond) {
-			if d.backlogFull() { // the last of a connection's coming up is done by the kernel in its own time
+		for retryUntil := time.Now().Add(fillTimeout); time.Now().Before(retryUntil); time.Sleep(time.Millisecond) {
+			if e.backlogFull() { // the kernel queues a connection a moment after Dial returns
 				return
 			}
 		}
 	}
 }
 
-// endSilence makes it a door again.
-func (d *endpoint) endSilence() {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if d.listener == nil {
+// resumeResponding undoes stopResponding. Connections that waited meanwhile are reset, as by a machine that does not know
+// them.
+func (e *endpoint) resumeResponding() {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	if e.listener == nil {
 		return
 	}
-	d.closeFillers()
+	e.closeFillers()
 	select {
-	case <-d.parked:
+	case <-e.parked:
 	default:
 	}
-	_ = d.listener.SetDeadline(time.Now().Add(time.Millisecond))
-	for { // whoever waited to come up all the time finds a machine that knows nothing of it
-		c, err := d.listener.AcceptTCP()
+	_ = e.listener.SetDeadline(time.Now().Add(time.Millisecond))
+	for { // reset what waited in the accept queue
+		c, err := e.listener.AcceptTCP()
 		if err != nil {
 			break
 		}
 		_ = c.SetLinger(0)
 		c.Close()
 	}
-	d.setBacklog(backlog)
-	_ = d.listener.SetDeadline(time.Time{})
+	e.setBacklog(backlog)
+	_ = e.listener.SetDeadline(time.Time{})
 }
 
-// hold keeps new connections from coming up until release; those that there are go on. A connection that is tried
-// meanwhile comes up when its first packet is sent again, after a second.
-func (d *endpoint) hold() {
-	held := make(chan struct{})
-	if d.resumed.CompareAndSwap(nil, &held) {
-		d.silence()
+// hold prevents new connections from being established until release. Open connections continue. A connection that is
+// attempted meanwhile is established when its SYN is retransmitted, about a second later.
+func (e *endpoint) hold() {
+	resumed := make(chan struct{})
+	if e.resumed.CompareAndSwap(nil, &resumed) {
+		e.stopResponding()
 	}
 }
 
-// release ends hold.
-func (d *endpoint) release() {
-	held := d.resumed.Swap(nil)
-	if held == nil {
+// release ends hold. It does nothing if the endpoint is not held.
+func (e *endpoint) release() {
+	resumed := e.resumed.Swap(nil)
+	if resumed == nil {
 		return
 	}
-	defer close(*held)
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.closeFillers()
-	if d.listener != nil {
-		d.setBacklog(backlog)
-		_ = d.listener.SetDeadline(time.Time{}) // fails only on a closed one
+	defer close(*resumed)
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.closeFillers()
+	if e.listener != nil {
+		e.setBacklog(backlog)
+		_ = e.listener.SetDeadline(time.Time{}) // fails only on a closed one
 	}
 }
 
-// backlogFull says whether the queue has no room.
-func (d *endpoint) backlogFull() (full bool) {
-	raw, err := d.listener.SyscallConn()
+// backlogFull reports whether the accept queue is full.
+func (e *endpoint) backlogFull() (full bool) {
+	raw, err := e.listener.SyscallConn()
 	if err != nil {
 		return true // closed
 	}
 	_ = raw.Control(func(fd uintptr) { // fails only on a closed one
 		info, err := unix.GetsockoptTCPInfo(int(fd), unix.IPPROTO_TCP, unix.TCP_INFO)
-		full = err == nil && info.Unacked > info.Sacked // of a listener: how many wait, and how many may
+		full = err == nil && info.Unacked > info.Sacked // for a listener: the length of the queue, and its limit
 	})
 	return full
 }
 
-// setBacklog sets how many connections may come up before they are accepted.
-func (d *endpoint) setBacklog(n int) {
-	raw, err := d.listener.SyscallConn()
+// setBacklog sets the limit of the accept queue.
+func (e *endpoint) setBacklog(limit int) {
+	raw, err := e.listener.SyscallConn()
 	if err == nil {
-		_ = raw.Control(func(fd uintptr) { _ = syscall.Listen(int(fd), n) }) // fails only on a closed one
+		_ = raw.Control(func(fd uintptr) { _ = syscall.Listen(int(fd), limit) }) // fails only on a closed one
 	}
 }
 
-// endpointListener is a door's listener as net/http has it.
+// endpointListener is an endpoint's listener in the form that net/http serves.
 type endpointListener struct {
 	endpoint *endpoint
 	*net.TCPListener
 }
 
-// Accept waits while the server is silent.
+// Accept returns the next connection of one of this run's sidecars. It blocks while the server is silent or the endpoint is
+// held.
 func (w *endpointListener) Accept() (net.Conn, error) {
 	for {
 		c, err := w.TCPListener.AcceptTCP()
 		u, caller := w.endpoint.server, -1
 		if err == nil {
-			if caller = u.servers.net.callerAt(c.LocalAddr()); caller < 0 || caller >= u.sidecars { // by an address that is none of this run's
+			if caller = u.servers.net.callerAt(c.LocalAddr()); caller < 0 || caller >= u.sidecars { // the address called is not a sidecar's of this run
 				c.Close()
 				continue
 			}
@@ -361,54 +367,54 @@
 		}
 		u.servers.mu.Unlock()
 		var timeout net.Error
-		late := errors.As(err, &timeout) && timeout.Timeout()
+		timedOut := errors.As(err, &timeout) && timeout.Timeout()
 		switch {
-		case err == nil: // it came up in the moment that the server went
+		case err == nil: // it was established just as the server went down
 			_ = c.SetLinger(0)
 			c.Close()
-		case !late:
+		case !timedOut:
 			return nil, err
 		}
 		w.endpoint.waitWhileBlocked(silent)
 	}
 }
 
-// waitWhileBlocked waits while the server is silent, or the door is held.
-func (d *endpoint) waitWhileBlocked(silent chan struct{}) {
-	untils := []chan struct{}{silent}
-	if held := d.resumed.Load(); held != nil {
-		untils = append(untils, *held)
+// waitWhileBlocked waits until the server responds again, if silent is not nil, and until the endpoint is released.
+func (e *endpoint) waitWhileBlocked(silent chan struct{}) {
+	signals := []chan struct{}{silent}
+	if resumed := e.resumed.Load(); resumed != nil {
+		signals = append(signals, *resumed)
 	}
-	for _, until := range untils {
-		if until == nil {
+	for _, signal := range signals {
+		if signal == nil {
 			continue
 		}
 		select {
-		case d.parked <- struct{}{}:
+		case e.parked <- struct{}{}:
 		default:
 		}
-		<-until
+		<-signal
 	}
 }
 
-// conn is a connection to a server. While the server is silent it is too.
+// conn is a connection to a server. While the server is silent, reads and writes block.
 type conn struct {
 	*net.TCPConn
 	server  *server
-	sidecar int
-	onCut   atomic.Pointer[func(why string)] // notes that the exchange on it is cut off by the server; nil: there is none
+	sidecar int                              // number of the sidecar that opened it
+	onCut   atomic.Pointer[func(why string)] // called when the server ends the connection during an exchange; nil if there is none
 }
 
-// noteCut takes that the server ends the connection, whatever is on it.
+// noteCut records that the server ends the connection, if there is an exchange on it.
 func (c *conn) noteCut(why string) {
 	if cut := c.onCut.Load(); cut != nil {
 		(*cut)(why)
 	}
 }
 
-var errVanished = errors.New("the server had vanished")
+var errVanished = errors.New("the server was silent, and the connection was reset")
 
-// waitWhileSilent waits while the server is silent; afterwards the connection is reset.
+// waitWhileSilent waits while the server is silent. If it was, the connection is closed and an error returned.
 func (c *conn) waitWhileSilent() error {
 	c.server.servers.mu.Lock()
 	silent := c.server.silent
@@ -417,7 +423,7 @@
 		return nil
 	}
 	<-silent
-	c.noteCut("reset behind a silence")
+	c.noteCut("reset after a silence")
 	c.Close()
 	return errVanished
 }
@@ -444,7 +450,7 @@
 	return c.TCPConn.Close()
 }
 
-// reset ends all connections as the death of a process does.
+// reset resets all connections, as the death of a process does. The caller holds the lock.
 func (u *server) reset() {
 	for c := range u.conns {
 		c.noteCut("reset")
@@ -454,7 +460,8 @@
 	}
 }
 
-// closeAll ends all connections as a server does that takes them for idle: with no reset, unless a request is on its way.
+// closeAll closes all connections, as a server does that considers them idle: without a reset, unless there is a request in
+// transit. The caller holds the lock.
 func (u *server) closeAll() {
 	for c := range u.conns {
 		c.noteCut("closed")
@@ -463,7 +470,7 @@
 	}
 }
 
-// endSilence ends the server's silence; all that was open is reset.
+// endSilence ends the server's silence and resets all its connections. The caller holds the lock.
 func (u *server) endSilence() {
 	if u.silent != nil {
 		u.reset()
@@ -472,10 +479,11 @@
 	}
 }
 
+// closeEndpoints closes the server's endpoints and resets its connections. The caller holds the lock.
 func (u *server) closeEndpoints() {
-	for _, d := range u.endpoints {
-		d.release()
-		d.close()
+	for _, e := range u.endpoints {
+		e.release()
+		e.close()
 	}
 	u.reset()
 }
@@ -487,6 +495,7 @@
 	a.all[i].crash()
 }
 
+// crash ends the server's process. The caller holds the lock.
 func (u *server) crash() {
 	u.model.Crash(u.servers.clock.now())
 	u.dropJobs()
@@ -494,7 +503,7 @@
 	u.closeEndpoints()
 }
 
-// dropJobs forgets the jobs of a life that has ended; their connections are reset.
+// dropJobs discards all jobs, so that their connections are reset. The caller holds the lock.
 func (u *server) dropJobs() {
 	for id, c := range u.waiting {
 		close(c)
@@ -502,7 +511,8 @@
 	}
 }
 
-// start brings a crashed server back, cold. One that another fault has brought back is left as it is.
+// start restarts a crashed server, which is cold then. It does nothing if the server is up, as overlapping faults may have
+// restarted it.
 func (a *servers) start(i int) error {
 	a.mu.Lock()
 	if a.all[i].model.Up() {
@@ -515,7 +525,7 @@
 	return a.all[i].listen()
 }
 
-// silence makes a server's machine vanish, or brings it back; its process is then a new one.
+// silence makes a server's machine vanish from the network, or brings it back with a new process.
 func (a *servers) silence(i int, on bool) {
 	u := a.all[i]
 	if on {
@@ -525,8 +535,8 @@
 		}
 		a.mu.Unlock()
 		var all sync.WaitGroup
-		for _, d := range u.currentEndpoints() {
-			all.Go(d.silence)
+		for _, e := range u.currentEndpoints() {
+			all.Go(e.stopResponding)
 		}
 		all.Wait()
 		return
@@ -537,28 +547,29 @@
 	u.dropJobs()
 	u.model.Start(now)
 	a.mu.Unlock()
-	for _, d := range u.currentEndpoints() {
-		d.endSilence()
+	for _, e := range u.currentEndpoints() {
+		e.resumeResponding()
 	}
 	a.mu.Lock()
 	u.endSilence()
 	a.mu.Unlock()
 }
 
-// holdConnections keeps new connections to a server from coming up, or lets them; those that there are go on.
+// holdConnections prevents new connections to a server from being established, or permits them again. Open connections
+// continue.
 func (a *servers) holdConnections(i int, on bool) {
 	var all sync.WaitGroup
-	for _, d := range a.all[i].currentEndpoints() {
+	for _, e := range a.all[i].currentEndpoints() {
 		if on {
-			all.Go(d.hold)
+			all.Go(e.hold)
 		} else {
-			d.release()
+			e.release()
 		}
 	}
 	all.Wait()
 }
 
-// changeModel does something to a server's model.
+// changeModel applies a change to a server's model.
 func (a *servers) changeModel(i int, f func(*world.Server)) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -568,7 +579,7 @@
 	u.update()
 }
 
-// tick plays a server on by its timer.
+// tick advances the server when its timer fires.
 func (u *server) tick() {
 	u.servers.mu.Lock()
 	defer u.servers.mu.Unlock()
@@ -576,7 +587,7 @@
 	u.update()
 }
 
-// advance plays the model on, and hands out what has ended.
+// advance advances the model to the present and passes the ends of jobs to their handlers. The caller holds the lock.
 func (u *server) advance() {
 	for _, e := range u.model.Advance(u.servers.clock.now()) {
 		if c := u.waiting[e.ID]; c != nil {
@@ -586,12 +597,13 @@
 	}
 }
 
-// update sets the timer, and sees whether the server has fallen over.
+// update closes the server if its model has collapsed, and sets the timer to the model's next event. The caller holds the
+// lock.
 func (u *server) update() {
 	if u.model.Fell() && !u.collapsed {
 		u.collapsed, u.collapsedAt = true, u.servers.clock.now()
 		h := u.servers.history
-		h.note(&h.fallen, "at %v server %d was pushed over when it was cold", u.servers.clock.now(), u.number)
+		h.note(&h.fallen, "at %v server %d collapsed under the requests that it was sent while cold", u.servers.clock.now(), u.number)
 		u.dropJobs()
 		u.endSilence()
 		u.closeEndpoints()
@@ -601,7 +613,7 @@
 	}
 }
 
-// ServeHTTP is the server's side of the protocol.
+// ServeHTTP serves a probe (/alive) or a request, by the protocol between sidecars and servers.
 func (u *server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	c := r.Context().Value(connKey{}).(*conn)
 	at := u.servers.clock.now()
@@ -621,26 +633,28 @@
 	c.onCut.Store(nil)
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBodyBytes))
 	if err != nil {
-		return // its last byte never came: it has not begun
+		return // the body is incomplete, so the request is not processed
 	}
-	t, n := u.servers.history.reach(id, Reached{Server: u.number, Sidecar: c.sidecar, At: at, Verdict: world.Full, Told: parseTimeout(r.Header.Get("X-Timeout")), Port: portOf(c.RemoteAddr())})
-	if t == nil {
-		http.Error(w, "an id that no client sent", http.StatusBadRequest)
+	try, index := u.servers.history.reach(id, Reached{Server: u.number, Sidecar: c.sidecar, At: at, Verdict: world.Full, Told: parseTimeout(r.Header.Get("X-Timeout")), Port: portOf(c.RemoteAddr())})
+	if try == nil {
+		http.Error(w, "no client sent a request with this X-Request-ID", http.StatusBadRequest)
 		return
 	}
 	if sum := r.URL.Query().Get("sum"); sum != "" && sum != sumOf(body) {
 		h := u.servers.history
-		h.note(&h.strays, "at %v server %d got a body of %d bytes with request %s that its client did not send", at, u.number, len(body), id)
+		h.note(&h.strays, "at %v server %d received a body of %d bytes with request %s that differs from what the client sent", at, u.number, len(body), id)
 	}
 	u.servers.arrivals[u.number].add(at, 1)
 	work, err := time.ParseDuration(r.URL.Query().Get("work"))
 	if err != nil {
-		http.Error(w, "no work", http.StatusBadRequest)
+		http.Error(w, "query work is missing or malformed", http.StatusBadRequest)
 		return
 	}
 	ended, job, verdict := u.submit(work, keyHash(r.Header.Get("X-Route-Key")), keyHash(r.Header.Get("Idempotency-Key")))
-	u.servers.history.settle(t, n, verdict, "")
-	step := func(format string, args ...any) { u.servers.history.step(t, n, u.servers.clock.now(), format, args...) }
+	u.servers.history.settle(try, index, verdict, "")
+	step := func(format string, args ...any) {
+		u.servers.history.step(try, index, u.servers.clock.now(), format, args...)
+	}
 	cut := func(why string) { step("%s", why) }
 	c.onCut.Store(&cut)
 	switch verdict {
@@ -649,12 +663,12 @@
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	case world.Down:
-		panic(http.ErrAbortHandler) // its process is gone
+		panic(http.ErrAbortHandler) // the process has died
 	}
 	select {
 	case e, alive := <-ended:
 		if !alive {
-			step("dropped as its server went down")
+			step("dropped when the server went down")
 			panic(http.ErrAbortHandler)
 		}
 		if e.Error {
@@ -662,24 +676,25 @@
 			w.WriteHeader(http.StatusInternalServerError)
 			return
 		}
-		u.answer(w, r, t, n)
-	case <-r.Context().Done(): // given up: the sidecar has closed the connection
+		u.answer(w, r, try, index)
+	case <-r.Context().Done(): // the sidecar has closed the connection
 		step("given up")
 		u.cancel(job)
 	}
 }
 
-// answer answers a request that has run, as well as the server does for now. n is its place among its try's arrivals.
+// answer answers a request that was processed, or misbehaves as the faults of the moment say. n is the index of this
+// arrival among the try's.
 func (u *server) answer(w http.ResponseWriter, r *http.Request, t *Try, n int) {
 	body := fmt.Sprintf("%s served by s-%d, arrival %d", t.ID, u.number, n)
 	if size, err := strconv.Atoi(r.URL.Query().Get("answer")); err == nil {
 		body = strings.Repeat(body, 1+min(size, maxBodyBytes)/len(body))
 	}
-	hang, spoils, draw := u.drawMisbehaviour()
+	hangs, spoils, draw := u.drawMisbehaviour()
 	step := func(format string, args ...any) { u.servers.history.step(t, n, u.servers.clock.now(), format, args...) }
-	if hang {
+	if hangs {
 		u.servers.history.spoil(t, n)
-		step("hangs")
+		step("never answered")
 		<-r.Context().Done()
 		step("connection ended")
 		return
@@ -687,7 +702,7 @@
 	u.servers.history.settle(t, n, world.Taken, body)
 	if spoils {
 		writeSpoilt(w, body, draw, func(way string, whole bool) {
-			step("spoils: %s", way)
+			step("answer spoilt: %s", way)
 			if !whole {
 				u.servers.history.spoil(t, n)
 			}
@@ -696,7 +711,7 @@
 		return
 	}
 	if len(body) <= answerChunkBytes {
-		_, _ = io.WriteString(w, body) // fails where the sidecar has gone
+		_, _ = io.WriteString(w, body) // fails if the sidecar has closed the connection
 		step("answered")
 		return
 	}
@@ -706,12 +721,12 @@
 		step("%s", why)
 	}
 	c.onCut.Store(&cut)
-	step("begins a long answer")
+	step("long answer begun")
 	sent, err := writeLongAnswer(w, body, draw)
 	step("sent %d of %d bytes, error %v", sent, len(body), err)
 }
 
-// portOf is the port of a TCP address, or 0.
+// portOf returns the port of a TCP address, or 0 for another kind of address.
 func portOf(address net.Addr) int {
 	if at, ok := address.(*net.TCPAddr); ok {
 		return at.Port
@@ -719,8 +734,8 @@
 	return 0
 }
 
-// writeLongAnswer sends an answer in pieces, with its length told or not. It returns how much has gone out; an error says that the
-// sidecar has gone.
+// writeLongAnswer sends an answer in pieces, with a Content-Length if draw is even. It returns how many bytes were sent; an
+// error means that the sidecar has closed the connection.
 func writeLongAnswer(w http.ResponseWriter, body string, draw int) (sent int, err error) {
 	if draw%2 == 0 {
 		w.Header().Set("Content-Length", strconv.Itoa(len(body)))
@@ -740,21 +755,21 @@
 	return sent, nil
 }
 
-// drawMisbehaviour draws whether a request is never answered, or its answer spoilt, and in which way.
+// drawMisbehaviour draws whether a request is never answered and whether its answer is spoilt. draw selects how.
 func (u *server) drawMisbehaviour() (hangs, spoils bool, draw int) {
 	u.servers.mu.Lock()
 	defer u.servers.mu.Unlock()
 	return rand.Float64() < u.hangShare, rand.Float64() < u.spoilShare, rand.IntN(len(spoiltAnswers))
 }
 
-// setMisbehaviour has a server hang for a share of its requests, or spoil a share of its answers.
+// setMisbehaviour applies a change to a server's misbehaviour, or to its connections.
 func (a *servers) setMisbehaviour(i int, set func(u *server)) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	set(a.all[i])
 }
 
-// parseTimeout reads X-Timeout; 0: it is missing or malformed.
+// parseTimeout parses the X-Timeout header. It returns 0 if the header is missing or malformed.
 func parseTimeout(text string) time.Duration {
 	d, err := time.ParseDuration(strings.NewReplacer("m", "ms", "u", "us").Replace(text))
 	if err != nil {
@@ -763,17 +778,18 @@
 	return d
 }
 
-// keyHash is a key as the model has it; 0: none.
+// keyHash returns the number that stands for a key in the model, which is 0 only for no key.
 func keyHash(key string) uint64 {
 	if key == "" {
 		return 0
 	}
 	h := fnv.New64a()
-	_, _ = io.WriteString(h, key) // a hash takes everything
+	_, _ = io.WriteString(h, key) // never fails
 	return h.Sum64() | 1
 }
 
-// submit hands a request to the model.
+// submit hands a request to the model. If the verdict is world.Taken, the job's end is sent on the returned channel, which
+// is closed without it if the server goes down.
 func (u *server) submit(work time.Duration, key, unique uint64) (chan world.Ended, uint64, world.Verdict) {
 	u.servers.mu.Lock()
 	defer u.servers.mu.Unlock()
@@ -792,7 +808,7 @@
 	return c, u.lastJob, v
 }
 
-// cancel takes that nobody waits for a job any more.
+// cancel tells the model that the result of a job is no longer wanted.
 func (u *server) cancel(job uint64) {
 	u.servers.mu.Lock()
 	defer u.servers.mu.Unlock()
