--- a/internal/lab/address_test.go
+++ b/internal/lab/address_test.go
@@ -118,7 +118,7 @@
 func TestPortsAndDescriptors(t *testing.T) {
 	a, b := newTestSubnet(t, true), newTestSubnet(t, true)
 	seen := make(map[int]bool)
-	taken, err := listenLoopback(endChunkPorts - 1) // no lab's, in the last chunk
+	taken, err := listenLoopback(endOfChunkPorts - 1) // no lab's, in the last chunk
 	if err == nil {
 		defer taken.Close()
 	}
@@ -131,7 +131,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if seen[port] || port == endChunkPorts-1 {
+		if seen[port] || port == endOfChunkPorts-1 {
 			t.Fatalf("port %d was given out twice", port)
 		}
 		seen[port] = true
--- a/internal/lab/relay.go
+++ b/internal/lab/relay.go
@@ -12,59 +12,60 @@
 )
 
 const (
-	maxLinkPackets    = 4096     // packets under way on a link at most; more are lost, as in a full buffer
-	maxLinkStreams    = 64       // connections on a link at most; more are reset
-	streamChunkBytes  = 16 << 10 // bytes of a stream that are passed on at a time
+	maxLinkPackets    = 4096     // delayed packets on a link; further ones are lost, as when a buffer overflows
+	maxLinkStreams    = 64       // connections on a link; further ones are reset
+	streamChunkBytes  = 16 << 10 // read from a connection at a time
 	maxPacketBytes    = 64 << 10
-	packetBufferBytes = 1 << 20 // bytes of packets that wait for the relay at one port
-	maxMeshPackets    = 1 << 16 // packets under way on all links
-	maxMeshStreams    = 1 << 12 // connections on all links; each has five goroutines
+	packetBufferBytes = 1 << 20 // receive buffer of a packet socket
+	maxMeshPackets    = 1 << 16 // delayed packets on all links; further ones are lost
+	maxMeshStreams    = 1 << 12 // connections on all links, each of which has five goroutines; further ones are reset
 )
 
-// conditions is what a link does to what passes.
+// conditions are how a link treats what passes over it.
 type conditions struct {
-	cut       bool
-	delay     time.Duration
-	jitter    time.Duration // up to so much more, drawn for each packet: they overtake each other
-	drop      float64       // share of packets lost; streams are not: they would only be slower
-	duplicate float64       // share of packets that come twice
-	rate      float64       // bytes a second; 0: as many as come
+	cut       bool          // nothing passes
+	delay     time.Duration // added to packets and to the bytes of connections
+	jitter    time.Duration // upper bound of a further delay that is drawn for each packet, so that packets overtake each other
+	drop      float64       // share of packets that are lost; connections are not affected, as TCP would only slow down
+	duplicate float64       // share of packets that arrive twice
+	rate      float64       // bytes a second; 0: unlimited
 }
 
-// link is the way from one sidecar to another. Its methods are safe for concurrent use; open is guarded by the mesh's lock.
+// link is the network path from one sidecar to another, in one direction. Its methods are safe for concurrent use. open is
+// guarded by the mesh's lock.
 type link struct {
 	mesh     *mesh
 	from, to int
 
 	mu         sync.Mutex
 	conditions conditions
-	changed    chan struct{} // closed with each change
-	rng        *rand.Rand
-	freeAt     time.Time // when the link has room for the next bytes, where it is limited
-	inFlight   int       // packets under way
-	lost       int       // and those that were cut off or dropped
-	open       int       // connections
+	changed    chan struct{} // closed and replaced when the conditions change
+	rng        *rand.Rand    // draws the fate of packets
+	freeAt     time.Time     // when the bytes queued so far have been sent, if the rate is limited
+	inFlight   int           // delayed packets
+	lost       int           // packets that were cut off or dropped
+	open       int           // connections
 }
 
-// gate is where all others reach one sidecar: one socket for packets and one for streams, or one of each for each of the
-// others where the system permits no other. The address that was called tells who calls.
+// relay is where all others reach one sidecar. It has one socket for packets and one listener for connections, or one of
+// each per other sidecar if shared sockets are not permitted. The address that is called identifies the sender.
 type relay struct {
 	port int
 	udp  []*net.UDPConn
 	tcp  []*net.TCPListener
 }
 
-// sendSocket is the socket by which packets go out from a sidecar's address at the gate's port.
-func (g *relay) sendSocket(sidecar int) *net.UDPConn { return g.udp[min(sidecar, len(g.udp)-1)] }
+// sendSocket returns the socket that sends packets from a sidecar's address at the relay's port.
+func (r *relay) sendSocket(sidecar int) *net.UDPConn { return r.udp[min(sidecar, len(r.udp)-1)] }
 
-// mesh is the network between sidecars: a gate for each sidecar, and a link for each ordered pair.
+// mesh is the network between sidecars: a relay for each sidecar, and a link for each ordered pair.
 type mesh struct {
 	net        *subnet
 	relays     []*relay
 	links      [][]*link // by from and to
-	addedDelay *delaySum // the relays' own added time
+	addedDelay *delaySum // delay that the relays themselves add to packets
 
-	inFlight atomic.Int64 // packets under way on all links
+	inFlight atomic.Int64 // delayed packets on all links
 
 	mu    sync.Mutex
 	conns map[net.Conn]bool
@@ -73,7 +74,7 @@
 	work  sync.WaitGroup
 }
 
-// delaySum sums how much later than wanted the relays passed packets on.
+// delaySum accumulates by how much packets were forwarded later than intended.
 type delaySum struct {
 	mu  sync.Mutex
 	sum time.Duration
@@ -87,6 +88,7 @@
 	l.sum, l.n, l.max = l.sum+d, l.n+1, max(l.max, d)
 }
 
+// newMesh opens the relays between sidecars. They forward until the mesh is closed. seed determines what the links draw.
 func newMesh(sidecars int, n *subnet, seed uint64) (*mesh, error) {
 	m := &mesh{net: n, addedDelay: new(delaySum), conns: make(map[net.Conn]bool), done: make(chan struct{})}
 	for to := range sidecars {
@@ -108,7 +110,7 @@
 			m.links[from][to] = l
 		}
 	}
-	for to, g := range m.relays { // once all are there: a packet goes on from the address of the way back
+	for to, g := range m.relays { // once all relays exist, as a packet is sent on by the relay of its sender
 		for _, p := range g.udp {
 			m.work.Go(func() { m.relayPackets(to, p) })
 		}
@@ -119,21 +121,21 @@
 	return m, nil
 }
 
-// openRelay opens one.
+// openRelay opens the sockets of the relay to one sidecar.
 func (m *mesh) openRelay(to, sidecars int) (*relay, error) {
 	port, err := m.net.allocatePort()
 	if err != nil {
 		return nil, err
 	}
-	whose := "the way to sidecar " + sidecarName(to)
-	udp, err := m.net.listenPackets(port, sidecars, whose)
+	purpose := "relay to sidecar " + sidecarName(to)
+	udp, err := m.net.listenPackets(port, sidecars, purpose)
 	if err != nil {
 		return nil, err
 	}
 	for _, p := range udp {
-		_ = p.SetReadBuffer(packetBufferBytes) // as much as the system gives
+		_ = p.SetReadBuffer(packetBufferBytes) // the kernel may grant less
 	}
-	tcp, err := m.net.listen(port, sidecars, whose)
+	tcp, err := m.net.listen(port, sidecars, purpose)
 	if err != nil {
 		for _, p := range udp {
 			p.Close()
@@ -143,7 +145,7 @@
 	return &relay{port, udp, tcp}, nil
 }
 
-// link is the way from the sidecar at an address that was called to another; nil: there is none.
+// linkFrom returns the link to a sidecar from the one whose address was called, or nil if the address is no sidecar's.
 func (m *mesh) linkFrom(called netip.Addr, to int) *link {
 	from := m.net.sidecarAt(called)
 	if from < 0 || from >= len(m.links) {
@@ -152,7 +154,7 @@
 	return m.links[from][to]
 }
 
-// routes are how a sidecar reaches its peers, by their names.
+// routes returns the addresses at which a sidecar reaches its peers, by their names.
 func (m *mesh) routes(sidecar int) map[string]string {
 	r := make(map[string]string)
 	for to, g := range m.relays {
@@ -163,7 +165,7 @@
 	return r
 }
 
-// setConditions changes the weather of a link.
+// setConditions changes the conditions of a link.
 func (m *mesh) setConditions(from, to int, change func(*conditions)) {
 	l := m.links[from][to]
 	if l == nil {
@@ -176,6 +178,7 @@
 	l.changed = make(chan struct{})
 }
 
+// close closes all sockets and connections, and waits for the relays to end.
 func (m *mesh) close() {
 	close(m.done)
 	for _, g := range m.relays {
@@ -194,41 +197,41 @@
 	m.work.Wait()
 }
 
-// relayPackets passes the packets to one sidecar on until the mesh is closed.
-func (m *mesh) relayPackets(to int, p *net.UDPConn) {
+// relayPackets forwards the packets that one socket receives for a sidecar, until the mesh is closed.
+func (m *mesh) relayPackets(to int, socket *net.UDPConn) {
 	buffer, oob := make([]byte, maxPacketBytes), make([]byte, 256)
 	address, from := netip.AddrPortFrom(m.net.ip(to), peerPort), sourceAddress(m.net.ip(to))
 	for {
-		n, more, _, _, err := p.ReadMsgUDPAddrPort(buffer, oob)
+		n, oobLength, _, _, err := socket.ReadMsgUDPAddrPort(buffer, oob)
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
 		if err != nil {
-			continue // the kernel's word that somebody's port was closed
+			continue // an ICMP error: the port of an earlier packet was closed
 		}
-		came := time.Now()
-		called, _ := destination(oob[:more])
+		receivedAt := time.Now()
+		called, _ := destination(oob[:oobLength])
 		l := m.linkFrom(called, to)
 		if l == nil {
-			continue // by an address that is no other's of this run
+			continue // the address called is no other sidecar's of this run
 		}
-		back := m.relays[l.from].sendSocket(to) // the address at its port is where the receiver reaches the sender
-		for _, wait := range l.packetDelays(n) {
-			if wait == 0 {
-				_, _, _ = back.WriteMsgUDPAddrPort(buffer[:n], from, address) // packets may be lost
-				m.addedDelay.add(time.Since(came))
+		sender := m.relays[l.from].sendSocket(to) // so that the receiver sees the address at which it reaches the sender
+		for _, delay := range l.packetDelays(n) {
+			if delay == 0 {
+				_, _, _ = sender.WriteMsgUDPAddrPort(buffer[:n], from, address) // packets may be lost
+				m.addedDelay.add(time.Since(receivedAt))
 				continue
 			}
 			packet := append([]byte(nil), buffer[:n]...)
-			due := came.Add(wait)
-			time.AfterFunc(wait, func() {
+			due := receivedAt.Add(delay)
+			time.AfterFunc(delay, func() {
 				m.inFlight.Add(-1)
 				l.mu.Lock()
 				l.inFlight--
 				cut := l.conditions.cut
 				l.mu.Unlock()
 				if !cut {
-					_, _, _ = back.WriteMsgUDPAddrPort(packet, from, address)
+					_, _, _ = sender.WriteMsgUDPAddrPort(packet, from, address)
 					m.addedDelay.add(time.Since(due))
 				}
 			})
@@ -236,37 +239,38 @@
 	}
 }
 
-// packetDelays draws after which times a packet arrives: never, once, or twice.
-func (l *link) packetDelays(bytes int) (waits []time.Duration) {
+// packetDelays draws the delays after which copies of a packet arrive: none if it is lost, two if it is duplicated.
+func (l *link) packetDelays(bytes int) (delays []time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	w := l.conditions
-	if w.cut || l.rng.Float64() < w.drop {
+	c := l.conditions
+	if c.cut || l.rng.Float64() < c.drop {
 		l.lost++
 		return nil
 	}
 	copies := 1
-	if l.rng.Float64() < w.duplicate {
+	if l.rng.Float64() < c.duplicate {
 		copies = 2
 	}
 	for range copies {
-		wait := w.delay + l.queueDelay(bytes)
-		if w.jitter > 0 {
-			wait += time.Duration(l.rng.Int64N(int64(w.jitter)))
+		delay := c.delay + l.queueDelay(bytes)
+		if c.jitter > 0 {
+			delay += time.Duration(l.rng.Int64N(int64(c.jitter)))
 		}
-		if wait > 0 {
+		if delay > 0 {
 			if l.inFlight >= maxLinkPackets || l.mesh.inFlight.Load() >= maxMeshPackets {
 				continue
 			}
 			l.inFlight++
 			l.mesh.inFlight.Add(1)
 		}
-		waits = append(waits, wait)
+		delays = append(delays, delay)
 	}
-	return waits
+	return delays
 }
 
-// queue is how long bytes wait for a link that is limited.
+// queueDelay returns how long bytes wait for those that were queued before them on a link of limited rate. The caller holds
+// the lock.
 func (l *link) queueDelay(bytes int) time.Duration {
 	if l.conditions.rate <= 0 {
 		return 0
@@ -280,15 +284,15 @@
 	return wait
 }
 
-// acceptStreams passes connections to one sidecar on until the mesh is closed.
-func (m *mesh) acceptStreams(to int, from *net.TCPListener) {
+// acceptStreams accepts and relays connections to one sidecar until the mesh is closed.
+func (m *mesh) acceptStreams(to int, listener *net.TCPListener) {
 	for {
-		c, err := from.AcceptTCP()
+		c, err := listener.AcceptTCP()
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
 		if err != nil {
-			time.Sleep(time.Millisecond) // no descriptor is free, or whoever called has gone already
+			time.Sleep(time.Millisecond) // out of descriptors, or the caller has already closed the connection
 			continue
 		}
 		l := m.linkFrom(c.LocalAddr().(*net.TCPAddr).AddrPort().Addr(), to)
@@ -304,7 +308,7 @@
 	}
 }
 
-// countConnections counts connections; false: there are as many as there may be.
+// countConnections adds n to the number of open connections. It returns false if that would exceed a limit.
 func (l *link) countConnections(n int) bool {
 	l.mesh.mu.Lock()
 	defer l.mesh.mu.Unlock()
@@ -316,7 +320,8 @@
 	return true
 }
 
-// relayStream passes one connection on. While the link is cut nothing passes, and nothing ends: nobody is told.
+// relayStream relays one connection in both directions. While a link is cut nothing passes on it and the connection stays
+// open, so that neither end notices.
 func (l *link) relayStream(c net.Conn) {
 	defer c.Close()
 	if !l.mesh.track(c) || !l.waitUncut() {
@@ -339,7 +344,7 @@
 	both.Wait()
 }
 
-// hold keeps a connection to be closed with the mesh; false: that is closed already.
+// track registers a connection to be closed with the mesh. It returns false if the mesh is closed already.
 func (m *mesh) track(c net.Conn) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -352,13 +357,14 @@
 	}
 }
 
+// untrack removes a connection that track registered.
 func (m *mesh) untrack(c net.Conn) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	delete(m.conns, c)
 }
 
-// waitUncut waits while the link is cut; false: until the mesh was closed.
+// waitUncut waits while the link is cut. It returns false if the mesh is closed meanwhile.
 func (l *link) waitUncut() bool {
 	for {
 		l.mu.Lock()
@@ -375,7 +381,7 @@
 	}
 }
 
-// forward carries one direction of a connection in the link's weather.
+// forward copies one direction of a connection under the link's conditions.
 func (l *link) forward(to io.Writer, from io.Reader) {
 	type piece struct {
 		due  time.Time
@@ -403,7 +409,7 @@
 		}
 	}()
 	ok := true
-	for p := range pieces { // to the end, so that its reader ends too
+	for p := range pieces { // drained even after an error, so that the reading goroutine ends
 		if ok {
 			time.Sleep(time.Until(p.due))
 			ok = l.waitUncut()
@@ -417,10 +423,11 @@
 		}
 	}
 	if w, half := to.(interface{ CloseWrite() error }); half && l.waitUncut() {
-		_ = w.CloseWrite() // the other end may have gone
+		_ = w.CloseWrite() // fails if the connection is closed
 	}
 }
 
+// closeAll closes those of ends that can be closed.
 func closeAll(ends ...any) {
 	for _, e := range ends {
 		if c, ok := e.(io.Closer); ok {
