--- a/internal/lab/busy.go
+++ b/internal/lab/busy.go
@@ -10,14 +10,14 @@
 	"time"
 )
 
-// busyEnv has a lab's program keep one core busy for a time, and end.
+// busyEnv is the environment variable that makes the lab's program keep one core busy for the given time and exit.
 const busyEnv = "FLEETLAB_BUSY"
 
-// maxBusyLoops bounds the busy loops that run at a time.
+// maxBusyLoops bounds the busy loops that run at once.
 const maxBusyLoops = 16
 
-// RunBusyLoop keeps a core busy where the lab has started this process for that. It says whether it has; a program that plays scenarios
-// calls it before anything else.
+// RunBusyLoop keeps a core busy for a time if the lab started this process for that purpose, and reports whether it did. A
+// program that plays scenarios must call it before anything else.
 func RunBusyLoop() bool {
 	length, err := time.ParseDuration(os.Getenv(busyEnv))
 	if err != nil {
@@ -28,12 +28,13 @@
 	return true
 }
 
-// runBusyLoops runs so many busy loops beside the fleet, each a process of its own that start begins, for a time or until ctx ends.
+// runBusyLoops runs busy loops next to the fleet, each in a process of its own that is started with start, for the given
+// time or until ctx ends.
 func runBusyLoops(ctx context.Context, start func(*exec.Cmd) error, loops int, length time.Duration) error {
 	if loops > maxBusyLoops {
-		return fmt.Errorf("%d busy loops: %d are allowed", loops, maxBusyLoops)
+		return fmt.Errorf("%d busy loops: at most %d are allowed", loops, maxBusyLoops)
 	}
-	self, err := os.Executable()
+	program, err := os.Executable()
 	if err != nil {
 		return err
 	}
@@ -41,7 +42,7 @@
 	errs := make(chan error, loops)
 	for range loops {
 		all.Go(func() {
-			cmd := exec.CommandContext(ctx, self)
+			cmd := exec.CommandContext(ctx, program)
 			cmd.Env = append(os.Environ(), busyEnv+"="+length.String())
 			cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 			err := start(cmd)
--- a/internal/lab/callfaults.go
+++ b/internal/lab/callfaults.go
@@ -15,10 +15,10 @@
 	"arrowgw/internal/sysfault"
 )
 
-// maxStall is how long a machine may keep a process from going on between two steps, at most.
+// maxStall bounds how long a loaded machine may delay a process between two steps.
 const maxStall = 150 * time.Millisecond
 
-// transientErrors are the errors that calls may fail with for a moment, by the number of the call.
+// transientErrors are the errors with which system calls may fail temporarily, by the number of the call.
 var transientErrors = map[int][]syscall.Errno{
 	unix.SYS_ACCEPT4: {
 		unix.ECONNABORTED, unix.EMFILE, unix.ENFILE, unix.ENOBUFS, unix.ENOMEM, unix.ENETUNREACH, unix.ENETDOWN, unix.EPROTO,
@@ -35,21 +35,21 @@
 	unix.SYS_PWRITE64:    {unix.ENOSPC, unix.EIO},
 }
 
-// connectionErrors are the errors by which a broken connection may show.
+// connectionErrors are the errors with which a broken connection may show.
 var connectionErrors = []syscall.Errno{unix.ETIMEDOUT, unix.EHOSTUNREACH, unix.ECONNRESET, unix.EPIPE}
 
-// callFaults decides the system calls of one process: it draws which fail, move few bytes or are held up.
+// callFaults disturbs the system calls of one process: it draws which fail, transfer few bytes or are delayed.
 type callFaults struct {
-	breakConnection func(local, remote netip.AddrPort) bool // hears that a connection is to break; false: it is to no server
+	breakConnection func(local, remote netip.AddrPort) bool // called when a connection is to break; reports whether it is one to a server
 
 	mu          sync.Mutex
-	supervisor  *sysfault.Supervisor // nil until the process is under way
+	supervisor  *sysfault.Supervisor // nil until the process has started
 	rng         *rand.Rand
-	share       float64 // of calls that something is done to
+	share       float64 // of calls that are disturbed
 	acceptFails bool    // all calls of accept fail
 }
 
-// startSupervised starts a process whose system calls and clock a scenario can disturb.
+// startSupervised starts a process whose system calls and clock the lab can disturb.
 func startSupervised(cmd *exec.Cmd, seed uint64, broken func(local, remote netip.AddrPort) bool) (*callFaults, error) {
 	f := &callFaults{rng: rand.New(rand.NewPCG(seed, 8)), breakConnection: broken}
 	var calls []int
@@ -63,45 +63,46 @@
 	return f, err
 }
 
-// disturb has that share of calls be disturbed from now on.
+// setShare sets the share of calls that are disturbed from now on.
 func (f *callFaults) setShare(share float64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.share = share
 }
 
-// failAccepts has all calls of accept fail, or no more than others.
+// failAccepts sets whether all calls of accept fail.
 func (f *callFaults) failAccepts(on bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.acceptFails = on
 }
 
+// decide draws what happens to a system call.
 func (f *callFaults) decide(c sysfault.Call) (e sysfault.Effect) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.rng.Float64() >= f.share && !(f.acceptFails && c.Number == unix.SYS_ACCEPT4) {
 		return e
 	}
-	moves := c.Number == unix.SYS_READ || c.Number == unix.SYS_WRITE
+	transfersData := c.Number == unix.SYS_READ || c.Number == unix.SYS_WRITE
 	switch draw := f.rng.Float64(); {
-	case moves && draw < 0.6:
+	case transfersData && draw < 0.6:
 		e.Most = 1 + f.rng.IntN(40)
-	case moves && draw < 0.62:
+	case transfersData && draw < 0.62:
 		e.Delay = time.Duration(f.rng.Int64N(int64(maxStall)))
-	case moves && draw < 0.64 && f.breakServerConnection(c):
+	case transfersData && draw < 0.64 && f.breakServerConnection(c):
 		e.Errno = connectionErrors[f.rng.IntN(len(connectionErrors))]
-	case moves && draw < 0.8:
+	case transfersData && draw < 0.8:
 		return e
 	default:
-		errors := transientErrors[c.Number]
-		e.Errno, e.OnSocket = errors[f.rng.IntN(len(errors))], moves
+		candidates := transientErrors[c.Number]
+		e.Errno, e.OnSocket = candidates[f.rng.IntN(len(candidates))], transfersData
 	}
 	return e
 }
 
-// breakServerConnection has the connection to a server break that a call reads from or writes to; false: it is none such. The caller
-// holds the lock.
+// breakServerConnection breaks the connection that a call reads or writes if it is one to a server, and reports whether it
+// is. The caller holds the lock.
 func (f *callFaults) breakServerConnection(c sysfault.Call) bool {
 	if f.supervisor == nil {
 		return false
--- a/internal/lab/spoil.go
+++ b/internal/lab/spoil.go
@@ -10,11 +10,11 @@
 	"time"
 )
 
-// maxSecondAnswerDelay is how long behind an answer a second one comes, at most.
+// maxSecondAnswerDelay bounds how long after an answer a second one is sent.
 const maxSecondAnswerDelay = 3 * time.Millisecond
 
-// spoiltAnswers are ways in which a server spoils its answer. Each gets the true body, and writes to the hijacked connection;
-// whole says that a client may take what comes for the answer.
+// spoiltAnswers are the ways in which a server spoils its answer. write gets the true body and writes to the hijacked
+// connection. whole means that a client may take the result for the answer. Answers are drawn by index, so the order counts.
 var spoiltAnswers = []struct {
 	name  string
 	whole bool
@@ -49,30 +49,32 @@
 	}},
 }
 
+// writeAnswer writes a valid answer.
 func writeAnswer(c net.Conn, body string) {
 	fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 }
 
-// resetOnClose has the close of a connection reset it.
+// resetOnClose makes the close of a connection reset it.
 func resetOnClose(c net.Conn) {
 	if wrapped, ok := c.(*conn); ok {
 		_ = wrapped.SetLinger(0) // fails only on a closed one
 	}
 }
 
-// writeSpoilt answers in one of the ways, and ends the connection. It says whether the answer may be taken for whole.
-func writeSpoilt(w http.ResponseWriter, body string, draw int, settle func(way string, whole bool)) {
+// writeSpoilt answers in one of the ways of spoiltAnswers and closes the connection. Before it writes, it calls note with
+// the way's name and whether a client may take the result for the answer.
+func writeSpoilt(w http.ResponseWriter, body string, draw int, note func(way string, whole bool)) {
 	way := spoiltAnswers[draw%len(spoiltAnswers)]
 	c, _, err := http.NewResponseController(w).Hijack()
 	if err != nil {
-		return // it is gone
+		return // the connection is closed
 	}
 	defer c.Close()
-	settle(way.name, way.whole)
+	note(way.name, way.whole)
 	way.write(c, body)
 }
 
-// malformedRequests are what strangers send, and then wait.
+// malformedRequests are sent by clients that then wait for an answer.
 var malformedRequests = []string{
 	"", "GET", "GET /publish HTTP/1.1\r\nHost: x\r\n", "BREW /coffee HTTP/1.1\r\nHost: x\r\n\r\n", "\x16\x03\x01\x02\x00",
 	"POST /publish HTTP/1.1\r\nHost: x\r\nContent-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
@@ -80,23 +82,23 @@
 }
 
 const (
-	malformedTimeout  = 3 * time.Second // a stranger is owed an error or a close within this
-	malformedSlack    = 500 * time.Millisecond
-	malformedInterval = 100 * time.Millisecond // between two strangers
+	malformedTimeout  = 3 * time.Second        // within which the client must get an error or a close
+	malformedSlack    = 500 * time.Millisecond // tolerance for delays of the machine
+	malformedInterval = 100 * time.Millisecond // pause before the next malformed request
 )
 
-// sendMalformed connects as a stranger, sends what is no proper request and says whether it got an error or a close in time.
+// sendMalformed connects, sends text, and returns an error unless the connection gets an answer or is closed in time.
 func sendMalformed(address, text string) error {
 	c, err := net.DialTimeout("tcp", address, time.Second)
 	if err != nil {
-		return nil // nobody is there: no stranger either
+		return nil // no sidecar is listening
 	}
 	defer c.Close()
 	_ = c.SetDeadline(time.Now().Add(malformedTimeout + malformedSlack)) // fails only on a closed one
-	_, _ = io.WriteString(c, text)                                       // it may be closed by now
+	_, _ = io.WriteString(c, text)                                       // the sidecar may have closed it already
 	if _, err := c.Read(make([]byte, 1)); err != nil {
-		if late, ok := err.(net.Error); ok && late.Timeout() {
-			return fmt.Errorf("%.20q got neither an error nor a close", text)
+		if netErr, ok := err.(net.Error); ok && netErr.Timeout() {
+			return fmt.Errorf("%.20q was neither answered nor closed on", text)
 		}
 	}
 	return nil
--- a/internal/lab/terminate.go
+++ b/internal/lab/terminate.go
@@ -14,28 +14,28 @@
 )
 
 const (
-	killSlack              = 700 * time.Millisecond // SIGKILL comes so long behind SIGTERM and the longest deadline
+	killSlack              = 700 * time.Millisecond // SIGKILL follows SIGTERM after the longest deadline and this
 	maxKillDeadline        = 3 * time.Second        // a longer deadline counts as this
 	signalInterval         = 50 * time.Millisecond  // between two signals of a series
-	persistentClients      = 8                      // clients that keep a connection and send on it through a termination
-	maxPersistentPause     = 60 * time.Millisecond  // between two of a clinger's requests, at most
-	persistentWork         = 3 * time.Millisecond   // of its requests at a server
-	firstPersistentArrival = 1 << 40                // arrivals of its requests count from here on
+	persistentClients      = 8                      // clients that use a sidecar's connections through its termination
+	maxPersistentPause     = 60 * time.Millisecond  // upper bound of the pause between two of their requests on a connection
+	persistentWork         = 3 * time.Millisecond   // work of their requests at a server
+	firstPersistentArrival = 1 << 40                // their requests are numbered from here on
 )
 
-// The series of signals that a termination may come with, as a fault's size has them.
+// The series of signals that a termination sends, as the fault's size selects them.
 const (
-	seriesTerm      = 1 + iota // SIGTERM alone
-	seriesTermTwice            // and once more
-	seriesHupTerm              // behind SIGHUP
-	seriesTermHup              // with SIGHUP right behind it
-	seriesEarlyTerm            // in the first second of a process that has just been started in its place
+	seriesTerm      = 1 + iota // SIGTERM
+	seriesTermTwice            // SIGTERM twice
+	seriesHupTerm              // SIGHUP, then SIGTERM
+	seriesTermHup              // SIGTERM, then SIGHUP
+	seriesEarlyTerm            // SIGTERM, and again to the process that replaces it, right after its start
 )
 
 // lastSeries is the largest size of a termination.
 const lastSeries = seriesEarlyTerm
 
-// killDelay is how long behind SIGTERM the platform may kill a process.
+// killDelay returns how long after SIGTERM the platform kills a process, at the earliest.
 func (s *Scenario) killDelay() time.Duration {
 	longest := time.Duration(0)
 	for _, c := range s.classes() {
@@ -44,8 +44,7 @@
 	return min(longest, maxKillDeadline) + killSlack
 }
 
-// terminate ends a sidecar's process by a series of signals, and kills it at the page's earliest. Clients use their
-// connections until then.
+// terminate terminates sidecar i's process with a series of signals, and restarts it at the end of the fault.
 func (f *faults) terminate(ctx context.Context, a PlannedFault, i int) error {
 	if int(a.Size) == seriesEarlyTerm {
 		f.terminateProcess(ctx, f.run.processes.running(i), seriesTerm)
@@ -63,7 +62,8 @@
 	return err
 }
 
-// replaceWithSignals starts a process beside the old one, which is terminated once the new one is ready.
+// replaceWithSignals starts a process next to the current one, which is terminated with a series of signals once the new one
+// is ready.
 func (f *faults) replaceWithSignals(ctx context.Context, a PlannedFault, i int) error {
 	defer f.run.history.changed(f.run.clock)
 	old := f.run.processes.running(i)
@@ -74,7 +74,7 @@
 	return nil
 }
 
-// terminateProcess sends one process its signals, and returns once it has ended.
+// terminateProcess terminates one process while clients use its connections, and returns once it has ended. q may be nil.
 func (f *faults) terminateProcess(ctx context.Context, q *process, series int) {
 	if q == nil {
 		return
@@ -83,26 +83,26 @@
 	seed := f.rng.Uint64()
 	f.mu.Unlock()
 	after := f.run.scenario.killDelay()
-	clung, release := context.WithCancel(ctx)
+	clientsCtx, stopClients := context.WithCancel(ctx)
 	var clients sync.WaitGroup
 	defer clients.Wait()
-	defer release()
+	defer stopClients()
 	for n := range persistentClients {
 		rng := rand.New(rand.NewPCG(seed, uint64(n)))
 		clients.Go(func() {
 			if n%2 == 0 {
-				f.run.clients.sendPersistently(clung, q.sidecar, rng)
+				f.run.clients.sendPersistently(clientsCtx, q.sidecar, rng)
 			} else {
-				f.run.clients.withholdEnd(clung, q.sidecar, rng, after)
+				f.run.clients.withholdEnd(clientsCtx, q.sidecar, rng, after)
 			}
 		})
 	}
-	sleep(ctx, signalInterval) // they have connected
+	sleep(ctx, signalInterval) // let the clients connect
 	f.run.processes.terminate(q, series, after)
 }
 
-// terminate sends a process SIGTERM, with others by the series, and kills it so long behind that. What it had taken and not
-// answered when it is killed is the kill's only where it came within killSlack of the signal.
+// terminate sends a process a series of signals, and kills it the given time after SIGTERM if it still runs. The history then
+// excuses unanswered requests only if they were sent within killSlack of SIGTERM.
 func (p *processes) terminate(q *process, series int, after time.Duration) {
 	p.mu.Lock()
 	q.endExpected = true
@@ -112,7 +112,7 @@
 		send(syscall.SIGHUP)
 	}
 	send(syscall.SIGTERM)
-	told, due := p.clock.now(), time.After(after)
+	termAt, kill := p.clock.now(), time.After(after)
 	switch series {
 	case seriesTermHup:
 		send(syscall.SIGHUP)
@@ -123,15 +123,15 @@
 	select {
 	case <-q.ended:
 		return
-	case <-due:
+	case <-kill:
 	}
 	from := p.clock.now()
 	_ = q.cmd.Process.Kill() // it may have ended by itself
 	<-q.ended
-	p.history.killedLate(span{q.sidecar, from, p.clock.now()}, told+killSlack)
+	p.history.killedLate(span{q.sidecar, from, p.clock.now()}, termAt+killSlack)
 }
 
-// beginPersistentRequest begins a request of a client that keeps its connection.
+// beginPersistentRequest draws a request to a sidecar, enters it in the history, and returns it as HTTP text.
 func (k *clients) beginPersistentRequest(sidecar int, rng *rand.Rand) (t *Try, text []byte) {
 	class := rng.IntN(len(k.classes))
 	n := firstPersistentArrival + int(k.persistentRequests.Add(1))
@@ -142,17 +142,17 @@
 	k.history.sent(t, now, patience)
 	var out byteWriter
 	if err := k.newRequest(t, n, a, k.classes[class], behaviour{}, patience, false).Write(&out); err != nil {
-		panic(err) // of parts that are all well formed
+		panic(err) // cannot happen: all parts are well formed
 	}
 	return t, out
 }
 
-// byteWriter collects what is written.
+// byteWriter is an io.Writer that appends to itself.
 type byteWriter []byte
 
 func (w *byteWriter) Write(p []byte) (int, error) { *w = append(*w, p...); return len(p), nil }
 
-// sendPersistently sends requests one behind the other on connections that it keeps for as long as they stay open, until ctx ends.
+// sendPersistently sends requests one after another on a connection, which it reopens whenever it is closed, until ctx ends.
 func (k *clients) sendPersistently(ctx context.Context, sidecar int, rng *rand.Rand) {
 	for ctx.Err() == nil {
 		c, err := net.DialTimeout("tcp", k.net.address(sidecar, clientPort), dialTimeout)
@@ -163,7 +163,7 @@
 		r := bufio.NewReader(c)
 		for fresh := true; ctx.Err() == nil; fresh = false {
 			t, text := k.beginPersistentRequest(sidecar, rng)
-			_, _ = c.Write(text) // that it is closed shows as the answer is read
+			_, _ = c.Write(text) // an error shows when the answer is read
 			if k.readTryAnswer(c, r, t, fresh) == Broken {
 				break
 			}
@@ -173,8 +173,8 @@
 	}
 }
 
-// withholdEnd connects, sends all but the end of a request, and the end at some moment within a time.
-func (k *clients) withholdEnd(ctx context.Context, sidecar int, rng *rand.Rand, within time.Duration) {
+// withholdEnd connects and sends a request but for its last bytes, which follow at a random time within window.
+func (k *clients) withholdEnd(ctx context.Context, sidecar int, rng *rand.Rand, window time.Duration) {
 	const end = 2 // bytes
 	c, err := net.DialTimeout("tcp", k.net.address(sidecar, clientPort), dialTimeout)
 	if err != nil {
@@ -182,35 +182,36 @@
 	}
 	defer c.Close()
 	t, text := k.beginPersistentRequest(sidecar, rng)
-	body := len(text) - end
-	_, _ = c.Write(text[:body]) // that it is closed shows below
-	at := time.Now().Add(time.Duration(rng.Int64N(int64(within))))
+	split := len(text) - end
+	_, _ = c.Write(text[:split]) // an error shows below
+	at := time.Now().Add(time.Duration(rng.Int64N(int64(window))))
 	r := bufio.NewReader(c)
 	_ = c.SetReadDeadline(at) // fails only on a closed one
 	if _, err := r.Peek(1); err == nil || outcomeOfError(err) == Broken {
-		k.history.end(t, k.clock.now(), Unreachable, 0, "", false, false) // it ended before the request was whole
+		k.history.end(t, k.clock.now(), Unreachable, 0, "", false, false) // closed before the request was complete
 		return
 	}
 	k.history.sent(t, k.clock.now(), k.classes[t.Class].Deadline)
-	if _, err := c.Write(text[body:]); err != nil {
+	if _, err := c.Write(text[split:]); err != nil {
 		k.history.end(t, k.clock.now(), Unreachable, 0, "", false, false)
 		return
 	}
 	k.readTryAnswer(c, r, t, true)
 }
 
-// readTryAnswer reads a try's answer, and says how it ended.
+// readTryAnswer reads a try's answer, records the outcome, and returns it.
 func (k *clients) readTryAnswer(c net.Conn, r *bufio.Reader, t *Try, fresh bool) Outcome {
 	k.history.mu.Lock()
-	owed := t.Owed
+	deadline := t.Owed
 	k.history.mu.Unlock()
-	_ = c.SetDeadline(k.clock.timeAt(owed + k.scenario.Load.extraWait())) // fails only on a closed one
+	_ = c.SetDeadline(k.clock.timeAt(deadline + k.scenario.Load.extraWait())) // fails only on a closed one
 	end, status, answer, partial := readAnswer(r)
 	k.history.end(t, k.clock.now(), end, status, answer, partial, fresh)
 	return end
 }
 
-// holdIdleConnections holds so many idle connections to a sidecar while a fault lasts, and opens others for those that it closes.
+// holdIdleConnections keeps a.Size idle connections to a sidecar open while the fault lasts. It reopens those that the
+// sidecar closes.
 func (f *faults) holdIdleConnections(ctx context.Context, a PlannedFault, i int) {
 	ctx, cancel := context.WithTimeout(ctx, a.For.Std())
 	defer cancel()
@@ -222,7 +223,7 @@
 				c, err := net.DialTimeout("tcp", f.run.net.address(i, clientPort), dialTimeout)
 				if err == nil {
 					stop := context.AfterFunc(ctx, func() { c.Close() })
-					_, _ = io.Copy(io.Discard, c) // until either side ends it
+					_, _ = io.Copy(io.Discard, c) // returns when either side closes
 					stop()
 					c.Close()
 				}
@@ -234,5 +235,5 @@
 	h.life(&h.crowded, span{i, from, f.run.clock.now()})
 }
 
-// idleReconnectDelay is the pause before an idle client that was closed on comes again.
+// idleReconnectDelay is the pause before an idle connection that was closed is reopened.
 const idleReconnectDelay = 200 * time.Millisecond
