--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -26,7 +26,7 @@
 	"arrowgw/internal/sysfault"
 )
 
-// TestMain lets the test program stand in for a sidecar that does wrong, and for a lab that is killed.
+// TestMain lets the test program also run as a sidecar with a fault, or as a lab that the test kills.
 func TestMain(m *testing.M) {
 	sysfault.Launch()
 	if Hold() || RunBusyLoop() {
@@ -50,8 +50,7 @@
 	}
 }
 
-// faultySidecar carries requests as well as it must to be noticed for one thing that it does wrong: the one that the
-// fleet file names.
+// faultySidecar is a sidecar that handles requests except for one fault, which the key wrong of its fleet file names.
 func faultySidecar() {
 	var cfg struct {
 		Listen, Console, Discovery, Fleet string
@@ -68,8 +67,8 @@
 			panic(err)
 		}
 	}
-	wrong := file.Wrong
-	go func() { // it hears of what changes, and does not care
+	fault := file.Wrong
+	go func() { // it polls discovery but ignores what changes
 		for ; ; time.Sleep(100 * time.Millisecond) {
 			if res, err := http.Get("http://" + cfg.Discovery + "/discovery/hosts"); err == nil {
 				_, _ = io.Copy(io.Discard, res.Body)
@@ -79,23 +78,23 @@
 	}()
 	stop := make(chan os.Signal, 1)
 	signal.Notify(stop, syscall.SIGTERM)
-	door, err := net.Listen("tcp", cfg.Console)
+	console, err := net.Listen("tcp", cfg.Console)
 	if err != nil {
 		panic(err)
 	}
 	go func() {
 		for {
-			c, err := door.Accept()
+			c, err := console.Accept()
 			if err != nil {
 				return
 			}
 			_, _ = bufio.NewReader(c).ReadString('\n')
-			_, _ = io.WriteString(c, "200 yes\n") // whatever it was
+			_, _ = io.WriteString(c, "200 yes\n") // confirms any command
 			c.Close()
 		}
 	}()
-	var n atomic.Int64
-	var hoard [][]byte
+	var requests atomic.Int64
+	var allocated [][]byte
 	began := time.Now()
 	send := func(r *http.Request, server int, id string) (*http.Response, []byte) {
 		req, _ := http.NewRequest(r.Method, "http://"+cfg.Known.Instances[server].HostPort+r.URL.String(), strings.NewReader("x"))
@@ -114,61 +113,61 @@
 			return
 		}
 		_, _ = io.Copy(io.Discard, r.Body)
-		i, id := int(n.Add(1)), r.Header.Get("X-Request-ID")
+		i, id := int(requests.Add(1)), r.Header.Get("X-Request-ID")
 		server := i % len(cfg.Known.Instances)
-		odd := i%20 == 0
-		if wrong == "push" {
-			server = 0 // all to one
+		affected := i%20 == 0
+		if fault == "overloads" {
+			server = 0 // all requests go to one server
 		}
-		if wrong == "stray" && odd {
+		if fault == "unknown id" && affected {
 			send(r, server, "00000000ffffffff")
 		}
-		if wrong == "twice" && odd {
+		if fault == "sends twice" && affected {
 			send(r, (server+1)%len(cfg.Known.Instances), id)
 		}
-		if wrong == "hoard" && len(hoard) < 8 {
-			hoard = append(hoard, bytes.Repeat([]byte{1}, 16<<20))
+		if fault == "leaks memory" && len(allocated) < 8 {
+			allocated = append(allocated, bytes.Repeat([]byte{1}, 16<<20))
 		}
-		if wrong == "ends" && time.Since(began) > time.Second {
+		if fault == "exits" && time.Since(began) > time.Second {
 			os.Exit(3)
 		}
 		res, body := send(r, server, id)
 		switch {
 		case res == nil:
 			w.WriteHeader(http.StatusBadGateway)
-		case wrong == "loses" && odd:
+		case fault == "loses answers" && affected:
 			panic(http.ErrAbortHandler)
-		case wrong == "forges" && odd:
+		case fault == "invents answers" && affected:
 			_, _ = io.WriteString(w, "all is well")
-		case wrong == "denies" && odd && res.StatusCode == http.StatusOK:
+		case fault == "refuses served" && affected && res.StatusCode == http.StatusOK:
 			w.WriteHeader(http.StatusServiceUnavailable)
 		default:
 			w.WriteHeader(res.StatusCode)
 			_, _ = w.Write(body)
 		}
 	}
-	var one sync.Mutex // hoard is shared
+	var allocatedMu sync.Mutex // guards allocated
 	l, err := net.Listen("tcp", cfg.Listen)
 	if err != nil {
 		panic(err)
 	}
 	go func() {
 		_ = http.Serve(l, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-			if wrong == "hoard" {
-				one.Lock()
-				defer one.Unlock()
+			if fault == "leaks memory" {
+				allocatedMu.Lock()
+				defer allocatedMu.Unlock()
 			}
 			serve(w, r)
 		}))
 	}()
 	<-stop
-	if wrong == "stays" {
+	if fault == "ignores SIGTERM" {
 		select {}
 	}
 	time.Sleep(300 * time.Millisecond)
 }
 
-// scene reads a scenario that a test has as text.
+// readScenario parses the text of a scenario.
 func readScenario(t testing.TB, text string) *Scenario {
 	t.Helper()
 	s, err := ReadScenario("test.toml", []byte("about = 'a test'\n"+text))
@@ -178,7 +177,7 @@
 	return s
 }
 
-// playScenario plays a scenario and tells which invariants broke.
+// playScenario plays a scenario and returns its result and the verdicts on the invariants that did not hold, by name.
 func playScenario(t *testing.T, s *Scenario, o Options) (*Result, map[string]Verdict) {
 	t.Helper()
 	res, err := Play(t.Context(), s, o)
@@ -194,24 +193,23 @@
 	return res, broken
 }
 
-// Every invariant is seen to fail where it must: for each there is a sidecar that breaks it and no other, and one
-// that does nothing wrong breaks none.
+// Each invariant fails for a sidecar with the matching fault and for no other, and none fails for a correct sidecar.
 func TestEachInvariantCanFail(t *testing.T) {
-	for _, c := range []struct{ wrong, breaks, faults string }{
+	for _, c := range []struct{ fault, breaks, faults string }{
 		{"", "", ""},
-		{"loses", "answered", ""},
-		{"twice", "once", ""},
-		{"forges", "honest", ""},
-		{"denies", "honest", ""},
-		{"stray", "known", ""},
-		{"hand", "drains", "[[fault]]\nat='500ms'\ndo='out'\ntarget='0'"},
-		{"drain", "drains", "[[fault]]\nat='0s'\ndo='drain'\ntarget='0'"},
-		{"push", "cold", "[[fault]]\nat='200ms'\ndo='crash'\ntarget='0'\nfor='300ms'"},
-		{"hoard", "limits", ""},
-		{"ends", "alive", ""},
-		{"stays", "alive", ""},
+		{"loses answers", "answered", ""},
+		{"sends twice", "once", ""},
+		{"invents answers", "honest", ""},
+		{"refuses served", "honest", ""},
+		{"unknown id", "known", ""},
+		{"ignores console", "drains", "[[fault]]\nat='500ms'\ndo='out'\ntarget='0'"},
+		{"ignores drain", "drains", "[[fault]]\nat='0s'\ndo='drain'\ntarget='0'"},
+		{"overloads", "cold", "[[fault]]\nat='200ms'\ndo='crash'\ntarget='0'\nfor='300ms'"},
+		{"leaks memory", "limits", ""},
+		{"exits", "alive", ""},
+		{"ignores SIGTERM", "alive", ""},
 	} {
-		t.Run(strings.TrimSpace(c.wrong+" "+c.breaks), func(t *testing.T) {
+		t.Run(strings.TrimSpace(c.fault+" "+c.breaks), func(t *testing.T) {
 			t.Parallel()
 			s := readScenario(t, fmt.Sprintf(`for = "4s"
 [fleet]
@@ -228,16 +226,16 @@
 room = 500
 [discovery]
 notice = "100ms"
-%s`, c.wrong, c.faults))
+%s`, c.fault, c.faults))
 			if c.breaks == "" || c.breaks == "drains" || c.breaks == "cold" {
-				s.Server.FallAt = map[string]float64{"cold": 1}[c.breaks] // no server falls for other reasons
+				s.Server.FallAt = map[string]float64{"cold": 1}[c.breaks] // servers collapse only in the case that tests it
 			} else {
 				s.Server.FallAt = 0
 			}
 			res, broken := playScenario(t, s, Options{Seed: 1, Program: os.Args[0]})
 			for name, v := range broken {
-				if name != c.breaks && !(c.wrong == "ends" && name == "answered") { // what it held ends with it
-					t.Errorf("%s is broken too: %v", name, v.Findings)
+				if name != c.breaks && !(c.fault == "exits" && name == "answered") { // its open requests are lost when it exits
+					t.Errorf("%s does not hold either: %v", name, v.Findings)
 				}
 			}
 			v, found := broken[c.breaks]
@@ -245,15 +243,15 @@
 			switch {
 			case c.breaks == "" || timed && res.Late != "":
 			case !found:
-				t.Errorf("%s held", c.breaks)
+				t.Errorf("%s held, want it broken", c.breaks)
 			case len(v.Findings) == 0 || len(v.Findings) > listedMost:
-				t.Errorf("%d findings are told", len(v.Findings))
+				t.Errorf("%d findings are listed, want 1 to %d", len(v.Findings), listedMost)
 			}
 		})
 	}
 }
 
-// program is the real sidecar, built once in the folder builtIn.
+// program builds the real sidecar, once, in the folder programDir.
 var (
 	programDir string
 	program    = sync.OnceValues(func() (path string, err error) {
@@ -273,8 +271,8 @@
 	return path
 }
 
-// The real program, three of them at once, with some killed, paused, upgraded and told of servers under load: whatever
-// happens, every invariant holds, and the result can be read again.
+// All invariants hold for the real sidecar under load while sidecars are killed, paused and upgraded, and servers crash, fall
+// silent, are replaced and are administratively disabled. The result can be read back.
 func TestRealFleetUnderFaults(t *testing.T) {
 	t.Parallel()
 	s := readScenario(t, `for = "7s"
@@ -333,21 +331,21 @@
 	for name, v := range broken {
 		t.Errorf("%s is broken %d times: %s", name, v.Broken, strings.Join(v.Findings, "\n"))
 	}
-	if res.Figures["served"] < 0.3 || res.Figures["requests"] < 300 { // it did carry requests
+	if res.Figures["served"] < 0.3 || res.Figures["requests"] < 300 { // the fleet served requests
 		t.Errorf("figures %v", res.Figures)
 	}
-	if len(res.Sends) != 7 || slices.Max(res.Sends[6]) == 0 { // and so did the one that came in another's place
+	if len(res.Sends) != 7 || slices.Max(res.Sends[6]) == 0 { // and so did the replacement server
 		t.Errorf("sends %v", res.Sends)
 	}
 	again, err := ReadResults(dir)
 	if err != nil || len(again) != 1 || !reflect.DeepEqual(again[0].Figures, res.Figures) {
-		t.Errorf("read again: %v, error %v", again, err)
+		t.Errorf("read back: %v, error %v", again, err)
 	}
 	page, err := os.ReadFile(filepath.Join(dir, "report.html"))
 	if err != nil || bytes.Count(page, []byte("<svg")) != 6 || !bytes.Contains(page, []byte("--seed 3")) {
 		t.Errorf("the report has %d plots, error %v", bytes.Count(page, []byte("<svg")), err)
 	}
-	if left, _ := filepath.Glob(filepath.Join(dir, "logs", "*.log")); len(left) != 6 { // four, one again, one upgraded
+	if left, _ := filepath.Glob(filepath.Join(dir, "logs", "*.log")); len(left) != 6 { // four sidecars, one restart and one upgrade
 		t.Errorf("logs: %v", left)
 	}
 }
@@ -355,17 +353,17 @@
 func TestSameSeedSamePlan(t *testing.T) {
 	s := readScenario(t, "[[fault]]\nat='1s'\ndo='kill'\ntarget='50%'\n[[fault]]\nat='0s'\ndo='slow'\nsize=2\ntarget='25%'")
 	if !reflect.DeepEqual(s.Plan(4), s.Plan(4)) || !reflect.DeepEqual(s.arrivals(4), s.arrivals(4)) {
-		t.Error("the same seed gives another plan or other requests")
+		t.Error("the same seed gives different plans or requests")
 	}
 	if plan := s.Plan(4); plan[0].Kind != "slow" || len(plan[1].Targets) != 2 {
 		t.Errorf("plan %v", plan)
 	}
-	other := false
+	differs := false
 	for seed := range uint64(20) {
-		other = other || !reflect.DeepEqual(s.Plan(seed), s.Plan(4))
+		differs = differs || !reflect.DeepEqual(s.Plan(seed), s.Plan(4))
 	}
-	if !other {
-		t.Error("twenty seeds give one plan")
+	if !differs {
+		t.Error("twenty seeds give the same plan")
 	}
 }
 
@@ -394,7 +392,7 @@
 	}
 }
 
-// A sidecar that does not come up, and one that ends at once, are errors that name it.
+// A sidecar that does not become ready, or exits at once, is reported as an error that names it.
 func TestSidecarsThatDoNotStart(t *testing.T) {
 	t.Parallel()
 	s := readScenario(t, "[fleet]\nsidecars=1\nservers=1\nfile=\"nonsense = 1\"")
@@ -402,15 +400,16 @@
 		t.Errorf("error %v", err)
 	}
 	if _, err := Play(t.Context(), s, Options{Program: "/nonexistent"}); err == nil {
-		t.Error("a program that does not exist was played")
+		t.Error("a program that does not exist was accepted")
 	}
-	many := readScenario(t, "[fleet]\nsidecars=400\nservers=400\n[load]\nuse=5")
-	if _, err := Play(t.Context(), many, Options{}); err == nil || !strings.Contains(err.Error(), "descriptors") {
+	tooLarge := readScenario(t, "[fleet]\nsidecars=400\nservers=400\n[load]\nuse=5")
+	if _, err := Play(t.Context(), tooLarge, Options{}); err == nil || !strings.Contains(err.Error(), "descriptors") {
 		t.Errorf("error %v", err)
 	}
 }
 
-// A lab that is killed takes its processes with it, and the next start removes its folder: by its record only.
+// When a lab is killed, its processes end with it. The next lab removes its folder, and kills no process whose ID is in the
+// record but whose start time is not.
 func TestKilledLabLeavesNothing(t *testing.T) {
 	tmp := t.TempDir()
 	if err := os.Chmod(tmp, 0o755); err != nil {
@@ -418,14 +417,14 @@
 	}
 	t.Setenv("TMPDIR", tmp)
 	for dir := tmp; dir != "/"; dir = filepath.Dir(dir) {
-		_ = os.Chmod(dir, 0o755) // sidecars may run as another user
+		_ = os.Chmod(dir, 0o755) // sidecars may run as another user and need access
 	}
 	cmd := exec.Command(os.Args[0])
 	cmd.Env = append(os.Environ(), "LAB_TO_BE_KILLED=1")
 	if err := cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
-	record := func() (lines []string) {
+	recordedProcesses := func() (lines []string) {
 		names, _ := filepath.Glob(filepath.Join(base(), "run-*", recordName))
 		for _, name := range names {
 			raw, _ := os.ReadFile(name)
@@ -433,20 +432,20 @@
 		}
 		return lines
 	}
-	until := func(what string, holds func() bool) {
+	waitUntil := func(what string, holds func() bool) {
 		t.Helper()
 		for end := time.Now().Add(time.Minute); !holds(); time.Sleep(10 * time.Millisecond) {
 			if time.Now().After(end) {
-				t.Fatalf("waited in vain: %s", what)
+				t.Fatalf("timed out waiting until %s", what)
 			}
 		}
 	}
-	until("its sidecars start", func() bool { return len(record()) == 3 })
-	lines := record()
+	waitUntil("its sidecars start", func() bool { return len(recordedProcesses()) == 3 })
+	lines := recordedProcesses()
 	if swept, err := Sweep(); err != nil || len(swept) > 0 {
-		t.Errorf("a lab at work was swept: %v, error %v", swept, err)
+		t.Errorf("a running lab was swept: %v, error %v", swept, err)
 	}
-	bystander := exec.Command("sleep", "60") // its number stands in the record, but it began at another time
+	bystander := exec.Command("sleep", "60") // its ID is in the record with another start time
 	if err := bystander.Start(); err != nil {
 		t.Fatal(err)
 	}
@@ -460,7 +459,7 @@
 	f.Close()
 	_ = cmd.Process.Kill()
 	_ = cmd.Wait()
-	until("its sidecars end with it", func() bool {
+	waitUntil("its sidecars end with it", func() bool {
 		for _, line := range lines {
 			pid, start, _ := strings.Cut(line, ":")
 			var n int
@@ -475,9 +474,9 @@
 		t.Errorf("swept %v, error %v", swept, err)
 	}
 	if left, _ := filepath.Glob(filepath.Join(base(), "run-*")); len(left) > 0 {
-		t.Errorf("left: %v", left)
+		t.Errorf("folders left: %v", left)
 	}
 	if bystander.ProcessState != nil || syscall.Kill(bystander.Process.Pid, 0) != nil {
-		t.Error("a process that was none of the lab's was ended")
+		t.Error("a process that is not the lab's was killed")
 	}
 }
