--- a/internal/lab/edge_test.go
+++ b/internal/lab/edge_test.go
@@ -12,14 +12,14 @@
 	"arrowgw/internal/world"
 )
 
-// Wherever the edge lies, it is found, and with no more plays than a search by halves needs.
+// bisect finds the edge wherever it is, with no more plays than a binary search needs.
 func TestBisect(t *testing.T) {
 	for n := range 20 {
 		for edge := range n + 1 {
-			asked := 0
-			got, err := bisect(n, func(i int) (bool, error) { asked++; return i < edge, nil })
-			if got != edge || err != nil || asked > bits.Len(uint(n)) {
-				t.Errorf("of %d loads, an edge at %d: found %d after %d plays, error %v", n, edge, got, asked, err)
+			plays := 0
+			got, err := bisect(n, func(i int) (bool, error) { plays++; return i < edge, nil })
+			if got != edge || err != nil || plays > bits.Len(uint(n)) {
+				t.Errorf("%d loads, edge at %d: found %d after %d plays, error %v", n, edge, got, plays, err)
 			}
 		}
 	}
@@ -31,53 +31,54 @@
 		t.Errorf("grid %v", grid)
 	}
 	if grid := (edgeSpec{From: 0.5, Step: 0.1}).uses(); grid != nil {
-		t.Errorf("a grid with no end: %v", grid)
+		t.Errorf("grid without an upper end: %v", grid)
 	}
 }
 
-func TestEdgesAreTold(t *testing.T) {
+// Edges prints the median over seeds of the largest load that a fleet returned at, with the range and each seed's value.
+func TestEdgesArePrinted(t *testing.T) {
 	play := func(seed uint64, use, returned float64) *Result {
 		return &Result{Label: "a", Scenario: "x@" + string(rune('a'+int(use*10))), Seed: seed, Sidecars: 2, Servers: 3,
 			Figures: map[string]float64{"use": use, "returned": returned}}
 	}
 	var w strings.Builder
 	Edges(&w, []*Result{
-		play(1, 0.7, 1), play(1, 0.5, 1), play(1, 0.8, 0), // in whatever order
+		play(1, 0.7, 1), play(1, 0.5, 1), play(1, 0.8, 0), // in any order
 		play(2, 0.6, 0), play(2, 0.5, 0),
 		play(3, 0.6, 1), play(3, 0.7, 0),
-		{Label: "a", Scenario: "y", Figures: map[string]float64{}}, // played at its own load
+		{Label: "a", Scenario: "y", Figures: map[string]float64{}}, // not a play for an edge
 	})
 	if want := "| a | x | 2x3 | 3 | 0 | 0.6 (0 to 0.7) | 0.7, 0, 0.6 |\n"; !strings.HasSuffix(w.String(), want) {
-		t.Errorf("told\n%s, want its end to be\n%s", w.String(), want)
+		t.Errorf("printed\n%s, want it to end with\n%s", w.String(), want)
 	}
 }
 
-// A fleet is judged by the time from 10 s after its last fault on, against the 5 s before the first; a good second in
-// between is no return.
+// A fleet has returned if its share of requests answered in time, from 10 s after the last fault on, is about that of the
+// 5 s before the first fault. A single good second in between does not count.
 func TestReturned(t *testing.T) {
 	for _, c := range []struct {
-		what          string
+		name          string
 		inTime        func(second int) int64 // of 100
-		until         int                    // the run's end
+		end           int                    // the run's length in seconds
 		returned      float64
-		told          bool
+		judged        bool
 		before, after float64
 	}{
-		{"all is well", func(int) int64 { return 90 }, 36, 1, true, 0.9, 0.9},
-		{"it begins badly", func(s int) int64 { return map[bool]int64{true: 10, false: 90}[s < 5] }, 36, 1, true, 0.9, 0.9},
-		{"it stays bad", func(s int) int64 { return map[bool]int64{true: 90, false: 50}[s < 10] }, 36, 0, true, 0.9, 0.5},
-		{"it is back in time", func(s int) int64 { return map[bool]int64{true: 20, false: 90}[s >= 10 && s < 26] }, 36, 1, true, 0.9, 0.9},
-		{"it is back for two seconds", func(s int) int64 { return map[bool]int64{true: 90, false: 50}[s < 10 || s/2 == 9] }, 36, 0, true, 0.9, 0.5},
-		{"just under", func(s int) int64 { return map[bool]int64{true: 100, false: 94}[s < 26] }, 36, 0, true, 1, 0.94},
-		{"it ends too soon", func(int) int64 { return 90 }, 27, 0, false, 0, 0},
+		{"no loss", func(int) int64 { return 90 }, 36, 1, true, 0.9, 0.9},
+		{"bad start only", func(s int) int64 { return map[bool]int64{true: 10, false: 90}[s < 5] }, 36, 1, true, 0.9, 0.9},
+		{"no recovery", func(s int) int64 { return map[bool]int64{true: 90, false: 50}[s < 10] }, 36, 0, true, 0.9, 0.5},
+		{"recovery in time", func(s int) int64 { return map[bool]int64{true: 20, false: 90}[s >= 10 && s < 26] }, 36, 1, true, 0.9, 0.9},
+		{"recovery for two seconds", func(s int) int64 { return map[bool]int64{true: 90, false: 50}[s < 10 || s/2 == 9] }, 36, 0, true, 0.9, 0.5},
+		{"just below the threshold", func(s int) int64 { return map[bool]int64{true: 100, false: 94}[s < 26] }, 36, 0, true, 1, 0.94},
+		{"run too short to judge", func(int) int64 { return 90 }, 27, 0, false, 0, 0},
 	} {
 		s := readScenario(t, "[fleet]\nservers=4")
-		s.For = conf.Duration(time.Duration(c.until) * time.Second)
+		s.For = conf.Duration(time.Duration(c.end) * time.Second)
 		r := &run{scenario: s, history: new(History), faults: new(faults)}
 		r.clients = newClients(s, newClock(), r.history, nil, nil)
-		r.servers = &servers{congested: newCounter(c.until)}
+		r.servers = &servers{congested: newCounter(c.end)}
 		r.faults.played = []PlayedFault{{At: 12 * time.Second, Until: 16 * time.Second}, {At: 10 * time.Second, Until: 11 * time.Second}}
-		for second := range c.until {
+		for second := range c.end {
 			at := time.Duration(second) * time.Second
 			r.clients.inTime.add(at, c.inTime(second))
 			r.clients.outcomes[Served].add(at, c.inTime(second))
@@ -87,12 +88,12 @@
 		}
 		f := make(map[string]float64)
 		r.returned(f)
-		_, told := f["returned"]
-		if told != c.told || f["returned"] != c.returned || math.Abs(f["before"]-c.before)+math.Abs(f["after"]-c.after) > 1e-9 {
-			t.Errorf("%s: %v", c.what, f)
+		_, judged := f["returned"]
+		if judged != c.judged || f["returned"] != c.returned || math.Abs(f["before"]-c.before)+math.Abs(f["after"]-c.after) > 1e-9 {
+			t.Errorf("%s: %v", c.name, f)
 		}
-		if told && (f["after_tipped"] != 0.25 || f["after_tries"] != 2 || f["after_refused"] != 0) {
-			t.Errorf("%s: %v", c.what, f)
+		if judged && (f["after_tipped"] != 0.25 || f["after_tries"] != 2 || f["after_refused"] != 0) {
+			t.Errorf("%s: %v", c.name, f)
 		}
 	}
 }
--- a/internal/lab/relay_test.go
+++ b/internal/lab/relay_test.go
@@ -11,16 +11,16 @@
 	"time"
 )
 
-// relayPeers are three ends with a mesh between them: each has a packet socket and a listener. Most tests use the first two.
+// relayPeers are three peers with a mesh between them, each with a packet socket and a listener. Most tests use the first two.
 type relayPeers struct {
 	mesh *mesh
 	udp  [3]*net.UDPConn
 	tcp  [3]net.Listener
 }
 
-func newPeers(t testing.TB, wide bool) *relayPeers {
+func newRelayPeers(t testing.TB, sharedSockets bool) *relayPeers {
 	t.Helper()
-	n := newTestSubnet(t, wide)
+	n := newTestSubnet(t, sharedSockets)
 	var err error
 	p := new(relayPeers)
 	if p.mesh, err = newMesh(len(p.udp), n, 1); err != nil {
@@ -40,7 +40,7 @@
 	return p
 }
 
-// send sends a packet from one end to the other, by the relay.
+// send sends a packet through the relay from one of the first two peers to the other.
 func (p *relayPeers) send(t testing.TB, from int, text string) {
 	t.Helper()
 	to, _ := net.ResolveUDPAddr("udp", p.mesh.routes(from)[sidecarName(1-from)])
@@ -49,7 +49,7 @@
 	}
 }
 
-// receive waits for a packet and answers the address that it came from.
+// receive waits for a packet and returns its text and the address that it came from.
 func (p *relayPeers) receive(t testing.TB, at int) (string, *net.UDPAddr) {
 	t.Helper()
 	b := make([]byte, 2048)
@@ -63,11 +63,11 @@
 
 func TestRelayPackets(t *testing.T) { withBothSocketModes(t, relayPackets) }
 
-func relayPackets(t *testing.T, wide bool) {
-	p := newPeers(t, wide)
+func relayPackets(t *testing.T, sharedSockets bool) {
+	p := newRelayPeers(t, sharedSockets)
 	p.send(t, 0, "there")
 	text, from := p.receive(t, 1)
-	if _, err := p.udp[1].WriteToUDP([]byte("and back"), from); err != nil { // an answer to whoever sent it finds its way
+	if _, err := p.udp[1].WriteToUDP([]byte("and back"), from); err != nil { // an answer to the sender's address is relayed back
 		t.Fatal(err)
 	}
 	if back, _ := p.receive(t, 0); text != "there" || back != "and back" {
@@ -82,7 +82,7 @@
 	}
 	p.mesh.setConditions(0, 1, func(w *conditions) { *w = conditions{drop: 1} })
 	p.send(t, 0, "lost")
-	p.send(t, 1, "the other way") // which is open
+	p.send(t, 1, "the other way") // the other direction is not affected
 	if text, _ := p.receive(t, 0); text != "the other way" {
 		t.Errorf("received %q", text)
 	}
@@ -113,16 +113,16 @@
 		last = text
 	}
 	if overtaken == 0 {
-		t.Error("a hundred packets, and none overtook another")
+		t.Error("none of 100 packets overtook another")
 	}
 }
 
-// Each pair has a link of its own: packets and connections come to whom they were sent, an answer to where they came from
-// finds its way back, and one link that is cut is cut alone.
+// Each pair of peers has a link of its own: packets and connections reach the peer that they were sent to, answers to the
+// address that they came from are relayed back, and cutting one link affects no other.
 func TestRelayPairs(t *testing.T) { withBothSocketModes(t, relayPairs) }
 
-func relayPairs(t *testing.T, wide bool) {
-	p := newPeers(t, wide)
+func relayPairs(t *testing.T, sharedSockets bool) {
+	p := newRelayPeers(t, sharedSockets)
 	for i, l := range p.tcp {
 		go func() {
 			for {
@@ -154,7 +154,7 @@
 					t.Errorf("%d received %q by %v", to, text, back)
 				}
 				if round == 1 && (from != 1 || to != 0) && (from != 0 || to != 1) {
-					continue // a stream needs both ways
+					continue // a connection needs both directions
 				}
 				c, err := net.Dial("tcp", route)
 				if err != nil {
@@ -162,7 +162,7 @@
 				}
 				_ = c.SetDeadline(time.Now().Add(20 * time.Second))
 				if who, err := io.ReadAll(c); err != nil || string(who) != fmt.Sprint(to) {
-					t.Errorf("a connection from %d to %d came to %q, error %v", from, to, who, err)
+					t.Errorf("a connection from %d to %d reached %q, error %v", from, to, who, err)
 				}
 				c.Close()
 			}
@@ -180,9 +180,9 @@
 
 func TestRelayStreams(t *testing.T) { withBothSocketModes(t, relayStreams) }
 
-func relayStreams(t *testing.T, wide bool) {
-	p := newPeers(t, wide)
-	go func() { // the second end answers with what it gets
+func relayStreams(t *testing.T, sharedSockets bool) {
+	p := newRelayPeers(t, sharedSockets)
+	go func() { // the second peer echoes what it receives
 		for {
 			c, err := p.tcp[1].Accept()
 			if err != nil {
@@ -197,68 +197,68 @@
 	}
 	defer c.Close()
 	_ = c.SetDeadline(time.Now().Add(20 * time.Second))
-	say := func(text string) {
+	write := func(text string) {
 		t.Helper()
 		if _, err := io.WriteString(c, text); err != nil {
 			t.Fatal(err)
 		}
 	}
-	hear := func(want string) {
+	read := func(want string) {
 		t.Helper()
 		b := make([]byte, len(want))
 		if _, err := io.ReadFull(c, b); err != nil || string(b) != want {
-			t.Fatalf("heard %q, error %v, want %q", b, err, want)
+			t.Fatalf("read %q, error %v, want %q", b, err, want)
 		}
 	}
-	say("hello")
-	hear("hello")
-	p.mesh.setConditions(1, 0, func(w *conditions) { w.cut = true }) // the way back
-	say("are you there")
+	write("hello")
+	read("hello")
+	p.mesh.setConditions(1, 0, func(w *conditions) { w.cut = true }) // the direction of the answer
+	write("are you there")
 	_ = c.SetReadDeadline(time.Now().Add(50 * time.Millisecond))
 	if n, err := c.Read(make([]byte, 1)); n > 0 || err == io.EOF {
 		t.Errorf("a cut link passed %d bytes, error %v", n, err)
 	}
 	_ = c.SetDeadline(time.Now().Add(20 * time.Second))
 	p.mesh.setConditions(1, 0, func(w *conditions) { w.cut = false })
-	hear("are you there")
+	read("are you there")
 	p.mesh.setConditions(0, 1, func(w *conditions) { w.rate = 200_000 })
 	began, long := time.Now(), string(bytes.Repeat([]byte("x"), 50_000))
-	say(long)
-	hear(long)
-	if took := time.Since(began); took < 100*time.Millisecond { // the last of its chunks waits for those before it
-		t.Errorf("50 kB by 200 kB/s took %v", took)
+	write(long)
+	read(long)
+	if took := time.Since(began); took < 100*time.Millisecond { // the last chunk waits for those before it
+		t.Errorf("50 kB at 200 kB/s took %v", took)
 	}
 	if err := c.(*net.TCPConn).CloseWrite(); err != nil {
 		t.Fatal(err)
 	}
 	if rest, err := io.ReadAll(c); err != nil || len(rest) > 0 {
-		t.Errorf("after the end: %q, error %v", rest, err)
+		t.Errorf("after the peer's close: %q, error %v", rest, err)
 	}
 	p.mesh.setConditions(0, 1, func(w *conditions) { *w = conditions{cut: true} })
-	var held []net.Conn
+	var open []net.Conn
 	for range maxLinkStreams + 1 {
 		c, err := net.Dial("tcp", p.mesh.routes(0)[sidecarName(1)])
 		if errors.Is(err, syscall.ECONNRESET) {
-			return // so soon
+			return // the limit is exceeded already
 		}
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer c.Close()
 		_ = c.SetDeadline(time.Now().Add(20 * time.Second))
-		held = append(held, c)
+		open = append(open, c)
 	}
-	reset := make(chan error, len(held)) // one of them is, and the others are held
-	for _, c := range held {
+	reset := make(chan error, len(open)) // one connection is reset, the others stay open
+	for _, c := range open {
 		go func() { _, err := c.Read(make([]byte, 1)); reset <- err }()
 	}
 	if err := <-reset; !errors.Is(err, syscall.ECONNRESET) {
-		t.Errorf("one connection over the bound: %v", err)
+		t.Errorf("one connection over the limit: %v", err)
 	}
 }
 
 func BenchmarkRelayPacket(b *testing.B) {
-	p := newPeers(b, true)
+	p := newRelayPeers(b, true)
 	for b.Loop() {
 		p.send(b, 0, "a packet of about the size that gossip has, more or less, give or take some")
 		p.receive(b, 1)
@@ -267,7 +267,7 @@
 }
 
 func BenchmarkRelayStream(b *testing.B) {
-	p := newPeers(b, true)
+	p := newRelayPeers(b, true)
 	go func() {
 		for {
 			c, err := p.tcp[1].Accept()
--- a/internal/lab/soak_test.go
+++ b/internal/lab/soak_test.go
@@ -15,15 +15,15 @@
 	"arrowgw/internal/world"
 )
 
-// Faults that overlap in time, drawn from a seed, cost no sidecar an answer that it owes.
+// All invariants hold under faults that are drawn from a seed and overlap in time.
 func TestSoak(t *testing.T) {
 	program, err := Build(t.TempDir())
 	if err != nil {
 		t.Fatal(err)
 	}
-	red := knownRedSeeds(t)
+	knownRed := knownRedSeeds(t)
 	for _, seed := range []uint64{1002, 1005, ExtendedSoakFrom + 1, ExtendedSoakFrom + 4} {
-		if red[seed] {
+		if knownRed[seed] {
 			t.Logf("seed %d is left out: see KNOWN-RED.txt", seed)
 			continue
 		}
@@ -41,7 +41,7 @@
 	}
 }
 
-// knownRedSeeds are the seeds of soaks that KNOWN-RED.txt lists, each as "soak SEED: ...".
+// knownRedSeeds returns the soak seeds that KNOWN-RED.txt lists, each as "soak SEED: ...".
 func knownRedSeeds(t *testing.T) map[uint64]bool {
 	t.Helper()
 	raw, err := os.ReadFile("../../KNOWN-RED.txt")
@@ -64,8 +64,8 @@
 	return seeds
 }
 
-// Seeds that were noted before draw what they drew, and those from ExtendedSoakFrom on have terminations and crossings besides.
-func TestWiderSoakDrawsMore(t *testing.T) {
+// Seeds from ExtendedSoakFrom on draw additional faults, and smaller seeds draw none of them.
+func TestExtendedSoakDrawsMoreFaults(t *testing.T) {
 	var kinds []string
 	for _, seed := range []uint64{ExtendedSoakFrom - 1, ExtendedSoakFrom, ExtendedSoakFrom + 1, ExtendedSoakFrom + 2, ExtendedSoakFrom + 3, ExtendedSoakFrom + 4, ExtendedSoakFrom + 5} {
 		s, err := Soak(seed, 0)
@@ -84,23 +84,23 @@
 	}
 }
 
-// What a kill behind SIGTERM finds unanswered is excused only where it came within 0.7 s of the signal, and a new connection
-// that is shut unread only beside a crowd.
-func TestLateKillAndCrowdExcuseNoMore(t *testing.T) {
+// A SIGKILL after SIGTERM excuses an unanswered request only if all of it was sent within 0.7 s of SIGTERM. Idle connections
+// that use up a sidecar's descriptors excuse only a new connection that is closed before any of it was handled.
+func TestHistoryExcusesNoMoreThanKillsAndIdleConnectionsCause(t *testing.T) {
 	const s, ms = time.Second, time.Millisecond
-	told := 10 * s
-	h := &History{late: []kill{{span{0, told + 2*s, told + 2*s}, told + killSlack}}, crowded: []span{{0, 20 * s, 21 * s}}}
+	termAt := 10 * s
+	h := &History{late: []kill{{span{0, termAt + 2*s, termAt + 2*s}, termAt + killSlack}}, crowded: []span{{0, 20 * s, 21 * s}}}
 	for name, c := range map[string]struct {
 		try    Try
 		broken bool
 	}{
-		"came within 0.7 s":               {Try{End: Broken, Fresh: true, Sent: told + 600*ms, Ended: told + 2*s}, false},
-		"came behind that":                {Try{End: Broken, Fresh: true, Sent: told + 800*ms, Ended: told + 2*s}, true},
-		"its last byte came behind that":  {Try{End: Broken, Fresh: true, Sent: told, Whole: told + 800*ms, Ended: told + 2*s}, true},
-		"closed on before the kill":       {Try{End: Broken, Fresh: true, Sent: told + 100*ms, Ended: told + s}, true},
-		"shut unread beside a crowd":      {Try{End: Broken, Fresh: true, Sent: 20*s + 500*ms, Ended: 20*s + 600*ms}, false},
-		"taken, and closed on, beside it": {Try{End: Broken, Fresh: true, Sent: 20*s + 500*ms, Ended: 20*s + 600*ms, Reached: []Reached{{}}}, true},
-		"never answered beside it":        {Try{End: GaveUp, Fresh: true, Sent: 20*s + 500*ms, Ended: 20*s + 600*ms}, true},
+		"sent within 0.7 s":                      {Try{End: Broken, Fresh: true, Sent: termAt + 600*ms, Ended: termAt + 2*s}, false},
+		"sent after that":                        {Try{End: Broken, Fresh: true, Sent: termAt + 800*ms, Ended: termAt + 2*s}, true},
+		"last byte sent after that":              {Try{End: Broken, Fresh: true, Sent: termAt, Whole: termAt + 800*ms, Ended: termAt + 2*s}, true},
+		"closed before the kill":                 {Try{End: Broken, Fresh: true, Sent: termAt + 100*ms, Ended: termAt + s}, true},
+		"closed unread during idle connections":  {Try{End: Broken, Fresh: true, Sent: 20*s + 500*ms, Ended: 20*s + 600*ms}, false},
+		"closed after a server had it":           {Try{End: Broken, Fresh: true, Sent: 20*s + 500*ms, Ended: 20*s + 600*ms, Reached: []Reached{{}}}, true},
+		"never answered during idle connections": {Try{End: GaveUp, Fresh: true, Sent: 20*s + 500*ms, Ended: 20*s + 600*ms}, true},
 	} {
 		h.tries = []*Try{&c.try}
 		for _, v := range judge(h, readScenario(t, "hold=['final']\n[fleet]\nservers=2"), false) {
@@ -111,8 +111,8 @@
 	}
 }
 
-// A process that is told to end is killed at the page's earliest, and not before.
-func TestTerminationKillsAtTheEarliest(t *testing.T) {
+// A process that ignores SIGTERM is killed once the given time has passed, and not before.
+func TestTerminationKillsAfterDelay(t *testing.T) {
 	const after = 300 * time.Millisecond
 	p := &processes{clock: newClock(), history: new(History), current: make([]*process, 1)}
 	p.clock.startIn(0)
@@ -124,7 +124,7 @@
 	if err := cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = cmd.Process.Kill() }) // it has ended by then
+	t.Cleanup(func() { _ = cmd.Process.Kill() }) // fails if it has ended
 	if _, err := io.ReadFull(out, make([]byte, len("deaf"))); err != nil {
 		t.Fatal(err)
 	}
@@ -136,14 +136,14 @@
 	from := time.Now()
 	p.terminate(q, seriesTermHup, after)
 	if took := time.Since(from); took < after {
-		t.Errorf("killed %v behind SIGTERM, want %v", took, after)
+		t.Errorf("killed %v after SIGTERM, want %v", took, after)
 	}
 	if len(p.history.late) != 1 || p.history.late[0].came < killSlack {
-		t.Errorf("noted as %+v", p.history.late)
+		t.Errorf("history has %+v", p.history.late)
 	}
 }
 
-// The same seed draws the same, and some seeds together draw each kind of fault, overlapping.
+// The same seed draws the same scenario, each scenario has faults that overlap, and 40 seeds together draw every kind.
 func TestSoakIsDrawn(t *testing.T) {
 	var kinds []string
 	for seed := range uint64(40) {
@@ -156,7 +156,7 @@
 			t.Fatal(err)
 		}
 		if !slices.Equal(a.Faults, b.Faults) || a.Fleet != b.Fleet {
-			t.Errorf("seed %d draws two scenarios", seed)
+			t.Errorf("seed %d draws different scenarios", seed)
 		}
 		kinds = append(kinds, a.FaultKinds()...)
 		overlap := 0
@@ -168,7 +168,7 @@
 			}
 		}
 		if overlap < soakFaults/2 {
-			t.Errorf("seed %d: %d pairs of faults overlap", seed, overlap)
+			t.Errorf("seed %d: only %d pairs of faults overlap", seed, overlap)
 		}
 	}
 	for _, k := range soakFaultKinds {
@@ -178,27 +178,27 @@
 	}
 }
 
-// Each invariant of the soak finds what breaks it, and nothing in what does not.
+// Each invariant of the soak reports the history that breaks it, and no other.
 func TestSoakInvariants(t *testing.T) {
 	const s = time.Second
 	at := func(at time.Duration, r Reached) []Reached { r.At = at; return []Reached{r} }
 	for name, c := range map[string]struct {
 		try    Try
 		killed []span
-		broken string // the invariant that is; empty: none
+		broken string // the invariant that is broken; empty: none
 	}{
 		"answered":                           {Try{End: Served, Sent: s, Ended: 2 * s, Owed: 3 * s}, nil, ""},
 		"no answer in time":                  {Try{End: GaveUp, Sent: s, Ended: 4 * s, Owed: 3 * s}, nil, "final"},
-		"no answer, as its client left":      {Try{End: GaveUp, Sent: s, Ended: 2 * s, Left: 2 * s, Owed: 3 * s}, nil, ""},
-		"no answer, as its sidecar died":     {Try{End: GaveUp, Sent: s, Ended: 4 * s, Owed: 3 * s}, []span{{0, 2 * s, 3 * s}}, ""},
-		"closed on a new connection":         {Try{End: Broken, Fresh: true, Sent: s, Ended: 2 * s, Owed: 3 * s}, nil, "final"},
-		"closed between requests":            {Try{End: Broken, Sent: s, Ended: 2 * s, Owed: 3 * s}, nil, ""},
-		"broken off by its server":           {Try{End: Broken, Fresh: true, Partial: true, Sent: s, Ended: 2 * s, Owed: 3 * s, Reached: at(s, Reached{Spoilt: true})}, nil, ""},
-		"broken off, but not by its server":  {Try{End: Broken, Fresh: true, Partial: true, Sent: s, Ended: 2 * s, Owed: 3 * s, Reached: at(s, Reached{Verdict: world.Taken})}, nil, "final"},
-		"sent on behind the leaving":         {Try{End: GaveUp, Sent: s, Left: s, Owed: 3 * s, Reached: at(s+400*time.Millisecond, Reached{})}, nil, "left"},
-		"sent on just behind it":             {Try{End: GaveUp, Sent: s, Left: s, Owed: 3 * s, Reached: at(s+90*time.Millisecond, Reached{})}, nil, ""},
-		"told more time than the client has": {Try{End: Served, Sent: s, Owed: 3 * s, Reached: at(2*s, Reached{Told: 1300 * time.Millisecond})}, nil, "told"},
-		"told what it has":                   {Try{End: Served, Sent: s, Owed: 3 * s, Reached: at(2*s, Reached{Told: s})}, nil, ""},
+		"no answer, its client left":         {Try{End: GaveUp, Sent: s, Ended: 2 * s, Left: 2 * s, Owed: 3 * s}, nil, ""},
+		"no answer, its sidecar died":        {Try{End: GaveUp, Sent: s, Ended: 4 * s, Owed: 3 * s}, []span{{0, 2 * s, 3 * s}}, ""},
+		"new connection closed":              {Try{End: Broken, Fresh: true, Sent: s, Ended: 2 * s, Owed: 3 * s}, nil, "final"},
+		"kept connection closed":             {Try{End: Broken, Sent: s, Ended: 2 * s, Owed: 3 * s}, nil, ""},
+		"broken by its server":               {Try{End: Broken, Fresh: true, Partial: true, Sent: s, Ended: 2 * s, Owed: 3 * s, Reached: at(s, Reached{Spoilt: true})}, nil, ""},
+		"broken, but not by its server":      {Try{End: Broken, Fresh: true, Partial: true, Sent: s, Ended: 2 * s, Owed: 3 * s, Reached: at(s, Reached{Verdict: world.Taken})}, nil, "final"},
+		"sent on after the client left":      {Try{End: GaveUp, Sent: s, Left: s, Owed: 3 * s, Reached: at(s+400*time.Millisecond, Reached{})}, nil, "left"},
+		"sent on just after the client left": {Try{End: GaveUp, Sent: s, Left: s, Owed: 3 * s, Reached: at(s+90*time.Millisecond, Reached{})}, nil, ""},
+		"timeout longer than the client's":   {Try{End: Served, Sent: s, Owed: 3 * s, Reached: at(2*s, Reached{Told: 1300 * time.Millisecond})}, nil, "told"},
+		"timeout as the client's":            {Try{End: Served, Sent: s, Owed: 3 * s, Reached: at(2*s, Reached{Told: s})}, nil, ""},
 	} {
 		t.Run(name, func(t *testing.T) {
 			h := &History{tries: []*Try{&c.try}, killed: c.killed}
@@ -218,13 +218,13 @@
 	}
 }
 
-// A slow client's time begins as its last byte is handed over, neither before nor at a later read.
+// The timeout of a slow client begins once, when the last byte of its body is handed over.
 func TestSlowBodyEndsWithItsLastByte(t *testing.T) {
-	whole := 0
-	b := &requestBody{unread: strings.NewReader("abcde"), pieceBytes: 2, onEnd: func() { whole++ }}
-	for _, want := range []struct{ n, whole int }{{2, 0}, {2, 0}, {1, 1}, {0, 1}} {
-		if n, err := b.Read(make([]byte, 10)); n != want.n || whole != want.whole || (err == io.EOF) != (n == 0) {
-			t.Errorf("read %d bytes, error %v, ended %d times; want %+v", n, err, whole, want)
+	ended := 0
+	b := &requestBody{unread: strings.NewReader("abcde"), pieceBytes: 2, onEnd: func() { ended++ }}
+	for _, want := range []struct{ n, ended int }{{2, 0}, {2, 0}, {1, 1}, {0, 1}} {
+		if n, err := b.Read(make([]byte, 10)); n != want.n || ended != want.ended || (err == io.EOF) != (n == 0) {
+			t.Errorf("read %d bytes, error %v, onEnd called %d times; want %+v", n, err, ended, want)
 		}
 	}
 }
--- a/internal/lab/twice_test.go
+++ b/internal/lab/twice_test.go
@@ -16,51 +16,52 @@
 	"arrowgw/internal/conf"
 )
 
-// A fault of a sidecar's process ends at the process that it began at, also where an upgrade has put another in its place.
-func TestFaultEndsAtTheProcessThatItBeganAt(t *testing.T) {
-	for do, struck := range map[string]func(q *process) bool{
+// A fault of a sidecar's process ends at the process that it began with, even if an upgrade has replaced that process.
+func TestFaultEndsAtProcessItBeganWith(t *testing.T) {
+	for kind, affected := range map[string]func(q *process) bool{
 		"pause": func(q *process) bool { return isStopped(t, q) },
 		"deaf":  func(q *process) bool { q.calls.mu.Lock(); defer q.calls.mu.Unlock(); return q.calls.acceptFails },
 		"calls": func(q *process) bool { q.calls.mu.Lock(); defer q.calls.mu.Unlock(); return q.calls.share > 0 },
 	} {
-		t.Run(do, func(t *testing.T) {
+		t.Run(kind, func(t *testing.T) {
 			old, next := startSleeper(t), startSleeper(t)
 			p := &processes{clock: newClock(), history: new(History), current: []*process{old}}
 			f := &faults{run: &run{processes: p, hollow: new(hollows), clock: p.clock, history: p.history}, restartMu: make([]sync.Mutex, 1)}
-			ctx, mend := context.WithCancel(t.Context())
+			ctx, endFault := context.WithCancel(t.Context())
 			ended := make(chan error, 1)
 			go func() {
-				a := PlannedFault{Fault: Fault{Kind: do, Size: 1, For: conf.Duration(time.Hour)}}
+				a := PlannedFault{Fault: Fault{Kind: kind, Size: 1, For: conf.Duration(time.Hour)}}
 				ended <- f.sidecarFault(ctx, a, 0)
 			}()
-			waitFor(t, "the fault to begin", func() bool { return struck(old) })
+			waitFor(t, "the fault to begin", func() bool { return affected(old) })
 			p.mu.Lock()
 			p.current[0] = next
 			p.mu.Unlock()
-			mend()
+			endFault()
 			if err := <-ended; err != nil {
 				t.Fatal(err)
 			}
-			waitFor(t, "the fault to end", func() bool { return !struck(old) })
-			if struck(next) {
-				t.Error("it has befallen the next process")
+			waitFor(t, "the fault to end", func() bool { return !affected(old) })
+			if affected(next) {
+				t.Error("the fault affects the next process")
 			}
 		})
 	}
 }
 
-// A process has a configuration of its own, and hears of a new one only once it has been ready for a second: by one file for all of a
-// sidecar's processes, and a signal at any time, a reload beside an upgrade had two listen at one console, or ended the new one.
-func TestReloadDisturbsNoProcessThatStarts(t *testing.T) {
-	q := startSleeper(t) // SIGHUP ends it
+// Each process has its own configuration file and gets SIGHUP only after it has been ready for a second. With one file for all
+// processes of a sidecar and signals at any time, a reload during an upgrade made two processes listen at one console address,
+// or ended the new process.
+func TestReloadLeavesStartingProcessAlone(t *testing.T) {
+	q := startSleeper(t) // SIGHUP would end it
 	q.ended = make(chan struct{})
 	q.readyAt.Store(math.MaxInt64)
 	if q.mayReload(time.Hour) {
-		t.Error("a process that is not ready may be told")
+		t.Error("mayReload is true for a process that is not ready")
 	}
 	q.readyAt.Store(int64(time.Minute))
 	if q.mayReload(time.Minute+reloadDelay-1) || !q.mayReload(time.Minute+reloadDelay) {
-		t.Error("a process may be told at another moment than a second behind being ready")
+		t.Error("mayReload does not become true a second after the process is ready")
 	}
 	s := readScenario(t, "[fleet]\nsidecars=1\nservers=1")
 	n, err := claimSubnet()
@@ -89,11 +90,11 @@
 		t.Fatal(err)
 	}
 	if first == second {
-		t.Errorf("two processes of a sidecar read %s", first)
+		t.Errorf("two processes of a sidecar share the configuration %s", first)
 	}
 }
 
-// startSleeper is a process that does nothing.
+// startSleeper starts a process that does nothing.
 func startSleeper(t *testing.T) *process {
 	t.Helper()
 	cmd := exec.Command("sleep", "60")
@@ -101,13 +102,13 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() {
-		_ = cmd.Process.Kill() // it fails only if it has ended
+		_ = cmd.Process.Kill() // fails only if it has ended
 		_ = cmd.Wait()         // it was killed
 	})
 	return &process{cmd: cmd, calls: new(callFaults)}
 }
 
-// isStopped says whether a process stands still.
+// isStopped reports whether a process is stopped by a signal.
 func isStopped(t *testing.T, q *process) bool {
 	t.Helper()
 	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", q.cmd.Process.Pid))
@@ -118,12 +119,12 @@
 	return strings.HasPrefix(state, "T")
 }
 
-// waitFor waits until something holds.
+// waitFor waits until holds returns true.
 func waitFor(t *testing.T, what string, holds func() bool) {
 	t.Helper()
 	for end := time.Now().Add(5 * time.Second); !holds(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("waited in vain for %s", what)
+			t.Fatalf("timed out waiting for %s", what)
 		}
 	}
 }
