--- a/internal/lab/address.go
+++ b/internal/lab/address.go
@@ -218,7 +218,7 @@
 // is being started holds a copy of the descriptor until it executes its program.
 func closeListener(l *net.TCPListener) {
 	if raw, err := l.SyscallConn(); err == nil {
-		_ = withDescriptor(raw, func(fd int) error { return unix.Shutdown(fd, unix.SHUT_RD) }) // fails only on a closed one
+		_ = withDescriptor(raw, func(fd int) error { return unix.Shutdown(fd, unix.SHUT_RD) }) // fails only if it is closed
 	}
 	l.Close()
 }
--- a/internal/lab/client.go
+++ b/internal/lab/client.go
@@ -47,6 +47,7 @@
 	persistentRequests atomic.Int64 // requests made by sendPersistently and withholdEnd so far
 }
 
+// newClients prepares the clients of a scenario; play makes their requests.
 func newClients(s *Scenario, c clock, h *History, n *subnet, lateness *lateness) *clients {
 	k := &clients{clock: c, scenario: s, history: h, net: n, lateness: lateness, classes: s.classes(), outcomes: make(map[Outcome]*counter)}
 	seconds := int(s.For.Std() / time.Second)
@@ -130,7 +131,7 @@
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	us := min(max(1, took.Microseconds()), 60_000_000)
-	_ = k.latency[a.Class].RecordValue(us) // in range
+	_ = k.latency[a.Class].RecordValue(us) // cannot fail: the value is in range
 	_ = k.latencyBySecond[min(max(0, int(a.At/time.Second)), len(k.latencyBySecond)-1)].RecordValue(us)
 }
 
--- a/internal/lab/lab.go
+++ b/internal/lab/lab.go
@@ -27,7 +27,7 @@
 )
 
 // clock is the time of a run. It is far below zero until startIn is called, and continues from just below zero then. It
-// never goes back from the moment of that call.
+// never goes back.
 type clock struct {
 	created time.Time
 	offset  *atomic.Int64
@@ -95,7 +95,7 @@
 func (l *lateness) record(due, done time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	_ = l.hist.RecordValue(min(max(1, (done-due).Microseconds()), 60_000_000)) // in range
+	_ = l.hist.RecordValue(min(max(1, (done-due).Microseconds()), 60_000_000)) // cannot fail: the value is in range
 	if done-due < gapThreshold {
 		return
 	}
@@ -134,6 +134,7 @@
 // counter counts events in each second of a run, for plots. It is safe for concurrent use.
 type counter struct{ perSecond []atomic.Int64 }
 
+// newCounter returns a counter for a run of the given length in seconds.
 func newCounter(seconds int) *counter { return &counter{make([]atomic.Int64, seconds+2)} }
 
 // add adds n to the second that contains at. Times outside the run count in the nearest second.
--- a/internal/lab/manners.go
+++ b/internal/lab/manners.go
@@ -71,6 +71,7 @@
 	onEnd      func()        // called when the last byte is handed over
 }
 
+// Read implements io.Reader. It pauses before each piece.
 func (b *requestBody) Read(p []byte) (int, error) {
 	if b.unread.Len() == 0 {
 		return 0, io.EOF
@@ -124,7 +125,7 @@
 		return first
 	}
 	defer c.Close()
-	_ = c.SetDeadline(k.clock.timeAt(last.Owed + k.scenario.Load.extraWait())) // fails only on a closed one
+	_ = c.SetDeadline(k.clock.timeAt(last.Owed + k.scenario.Load.extraWait())) // fails only if it is closed
 	_, _ = io.WriteString(c, text.String())                                    // an error shows when the answers are read
 	r := bufio.NewReader(c)
 	for i, t := range tries {
--- a/internal/lab/process.go
+++ b/internal/lab/process.go
@@ -83,6 +83,8 @@
 	cpu          time.Duration // of all processes that have ended
 }
 
+// newProcesses starts the thread that starts all processes. program is the sidecar, dir the run's folder, and logs the
+// folder of the logs.
 func newProcesses(s *Scenario, c clock, h *History, n *subnet, r *roster, program, dir, logs string, rec *record, seed uint64) *processes {
 	p := &processes{
 		clock: c, scenario: s, history: h, net: n, roster: r, program: program, dir: dir, logs: logs, record: rec, seed: seed,
@@ -198,6 +200,7 @@
 	}
 }
 
+// sidecarName returns a sidecar's name in configurations and findings.
 func sidecarName(i int) string { return fmt.Sprintf("n%d", i) }
 
 // start starts a sidecar's next process and returns it once it is ready. If the process starts but does not become ready,
@@ -266,7 +269,8 @@
 	return <-ended
 }
 
-// launch starts a command whose process is killed when the lab ends, if its SysProcAttr.Pdeathsig says so.
+// launch starts a command on the thread that lives as long as the lab. With Pdeathsig in its SysProcAttr, its process is
+// killed when the lab ends.
 func (p *processes) launch(cmd *exec.Cmd) error { return p.runOnStarter(cmd.Start) }
 
 // startProcess starts a process, supervised if the scenario asks for that.
@@ -397,7 +401,7 @@
 		return "", err
 	}
 	defer c.Close()
-	_ = c.SetDeadline(time.Now().Add(3 * time.Second)) // fails only on a closed one
+	_ = c.SetDeadline(time.Now().Add(3 * time.Second)) // fails only if it is closed
 	if _, err := io.WriteString(c, line+"\n"); err != nil {
 		return "", err
 	}
@@ -422,7 +426,7 @@
 	p.mu.Lock()
 	q.endExpected = true
 	p.mu.Unlock()
-	_ = q.cmd.Process.Kill() // it may have ended by itself
+	_ = q.cmd.Process.Kill() // fails only if it has ended
 	<-q.ended
 	p.history.life(&p.history.killed, span{sidecar, from, p.clock.now()})
 }
@@ -432,7 +436,7 @@
 	p.mu.Lock()
 	q.endExpected = true
 	p.mu.Unlock()
-	_ = q.cmd.Process.Signal(syscall.SIGTERM) // it may have ended by itself
+	_ = q.cmd.Process.Signal(syscall.SIGTERM) // fails only if it has ended
 	select {
 	case <-q.ended:
 	case <-time.After(stopTimeout):
@@ -458,7 +462,7 @@
 	if isCurrent {
 		p.history.runs(q.sidecar, p.clock.now(), !on)
 	}
-	_ = q.cmd.Process.Signal(sig) // it may have ended by itself
+	_ = q.cmd.Process.Signal(sig) // fails only if it has ended
 }
 
 // starve takes a share of the running time from a process: it stops the process for part of each starvePeriod until the
@@ -470,7 +474,7 @@
 	}
 	stopped := time.Duration(min(share, 0.95) * float64(starvePeriod))
 	for ctx.Err() == nil {
-		_ = q.cmd.Process.Signal(syscall.SIGSTOP) // it may have ended by itself
+		_ = q.cmd.Process.Signal(syscall.SIGSTOP) // fails only if it has ended
 		sleep(ctx, stopped)
 		_ = q.cmd.Process.Signal(syscall.SIGCONT)
 		sleep(ctx, starvePeriod-stopped)
@@ -489,7 +493,7 @@
 	return nil
 }
 
-// reload rewrites a sidecar's configuration and sends SIGHUP, as soon as the platform would.
+// reload rewrites the configuration of a sidecar's process and sends it SIGHUP, as soon as the platform would.
 func (p *processes) reload(sidecar int) error {
 	q := p.running(sidecar)
 	if q == nil {
@@ -499,7 +503,7 @@
 		return err
 	}
 	if q.mayReload(p.clock.now()) {
-		_ = q.cmd.Process.Signal(syscall.SIGHUP) // it may have ended by itself
+		_ = q.cmd.Process.Signal(syscall.SIGHUP) // fails only if it has ended
 		return nil
 	}
 	go func() {
@@ -596,7 +600,7 @@
 	for _, q := range live {
 		rss, fds, ok := processUsage(q.cmd.Process.Pid)
 		if !ok {
-			continue // it has just ended
+			continue // it has just exited
 		}
 		sum += rss
 		p.mu.Lock()
--- a/internal/lab/relay.go
+++ b/internal/lab/relay.go
@@ -69,7 +69,7 @@
 
 	mu    sync.Mutex
 	conns map[net.Conn]bool
-	open  int // connections on all links
+	open  int // open connections on all links
 	done  chan struct{}
 	work  sync.WaitGroup
 }
@@ -82,6 +82,7 @@
 	max time.Duration
 }
 
+// add adds the delay of one packet.
 func (l *delaySum) add(d time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -297,7 +298,7 @@
 		}
 		l := m.linkFrom(c.LocalAddr().(*net.TCPAddr).AddrPort().Addr(), to)
 		if l == nil || !l.countConnections(1) {
-			_ = c.SetLinger(0) // fails only on a closed one
+			_ = c.SetLinger(0) // fails only if it is closed
 			c.Close()
 			continue
 		}
--- a/internal/lab/run.go
+++ b/internal/lab/run.go
@@ -117,9 +117,9 @@
 	}
 	r.processes = newProcesses(s, r.clock, r.history, r.net, r.roster, o.Program, processRecord.dir, logs, processRecord, o.Seed)
 	defer func() {
-		soon, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
+		shutdownCtx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 		defer cancel()
-		r.processes.close(soon)
+		r.processes.close(shutdownCtx)
 	}()
 	if s.Fleet.Mesh {
 		if r.mesh, err = newMesh(s.totalSidecars(), r.net, o.Seed); err != nil {
@@ -239,9 +239,9 @@
 	}
 	r.processes.sample()
 	r.hollow.close()
-	soon, cancelSoon := context.WithTimeout(context.Background(), shutdownTimeout)
-	r.processes.close(soon)
-	cancelSoon()
+	shutdownCtx, cancelShutdown := context.WithTimeout(context.Background(), shutdownTimeout)
+	r.processes.close(shutdownCtx)
+	cancelShutdown()
 	if interrupted != nil {
 		return nil, errors.New("the run was interrupted")
 	}
--- a/internal/lab/scenario.go
+++ b/internal/lab/scenario.go
@@ -268,6 +268,7 @@
 // zoneOf returns the zone of a sidecar or server, given its number.
 func (s *Scenario) zoneOf(i int) int { return i % s.Fleet.Zones }
 
+// zoneName returns a zone's name: a, b and so on.
 func zoneName(zone int) string { return string(rune('a' + zone)) }
 
 // PlannedFault is a fault with its targets drawn.
@@ -285,7 +286,7 @@
 	spare := s.Fleet.Servers
 	for _, f := range s.Faults {
 		a := PlannedFault{Fault: f}
-		a.Targets, _ = s.resolveTargets(f, f.Target, rng) // checked when the file was read
+		a.Targets, _ = s.resolveTargets(f, f.Target, rng) // cannot fail: checked when the file was read
 		if f.Kind == "replace" {
 			for range a.Targets {
 				a.Replacements = append(a.Replacements, spare)
@@ -374,7 +375,7 @@
 func (s *Scenario) replacementServers() (n int) {
 	for _, f := range s.Faults {
 		if f.Kind == "replace" {
-			some, _ := s.resolveTargets(f, f.Target, nil) // checked when the file was read
+			some, _ := s.resolveTargets(f, f.Target, nil) // cannot fail: checked when the file was read
 			n += len(some)
 		}
 	}
--- a/internal/lab/spoil.go
+++ b/internal/lab/spoil.go
@@ -57,7 +57,7 @@
 // resetOnClose makes the close of a connection reset it.
 func resetOnClose(c net.Conn) {
 	if wrapped, ok := c.(*conn); ok {
-		_ = wrapped.SetLinger(0) // fails only on a closed one
+		_ = wrapped.SetLinger(0) // fails only if it is closed
 	}
 }
 
@@ -94,7 +94,7 @@
 		return nil // no sidecar is listening
 	}
 	defer c.Close()
-	_ = c.SetDeadline(time.Now().Add(malformedTimeout + malformedSlack)) // fails only on a closed one
+	_ = c.SetDeadline(time.Now().Add(malformedTimeout + malformedSlack)) // fails only if it is closed
 	_, _ = io.WriteString(c, text)                                       // the sidecar may have closed it already
 	if _, err := c.Read(make([]byte, 1)); err != nil {
 		if netErr, ok := err.(net.Error); ok && netErr.Timeout() {
--- a/internal/lab/terminate.go
+++ b/internal/lab/terminate.go
@@ -107,7 +107,7 @@
 	p.mu.Lock()
 	q.endExpected = true
 	p.mu.Unlock()
-	send := func(signal syscall.Signal) { _ = q.cmd.Process.Signal(signal) } // it may have ended by itself
+	send := func(signal syscall.Signal) { _ = q.cmd.Process.Signal(signal) } // fails only if it has ended
 	if series == seriesHupTerm {
 		send(syscall.SIGHUP)
 	}
@@ -126,7 +126,7 @@
 	case <-kill:
 	}
 	from := p.clock.now()
-	_ = q.cmd.Process.Kill() // it may have ended by itself
+	_ = q.cmd.Process.Kill() // fails only if it has ended
 	<-q.ended
 	p.history.killedLate(span{q.sidecar, from, p.clock.now()}, termAt+killSlack)
 }
@@ -186,7 +186,7 @@
 	_, _ = c.Write(text[:split]) // an error shows below
 	at := time.Now().Add(time.Duration(rng.Int64N(int64(window))))
 	r := bufio.NewReader(c)
-	_ = c.SetReadDeadline(at) // fails only on a closed one
+	_ = c.SetReadDeadline(at) // fails only if it is closed
 	if _, err := r.Peek(1); err == nil || outcomeOfError(err) == Broken {
 		k.history.end(t, k.clock.now(), Unreachable, 0, "", false, false) // closed before the request was complete
 		return
@@ -204,7 +204,7 @@
 	k.history.mu.Lock()
 	deadline := t.Owed
 	k.history.mu.Unlock()
-	_ = c.SetDeadline(k.clock.timeAt(deadline + k.scenario.Load.extraWait())) // fails only on a closed one
+	_ = c.SetDeadline(k.clock.timeAt(deadline + k.scenario.Load.extraWait())) // fails only if it is closed
 	end, status, answer, partial := readAnswer(r)
 	k.history.end(t, k.clock.now(), end, status, answer, partial, fresh)
 	return end
--- a/internal/lab/upstream.go
+++ b/internal/lab/upstream.go
@@ -245,7 +245,7 @@
 	if e.listener == nil {
 		return
 	}
-	_ = e.listener.SetDeadline(time.Unix(1, 0)) // fails only on a closed one, as setBacklog does
+	_ = e.listener.SetDeadline(time.Unix(1, 0)) // fails only if it is closed, as does setBacklog
 	e.setBacklog(0)
 	select {
 	case <-e.parked: // wait for Accept to block, or it could accept the first filler
@@ -314,7 +314,7 @@
 	e.closeFillers()
 	if e.listener != nil {
 		e.setBacklog(backlog)
-		_ = e.listener.SetDeadline(time.Time{}) // fails only on a closed one
+		_ = e.listener.SetDeadline(time.Time{}) // fails only if it is closed
 	}
 }
 
@@ -324,7 +324,7 @@
 	if err != nil {
 		return true // closed
 	}
-	_ = raw.Control(func(fd uintptr) { // fails only on a closed one
+	_ = raw.Control(func(fd uintptr) { // fails only if it is closed
 		info, err := unix.GetsockoptTCPInfo(int(fd), unix.IPPROTO_TCP, unix.TCP_INFO)
 		full = err == nil && info.Unacked > info.Sacked // for a listener: the length of the queue, and its limit
 	})
@@ -335,7 +335,7 @@
 func (e *endpoint) setBacklog(limit int) {
 	raw, err := e.listener.SyscallConn()
 	if err == nil {
-		_ = raw.Control(func(fd uintptr) { _ = syscall.Listen(int(fd), limit) }) // fails only on a closed one
+		_ = raw.Control(func(fd uintptr) { _ = syscall.Listen(int(fd), limit) }) // fails only if it is closed
 	}
 }
 
@@ -412,6 +412,7 @@
 	}
 }
 
+// errVanished is returned by reads and writes that a silence interrupted.
 var errVanished = errors.New("the server was silent, and the connection was reset")
 
 // waitWhileSilent waits while the server is silent. If it was, the connection is closed and an error returned.
@@ -428,6 +429,7 @@
 	return errVanished
 }
 
+// Read blocks while the server is silent, and fails once the silence is over.
 func (c *conn) Read(p []byte) (int, error) {
 	n, err := c.TCPConn.Read(p)
 	if gone := c.waitWhileSilent(); gone != nil {
@@ -436,6 +438,7 @@
 	return n, err
 }
 
+// Write blocks while the server is silent, and fails once the silence is over.
 func (c *conn) Write(p []byte) (int, error) {
 	if gone := c.waitWhileSilent(); gone != nil {
 		return 0, gone
@@ -443,6 +446,7 @@
 	return c.TCPConn.Write(p)
 }
 
+// Close closes the connection and removes it from its server's.
 func (c *conn) Close() error {
 	c.server.servers.mu.Lock()
 	delete(c.server.conns, c)
@@ -454,7 +458,7 @@
 func (u *server) reset() {
 	for c := range u.conns {
 		c.noteCut("reset")
-		_ = c.TCPConn.SetLinger(0) // fails only on a closed one
+		_ = c.TCPConn.SetLinger(0) // fails only if it is closed
 		c.TCPConn.Close()
 		delete(u.conns, c)
 	}
