--- a/internal/lab/callfaults.go
+++ b/internal/lab/callfaults.go
@@ -40,7 +40,8 @@
 
 // callFaults disturbs the system calls of one process: it draws which fail, transfer few bytes or are delayed.
 type callFaults struct {
-	breakConnection func(local, remote netip.AddrPort) bool // called when a connection is to break; reports whether it is one to a server
+	// Called when a connection is to break. It reports whether the connection is one to a server.
+	breakConnection func(local, remote netip.AddrPort) bool
 
 	mu          sync.Mutex
 	supervisor  *sysfault.Supervisor // nil until the process has started
--- a/internal/lab/process.go
+++ b/internal/lab/process.go
@@ -38,7 +38,9 @@
 	starvePeriod           = 200 * time.Millisecond
 	consolePorts           = 50      // ports that the processes of a sidecar take in turn
 	logTailBytes           = 2 << 10 // of a log that an error quotes
-	unprivilegedUser       = 65534   // user and group ID that sidecars run with if the lab is root, as the platform runs them as an ordinary user
+
+	// User and group ID that sidecars run with if the lab is root, as the platform runs them as an ordinary user.
+	unprivilegedUser = 65534
 )
 
 // process is one process of a sidecar. A sidecar has several, one after another or, in an upgrade, two at once.
@@ -68,9 +70,12 @@
 	logs     string // folder of the logs
 	record   *record
 	seed     uint64
-	starter  chan func() // functions to run on a thread that lives as long as the lab, as a child is killed when the thread that started it ends
-	closed   sync.Once
-	routes   func(sidecar int) map[string]string // addresses at which a sidecar reaches its peers, by their names
+
+	// Functions to run on a thread that lives as long as the lab: a child is killed when the thread that started it ends.
+	starter chan func()
+
+	closed sync.Once
+	routes func(sidecar int) map[string]string // addresses at which a sidecar reaches its peers, by their names
 
 	mu           sync.Mutex
 	current      []*process // by sidecar; nil if none runs
@@ -123,7 +128,8 @@
 		"seed":    strconv.FormatUint(rand.New(rand.NewPCG(p.seed, 5+uint64(sidecar)<<16+uint64(ordinal)<<40)).Uint64(), 16),
 		"limits":  map[string]any{"cores": 1, "memory_mb": s.Fleet.MemoryMB, "sockets": s.Fleet.Sockets},
 	}
-	if sidecar < s.Fleet.Sidecars { // a hollow sidecar asks discovery instead, as thousands of files with long lists would be expensive
+	// Hollow sidecars ask discovery instead, as thousands of files with long lists would be expensive.
+	if sidecar < s.Fleet.Sidecars {
 		file["known"] = p.roster.listing(sidecar, firstVersion, true, world.NewRoster(s.Fleet.Servers, firstVersion).Whole())
 	}
 	file["settings"] = p.settings(sidecar)
@@ -147,7 +153,8 @@
 	if err != nil {
 		return "", err
 	}
-	path = filepath.Join(folder, fmt.Sprintf("%d-%d.json", sidecar, ordinal)) // a file of its own, so that writing it does not affect the previous process
+	// Each process has its own file, so that writing it does not affect the previous process.
+	path = filepath.Join(folder, fmt.Sprintf("%d-%d.json", sidecar, ordinal))
 	return path, os.WriteFile(path, raw, 0o644)
 }
 
@@ -230,7 +237,8 @@
 		q.cmd.Dir, q.cmd.Stdout, q.cmd.Stderr = p.dir, logFile, logFile
 		q.cmd.Env = append(os.Environ(), "EDGE_CONFIG="+config, "TMPDIR="+p.stateDir(sidecar), "EDGE_LISTEN=", "EDGE_FLEET=")
 		q.cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
-		if os.Getuid() == 0 && !p.scenario.Fleet.Supervised { // a supervised process is started by this program's executable, which another user may not be able to run
+		// A supervised process is started by this program's executable, which another user may not be able to run.
+		if os.Getuid() == 0 && !p.scenario.Fleet.Supervised {
 			q.cmd.SysProcAttr.Credential = &syscall.Credential{Uid: unprivilegedUser, Gid: unprivilegedUser}
 		}
 		err := p.runOnStarter(func() error { return p.startProcess(q) })
--- a/internal/lab/scenario.go
+++ b/internal/lab/scenario.go
@@ -16,10 +16,13 @@
 
 // Scenario is a scenario file: a fleet, its load, a timetable of faults, and the invariants that must hold.
 type Scenario struct {
-	Name       string         `toml:"-"` // the base name of the file without .toml
-	file       string         // name of the file, for errors
-	keyLines   map[string]int // line number of each key in the file
-	TimeLimits time.Duration  `toml:"-"` // if not 0, every class's aim and deadline in place of the usual ones, for runs whose verdict must not depend on speed
+	Name     string         `toml:"-"` // the base name of the file without .toml
+	file     string         // name of the file, for errors
+	keyLines map[string]int // line number of each key in the file
+
+	// If not 0, every class's aim and deadline in place of the usual ones, for runs whose verdict must not depend on the
+	// machine's speed.
+	TimeLimits time.Duration `toml:"-"`
 
 	About      string        `toml:"about" need:"yes" help:"what the scenario is for, in one line"`
 	For        conf.Duration `toml:"for" default:"20s" min:"1s" max:"1h" help:"how long clients make requests"`
--- a/internal/lab/upstream.go
+++ b/internal/lab/upstream.go
@@ -352,7 +352,8 @@
 		c, err := w.TCPListener.AcceptTCP()
 		u, caller := w.endpoint.server, -1
 		if err == nil {
-			if caller = u.servers.net.callerAt(c.LocalAddr()); caller < 0 || caller >= u.sidecars { // the address called is not a sidecar's of this run
+			// Connections to an address that is not a sidecar's of this run are closed.
+			if caller = u.servers.net.callerAt(c.LocalAddr()); caller < 0 || caller >= u.sidecars {
 				c.Close()
 				continue
 			}
