--- a/cmd/fleetlab/main.go
+++ b/cmd/fleetlab/main.go
@@ -37,7 +37,7 @@
 
 func main() {
 	sysfault.Launch()
-	if lab.Hold() || lab.RunBusyLoop() {
+	if lab.ServeHollow() || lab.RunBusyLoop() {
 		return
 	}
 	root := &cobra.Command{
--- a/internal/lab/callfaults.go
+++ b/internal/lab/callfaults.go
@@ -57,7 +57,7 @@
 	for number := range transientErrors {
 		calls = append(calls, number)
 	}
-	supervisor, err := sysfault.Start(cmd, sysfault.Options{Calls: calls, Decide: f.decide, Clock: true})
+	supervisor, err := sysfault.Start(cmd, sysfault.Options{Calls: calls, Decide: f.decide, ControlClock: true})
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.supervisor = supervisor
@@ -88,7 +88,7 @@
 	transfersData := c.Number == unix.SYS_READ || c.Number == unix.SYS_WRITE
 	switch draw := f.rng.Float64(); {
 	case transfersData && draw < 0.6:
-		e.Most = 1 + f.rng.IntN(40)
+		e.MaxBytes = 1 + f.rng.IntN(40)
 	case transfersData && draw < 0.62:
 		e.Delay = time.Duration(f.rng.Int64N(int64(maxStall)))
 	case transfersData && draw < 0.64 && f.breakServerConnection(c):
@@ -97,7 +97,7 @@
 		return e
 	default:
 		candidates := transientErrors[c.Number]
-		e.Errno, e.OnSocket = candidates[f.rng.IntN(len(candidates))], transfersData
+		e.Errno, e.SocketsOnly = candidates[f.rng.IntN(len(candidates))], transfersData
 	}
 	return e
 }
@@ -108,6 +108,6 @@
 	if f.supervisor == nil {
 		return false
 	}
-	local, remote, err := f.supervisor.Ends(int(int32(c.Arguments[0])))
+	local, remote, err := f.supervisor.ConnAddrs(int(int32(c.Arguments[0])))
 	return err == nil && f.breakConnection(local, remote)
 }
--- a/internal/lab/client.go
+++ b/internal/lab/client.go
@@ -101,7 +101,7 @@
 	k.openCount.Add(1)
 	defer k.openCount.Add(-1)
 	class := k.classes[a.Class]
-	end, deadline := Asked{Arrival: a}, a.At+class.Deadline
+	end, deadline := ClientRequest{Arrival: a}, a.At+class.Deadline
 	honoursRetryAfter := float64(n%100) < 100*k.scenario.Load.RetryAfterShare
 	for {
 		t, pause := k.try(n, a, class, deadline, end.Tries > 0)
@@ -118,7 +118,7 @@
 		}
 		time.Sleep(pause)
 	}
-	k.history.done(n, end)
+	k.history.completeRequest(n, end)
 	k.outcomes[end.End].add(a.At, 1)
 	if end.End != Served {
 		return
@@ -145,7 +145,7 @@
 	if b.timeLimit > 0 {
 		timeout = min(timeout, b.timeLimit)
 	}
-	begin := func() *Try { return k.history.begin(n, a.Sidecar, a.Class, k.clock.now()) }
+	begin := func() *Try { return k.history.beginTry(n, a.Sidecar, a.Class, k.clock.now()) }
 	build := func(t *Try) *http.Request { return k.newRequest(t, n, a, class, b, timeout, isRetry) }
 	if b.pipelined > 0 {
 		return k.sendPipelined(b, timeout, build, begin), 0
@@ -156,7 +156,7 @@
 	defer cancel()
 	if b.leavesEarly {
 		leaveTimer := time.AfterFunc(b.bodyTime+time.Duration(rng.Int64N(int64(timeout))), func() {
-			k.history.left(t, k.clock.now())
+			k.history.recordClientLeft(t, k.clock.now())
 			cancel()
 		})
 		defer leaveTimer.Stop()
@@ -178,7 +178,7 @@
 	default:
 		end = Broken
 	}
-	k.history.end(t, k.clock.now(), end, status, body, ex.partial.Load(), ex.connected.Load() && !ex.reused.Load())
+	k.history.endTry(t, k.clock.now(), end, status, body, ex.partial.Load(), ex.connected.Load() && !ex.reused.Load())
 	if end != Refused {
 		return t, 0
 	}
@@ -189,7 +189,7 @@
 // newRequest builds the HTTP request of a try.
 func (k *clients) newRequest(t *Try, n int, a world.Arrival, class world.Class, b behaviour, timeout time.Duration, isRetry bool) *http.Request {
 	method, bodyText, body := http.MethodPost, "", io.Reader(nil)
-	if class.Effect == world.Safe {
+	if class.Idempotency == world.Safe {
 		method = http.MethodGet
 	} else {
 		bodyText, body = k.tryBody(t, b, timeout)
@@ -207,7 +207,7 @@
 	h.Set("X-Tenant-Id", tenants[a.Tenant].name)
 	h.Set("X-Route-Key", fmt.Sprintf("%016x", a.Key))
 	h.Set("X-Timeout", strconv.FormatInt(timeout.Microseconds(), 10)+"u")
-	if class.Effect == world.Keyed {
+	if class.Idempotency == world.Keyed {
 		h.Set("Idempotency-Key", fmt.Sprintf("%032x", n+1))
 	}
 	if isRetry {
@@ -249,5 +249,5 @@
 // mayResend reports whether the sidecar may have closed a kept connection while the request was in transit: nothing was
 // received and no server has seen the request. Clients then send it again on a new connection.
 func (x *exchange) mayResend(ctx context.Context) bool {
-	return ctx.Err() == nil && x.reused.Load() && !x.partial.Load() && !x.clients.history.touched(x.try)
+	return ctx.Err() == nil && x.reused.Load() && !x.partial.Load() && !x.clients.history.hasReachedServer(x.try)
 }
--- a/internal/lab/conform_test.go
+++ b/internal/lab/conform_test.go
@@ -18,7 +18,7 @@
 // stage is a run with no clients and no faults of its own: tests play both.
 func stage(t *testing.T, s *Scenario) *run {
 	t.Helper()
-	rec, err := newRecord()
+	rec, err := newProcessRecord()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -109,7 +109,7 @@
 		r.servers.mu.Lock()
 		defer r.servers.mu.Unlock()
 		r.servers.all[0].advance()
-		return r.servers.all[0].model.Held()
+		return r.servers.all[0].model.Outstanding()
 	}
 	until := func(what string, holds func() bool) {
 		t.Helper()
@@ -121,7 +121,7 @@
 	}
 	for who, address := range map[string]string{"server": r.servers.address(0, 0), "sidecar": r.net.address(0, clientPort)} {
 		request := func(work string, more ...string) (head, body, id string) {
-			id = r.history.begin(0, 0, 0, r.clock.now()).ID
+			id = r.history.beginTry(0, 0, 0, r.clock.now()).ID
 			head = fmt.Sprintf("POST /publish?work=%s HTTP/1.1\r\nHost: x\r\nX-Request-ID: %s\r\nX-Priority-Class: publish\r\n"+
 				"X-Tenant-Id: souris-bend\r\nX-Timeout: 9000m\r\nContent-Length: 4\r\n%s\r\n", work, id, strings.Join(more, ""))
 			return head, "body", id
@@ -129,7 +129,7 @@
 		reached := func(id string) int {
 			r.history.mu.Lock()
 			defer r.history.mu.Unlock()
-			return len(r.history.find(id).Reached)
+			return len(r.history.findTry(id).Reached)
 		}
 		served := func(k *talk, id string) {
 			t.Helper()
@@ -178,7 +178,7 @@
 			t.Errorf("%s: a request with no end began", who)
 		}
 		k = dial(t, address) // whoever closes gives up: what waits does not run
-		r.servers.changeModel(0, func(m *world.Server) { m.Slow(1000) })
+		r.servers.changeModel(0, func(m *world.Server) { m.SetSlowdown(1000) })
 		var waiting []*talk
 		for range s.Server.Slots + 1 {
 			w := dial(t, r.servers.address(0, 0))
@@ -192,13 +192,13 @@
 		until("one more waits", func() bool { return held() == s.Server.Slots+2 && reached(id) == 1 })
 		k.Close()
 		until(who+": it is called off", func() bool { return held() == s.Server.Slots+1 })
-		r.servers.changeModel(0, func(m *world.Server) { m.Slow(0.001) })
+		r.servers.changeModel(0, func(m *world.Server) { m.SetSlowdown(0.001) })
 		for _, w := range waiting {
 			if status, _ := w.hear(); status != http.StatusOK {
 				t.Errorf("%s: one that waited was answered %d", who, status)
 			}
 		}
-		r.servers.changeModel(0, func(m *world.Server) { m.Slow(1) })
+		r.servers.changeModel(0, func(m *world.Server) { m.SetSlowdown(1) })
 	}
 	r.servers.crash(0)
 	if c, err := net.DialTimeout("tcp", r.servers.address(0, 0), time.Second); err == nil {
@@ -286,7 +286,7 @@
 	want(0, "?index=1&wait=1", 1, false, 0, "")
 	done := make(chan listingJSON)
 	go func() { _, l := get(0, "?index=1&wait=20000"); done <- l }()
-	r.roster.hear(0, world.Entry{Server: 1, Life: world.Draining})
+	r.roster.scheduleUpdate(0, world.Entry{Server: 1, Lifecycle: world.Draining})
 	if l := <-done; l.Generation != 2 || l.Reset || len(l.Instances) != 1 || l.Instances[0].Lifecycle != "draining" {
 		t.Errorf("a watch ends with %+v", l)
 	}
@@ -295,14 +295,14 @@
 	if status, _ := get(0, "?index=x&wait=1"); status != http.StatusBadRequest {
 		t.Errorf("nonsense is answered %d", status)
 	}
-	if told := r.history.told; len(told) != 2 || !told[0].Out || told[0].Server != 1 {
+	if told := r.history.serverUpdates; len(told) != 2 || !told[0].Out || told[0].Server != 1 {
 		t.Errorf("told: %+v", told)
 	}
-	r.roster.outage(true)
+	r.roster.setOutage(true)
 	if status, _ := get(0, ""); status != http.StatusServiceUnavailable {
 		t.Errorf("when it is away it answers %d", status)
 	}
-	r.roster.outage(false)
+	r.roster.setOutage(false)
 	want(0, "", 2, true, 3, "ready")
 	old := r.roster.address(0)
 	if err := r.roster.move(); err != nil {
--- a/internal/lab/faults.go
+++ b/internal/lab/faults.go
@@ -42,7 +42,7 @@
 		if !sleep(ctx, a.At.Std()-f.run.clock.now()) {
 			return
 		}
-		if err := f.run.hollow.resting(true); err != nil {
+		if err := f.run.hollow.readAtRest(true); err != nil {
 			f.mu.Lock()
 			f.errs = append(f.errs, err)
 			f.mu.Unlock()
@@ -144,21 +144,21 @@
 	p := f.run.processes
 	h := f.run.hollow
 	if a.Kind == "push" {
-		return h.push(ctx, i, int(a.Size))
+		return h.pushRules(ctx, i, int(a.Size))
 	}
-	if h.holder(i) != nil {
+	if h.workerOf(i) != nil {
 		endedAt := time.Now()
-		err := h.end(i, a.Kind == "stop")
+		err := h.endSidecar(i, a.Kind == "stop")
 		if err == nil && a.For == 0 {
-			err = h.lost(ctx, i, endedAt)
+			err = h.measureLoss(ctx, i, endedAt)
 		}
 		if err == nil && waitForEnd(ctx, a) {
-			err = h.again(i)
+			err = h.restartSidecar(i)
 		}
 		return err
 	}
 	restart := func() error {
-		f.run.roster.restarted(i)
+		f.run.roster.sidecarRestarted(i)
 		_, err := p.start(i)
 		return err
 	}
@@ -196,7 +196,7 @@
 		}
 		p.starve(ctx, i, a.Size)
 	case "upgrade":
-		defer f.run.history.changed(f.run.clock) // the member's process is replaced
+		defer f.run.history.recordLinkChange(f.run.clock) // the member's process is replaced
 		return p.upgrade(i)
 	case "term":
 		return f.terminate(ctx, a, i)
@@ -230,55 +230,55 @@
 // serverFault carries out a fault of server i and undoes it at its end. Discovery hears of changes after its delays.
 func (f *faults) serverFault(ctx context.Context, a PlannedFault, i int) error {
 	s, r, list := f.run.servers, f.run.roster, f.run.scenario.Discovery
-	listEntry := func(life world.Life) world.Entry { return world.Entry{Server: i, Life: life} }
+	listEntry := func(life world.Lifecycle) world.Entry { return world.Entry{Server: i, Lifecycle: life} }
 	readyEntry := func() world.Entry {
 		e := listEntry(world.Ready)
-		e.Started = f.run.clock.now()
+		e.StartedAt = f.run.clock.now()
 		return e
 	}
 	switch a.Kind {
 	case "crash":
 		s.crash(i)
-		r.hear(list.UpdateDelay.Std(), listEntry(world.Gone))
+		r.scheduleUpdate(list.UpdateDelay.Std(), listEntry(world.Gone))
 		if waitForEnd(ctx, a) {
-			r.hear(list.UpdateDelay.Std(), readyEntry())
+			r.scheduleUpdate(list.UpdateDelay.Std(), readyEntry())
 			return s.start(i)
 		}
 	case "replace":
 		s.crash(i)
-		r.hear(list.UpdateDelay.Std(), listEntry(world.Gone))
+		r.scheduleUpdate(list.UpdateDelay.Std(), listEntry(world.Gone))
 		sleep(ctx, a.For.Std())
 		if ctx.Err() == nil {
 			i = a.Replacements[slices.Index(a.Targets, i)]
-			r.hear(list.UpdateDelay.Std(), readyEntry())
+			r.scheduleUpdate(list.UpdateDelay.Std(), readyEntry())
 			return s.start(i)
 		}
 	case "silence":
 		s.silence(i, true)
-		r.hear(list.SilenceDelay.Std(), listEntry(world.Gone))
+		r.scheduleUpdate(list.SilenceDelay.Std(), listEntry(world.Gone))
 		if waitForEnd(ctx, a) {
 			s.silence(i, false)
-			r.hear(list.UpdateDelay.Std(), readyEntry())
+			r.scheduleUpdate(list.UpdateDelay.Std(), readyEntry())
 		}
 	case "drain":
-		r.hear(list.UpdateDelay.Std(), listEntry(world.Draining))
+		r.scheduleUpdate(list.UpdateDelay.Std(), listEntry(world.Draining))
 		if waitForEnd(ctx, a) {
-			r.hear(list.UpdateDelay.Std(), listEntry(world.Ready))
+			r.scheduleUpdate(list.UpdateDelay.Std(), listEntry(world.Ready))
 		}
 	case "slow":
-		s.changeModel(i, func(m *world.Server) { m.Slow(a.Size) })
+		s.changeModel(i, func(m *world.Server) { m.SetSlowdown(a.Size) })
 		if waitForEnd(ctx, a) {
-			s.changeModel(i, func(m *world.Server) { m.Slow(1) })
+			s.changeModel(i, func(m *world.Server) { m.SetSlowdown(1) })
 		}
 	case "err":
-		s.changeModel(i, func(m *world.Server) { m.Err(a.Size) })
+		s.changeModel(i, func(m *world.Server) { m.SetErrorShare(a.Size) })
 		if waitForEnd(ctx, a) {
-			s.changeModel(i, func(m *world.Server) { m.Err(0) })
+			s.changeModel(i, func(m *world.Server) { m.SetErrorShare(0) })
 		}
 	case "refuse":
-		s.changeModel(i, func(m *world.Server) { m.Refuse(true) })
+		s.changeModel(i, func(m *world.Server) { m.SetRejecting(true) })
 		if waitForEnd(ctx, a) {
-			s.changeModel(i, func(m *world.Server) { m.Refuse(false) })
+			s.changeModel(i, func(m *world.Server) { m.SetRejecting(false) })
 		}
 	case "spoil", "hang", "reset", "close":
 		f.misbehave(ctx, a, i)
@@ -350,7 +350,7 @@
 	for n := 0; ctx.Err() == nil; n++ {
 		from := c.now()
 		if err := sendMalformed(f.run.net.address(sidecar, clientPort), malformedRequests[n%len(malformedRequests)]); err != nil {
-			h.note(&h.peers, "malformed request to sidecar %s at %v: %v", sidecarName(sidecar), from, err)
+			h.addFinding(&h.unansweredPeers, "malformed request to sidecar %s at %v: %v", sidecarName(sidecar), from, err)
 		}
 		sleep(ctx, malformedInterval)
 	}
@@ -365,11 +365,11 @@
 			for ctx.Err() == nil {
 				if q := f.run.processes.running(i); q != nil {
 					if command == "enable-server" { // the sidecar may apply it before it answers
-						f.run.history.tell(Told{At: f.run.clock.now(), Sidecar: i, Server: server, ByHand: true})
+						f.run.history.recordServerUpdate(ServerUpdate{At: f.run.clock.now(), Sidecar: i, Server: server, ByHand: true})
 					}
 					if answer, err := callConsole(q.console, command+" "+serverName(server)); err == nil && strings.HasPrefix(answer, "200") {
 						if command == "disable-server" {
-							f.run.history.tell(Told{At: f.run.clock.now(), Sidecar: i, Server: server, Out: true, ByHand: true})
+							f.run.history.recordServerUpdate(ServerUpdate{At: f.run.clock.now(), Sidecar: i, Server: server, Out: true, ByHand: true})
 						}
 						return
 					}
@@ -386,24 +386,24 @@
 	r := f.run.roster
 	switch a.Kind {
 	case "away":
-		r.outage(true)
+		r.setOutage(true)
 		if waitForEnd(ctx, a) {
-			r.outage(false)
+			r.setOutage(false)
 		}
 	case "stale":
-		r.freeze(true)
+		r.setStale(true)
 		if waitForEnd(ctx, a) {
-			r.freeze(false)
+			r.setStale(false)
 		}
 	case "mute":
-		r.mute()
+		r.silenceWatches()
 	case "crawl":
-		r.crawl(a.Pause.Std())
+		r.setExtraDelay(a.Pause.Std())
 		if waitForEnd(ctx, a) {
-			r.crawl(0)
+			r.setExtraDelay(0)
 		}
 	case "move":
-		if err := f.run.hollow.lists(ctx, r.move); err != nil {
+		if err := f.run.hollow.measureLists(ctx, r.move); err != nil {
 			return err
 		}
 		for i := range f.run.scenario.Fleet.Sidecars {
@@ -459,15 +459,15 @@
 	h := f.run.history
 	from := f.run.clock.now()
 	set(true)
-	h.changed(f.run.clock)
+	h.recordLinkChange(f.run.clock)
 	if waitForEnd(ctx, a) {
 		set(false)
-		h.changed(f.run.clock)
+		h.recordLinkChange(f.run.clock)
 	}
 	// With a single directed link cut, the other members still probe on behalf of both its ends: views must not differ.
 	oneLink := a.Direction != "both" && len(a.Targets)*len(a.Peers) == 1
 	if a.Kind == "cut" && !oneLink || a.Kind == "limit" {
-		h.life(&h.cuts, span{i, from, f.run.clock.now()})
+		h.addSpan(&h.linkOutages, sidecarSpan{i, from, f.run.clock.now()})
 	}
 	return nil
 }
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -29,7 +29,7 @@
 // TestMain lets the test program also run as a sidecar with a fault, or as a lab that the test kills.
 func TestMain(m *testing.M) {
 	sysfault.Launch()
-	if Hold() || RunBusyLoop() {
+	if ServeHollow() || RunBusyLoop() {
 		return
 	}
 	switch {
@@ -244,7 +244,7 @@
 			case c.breaks == "" || timed && res.Late != "":
 			case !found:
 				t.Errorf("%s held, want it broken", c.breaks)
-			case len(v.Findings) == 0 || len(v.Findings) > listedMost:
+			case len(v.Findings) == 0 || len(v.Findings) > maxFindings:
 				t.Errorf("%d findings are listed, want 1 to %d", len(v.Findings), listedMost)
 			}
 		})
@@ -425,7 +425,7 @@
 		t.Fatal(err)
 	}
 	recordedProcesses := func() (lines []string) {
-		names, _ := filepath.Glob(filepath.Join(base(), "run-*", recordName))
+		names, _ := filepath.Glob(filepath.Join(runsDir(), "run-*", recordFile))
 		for _, name := range names {
 			raw, _ := os.ReadFile(name)
 			lines = append(lines, strings.Fields(strings.ReplaceAll(string(raw), " ", ":"))...)
@@ -450,7 +450,7 @@
 		t.Fatal(err)
 	}
 	defer func() { _ = bystander.Process.Kill(); _ = bystander.Wait() }()
-	names, _ := filepath.Glob(filepath.Join(base(), "run-*", recordName))
+	names, _ := filepath.Glob(filepath.Join(runsDir(), "run-*", recordFile))
 	f, err := os.OpenFile(names[0], os.O_APPEND|os.O_WRONLY, 0)
 	if err != nil {
 		t.Fatal(err)
@@ -464,7 +464,7 @@
 			pid, start, _ := strings.Cut(line, ":")
 			var n int
 			_, _ = fmt.Sscan(pid, &n)
-			if now, err := startOf(n); err == nil && now == start {
+			if now, err := processStartTime(n); err == nil && now == start {
 				return false
 			}
 		}
@@ -473,7 +473,7 @@
 	if swept, err := Sweep(); err != nil || len(swept) != 1 {
 		t.Errorf("swept %v, error %v", swept, err)
 	}
-	if left, _ := filepath.Glob(filepath.Join(base(), "run-*")); len(left) > 0 {
+	if left, _ := filepath.Glob(filepath.Join(runsDir(), "run-*")); len(left) > 0 {
 		t.Errorf("folders left: %v", left)
 	}
 	if bystander.ProcessState != nil || syscall.Kill(bystander.Process.Pid, 0) != nil {
--- a/internal/lab/manners.go
+++ b/internal/lab/manners.go
@@ -96,7 +96,7 @@
 	if b.longBytes == 0 && b.bodyTime == 0 {
 		return text, strings.NewReader(text)
 	}
-	body := &requestBody{unread: strings.NewReader(text), onEnd: func() { k.history.sent(t, k.clock.now(), timeout) }}
+	body := &requestBody{unread: strings.NewReader(text), onEnd: func() { k.history.recordSent(t, k.clock.now(), timeout) }}
 	if b.bodyTime > 0 {
 		body.pause, body.pieceBytes = b.bodyTime/slowBodyPieces, len(text)/slowBodyPieces+1
 	}
@@ -120,7 +120,7 @@
 	c, err := net.DialTimeout("tcp", k.net.address(first.Sidecar, clientPort), dialTimeout)
 	if err != nil {
 		for _, t := range tries {
-			k.history.end(t, k.clock.now(), Unreachable, 0, "", false, false)
+			k.history.endTry(t, k.clock.now(), Unreachable, 0, "", false, false)
 		}
 		return first
 	}
@@ -130,7 +130,7 @@
 	r := bufio.NewReader(c)
 	for i, t := range tries {
 		end, status, answer, partial := readAnswer(r)
-		k.history.end(t, k.clock.now(), end, status, answer, partial, i == 0)
+		k.history.endTry(t, k.clock.now(), end, status, answer, partial, i == 0)
 	}
 	return first
 }
@@ -175,7 +175,7 @@
 func (b behaviour) query(a world.Arrival, body string) string {
 	text := fmt.Sprintf("work=%v", a.Work)
 	if b.longBytes > 0 {
-		text += fmt.Sprintf("&answer=%d&sum=%s", b.longBytes, sumOf([]byte(body)))
+		text += fmt.Sprintf("&answer=%d&sum=%s", b.longBytes, bodyHash([]byte(body)))
 	}
 	return text
 }
--- a/internal/lab/process.go
+++ b/internal/lab/process.go
@@ -68,7 +68,7 @@
 	program  string
 	dir      string // folder of the run
 	logs     string // folder of the logs
-	record   *record
+	record   *processRecord
 	seed     uint64
 
 	// Functions to run on a thread that lives as long as the lab: a child is killed when the thread that started it ends.
@@ -90,7 +90,7 @@
 
 // newProcesses starts the thread that starts all processes. program is the sidecar, dir the run's folder, and logs the
 // folder of the logs.
-func newProcesses(s *Scenario, c clock, h *History, n *subnet, r *roster, program, dir, logs string, rec *record, seed uint64) *processes {
+func newProcesses(s *Scenario, c clock, h *History, n *subnet, r *roster, program, dir, logs string, rec *processRecord, seed uint64) *processes {
 	p := &processes{
 		clock: c, scenario: s, history: h, net: n, roster: r, program: program, dir: dir, logs: logs, record: rec, seed: seed,
 		starter: make(chan func()), current: make([]*process, s.Fleet.Sidecars), startCounts: make([]int, s.Fleet.Sidecars),
@@ -130,7 +130,7 @@
 	}
 	// Hollow sidecars ask discovery instead, as thousands of files with long lists would be expensive.
 	if sidecar < s.Fleet.Sidecars {
-		file["known"] = p.roster.listing(sidecar, firstVersion, true, world.NewRoster(s.Fleet.Servers, firstVersion).Whole())
+		file["known"] = p.roster.listing(sidecar, firstVersion, true, world.NewServerList(s.Fleet.Servers, firstVersion).Listed())
 	}
 	file["settings"] = p.settings(sidecar)
 	routes := p.routes(sidecar)
@@ -179,10 +179,10 @@
 	var classes, orgs []any
 	mean := (&world.LoadSpec{Classes: s.classes()}).MeanWork().Seconds()
 	for _, c := range s.classes() {
-		semantics := map[world.Effect]string{world.Safe: "free", world.Keyed: "guarded", world.Unsafe: "single_shot"}[c.Effect]
+		semantics := map[world.Idempotency]string{world.Safe: "free", world.Keyed: "guarded", world.Unsafe: "single_shot"}[c.Idempotency]
 		classes = append(classes, map[string]any{
 			"name": c.Name, "aim_ms": ms(c.Aim), "hard_limit_ms": ms(c.Deadline), "semantics": semantics, "dedup_scope": "zone",
-			"window_ms": ms(c.Window), "worth": c.Worth, "late_share": 0, "stream": false,
+			"window_ms": ms(c.DedupWindow), "worth": c.Worth, "late_share": 0, "stream": false,
 		})
 	}
 	for _, t := range tenants {
@@ -263,9 +263,9 @@
 	}
 	at := p.clock.now()
 	q.readyAt.Store(int64(at))
-	p.history.runs(sidecar, at, true)
+	p.history.recordProcess(sidecar, at, true)
 	if ordinal > 0 {
-		p.history.life(&p.history.started, span{sidecar, startedAt, p.clock.now()})
+		p.history.addSpan(&p.history.restarts, sidecarSpan{sidecar, startedAt, p.clock.now()})
 	}
 	return q, nil
 }
@@ -346,13 +346,13 @@
 	}
 	p.mu.Unlock()
 	if isCurrent {
-		p.history.runs(q.sidecar, p.clock.now(), false)
+		p.history.recordProcess(q.sidecar, p.clock.now(), false)
 	}
 	if !wanted {
-		p.history.note(&p.history.ends, "at %v sidecar %s ended unexpectedly: %v; its log ends with: %s",
+		p.history.addFinding(&p.history.processFailures, "at %v sidecar %s ended unexpectedly: %v; its log ends with: %s",
 			p.clock.now(), sidecarName(q.sidecar), err, q.logTail())
 	} else if status, _ := q.cmd.ProcessState.Sys().(syscall.WaitStatus); err != nil && !status.Signaled() {
-		p.history.note(&p.history.ends, "at %v sidecar %s failed while stopping: %v; its log ends with: %s",
+		p.history.addFinding(&p.history.processFailures, "at %v sidecar %s failed while stopping: %v; its log ends with: %s",
 			p.clock.now(), sidecarName(q.sidecar), err, q.logTail())
 	}
 	close(q.ended)
@@ -436,7 +436,7 @@
 	p.mu.Unlock()
 	_ = q.cmd.Process.Kill() // fails only if it has ended
 	<-q.ended
-	p.history.life(&p.history.killed, span{sidecar, from, p.clock.now()})
+	p.history.addSpan(&p.history.kills, sidecarSpan{sidecar, from, p.clock.now()})
 }
 
 // stop sends SIGTERM to a process and waits for its end. It kills the process after stopTimeout.
@@ -448,7 +448,7 @@
 	select {
 	case <-q.ended:
 	case <-time.After(stopTimeout):
-		p.history.note(&p.history.ends, "at %v sidecar %s still runs %v after SIGTERM", p.clock.now(), sidecarName(q.sidecar), stopTimeout)
+		p.history.addFinding(&p.history.processFailures, "at %v sidecar %s still runs %v after SIGTERM", p.clock.now(), sidecarName(q.sidecar), stopTimeout)
 		_ = q.cmd.Process.Kill()
 		<-q.ended
 	}
@@ -468,7 +468,7 @@
 	isCurrent := p.current[q.sidecar] == q
 	p.mu.Unlock()
 	if isCurrent {
-		p.history.runs(q.sidecar, p.clock.now(), !on)
+		p.history.recordProcess(q.sidecar, p.clock.now(), !on)
 	}
 	_ = q.cmd.Process.Signal(sig) // fails only if it has ended
 }
@@ -618,10 +618,10 @@
 		}
 		p.mu.Unlock()
 		if rss > float64(p.scenario.Fleet.MemoryMB) {
-			p.history.note(&p.history.over, "at %v sidecar %s uses %.1f MiB, limit %d", p.clock.now(), sidecarName(q.sidecar), rss, p.scenario.Fleet.MemoryMB)
+			p.history.addFinding(&p.history.exceededLimits, "at %v sidecar %s uses %.1f MiB, limit %d", p.clock.now(), sidecarName(q.sidecar), rss, p.scenario.Fleet.MemoryMB)
 		}
 		if fds > p.scenario.Fleet.Sockets {
-			p.history.note(&p.history.over, "at %v sidecar %s uses %d descriptors, limit %d", p.clock.now(), sidecarName(q.sidecar), fds, p.scenario.Fleet.Sockets)
+			p.history.addFinding(&p.history.exceededLimits, "at %v sidecar %s uses %d descriptors, limit %d", p.clock.now(), sidecarName(q.sidecar), fds, p.scenario.Fleet.Sockets)
 		}
 	}
 }
--- a/internal/lab/run.go
+++ b/internal/lab/run.go
@@ -49,8 +49,8 @@
 	clients   *clients
 	mesh      *mesh
 	faults    *faults
-	hollow    *hollows
-	fits      []fit // set once the run is over
+	hollow    *hollowGroup
+	fits      []eligibleSpans // set once the run is over
 }
 
 // Build builds the sidecar of the module that contains the working directory into dir, and returns its path.
@@ -81,7 +81,7 @@
 	if err := ensureDescriptors(s, sharedSockets); err != nil {
 		return nil, err
 	}
-	processRecord, err := newRecord()
+	processRecord, err := newProcessRecord()
 	if err != nil {
 		return nil, err
 	}
@@ -192,7 +192,7 @@
 func (r *run) play(ctx context.Context, o Options) (*Result, error) {
 	s := r.scenario
 	arrivals, plan := s.arrivals(o.Seed), s.Plan(o.Seed)
-	r.history.asked = make([]Asked, len(arrivals))
+	r.history.requests = make([]ClientRequest, len(arrivals))
 	r.clients = newClients(s, r.clock, r.history, r.net, r.lateness)
 	if err := r.startSidecars(ctx); err != nil {
 		return nil, err
@@ -209,13 +209,13 @@
 	var watchers, players sync.WaitGroup
 	watchers.Go(func() { r.lateness.measure(r.clock, stop) })
 	watchers.Go(func() { r.monitor(stop, o.OnProgress) })
-	if s.members() {
-		watchers.Go(func() { r.watchViews(stop) })
+	if s.observesMembers() {
+		watchers.Go(func() { r.pollViews(stop) })
 	}
 	if strings.Contains(s.Fleet.File, "[duty]") {
-		watchers.Go(func() { r.watchDuties(stop) })
+		watchers.Go(func() { r.pollDuties(stop) })
 	}
-	if err := r.hollow.resting(false); err != nil {
+	if err := r.hollow.readAtRest(false); err != nil {
 		return nil, err
 	}
 	r.faults = &faults{run: r, restartMu: make([]sync.Mutex, s.Fleet.Sidecars), rng: rand.New(rand.NewPCG(o.Seed, 7))}
@@ -224,7 +224,7 @@
 	r.clients.play(arrivals, ctx.Done())
 	interrupted := ctx.Err()
 	sleep(ctx, s.For.Std()-r.clock.now())
-	if err := r.hollow.resting(true); err != nil {
+	if err := r.hollow.readAtRest(true); err != nil {
 		return nil, err
 	}
 	cancel() // faults that have not ended by now last until the end of the run
@@ -233,7 +233,7 @@
 	watchers.Wait()
 	labCPU := cpuTime(syscall.RUSAGE_SELF) - cpuBefore
 	if r.scenario.Fleet.Hollow > 0 {
-		if err := r.hollow.lateness(time.Since(began), "whole run"); err != nil {
+		if err := r.hollow.collectLateness(time.Since(began), "whole run"); err != nil {
 			return nil, err
 		}
 	}
@@ -252,7 +252,7 @@
 	if err != nil {
 		return nil, err
 	}
-	r.history.broken = broken
+	r.history.guardViolations = broken
 	res := r.result(o, plan, labCPU, time.Since(began))
 	if o.Out != "" {
 		return res, res.write(o.Out, r)
--- a/internal/lab/soak_test.go
+++ b/internal/lab/soak_test.go
@@ -89,7 +89,7 @@
 func TestHistoryExcusesNoMoreThanKillsAndIdleConnectionsCause(t *testing.T) {
 	const s, ms = time.Second, time.Millisecond
 	termAt := 10 * s
-	h := &History{late: []kill{{span{0, termAt + 2*s, termAt + 2*s}, termAt + killSlack}}, crowded: []span{{0, 20 * s, 21 * s}}}
+	h := &History{lateKills: []lateKill{{sidecarSpan{0, termAt + 2*s, termAt + 2*s}, termAt + killSlack}}, descriptorsFull: []sidecarSpan{{0, 20 * s, 21 * s}}}
 	for name, c := range map[string]struct {
 		try    Try
 		broken bool
@@ -138,8 +138,8 @@
 	if took := time.Since(from); took < after {
 		t.Errorf("killed %v after SIGTERM, want %v", took, after)
 	}
-	if len(p.history.late) != 1 || p.history.late[0].came < killSlack {
-		t.Errorf("history has %+v", p.history.late)
+	if len(p.history.lateKills) != 1 || p.history.lateKills[0].coveredUntil < killSlack {
+		t.Errorf("history has %+v", p.history.lateKills)
 	}
 }
 
@@ -184,24 +184,24 @@
 	at := func(at time.Duration, r Reached) []Reached { r.At = at; return []Reached{r} }
 	for name, c := range map[string]struct {
 		try    Try
-		killed []span
+		killed []sidecarSpan
 		broken string // the invariant that is broken; empty: none
 	}{
 		"answered":                           {Try{End: Served, Sent: s, Ended: 2 * s, Owed: 3 * s}, nil, ""},
 		"no answer in time":                  {Try{End: GaveUp, Sent: s, Ended: 4 * s, Owed: 3 * s}, nil, "final"},
 		"no answer, its client left":         {Try{End: GaveUp, Sent: s, Ended: 2 * s, Left: 2 * s, Owed: 3 * s}, nil, ""},
-		"no answer, its sidecar died":        {Try{End: GaveUp, Sent: s, Ended: 4 * s, Owed: 3 * s}, []span{{0, 2 * s, 3 * s}}, ""},
+		"no answer, its sidecar died":        {Try{End: GaveUp, Sent: s, Ended: 4 * s, Owed: 3 * s}, []sidecarSpan{{0, 2 * s, 3 * s}}, ""},
 		"new connection closed":              {Try{End: Broken, Fresh: true, Sent: s, Ended: 2 * s, Owed: 3 * s}, nil, "final"},
 		"kept connection closed":             {Try{End: Broken, Sent: s, Ended: 2 * s, Owed: 3 * s}, nil, ""},
 		"broken by its server":               {Try{End: Broken, Fresh: true, Partial: true, Sent: s, Ended: 2 * s, Owed: 3 * s, Reached: at(s, Reached{Spoilt: true})}, nil, ""},
-		"broken, but not by its server":      {Try{End: Broken, Fresh: true, Partial: true, Sent: s, Ended: 2 * s, Owed: 3 * s, Reached: at(s, Reached{Verdict: world.Taken})}, nil, "final"},
+		"broken, but not by its server":      {Try{End: Broken, Fresh: true, Partial: true, Sent: s, Ended: 2 * s, Owed: 3 * s, Reached: at(s, Reached{Verdict: world.Accepted})}, nil, "final"},
 		"sent on after the client left":      {Try{End: GaveUp, Sent: s, Left: s, Owed: 3 * s, Reached: at(s+400*time.Millisecond, Reached{})}, nil, "left"},
 		"sent on just after the client left": {Try{End: GaveUp, Sent: s, Left: s, Owed: 3 * s, Reached: at(s+90*time.Millisecond, Reached{})}, nil, ""},
 		"timeout longer than the client's":   {Try{End: Served, Sent: s, Owed: 3 * s, Reached: at(2*s, Reached{Told: 1300 * time.Millisecond})}, nil, "told"},
 		"timeout as the client's":            {Try{End: Served, Sent: s, Owed: 3 * s, Reached: at(2*s, Reached{Told: s})}, nil, ""},
 	} {
 		t.Run(name, func(t *testing.T) {
-			h := &History{tries: []*Try{&c.try}, killed: c.killed}
+			h := &History{tries: []*Try{&c.try}, kills: c.killed}
 			scenario := readScenario(t, "hold=['final','left','told','peers','guarded']\n[fleet]\nservers=2")
 			for _, v := range judge(h, scenario, false) {
 				if v.Held == (v.Invariant == c.broken) {
@@ -210,7 +210,7 @@
 			}
 		})
 	}
-	h := &History{peers: []string{"x"}, broken: []string{"x"}}
+	h := &History{unansweredPeers: []string{"x"}, guardViolations: []string{"x"}}
 	for _, v := range judge(h, readScenario(t, "hold=['peers','guarded']\n[fleet]\nservers=2"), false) {
 		if v.Held {
 			t.Errorf("%s held", v.Invariant)
--- a/internal/lab/terminate.go
+++ b/internal/lab/terminate.go
@@ -48,7 +48,7 @@
 func (f *faults) terminate(ctx context.Context, a PlannedFault, i int) error {
 	if int(a.Size) == seriesEarlyTerm {
 		f.terminateProcess(ctx, f.run.processes.running(i), seriesTerm)
-		f.run.roster.restarted(i)
+		f.run.roster.sidecarRestarted(i)
 		if _, err := f.run.processes.start(i); err != nil {
 			return err
 		}
@@ -57,7 +57,7 @@
 	if !waitForEnd(ctx, a) {
 		return nil
 	}
-	f.run.roster.restarted(i)
+	f.run.roster.sidecarRestarted(i)
 	_, err := f.run.processes.start(i)
 	return err
 }
@@ -65,7 +65,7 @@
 // replaceWithSignals starts a process next to the current one, which is terminated with a series of signals once the new one
 // is ready.
 func (f *faults) replaceWithSignals(ctx context.Context, a PlannedFault, i int) error {
-	defer f.run.history.changed(f.run.clock)
+	defer f.run.history.recordLinkChange(f.run.clock)
 	old := f.run.processes.running(i)
 	if _, err := f.run.processes.start(i); err != nil {
 		return err
@@ -128,7 +128,7 @@
 	from := p.clock.now()
 	_ = q.cmd.Process.Kill() // fails only if it has ended
 	<-q.ended
-	p.history.killedLate(span{q.sidecar, from, p.clock.now()}, termAt+killSlack)
+	p.history.recordLateKill(sidecarSpan{q.sidecar, from, p.clock.now()}, termAt+killSlack)
 }
 
 // beginPersistentRequest draws a request to a sidecar, enters it in the history, and returns it as HTTP text.
@@ -137,9 +137,9 @@
 	n := firstPersistentArrival + int(k.persistentRequests.Add(1))
 	a := world.Arrival{Sidecar: sidecar, Class: class, Tenant: rng.IntN(len(tenants)), Key: rng.Uint64(), Work: persistentWork}
 	now := k.clock.now()
-	t = k.history.begin(n, sidecar, class, now)
+	t = k.history.beginTry(n, sidecar, class, now)
 	patience := k.classes[class].Deadline
-	k.history.sent(t, now, patience)
+	k.history.recordSent(t, now, patience)
 	var out byteWriter
 	if err := k.newRequest(t, n, a, k.classes[class], behaviour{}, patience, false).Write(&out); err != nil {
 		panic(err) // cannot happen: all parts are well formed
@@ -188,12 +188,12 @@
 	r := bufio.NewReader(c)
 	_ = c.SetReadDeadline(at) // fails only if it is closed
 	if _, err := r.Peek(1); err == nil || outcomeOfError(err) == Broken {
-		k.history.end(t, k.clock.now(), Unreachable, 0, "", false, false) // closed before the request was complete
+		k.history.endTry(t, k.clock.now(), Unreachable, 0, "", false, false) // closed before the request was complete
 		return
 	}
-	k.history.sent(t, k.clock.now(), k.classes[t.Class].Deadline)
+	k.history.recordSent(t, k.clock.now(), k.classes[t.Class].Deadline)
 	if _, err := c.Write(text[split:]); err != nil {
-		k.history.end(t, k.clock.now(), Unreachable, 0, "", false, false)
+		k.history.endTry(t, k.clock.now(), Unreachable, 0, "", false, false)
 		return
 	}
 	k.readTryAnswer(c, r, t, true)
@@ -206,7 +206,7 @@
 	k.history.mu.Unlock()
 	_ = c.SetDeadline(k.clock.timeAt(deadline + k.scenario.Load.extraWait())) // fails only if it is closed
 	end, status, answer, partial := readAnswer(r)
-	k.history.end(t, k.clock.now(), end, status, answer, partial, fresh)
+	k.history.endTry(t, k.clock.now(), end, status, answer, partial, fresh)
 	return end
 }
 
@@ -232,7 +232,7 @@
 		})
 	}
 	all.Wait()
-	h.life(&h.crowded, span{i, from, f.run.clock.now()})
+	h.addSpan(&h.descriptorsFull, sidecarSpan{i, from, f.run.clock.now()})
 }
 
 // idleReconnectDelay is the pause before an idle connection that was closed is reopened.
--- a/internal/lab/twice_test.go
+++ b/internal/lab/twice_test.go
@@ -26,7 +26,7 @@
 		t.Run(kind, func(t *testing.T) {
 			old, next := startSleeper(t), startSleeper(t)
 			p := &processes{clock: newClock(), history: new(History), current: []*process{old}}
-			f := &faults{run: &run{processes: p, hollow: new(hollows), clock: p.clock, history: p.history}, restartMu: make([]sync.Mutex, 1)}
+			f := &faults{run: &run{processes: p, hollow: new(hollowGroup), clock: p.clock, history: p.history}, restartMu: make([]sync.Mutex, 1)}
 			ctx, endFault := context.WithCancel(t.Context())
 			ended := make(chan error, 1)
 			go func() {
--- a/internal/lab/upstream.go
+++ b/internal/lab/upstream.go
@@ -57,10 +57,10 @@
 	sockets     int // connections that it accepts before it rejects requests
 	sidecars    int // number of sidecars that reach it
 	model       *world.Server
-	waiting     map[uint64]chan world.Ended // where the handler of each job waits for the job's end
-	lastJob     uint64                      // ID of the latest job
-	timer       *time.Timer                 // advances the model at its next event
-	endpoints   []*endpoint                 // closed while its process is dead
+	waiting     map[uint64]chan world.Completion // where the handler of each job waits for the job's end
+	lastJob     uint64                           // ID of the latest job
+	timer       *time.Timer                      // advances the model at its next event
+	endpoints   []*endpoint                      // closed while its process is dead
 	conns       map[*conn]bool
 	collapsed   bool          // it collapsed when it was cold, since its process started
 	collapsedAt time.Duration // when it last collapsed
@@ -77,18 +77,18 @@
 		clock: c, history: h, net: n,
 		connections: newCounter(seconds), congested: newCounter(seconds), requestsHeld: newCounter(seconds),
 	}
-	zones := make([]*world.Zone, s.Fleet.Zones)
+	zones := make([]*world.DedupZone, s.Fleet.Zones)
 	for i := range zones {
 		for _, class := range s.classes() {
-			if class.Effect == world.Keyed {
-				zones[i] = &world.Zone{Window: class.Window}
+			if class.Idempotency == world.Keyed {
+				zones[i] = &world.DedupZone{Window: class.DedupWindow}
 			}
 		}
 	}
 	for i := range s.Fleet.Servers + s.replacementServers() {
 		u := &server{
 			servers: all, number: i, sockets: s.Server.Sockets, sidecars: s.Fleet.Sidecars, model: s.serverModel(i, zones[s.zoneOf(i)], seed),
-			waiting: make(map[uint64]chan world.Ended), conns: make(map[*conn]bool),
+			waiting: make(map[uint64]chan world.Completion), conns: make(map[*conn]bool),
 		}
 		u.timer = time.AfterFunc(time.Hour, u.tick)
 		u.http = &http.Server{
@@ -153,8 +153,8 @@
 	for _, u := range a.all {
 		u.advance()
 		u.update()
-		held += u.model.Held()
-		if u.model.Tipped() {
+		held += u.model.Outstanding()
+		if u.model.Congested() {
 			congested++
 		}
 		if u.model.Up() && u.silent == nil {
@@ -605,15 +605,15 @@
 // update closes the server if its model has collapsed, and sets the timer to the model's next event. The caller holds the
 // lock.
 func (u *server) update() {
-	if u.model.Fell() && !u.collapsed {
+	if u.model.CrashedCold() && !u.collapsed {
 		u.collapsed, u.collapsedAt = true, u.servers.clock.now()
 		h := u.servers.history
-		h.note(&h.fallen, "at %v server %d collapsed under the requests that it was sent while cold", u.servers.clock.now(), u.number)
+		h.addFinding(&h.collapsedCold, "at %v server %d collapsed under the requests that it was sent while cold", u.servers.clock.now(), u.number)
 		u.dropJobs()
 		u.endSilence()
 		u.closeEndpoints()
 	}
-	if at, ok := u.model.Next(); ok {
+	if at, ok := u.model.NextEvent(); ok {
 		u.timer.Reset(max(0, at-u.servers.clock.now()))
 	}
 }
@@ -625,7 +625,7 @@
 	if r.URL.Path == "/alive" {
 		u.servers.mu.Lock()
 		u.advance()
-		u.model.Inspect(at)
+		u.model.Probe(at)
 		u.update()
 		u.servers.mu.Unlock()
 		return
@@ -640,14 +640,14 @@
 	if err != nil {
 		return // the body is incomplete, so the request is not processed
 	}
-	try, index := u.servers.history.reach(id, Reached{Server: u.number, Sidecar: c.sidecar, At: at, Verdict: world.Full, Told: parseTimeout(r.Header.Get("X-Timeout")), Port: portOf(c.RemoteAddr())})
+	try, index := u.servers.history.recordReached(id, Reached{Server: u.number, Sidecar: c.sidecar, At: at, Verdict: world.Rejected, Told: parseTimeout(r.Header.Get("X-Timeout")), Port: portOf(c.RemoteAddr())})
 	if try == nil {
 		http.Error(w, "no client sent a request with this X-Request-ID", http.StatusBadRequest)
 		return
 	}
-	if sum := r.URL.Query().Get("sum"); sum != "" && sum != sumOf(body) {
+	if sum := r.URL.Query().Get("sum"); sum != "" && sum != bodyHash(body) {
 		h := u.servers.history
-		h.note(&h.strays, "at %v server %d received a body of %d bytes with request %s that differs from what the client sent", at, u.number, len(body), id)
+		h.addFinding(&h.unknownRequests, "at %v server %d received a body of %d bytes with request %s that differs from what the client sent", at, u.number, len(body), id)
 	}
 	u.servers.arrivals[u.number].add(at, 1)
 	work, err := time.ParseDuration(r.URL.Query().Get("work"))
@@ -656,14 +656,14 @@
 		return
 	}
 	ended, job, verdict := u.submit(work, keyHash(r.Header.Get("X-Route-Key")), keyHash(r.Header.Get("Idempotency-Key")))
-	u.servers.history.settle(try, index, verdict, "")
+	u.servers.history.recordVerdict(try, index, verdict, "")
 	step := func(format string, args ...any) {
-		u.servers.history.step(try, index, u.servers.clock.now(), format, args...)
+		u.servers.history.recordStep(try, index, u.servers.clock.now(), format, args...)
 	}
 	cut := func(why string) { step("%s", why) }
 	c.onCut.Store(&cut)
 	switch verdict {
-	case world.Full:
+	case world.Rejected:
 		w.Header().Set("X-Not-Processed", "1")
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
@@ -676,7 +676,7 @@
 			step("dropped when the server went down")
 			panic(http.ErrAbortHandler)
 		}
-		if e.Error {
+		if e.Failed {
 			step("answered 500")
 			w.WriteHeader(http.StatusInternalServerError)
 			return
@@ -696,20 +696,22 @@
 		body = strings.Repeat(body, 1+min(size, maxBodyBytes)/len(body))
 	}
 	hangs, spoils, draw := u.drawMisbehaviour()
-	step := func(format string, args ...any) { u.servers.history.step(t, n, u.servers.clock.now(), format, args...) }
+	step := func(format string, args ...any) {
+		u.servers.history.recordStep(t, n, u.servers.clock.now(), format, args...)
+	}
 	if hangs {
-		u.servers.history.spoil(t, n)
+		u.servers.history.markSpoilt(t, n)
 		step("never answered")
 		<-r.Context().Done()
 		step("connection ended")
 		return
 	}
-	u.servers.history.settle(t, n, world.Taken, body)
+	u.servers.history.recordVerdict(t, n, world.Accepted, body)
 	if spoils {
 		writeSpoilt(w, body, draw, func(way string, whole bool) {
 			step("answer spoilt: %s", way)
 			if !whole {
-				u.servers.history.spoil(t, n)
+				u.servers.history.markSpoilt(t, n)
 			}
 		})
 		step("connection ended")
@@ -722,7 +724,7 @@
 	}
 	c := r.Context().Value(connKey{}).(*conn)
 	cut := func(why string) {
-		u.servers.history.spoil(t, n)
+		u.servers.history.markSpoilt(t, n)
 		step("%s", why)
 	}
 	c.onCut.Store(&cut)
@@ -795,20 +797,20 @@
 
 // submit hands a request to the model. If the verdict is world.Taken, the job's end is sent on the returned channel, which
 // is closed without it if the server goes down.
-func (u *server) submit(work time.Duration, key, unique uint64) (chan world.Ended, uint64, world.Verdict) {
+func (u *server) submit(work time.Duration, key, unique uint64) (chan world.Completion, uint64, world.Verdict) {
 	u.servers.mu.Lock()
 	defer u.servers.mu.Unlock()
 	u.advance()
 	defer u.update()
 	if len(u.conns) > u.sockets {
-		return nil, 0, world.Full
+		return nil, 0, world.Rejected
 	}
 	u.lastJob++
-	v := u.model.Arrive(u.servers.clock.now(), world.Job{ID: u.lastJob, Work: work, Key: key, Unique: unique})
-	if v != world.Taken {
+	v := u.model.Arrive(u.servers.clock.now(), world.Job{ID: u.lastJob, Work: work, Key: key, DedupKey: unique})
+	if v != world.Accepted {
 		return nil, 0, v
 	}
-	c := make(chan world.Ended, 1)
+	c := make(chan world.Completion, 1)
 	u.waiting[u.lastJob] = c
 	return c, u.lastJob, v
 }
