--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -228,9 +228,9 @@
 notice = "100ms"
 %s`, c.fault, c.faults))
 			if c.breaks == "" || c.breaks == "drains" || c.breaks == "cold" {
-				s.Server.FallAt = map[string]float64{"cold": 1}[c.breaks] // servers collapse only in the case that tests it
+				s.Server.ColdCrashFactor = map[string]float64{"cold": 1}[c.breaks] // cold servers crash only in the case that tests it
 			} else {
-				s.Server.FallAt = 0
+				s.Server.ColdCrashFactor = 0
 			}
 			res, broken := playScenario(t, s, Options{Seed: 1, Program: os.Args[0]})
 			for name, v := range broken {
@@ -245,7 +245,7 @@
 			case !found:
 				t.Errorf("%s held, want it broken", c.breaks)
 			case len(v.Findings) == 0 || len(v.Findings) > maxFindings:
-				t.Errorf("%d findings are listed, want 1 to %d", len(v.Findings), listedMost)
+				t.Errorf("%d findings are listed, want 1 to %d", len(v.Findings), maxFindings)
 			}
 		})
 	}
--- a/internal/lab/process.go
+++ b/internal/lab/process.go
@@ -200,8 +200,8 @@
 		"charges": map[string]any{"cross_zone": 0.03}, "client_habits": map[string]any{"marks_retry": true},
 		"classes": classes, "orgs": orgs,
 		"rules": map[string]any{
-			"answer_slack_ms": 8, "ask_within_ms": 10_000, "cold_from": s.Server.ColdFrom, "cold_ms": ms(s.Server.ColdTime.Std()),
-			"fall_multiple": s.Server.FallAt, "overload_for_ms": ms(s.Server.FallFor.Std()), "stop_sending_within_ms": ms(drainGrace),
+			"answer_slack_ms": 8, "ask_within_ms": 10_000, "cold_from": s.Server.ColdCapacityShare, "cold_ms": ms(s.Server.WarmUpTime.Std()),
+			"fall_multiple": s.Server.ColdCrashFactor, "overload_for_ms": ms(s.Server.ColdCrashWindow.Std()), "stop_sending_within_ms": ms(drainGrace),
 		},
 		"telemetry": map[string]any{"how": "silent", "columns": []string{}},
 	}
--- a/internal/lab/scenario.go
+++ b/internal/lab/scenario.go
@@ -69,28 +69,28 @@
 
 // serverSpec sets how the queue servers are modelled.
 type serverSpec struct {
-	Speed     float64       `toml:"speed" default:"1" min:"0.01" max:"100" help:"mean of the servers' speeds"`
-	Spread    float64       `toml:"spread" default:"0.1" min:"0" max:"1" help:"standard deviation of the servers' speeds"`
-	Cores     float64       `toml:"cores" default:"1" min:"1" max:"64" help:"cores of each server"`
-	Slots     int           `toml:"slots" default:"16" min:"1" max:"10000" help:"requests that a server works on at once"`
-	Room      int           `toml:"room" default:"38" min:"0" max:"100000" help:"requests that may wait at a server; further ones are rejected"`
-	Keys      int           `toml:"keys" default:"240" min:"0" max:"100000" help:"keys that a server's cache holds"`
-	KeyTime   conf.Duration `toml:"key_time" default:"6s" min:"0s" max:"1h" help:"how long a key stays in the cache"`
-	KeyGain   float64       `toml:"key_gain" default:"0.45" min:"0" max:"1" help:"share of the work that is saved if the key is cached"`
-	ColdFrom  float64       `toml:"cold_from" default:"0.2" min:"0.01" max:"1" help:"share of its capacity that a cold server starts with"`
-	ColdTime  conf.Duration `toml:"cold_time" default:"10s" min:"0s" max:"10m" help:"time until a cold server has its full capacity"`
-	FallAt    float64       `toml:"fall_at" default:"4" min:"0" max:"100" help:"a cold server collapses when it is sent more than this multiple of its capacity; 0: never"`
-	FallFor   conf.Duration `toml:"fall_for" default:"2s" min:"100ms" max:"1m" help:"how long the excess must last before it collapses"`
-	ChokeAt   float64       `toml:"choke_at" default:"5.5" min:"0" max:"1000" help:"requests per core above which a server becomes congested"`
-	ChokeOver conf.Duration `toml:"choke_over" default:"2s" min:"0s" max:"1m" help:"how long the excess must last before it becomes congested"`
-	ChokeSlow float64       `toml:"choke_slow" default:"2.7" min:"1" max:"100" help:"factor by which a congested server is slower"`
-	ChokeRest conf.Duration `toml:"choke_rest" default:"3s" min:"0s" max:"1m" help:"how long a congested server must be mostly idle to recover"`
-	ChokeBusy float64       `toml:"choke_busy" default:"0.33" min:"0" max:"1" help:"share of that time for which it may be busy"`
-	ChokeMost conf.Duration `toml:"choke_most" default:"24s" min:"0s" max:"10m" help:"time after which it recovers in any case; 0s: servers never become congested"`
-	Sockets   int           `toml:"sockets" default:"750" min:"1" max:"100000" help:"connections that a server accepts"`
-	Handshake conf.Duration `toml:"handshake" default:"3ms" min:"0s" max:"1s" help:"work that a new connection costs a server"`
-	Errors    float64       `toml:"errors" default:"0.0005" min:"0" max:"1" help:"share of requests that are answered with an error"`
-	Cancel    string        `toml:"cancel" default:"queued" oneof:"queued all" help:"whether a cancel stops only waiting requests or also those that are being worked on"`
+	Speed                float64       `toml:"speed" default:"1" min:"0.01" max:"100" help:"mean of the servers' speeds"`
+	Spread               float64       `toml:"spread" default:"0.1" min:"0" max:"1" help:"standard deviation of the servers' speeds"`
+	Cores                float64       `toml:"cores" default:"1" min:"1" max:"64" help:"cores of each server"`
+	Slots                int           `toml:"slots" default:"16" min:"1" max:"10000" help:"requests that a server works on at once"`
+	QueueLimit           int           `toml:"room" default:"38" min:"0" max:"100000" help:"requests that may wait at a server; further ones are rejected"`
+	KeyCacheSize         int           `toml:"keys" default:"240" min:"0" max:"100000" help:"keys that a server's cache holds"`
+	KeyCacheTTL          conf.Duration `toml:"key_time" default:"6s" min:"0s" max:"1h" help:"how long a key stays in the cache"`
+	KeyCacheSaving       float64       `toml:"key_gain" default:"0.45" min:"0" max:"1" help:"share of the work that is saved if the key is cached"`
+	ColdCapacityShare    float64       `toml:"cold_from" default:"0.2" min:"0.01" max:"1" help:"share of its capacity that a cold server starts with"`
+	WarmUpTime           conf.Duration `toml:"cold_time" default:"10s" min:"0s" max:"10m" help:"time until a cold server has its full capacity"`
+	ColdCrashFactor      float64       `toml:"fall_at" default:"4" min:"0" max:"100" help:"a cold server crashes when it is sent more than this multiple of its capacity; 0: never"`
+	ColdCrashWindow      conf.Duration `toml:"fall_for" default:"2s" min:"100ms" max:"1m" help:"time over which that multiple is measured"`
+	CongestionThreshold  float64       `toml:"choke_at" default:"5.5" min:"0" max:"1000" help:"requests per core above which a server becomes congested"`
+	CongestionDelay      conf.Duration `toml:"choke_over" default:"2s" min:"0s" max:"1m" help:"how long the excess must last before it becomes congested"`
+	CongestionSlowdown   float64       `toml:"choke_slow" default:"2.7" min:"1" max:"100" help:"factor by which a congested server is slower"`
+	RecoveryWindow       conf.Duration `toml:"choke_rest" default:"3s" min:"0s" max:"1m" help:"how long a congested server must be mostly idle to recover"`
+	RecoveryMaxBusyShare float64       `toml:"choke_busy" default:"0.33" min:"0" max:"1" help:"share of that time for which it may be busy"`
+	CongestionMaxTime    conf.Duration `toml:"choke_most" default:"24s" min:"0s" max:"10m" help:"time after which it recovers in any case; 0s: servers never become congested"`
+	Sockets              int           `toml:"sockets" default:"750" min:"1" max:"100000" help:"connections that a server accepts"`
+	HandshakeWork        conf.Duration `toml:"handshake" default:"3ms" min:"0s" max:"1s" help:"work that a new connection costs a server"`
+	ErrorShare           float64       `toml:"errors" default:"0.0005" min:"0" max:"1" help:"share of requests that are answered with an error"`
+	Cancel               string        `toml:"cancel" default:"queued" oneof:"queued all" help:"whether a cancel stops only waiting requests or also those that are being worked on"`
 }
 
 // discoverySpec sets how fast the stand-in for discovery is.
@@ -395,14 +395,14 @@
 	rng := rand.New(rand.NewPCG(seed, 4+uint64(i)<<8))
 	c := s.Server
 	spec := world.ServerSpec{
-		Cores: c.Cores, Speed: max(0.1, c.Speed*(1+c.Spread*rng.NormFloat64())), Slots: c.Slots, QueueLimit: c.Room,
+		Cores: c.Cores, Speed: max(0.1, c.Speed*(1+c.Spread*rng.NormFloat64())), Slots: c.Slots, QueueLimit: c.QueueLimit,
 		ThrashFactor: 0.3, ThrashThreshold: 11 * c.Cores,
-		KeyCacheSize: c.Keys, KeyCacheTTL: c.KeyTime.Std(), KeyCacheSaving: c.KeyGain,
-		ColdCapacityShare: c.ColdFrom, WarmUpTime: c.ColdTime.Std(), ColdCrashFactor: c.FallAt, ColdCrashWindow: c.FallFor.Std(),
+		KeyCacheSize: c.KeyCacheSize, KeyCacheTTL: c.KeyCacheTTL.Std(), KeyCacheSaving: c.KeyCacheSaving,
+		ColdCapacityShare: c.ColdCapacityShare, WarmUpTime: c.WarmUpTime.Std(), ColdCrashFactor: c.ColdCrashFactor, ColdCrashWindow: c.ColdCrashWindow.Std(),
 		ColdCrashMeanWork:   (&world.LoadSpec{Classes: s.classes()}).MeanWork(),
-		CongestionThreshold: c.ChokeAt, CongestionDelay: c.ChokeOver.Std(), CongestionSlowdown: c.ChokeSlow, RecoveryWindow: c.ChokeRest.Std(),
-		RecoveryMaxBusyShare: c.ChokeBusy, CongestionMaxTime: c.ChokeMost.Std(),
-		ErrorShare: c.Errors, CancelRunning: c.Cancel == "all", HandshakeWork: c.Handshake.Std(), ProbeWork: 450 * time.Microsecond,
+		CongestionThreshold: c.CongestionThreshold, CongestionDelay: c.CongestionDelay.Std(), CongestionSlowdown: c.CongestionSlowdown, RecoveryWindow: c.RecoveryWindow.Std(),
+		RecoveryMaxBusyShare: c.RecoveryMaxBusyShare, CongestionMaxTime: c.CongestionMaxTime.Std(),
+		ErrorShare: c.ErrorShare, CancelRunning: c.Cancel == "all", HandshakeWork: c.HandshakeWork.Std(), ProbeWork: 450 * time.Microsecond,
 	}
 	return world.NewServer(spec, zone, rng.Uint64())
 }
--- a/internal/lab/spread.go
+++ b/internal/lab/spread.go
@@ -58,7 +58,7 @@
 		}
 		back := s.Discovery.UpdateDelay.Std()
 		if a.Kind == "crash" || a.Kind == "silence" || a.Kind == "replace" {
-			back = max(back, s.Server.ColdTime.Std())
+			back = max(back, s.Server.WarmUpTime.Std())
 		}
 		for i, server := range a.Targets {
 			from := a.At.Std() + time.Duration(i)*a.Pause.Std()
@@ -75,8 +75,8 @@
 		}
 	}
 	for i, u := range r.servers.all {
-		if u.collapsed {
-			without(i, u.collapsedAt, s.For.Std())
+		if u.crashedCold {
+			without(i, u.crashedColdAt, s.For.Std())
 		}
 	}
 	return all
--- a/internal/lab/upstream.go
+++ b/internal/lab/upstream.go
@@ -51,23 +51,23 @@
 
 // server is one queue server: a model and the listeners at its port. Its fields are guarded by the lock of servers.
 type server struct {
-	servers     *servers
-	number      int
-	port        int
-	sockets     int // connections that it accepts before it rejects requests
-	sidecars    int // number of sidecars that reach it
-	model       *world.Server
-	waiting     map[uint64]chan world.Completion // where the handler of each job waits for the job's end
-	lastJob     uint64                           // ID of the latest job
-	timer       *time.Timer                      // advances the model at its next event
-	endpoints   []*endpoint                      // closed while its process is dead
-	conns       map[*conn]bool
-	collapsed   bool          // it collapsed when it was cold, since its process started
-	collapsedAt time.Duration // when it last collapsed
-	silent      chan struct{} // not nil while the server is silent; closed when it responds again
-	http        *http.Server
-	spoilShare  float64 // share of answers that it spoils
-	hangShare   float64 // share of requests that it never answers
+	servers       *servers
+	number        int
+	port          int
+	sockets       int // connections that it accepts before it rejects requests
+	sidecars      int // number of sidecars that reach it
+	model         *world.Server
+	waiting       map[uint64]chan world.Completion // where the handler of each job waits for the job's end
+	lastJob       uint64                           // ID of the latest job
+	timer         *time.Timer                      // advances the model at its next event
+	endpoints     []*endpoint                      // closed while its process is dead
+	conns         map[*conn]bool
+	crashedCold   bool          // it crashed from load while cold, since its process started
+	crashedColdAt time.Duration // when it last crashed like that
+	silent        chan struct{} // not nil while the server is silent; closed when it responds again
+	http          *http.Server
+	spoilShare    float64 // share of answers that it spoils
+	hangShare     float64 // share of requests that it never answers
 }
 
 // newServers starts the servers of a scenario. Servers that replace others later have a port, but don't listen yet.
@@ -525,7 +525,7 @@
 		return nil
 	}
 	a.all[i].model.Start(a.clock.now())
-	a.all[i].collapsed = false
+	a.all[i].crashedCold = false
 	a.mu.Unlock()
 	return a.all[i].listen()
 }
@@ -602,13 +602,13 @@
 	}
 }
 
-// update closes the server if its model has collapsed, and sets the timer to the model's next event. The caller holds the
-// lock.
+// update closes the server if its model has crashed from load while cold, and sets the timer to the model's next event. The
+// caller holds the lock.
 func (u *server) update() {
-	if u.model.CrashedCold() && !u.collapsed {
-		u.collapsed, u.collapsedAt = true, u.servers.clock.now()
+	if u.model.CrashedCold() && !u.crashedCold {
+		u.crashedCold, u.crashedColdAt = true, u.servers.clock.now()
 		h := u.servers.history
-		h.addFinding(&h.collapsedCold, "at %v server %d collapsed under the requests that it was sent while cold", u.servers.clock.now(), u.number)
+		h.addFinding(&h.collapsedCold, "at %v server %d crashed under the load that it was sent while cold", u.servers.clock.now(), u.number)
 		u.dropJobs()
 		u.endSilence()
 		u.closeEndpoints()
@@ -795,7 +795,7 @@
 	return h.Sum64() | 1
 }
 
-// submit hands a request to the model. If the verdict is world.Taken, the job's end is sent on the returned channel, which
+// submit hands a request to the model. If the verdict is world.Accepted, the job's end is sent on the returned channel, which
 // is closed without it if the server goes down.
 func (u *server) submit(work time.Duration, key, unique uint64) (chan world.Completion, uint64, world.Verdict) {
 	u.servers.mu.Lock()
