--- a/internal/lab/address.go
+++ b/internal/lab/address.go
@@ -13,13 +13,13 @@
 	"golang.org/x/sys/unix"
 )
 
-// Every sidecar has a loopback address of its own, and reaches everything else (each server, discovery, each peer) at ports
-// of that address. The address that is called therefore identifies the caller.
+// Every sidecar has a loopback address of its own, and reaches everything else (each server, discovery, each peer) at
+// ports of that address. The address that is called therefore identifies the caller.
 //
-// A stand-in that all sidecars reach has one socket for all of them. It is bound to all addresses and to the device lo, so
-// that it receives everything sent to 127.0.0.0/8 and nothing from outside. Its port must be unique on the whole machine,
-// because it also receives what is sent to other labs' addresses. Where such sockets are not permitted, a stand-in has a
-// socket for each sidecar.
+// A stand-in that all sidecars reach has one socket for all of them. It is bound to all addresses and to the device lo,
+// so that it receives everything sent to 127.0.0.0/8 and nothing from outside. Its port must be unique on the whole
+// machine, because it also receives what is sent to other labs' addresses. Where such sockets are not permitted, a
+// stand-in has a socket for each sidecar.
 const (
 	clientPort   = 8080
 	consolePort  = 9100  // the first of consolePorts ports, one for each process of a sidecar
@@ -27,15 +27,15 @@
 	firstOwnPort = 10000 // ports from here on are allocated if sockets are not shared
 	claimPort    = 30000 // held while a subnet is in use
 
-	// Ports for shared sockets, below the kernel's ephemeral ports. Labs claim them in chunks, by listening at the first
-	// port of a chunk.
+	// Ports for shared sockets, below the kernel's ephemeral ports. Labs claim them in chunks, by listening at the
+	// first port of a chunk.
 	firstChunkPort  = 10400
 	endOfChunkPorts = 30000
 	portsPerChunk   = 32
 )
 
-// subnet is what a run has for itself: the addresses 127.N.0.0/16, and ports at them. Its methods are safe for concurrent
-// use.
+// subnet is what a run has for itself: the addresses 127.N.0.0/16, and ports at them. Its methods are safe for
+// concurrent use.
 type subnet struct {
 	secondOctet   int // N
 	claim         net.Listener
@@ -214,8 +214,8 @@
 	return l.(*net.TCPListener), nil
 }
 
-// closeListener closes a listener such that connections are refused at once. Close alone is not enough: a child process that
-// is being started holds a copy of the descriptor until it executes its program.
+// closeListener closes a listener such that connections are refused at once. Close alone is not enough: a child process
+// that is being started holds a copy of the descriptor until it executes its program.
 func closeListener(l *net.TCPListener) {
 	if raw, err := l.SyscallConn(); err == nil {
 		_ = withDescriptor(raw, func(fd int) error { return unix.Shutdown(fd, unix.SHUT_RD) }) // fails only if it is closed
--- a/internal/lab/address_test.go
+++ b/internal/lab/address_test.go
@@ -11,7 +11,8 @@
 	"time"
 )
 
-// newTestSubnet claims a subnet that uses shared sockets, or a socket for each sidecar as where those are not permitted.
+// newTestSubnet claims a subnet that uses shared sockets, or a socket for each sidecar as where those are not
+// permitted.
 func newTestSubnet(t testing.TB, sharedSockets bool) *subnet {
 	t.Helper()
 	n, err := claimSubnet()
@@ -32,9 +33,9 @@
 	t.Run("socket per sidecar", func(t *testing.T) { test(t, false) })
 }
 
-// Two labs run at once. Every server identifies the sidecar that calls it, and answers none at another lab's addresses. When
-// a server's process dies, connections to it are refused; when its machine vanishes, they time out. Both apply to all sidecars
-// of its lab and to no server of the other.
+// Two labs run at once. Every server identifies the sidecar that calls it, and answers none at another lab's addresses.
+// When a server's process dies, connections to it are refused; when its machine vanishes, they time out. Both apply to
+// all sidecars of its lab and to no server of the other.
 func TestServersKnowTheirCallers(t *testing.T) { withBothSocketModes(t, serversKnowTheirCallers) }
 
 func serversKnowTheirCallers(t *testing.T, sharedSockets bool) {
@@ -115,8 +116,8 @@
 	}
 }
 
-// A port is allocated once, to one lab, and not if another program uses it. The number of descriptors that a fleet needs grows
-// with its size, not with the number of its pairs, if sockets are shared.
+// A port is allocated once, to one lab, and not if another program uses it. The number of descriptors that a fleet
+// needs grows with its size, not with the number of its pairs, if sockets are shared.
 func TestPortsAndDescriptors(t *testing.T) {
 	a, b := newTestSubnet(t, true), newTestSubnet(t, true)
 	seen := make(map[int]bool)
--- a/internal/lab/busy.go
+++ b/internal/lab/busy.go
@@ -16,8 +16,8 @@
 // maxBusyLoops bounds the busy loops that run at once.
 const maxBusyLoops = 16
 
-// RunBusyLoop keeps a core busy for a time if the lab started this process for that purpose, and reports whether it did. A
-// program that plays scenarios must call it before anything else.
+// RunBusyLoop keeps a core busy for a time if the lab started this process for that purpose, and reports whether it
+// did. A program that plays scenarios must call it before anything else.
 func RunBusyLoop() bool {
 	length, err := time.ParseDuration(os.Getenv(busyEnv))
 	if err != nil {
@@ -28,8 +28,8 @@
 	return true
 }
 
-// runBusyLoops runs busy loops next to the fleet, each in a process of its own that is started with start, for the given
-// time or until ctx ends.
+// runBusyLoops runs busy loops next to the fleet, each in a process of its own that is started with start, for the
+// given time or until ctx ends.
 func runBusyLoops(ctx context.Context, start func(*exec.Cmd) error, loops int, length time.Duration) error {
 	if loops > maxBusyLoops {
 		return fmt.Errorf("%d busy loops: at most %d are allowed", loops, maxBusyLoops)
--- a/internal/lab/callfaults.go
+++ b/internal/lab/callfaults.go
@@ -102,8 +102,8 @@
 	return e
 }
 
-// breakServerConnection breaks the connection that a call reads or writes if it is one to a server, and reports whether it
-// is. The caller holds the lock.
+// breakServerConnection breaks the connection that a call reads or writes if it is one to a server, and reports whether
+// it is. The caller holds the lock.
 func (f *callFaults) breakServerConnection(c sysfault.Call) bool {
 	if f.supervisor == nil {
 		return false
--- a/internal/lab/client.go
+++ b/internal/lab/client.go
@@ -22,8 +22,8 @@
 // maxAnswerBytes bounds how much of an answer a client reads.
 const maxAnswerBytes = 1 << 20
 
-// clients make the requests of a run when they are due, whether or not earlier ones have ended. The latency of an answer
-// counts from when its request was due, so that it includes delays of a blocked sidecar or lab.
+// clients make the requests of a run when they are due, whether or not earlier ones have ended. The latency of an
+// answer counts from when its request was due, so that it includes delays of a blocked sidecar or lab.
 type clients struct {
 	clock    clock
 	scenario *Scenario
@@ -135,8 +135,8 @@
 	_ = k.latencyBySecond[min(max(0, int(a.At/time.Second)), len(k.latencyBySecond)-1)].RecordValue(us)
 }
 
-// try makes one try of the n-th request, or several if they are pipelined. It returns the first one and how long its answer
-// asks to wait before a retry.
+// try makes one try of the n-th request, or several if they are pipelined. It returns the first one and how long its
+// answer asks to wait before a retry.
 func (k *clients) try(n int, a world.Arrival, class world.Class, deadline time.Duration, isRetry bool) (*Try, time.Duration) {
 	now := k.clock.now()
 	timeout := max(min(time.Duration(float64(class.Deadline)*k.scenario.Load.TryShare), deadline-now), time.Millisecond)
--- a/internal/lab/edge_test.go
+++ b/internal/lab/edge_test.go
@@ -35,7 +35,8 @@
 	}
 }
 
-// Edges prints the median over seeds of the largest load that a fleet returned at, with the range and each seed's value.
+// Edges prints the median over seeds of the largest load that a fleet returned at, with the range and each seed's
+// value.
 func TestEdgesArePrinted(t *testing.T) {
 	play := func(seed uint64, use, returned float64) *Result {
 		return &Result{Label: "a", Scenario: "x@" + string(rune('a'+int(use*10))), Seed: seed, Sidecars: 2, Servers: 3,
@@ -53,8 +54,8 @@
 	}
 }
 
-// A fleet has returned if its share of requests answered in time, from 10 s after the last fault on, is about that of the
-// 5 s before the first fault. A single good second in between does not count.
+// A fleet has returned if its share of requests answered in time, from 10 s after the last fault on, is about that of
+// the 5 s before the first fault. A single good second in between does not count.
 func TestReturned(t *testing.T) {
 	for _, c := range []struct {
 		name          string
--- a/internal/lab/faults.go
+++ b/internal/lab/faults.go
@@ -295,8 +295,8 @@
 	return nil
 }
 
-// disturbProcess makes a sidecar's system calls fail, steps its clock, or sends it malformed requests. It stops with the
-// process that it began with, even if another one has taken that process's place.
+// disturbProcess makes a sidecar's system calls fail, steps its clock, or sends it malformed requests. It stops with
+// the process that it began with, even if another one has taken that process's place.
 func (f *faults) disturbProcess(ctx context.Context, a PlannedFault, i int) {
 	q := f.run.processes.running(i)
 	switch a.Kind {
--- a/internal/lab/lab.go
+++ b/internal/lab/lab.go
@@ -9,12 +9,13 @@
 //   - Invariants are checked over the whole history, by what reached whom and in which order. Invariants that compare
 //     times, such as "drains" and "cold", are judged only in runs in which the lab itself ran on time.
 //   - Figures are measured and compared. They never fail a run.
-//   - Nothing outlives a run. The processes die with the lab even if it is killed, and the next lab removes the folder of
-//     a dead one, going by the process list that it recorded there.
+//   - Nothing outlives a run. The processes die with the lab even if it is killed, and the next lab removes the folder
+//     of a dead one, going by the process list that it recorded there.
 //
 // A run has one goroutine for each open request, one for each connection to a server, two for each sidecar that others
-// reach and five for each connection between two sidecars. They are bounded by the load of the scenario, by the servers'
-// socket limit, by maxLinkStreams and by maxMeshStreams. Delayed packets are bounded by maxLinkPackets and maxMeshPackets.
+// reach and five for each connection between two sidecars. They are bounded by the load of the scenario, by the
+// servers' socket limit, by maxLinkStreams and by maxMeshStreams. Delayed packets are bounded by maxLinkPackets and
+// maxMeshPackets.
 package lab
 
 import (
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -271,8 +271,8 @@
 	return path
 }
 
-// All invariants hold for the real sidecar under load while sidecars are killed, paused and upgraded, and servers crash, fall
-// silent, are replaced and are administratively disabled. The result can be read back.
+// All invariants hold for the real sidecar under load while sidecars are killed, paused and upgraded, and servers
+// crash, fall silent, are replaced and are administratively disabled. The result can be read back.
 func TestRealFleetUnderFaults(t *testing.T) {
 	t.Parallel()
 	s := readScenario(t, `for = "7s"
@@ -408,8 +408,8 @@
 	}
 }
 
-// When a lab is killed, its processes end with it. The next lab removes its folder, and kills no process whose ID is in the
-// record but whose start time is not.
+// When a lab is killed, its processes end with it. The next lab removes its folder, and kills no process whose ID is in
+// the record but whose start time is not.
 func TestKilledLabLeavesNothing(t *testing.T) {
 	tmp := t.TempDir()
 	if err := os.Chmod(tmp, 0o755); err != nil {
--- a/internal/lab/manners.go
+++ b/internal/lab/manners.go
@@ -52,8 +52,8 @@
 	return b
 }
 
-// faultSizeAt returns the size of a kind of fault at a time, by the timetable; the largest if there are several, 0 if there
-// are none.
+// faultSizeAt returns the size of a kind of fault at a time, by the timetable; the largest if there are several, 0 if
+// there are none.
 func (s *Scenario) faultSizeAt(kind string, now time.Duration) (size float64) {
 	for _, f := range s.Faults {
 		if f.Kind == kind && now >= f.At.Std() && now < f.At.Std()+f.For.Std() {
@@ -63,7 +63,8 @@
 	return size
 }
 
-// requestBody is the body of a request that is long or sent slowly. A client's timeout begins when the last byte is sent.
+// requestBody is the body of a request that is long or sent slowly. A client's timeout begins when the last byte is
+// sent.
 type requestBody struct {
 	unread     *strings.Reader
 	pause      time.Duration // before each piece
@@ -103,8 +104,8 @@
 	return text, body
 }
 
-// sendPipelined sends several tries at once on a connection of their own, and reads their answers in order. It returns the
-// first try.
+// sendPipelined sends several tries at once on a connection of their own, and reads their answers in order. It returns
+// the first try.
 func (k *clients) sendPipelined(b behaviour, timeout time.Duration, build func(t *Try) *http.Request, begin func() *Try) *Try {
 	var tries []*Try
 	var text strings.Builder
@@ -170,8 +171,8 @@
 	return Failed
 }
 
-// query returns the query of a try's URL, which tells the server how much work to do, how long an answer to send, and the
-// hash of a long request body.
+// query returns the query of a try's URL, which tells the server how much work to do, how long an answer to send, and
+// the hash of a long request body.
 func (b behaviour) query(a world.Arrival, body string) string {
 	text := fmt.Sprintf("work=%v", a.Work)
 	if b.longBytes > 0 {
--- a/internal/lab/process.go
+++ b/internal/lab/process.go
@@ -71,7 +71,8 @@
 	record   *processRecord
 	seed     uint64
 
-	// Functions to run on a thread that lives as long as the lab: a child is killed when the thread that started it ends.
+	// Functions to run on a thread that lives as long as the lab: a child is killed when the thread that started it
+	// ends.
 	starter chan func()
 
 	closed sync.Once
@@ -210,8 +211,8 @@
 // sidecarName returns a sidecar's name in configurations and findings.
 func sidecarName(i int) string { return fmt.Sprintf("n%d", i) }
 
-// start starts a sidecar's next process and returns it once it is ready. If the process starts but does not become ready,
-// both it and an error are returned.
+// start starts a sidecar's next process and returns it once it is ready. If the process starts but does not become
+// ready, both it and an error are returned.
 func (p *processes) start(sidecar int) (*process, error) {
 	p.mu.Lock()
 	ordinal := p.startCounts[sidecar]
@@ -277,8 +278,8 @@
 	return <-ended
 }
 
-// launch starts a command on the thread that lives as long as the lab. With Pdeathsig in its SysProcAttr, its process is
-// killed when the lab ends.
+// launch starts a command on the thread that lives as long as the lab. With Pdeathsig in its SysProcAttr, its process
+// is killed when the lab ends.
 func (p *processes) launch(cmd *exec.Cmd) error { return p.runOnStarter(cmd.Start) }
 
 // startProcess starts a process, supervised if the scenario asks for that.
@@ -644,7 +645,8 @@
 	return pages * float64(os.Getpagesize()) / (1 << 20), len(names), err == nil
 }
 
-// diskBytesWritten returns how many bytes a process has caused to be written to disks, or 0 if the kernel doesn't report it.
+// diskBytesWritten returns how many bytes a process has caused to be written to disks, or 0 if the kernel doesn't
+// report it.
 func diskBytesWritten(pid int) (bytes float64) {
 	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/io", pid))
 	if err != nil {
--- a/internal/lab/relay.go
+++ b/internal/lab/relay.go
@@ -31,8 +31,8 @@
 	rate      float64       // bytes a second; 0: unlimited
 }
 
-// link is the network path from one sidecar to another, in one direction. Its methods are safe for concurrent use. open is
-// guarded by the mesh's lock.
+// link is the network path from one sidecar to another, in one direction. Its methods are safe for concurrent use. open
+// is guarded by the mesh's lock.
 type link struct {
 	mesh     *mesh
 	from, to int
@@ -47,8 +47,8 @@
 	open       int           // connections
 }
 
-// relay is where all others reach one sidecar. It has one socket for packets and one listener for connections, or one of
-// each per other sidecar if shared sockets are not permitted. The address that is called identifies the sender.
+// relay is where all others reach one sidecar. It has one socket for packets and one listener for connections, or one
+// of each per other sidecar if shared sockets are not permitted. The address that is called identifies the sender.
 type relay struct {
 	port int
 	udp  []*net.UDPConn
@@ -89,7 +89,8 @@
 	l.sum, l.n, l.max = l.sum+d, l.n+1, max(l.max, d)
 }
 
-// newMesh opens the relays between sidecars. They forward until the mesh is closed. seed determines what the links draw.
+// newMesh opens the relays between sidecars. They forward until the mesh is closed. seed determines what the links
+// draw.
 func newMesh(sidecars int, n *subnet, seed uint64) (*mesh, error) {
 	m := &mesh{net: n, addedDelay: new(delaySum), conns: make(map[net.Conn]bool), done: make(chan struct{})}
 	for to := range sidecars {
@@ -270,8 +271,8 @@
 	return delays
 }
 
-// queueDelay returns how long bytes wait for those that were queued before them on a link of limited rate. The caller holds
-// the lock.
+// queueDelay returns how long bytes wait for those that were queued before them on a link of limited rate. The caller
+// holds the lock.
 func (l *link) queueDelay(bytes int) time.Duration {
 	if l.conditions.rate <= 0 {
 		return 0
@@ -321,8 +322,8 @@
 	return true
 }
 
-// relayStream relays one connection in both directions. While a link is cut nothing passes on it and the connection stays
-// open, so that neither end notices.
+// relayStream relays one connection in both directions. While a link is cut nothing passes on it and the connection
+// stays open, so that neither end notices.
 func (l *link) relayStream(c net.Conn) {
 	defer c.Close()
 	if !l.mesh.track(c) || !l.waitUncut() {
--- a/internal/lab/relay_test.go
+++ b/internal/lab/relay_test.go
@@ -11,7 +11,8 @@
 	"time"
 )
 
-// relayPeers are three peers with a mesh between them, each with a packet socket and a listener. Most tests use the first two.
+// relayPeers are three peers with a mesh between them, each with a packet socket and a listener. Most tests use the
+// first two.
 type relayPeers struct {
 	mesh *mesh
 	udp  [3]*net.UDPConn
@@ -117,8 +118,8 @@
 	}
 }
 
-// Each pair of peers has a link of its own: packets and connections reach the peer that they were sent to, answers to the
-// address that they came from are relayed back, and cutting one link affects no other.
+// Each pair of peers has a link of its own: packets and connections reach the peer that they were sent to, answers to
+// the address that they came from are relayed back, and cutting one link affects no other.
 func TestRelayPairs(t *testing.T) { withBothSocketModes(t, relayPairs) }
 
 func relayPairs(t *testing.T, sharedSockets bool) {
--- a/internal/lab/run.go
+++ b/internal/lab/run.go
@@ -68,8 +68,8 @@
 	return path, nil
 }
 
-// Play plays a scenario and returns its result. It ends early, with an error, when the context ends. An error means that
-// the run could not be played; invariants that did not hold are reported in the result.
+// Play plays a scenario and returns its result. It ends early, with an error, when the context ends. An error means
+// that the run could not be played; invariants that did not hold are reported in the result.
 func Play(ctx context.Context, s *Scenario, o Options) (res *Result, err error) {
 	if _, err := Sweep(); err != nil {
 		return nil, fmt.Errorf("cleaning up after an earlier lab: %w", err)
--- a/internal/lab/scenario.go
+++ b/internal/lab/scenario.go
@@ -20,8 +20,8 @@
 	file     string         // name of the file, for errors
 	keyLines map[string]int // line number of each key in the file
 
-	// If not 0, every class's aim and deadline in place of the usual ones, for runs whose verdict must not depend on the
-	// machine's speed.
+	// If not 0, every class's aim and deadline in place of the usual ones, for runs whose verdict must not depend on
+	// the machine's speed.
 	TimeLimits time.Duration `toml:"-"`
 
 	About      string        `toml:"about" need:"yes" help:"what the scenario is for, in one line"`
@@ -192,8 +192,8 @@
 	return errors.Join(append(bad, s.checkHollowSize())...)
 }
 
-// resolveTargets returns the numbers that text selects among what the fault acts on, in ascending order. A percentage is
-// drawn at random with rng; if rng is nil, it selects the first ones.
+// resolveTargets returns the numbers that text selects among what the fault acts on, in ascending order. A percentage
+// is drawn at random with rng; if rng is nil, it selects the first ones.
 func (s *Scenario) resolveTargets(f Fault, text string, rng *rand.Rand) ([]int, error) {
 	n := s.Fleet.Sidecars
 	switch faultKinds[f.Kind].on {
--- a/internal/lab/soak.go
+++ b/internal/lab/soak.go
@@ -38,8 +38,8 @@
 // noTarget is the target of faults of which there is only one possible target.
 func noTarget(*rand.Rand) string { return "" }
 
-// soakFaultKinds are the kinds that a soak draws from. They are drawn by index, so a seed's faults depend on their order.
-// They affect only some servers at a time, because the invariants need servers that answer.
+// soakFaultKinds are the kinds that a soak draws from. They are drawn by index, so a seed's faults depend on their
+// order. They affect only some servers at a time, because the invariants need servers that answer.
 var soakFaultKinds = []soakFaultKind{
 	{kind: "kill", drawTarget: shareBetween(5, 30)},
 	{kind: "stop", drawTarget: shareBetween(10, 50)},
@@ -77,16 +77,16 @@
 	{kind: "rude", drawTarget: shareBetween(20, 80)},
 }
 
-// The settings of requests that a soak draws from: whether repeating a publish or rebuild request has a further effect, and
-// how long a zone drops repeats of keyed requests.
+// The settings of requests that a soak draws from: whether repeating a publish or rebuild request has a further effect,
+// and how long a zone drops repeats of keyed requests.
 var (
 	soakPublishEffects = []string{"unsafe", "unsafe", "keyed", "safe"}
 	soakRebuildEffects = []string{"keyed", "keyed", "safe"}
 	soakDedupWindows   = []time.Duration{400 * time.Millisecond, time.Second, 4 * time.Second}
 )
 
-// Soak draws a scenario of faults that overlap in time. The same seed draws the same scenario. It has the given number of
-// sidecars, or 10 to 20 if that is 0.
+// Soak draws a scenario of faults that overlap in time. The same seed draws the same scenario. It has the given number
+// of sidecars, or 10 to 20 if that is 0.
 func Soak(seed uint64, sidecars int) (*Scenario, error) {
 	rng := rand.New(rand.NewPCG(seed, 9))
 	drawnSidecars := 10 + rng.IntN(11)
@@ -105,13 +105,13 @@
 	return ReadScenario(fmt.Sprintf("soak-%d.toml", seed), []byte(text))
 }
 
-// ExtendedSoakFrom is the first seed whose soak also has the faults of drawExtendedFaults. Smaller seeds draw the same as
-// before those were added, so that recorded seeds stay valid.
+// ExtendedSoakFrom is the first seed whose soak also has the faults of drawExtendedFaults. Smaller seeds draw the same
+// as before those were added, so that recorded seeds stay valid.
 const ExtendedSoakFrom = 100_000
 
-// drawExtendedFaults draws terminations of sidecars with series of signals and upgrades of sidecars whose accept calls fail.
-// Some soaks also get idle connections that use up a sidecar's descriptors (possibly while discovery is away), a burst of
-// requests, and a busy machine. It returns them in the form of a scenario file.
+// drawExtendedFaults draws terminations of sidecars with series of signals and upgrades of sidecars whose accept calls
+// fail. Some soaks also get idle connections that use up a sidecar's descriptors (possibly while discovery is away), a
+// burst of requests, and a busy machine. It returns them in the form of a scenario file.
 func drawExtendedFaults(rng *rand.Rand, sidecars int) (text string) {
 	add := func(kind string, at, length time.Duration, target string, size float64) {
 		text += fmt.Sprintf("[[fault]]\nat = '%v'\ndo = '%s'\n", at.Round(time.Millisecond), kind)
--- a/internal/lab/soak_test.go
+++ b/internal/lab/soak_test.go
@@ -84,8 +84,9 @@
 	}
 }
 
-// A SIGKILL after SIGTERM excuses an unanswered request only if all of it was sent within 0.7 s of SIGTERM. Idle connections
-// that use up a sidecar's descriptors excuse only a new connection that is closed before any of it was handled.
+// A SIGKILL after SIGTERM excuses an unanswered request only if all of it was sent within 0.7 s of SIGTERM. Idle
+// connections that use up a sidecar's descriptors excuse only a new connection that is closed before any of it was
+// handled.
 func TestHistoryExcusesNoMoreThanKillsAndIdleConnectionsCause(t *testing.T) {
 	const s, ms = time.Second, time.Millisecond
 	termAt := 10 * s
--- a/internal/lab/spoil.go
+++ b/internal/lab/spoil.go
@@ -14,7 +14,8 @@
 const maxSecondAnswerDelay = 3 * time.Millisecond
 
 // spoiltAnswers are the ways in which a server spoils its answer. write gets the true body and writes to the hijacked
-// connection. whole means that a client may take the result for the answer. Answers are drawn by index, so the order counts.
+// connection. whole means that a client may take the result for the answer. Answers are drawn by index, so the order
+// counts.
 var spoiltAnswers = []struct {
 	name  string
 	whole bool
@@ -61,8 +62,8 @@
 	}
 }
 
-// writeSpoilt answers in one of the ways of spoiltAnswers and closes the connection. Before it writes, it calls note with
-// the way's name and whether a client may take the result for the answer.
+// writeSpoilt answers in one of the ways of spoiltAnswers and closes the connection. Before it writes, it calls note
+// with the way's name and whether a client may take the result for the answer.
 func writeSpoilt(w http.ResponseWriter, body string, draw int, note func(way string, whole bool)) {
 	way := spoiltAnswers[draw%len(spoiltAnswers)]
 	c, _, err := http.NewResponseController(w).Hijack()
--- a/internal/lab/terminate.go
+++ b/internal/lab/terminate.go
@@ -62,8 +62,8 @@
 	return err
 }
 
-// replaceWithSignals starts a process next to the current one, which is terminated with a series of signals once the new one
-// is ready.
+// replaceWithSignals starts a process next to the current one, which is terminated with a series of signals once the
+// new one is ready.
 func (f *faults) replaceWithSignals(ctx context.Context, a PlannedFault, i int) error {
 	defer f.run.history.recordLinkChange(f.run.clock)
 	old := f.run.processes.running(i)
@@ -74,7 +74,8 @@
 	return nil
 }
 
-// terminateProcess terminates one process while clients use its connections, and returns once it has ended. q may be nil.
+// terminateProcess terminates one process while clients use its connections, and returns once it has ended. q may be
+// nil.
 func (f *faults) terminateProcess(ctx context.Context, q *process, series int) {
 	if q == nil {
 		return
@@ -101,8 +102,8 @@
 	f.run.processes.terminate(q, series, after)
 }
 
-// terminate sends a process a series of signals, and kills it the given time after SIGTERM if it still runs. The history then
-// excuses unanswered requests only if they were sent within killSlack of SIGTERM.
+// terminate sends a process a series of signals, and kills it the given time after SIGTERM if it still runs. The
+// history then excuses unanswered requests only if they were sent within killSlack of SIGTERM.
 func (p *processes) terminate(q *process, series int, after time.Duration) {
 	p.mu.Lock()
 	q.endExpected = true
@@ -152,7 +153,8 @@
 
 func (w *byteWriter) Write(p []byte) (int, error) { *w = append(*w, p...); return len(p), nil }
 
-// sendPersistently sends requests one after another on a connection, which it reopens whenever it is closed, until ctx ends.
+// sendPersistently sends requests one after another on a connection, which it reopens whenever it is closed, until ctx
+// ends.
 func (k *clients) sendPersistently(ctx context.Context, sidecar int, rng *rand.Rand) {
 	for ctx.Err() == nil {
 		c, err := net.DialTimeout("tcp", k.net.address(sidecar, clientPort), dialTimeout)
--- a/internal/lab/twice_test.go
+++ b/internal/lab/twice_test.go
@@ -49,9 +49,9 @@
 	}
 }
 
-// Each process has its own configuration file and gets SIGHUP only after it has been ready for a second. With one file for all
-// processes of a sidecar and signals at any time, a reload during an upgrade made two processes listen at one console address,
-// or ended the new process.
+// Each process has its own configuration file and gets SIGHUP only after it has been ready for a second. With one file
+// for all processes of a sidecar and signals at any time, a reload during an upgrade made two processes listen at one
+// console address, or ended the new process.
 func TestReloadLeavesStartingProcessAlone(t *testing.T) {
 	q := startSleeper(t) // SIGHUP would end it
 	q.ended = make(chan struct{})
--- a/internal/lab/upstream.go
+++ b/internal/lab/upstream.go
@@ -35,7 +35,8 @@
 	answerChunkPause  = 2 * time.Millisecond
 )
 
-// servers are the stand-ins for all queue servers. One lock serialises their models, because servers of a zone share state.
+// servers are the stand-ins for all queue servers. One lock serialises their models, because servers of a zone share
+// state.
 type servers struct {
 	clock        clock
 	history      *History
@@ -129,8 +130,8 @@
 	return a.net.address(sidecar, a.all[server].port)
 }
 
-// noteBrokenConnection records that the lab breaks a connection for the sidecar only, so that a long answer on it is cut
-// off. local and remote are the ends as the sidecar sees them. It reports whether the connection is to a server.
+// noteBrokenConnection records that the lab breaks a connection for the sidecar only, so that a long answer on it is
+// cut off. local and remote are the ends as the sidecar sees them. It reports whether the connection is to a server.
 func (a *servers) noteBrokenConnection(local, remote netip.AddrPort) bool {
 	i := slices.IndexFunc(a.all, func(u *server) bool { return u.port == int(remote.Port()) })
 	if i < 0 {
@@ -267,8 +268,8 @@
 	}
 }
 
-// resumeResponding undoes stopResponding. Connections that waited meanwhile are reset, as by a machine that does not know
-// them.
+// resumeResponding undoes stopResponding. Connections that waited meanwhile are reset, as by a machine that does not
+// know them.
 func (e *endpoint) resumeResponding() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -345,8 +346,8 @@
 	*net.TCPListener
 }
 
-// Accept returns the next connection of one of this run's sidecars. It blocks while the server is silent or the endpoint is
-// held.
+// Accept returns the next connection of one of this run's sidecars. It blocks while the server is silent or the
+// endpoint is held.
 func (w *endpointListener) Accept() (net.Conn, error) {
 	for {
 		c, err := w.TCPListener.AcceptTCP()
@@ -465,8 +466,8 @@
 	}
 }
 
-// closeAll closes all connections, as a server does that considers them idle: without a reset, unless there is a request in
-// transit. The caller holds the lock.
+// closeAll closes all connections, as a server does that considers them idle: without a reset, unless there is a
+// request in transit. The caller holds the lock.
 func (u *server) closeAll() {
 	for c := range u.conns {
 		c.noteCut("closed")
@@ -516,8 +517,8 @@
 	}
 }
 
-// start restarts a crashed server, which is cold then. It does nothing if the server is up, as overlapping faults may have
-// restarted it.
+// start restarts a crashed server, which is cold then. It does nothing if the server is up, as overlapping faults may
+// have restarted it.
 func (a *servers) start(i int) error {
 	a.mu.Lock()
 	if a.all[i].model.Up() {
@@ -602,8 +603,8 @@
 	}
 }
 
-// update closes the server if its model has crashed from load while cold, and sets the timer to the model's next event. The
-// caller holds the lock.
+// update closes the server if its model has crashed from load while cold, and sets the timer to the model's next event.
+// The caller holds the lock.
 func (u *server) update() {
 	if u.model.CrashedCold() && !u.crashedCold {
 		u.crashedCold, u.crashedColdAt = true, u.servers.clock.now()
@@ -741,8 +742,8 @@
 	return 0
 }
 
-// writeLongAnswer sends an answer in pieces, with a Content-Length if draw is even. It returns how many bytes were sent; an
-// error means that the sidecar has closed the connection.
+// writeLongAnswer sends an answer in pieces, with a Content-Length if draw is even. It returns how many bytes were
+// sent; an error means that the sidecar has closed the connection.
 func writeLongAnswer(w http.ResponseWriter, body string, draw int) (sent int, err error) {
 	if draw%2 == 0 {
 		w.Header().Set("Content-Length", strconv.Itoa(len(body)))
@@ -795,8 +796,8 @@
 	return h.Sum64() | 1
 }
 
-// submit hands a request to the model. If the verdict is world.Accepted, the job's end is sent on the returned channel, which
-// is closed without it if the server goes down.
+// submit hands a request to the model. If the verdict is world.Accepted, the job's end is sent on the returned channel,
+// which is closed without it if the server goes down.
 func (u *server) submit(work time.Duration, key, unique uint64) (chan world.Completion, uint64, world.Verdict) {
 	u.servers.mu.Lock()
 	defer u.servers.mu.Unlock()
