--- a/internal/lab/scenario.go
+++ b/internal/lab/scenario.go
@@ -186,7 +186,7 @@
 			fail("it needs fleet.supervised")
 		}
 		if kind.on != "link" && f.Peer != "" {
-			fail("it has no peer")
+			fail("only links have a peer")
 		}
 	}
 	return errors.Join(append(bad, s.checkHollowSize())...)
@@ -215,44 +215,44 @@
 	for i := range all {
 		all[i] = i
 	}
-	number := func(text string) (int, error) {
+	parseNumber := func(text string) (int, error) {
 		i, err := strconv.Atoi(text)
 		if err != nil || i < 0 || i >= n {
 			return 0, fmt.Errorf("%q is not a number from 0 to %d", text, n-1)
 		}
 		return i, nil
 	}
-	zone, ofZone := strings.CutPrefix(text, "zone ")
-	share, part := strings.CutSuffix(text, "%")
-	from, to, span := strings.Cut(text, "-")
+	zone, isZone := strings.CutPrefix(text, "zone ")
+	percentage, isPercentage := strings.CutSuffix(text, "%")
+	from, to, isRange := strings.Cut(text, "-")
 	switch {
 	case text == "all":
 		return all, nil
-	case ofZone:
+	case isZone:
 		if len(zone) != 1 || int(zone[0]-'a') >= s.Fleet.Zones || zone[0] < 'a' {
 			return nil, fmt.Errorf("zone %q does not exist", zone)
 		}
 		return slices.DeleteFunc(all, func(i int) bool { return s.zoneOf(i) != int(zone[0]-'a') }), nil
-	case part:
-		p, err := strconv.ParseFloat(share, 64)
-		if err != nil || !(p > 0 && p <= 100) {
+	case isPercentage:
+		percent, err := strconv.ParseFloat(percentage, 64)
+		if err != nil || !(percent > 0 && percent <= 100) {
 			return nil, fmt.Errorf("%q is not a percentage such as 25%%", text)
 		}
 		if rng != nil {
 			rng.Shuffle(n, func(i, j int) { all[i], all[j] = all[j], all[i] })
 		}
-		some := all[:max(1, int(float64(n)*p/100+0.5))]
+		some := all[:max(1, int(float64(n)*percent/100+0.5))]
 		slices.Sort(some)
 		return some, nil
-	case span:
-		a, errA := number(from)
-		b, errB := number(to)
+	case isRange:
+		a, errA := parseNumber(from)
+		b, errB := parseNumber(to)
 		if errA != nil || errB != nil || a > b {
 			return nil, fmt.Errorf("%q is not a range such as 0-2", text)
 		}
 		return all[a : b+1], nil
 	}
-	i, err := number(text)
+	i, err := parseNumber(text)
 	if err != nil {
 		return nil, fmt.Errorf("%w, nor all, a range, a percentage or a zone", err)
 	}
--- a/internal/lab/terminate.go
+++ b/internal/lab/terminate.go
@@ -83,7 +83,7 @@
 	f.mu.Lock()
 	seed := f.rng.Uint64()
 	f.mu.Unlock()
-	after := f.run.scenario.killDelay()
+	killDelay := f.run.scenario.killDelay()
 	clientsCtx, stopClients := context.WithCancel(ctx)
 	var clients sync.WaitGroup
 	defer clients.Wait()
@@ -94,17 +94,17 @@
 			if n%2 == 0 {
 				f.run.clients.sendPersistently(clientsCtx, q.sidecar, rng)
 			} else {
-				f.run.clients.withholdEnd(clientsCtx, q.sidecar, rng, after)
+				f.run.clients.withholdEnd(clientsCtx, q.sidecar, rng, killDelay)
 			}
 		})
 	}
 	sleep(ctx, signalInterval) // let the clients connect
-	f.run.processes.terminate(q, series, after)
+	f.run.processes.terminate(q, series, killDelay)
 }
 
-// terminate sends a process a series of signals, and kills it the given time after SIGTERM if it still runs. The
-// history then excuses unanswered requests only if they were sent within killSlack of SIGTERM.
-func (p *processes) terminate(q *process, series int, after time.Duration) {
+// terminate sends a process a series of signals, and kills it killDelay after SIGTERM if it still runs. The history then
+// excuses unanswered requests only if they were sent within killSlack of SIGTERM.
+func (p *processes) terminate(q *process, series int, killDelay time.Duration) {
 	p.mu.Lock()
 	q.endExpected = true
 	p.mu.Unlock()
@@ -113,7 +113,7 @@
 		send(syscall.SIGHUP)
 	}
 	send(syscall.SIGTERM)
-	termAt, kill := p.clock.now(), time.After(after)
+	termAt, kill := p.clock.now(), time.After(killDelay)
 	switch series {
 	case seriesTermHup:
 		send(syscall.SIGHUP)
@@ -139,10 +139,10 @@
 	a := world.Arrival{Sidecar: sidecar, Class: class, Tenant: rng.IntN(len(tenants)), Key: rng.Uint64(), Work: persistentWork}
 	now := k.clock.now()
 	t = k.history.beginTry(n, sidecar, class, now)
-	patience := k.classes[class].Deadline
-	k.history.recordSent(t, now, patience)
+	timeout := k.classes[class].Deadline
+	k.history.recordSent(t, now, timeout)
 	var out byteWriter
-	if err := k.newRequest(t, n, a, k.classes[class], behaviour{}, patience, false).Write(&out); err != nil {
+	if err := k.newRequest(t, n, a, k.classes[class], behaviour{}, timeout, false).Write(&out); err != nil {
 		panic(err) // cannot happen: all parts are well formed
 	}
 	return t, out
--- a/internal/lab/upstream.go
+++ b/internal/lab/upstream.go
@@ -191,7 +191,7 @@
 	mu       sync.Mutex
 	listener *net.TCPListener              // nil once closed: connections are refused
 	fillers  []net.Conn                    // connections that fill the accept queue of a silent endpoint
-	parked   chan struct{}                 // holds an element while Accept is blocked because the server is silent or the endpoint is held
+	parked   chan struct{}                 // holds an element while Accept blocks
 	resumed  atomic.Pointer[chan struct{}] // not nil while the endpoint is held; closed on release
 }
 
@@ -230,7 +230,7 @@
 	e.closeFillers()
 }
 
-// closeFillers closes the connections that fill the accept queue.
+// closeFillers closes the connections that fill the accept queue. The caller holds the lock.
 func (e *endpoint) closeFillers() {
 	for _, c := range e.fillers {
 		c.Close()
@@ -252,12 +252,12 @@
 	case <-e.parked: // wait for Accept to block, or it could accept the first filler
 	case <-time.After(parkTimeout): // Accept has returned: the endpoint was closed meanwhile
 	}
-	at := e.listener.Addr().(*net.TCPAddr)
-	if at.IP.IsUnspecified() {
-		at.IP = net.IP(e.server.servers.net.ip(0).AsSlice())
+	address := e.listener.Addr().(*net.TCPAddr)
+	if address.IP.IsUnspecified() {
+		address.IP = net.IP(e.server.servers.net.ip(0).AsSlice())
 	}
 	for range maxFillers {
-		if c, err := net.DialTimeout("tcp", at.String(), fillTimeout); err == nil {
+		if c, err := net.DialTimeout("tcp", address.String(), fillTimeout); err == nil {
 			e.fillers = append(e.fillers, c)
 		}
 		for retryUntil := time.Now().Add(fillTimeout); time.Now().Before(retryUntil); time.Sleep(time.Millisecond) {
@@ -348,10 +348,10 @@
 
 // Accept returns the next connection of one of this run's sidecars. It blocks while the server is silent or the
 // endpoint is held.
-func (w *endpointListener) Accept() (net.Conn, error) {
+func (l *endpointListener) Accept() (net.Conn, error) {
 	for {
-		c, err := w.TCPListener.AcceptTCP()
-		u, caller := w.endpoint.server, -1
+		c, err := l.TCPListener.AcceptTCP()
+		u, caller := l.endpoint.server, -1
 		if err == nil {
 			// Connections to an address that is not a sidecar's of this run are closed.
 			if caller = u.servers.net.callerAt(c.LocalAddr()); caller < 0 || caller >= u.sidecars {
@@ -377,7 +377,7 @@
 		case !timedOut:
 			return nil, err
 		}
-		w.endpoint.waitWhileBlocked(silent)
+		l.endpoint.waitWhileBlocked(silent)
 	}
 }
 
