--- a/internal/lab/faults.go
+++ b/internal/lab/faults.go
@@ -69,8 +69,8 @@
 // describe returns a one-line description of the fault.
 func (a PlannedFault) describe() string {
 	words := []string{a.Kind}
-	if faultKinds[a.Kind].on != "discovery" && faultKinds[a.Kind].on != "load" {
-		words = append(words, faultKinds[a.Kind].on+"s", fmt.Sprint(a.Targets))
+	if faultKinds[a.Kind].actsOn != "discovery" && faultKinds[a.Kind].actsOn != "load" {
+		words = append(words, faultKinds[a.Kind].actsOn+"s", fmt.Sprint(a.Targets))
 	}
 	if a.Size != 0 {
 		words = append(words, fmt.Sprintf("size %g", a.Size))
@@ -101,11 +101,11 @@
 	applyToTarget := map[string]func(context.Context, PlannedFault, int) error{
 		"sidecar": f.sidecarFault, "server": f.serverFault, "discovery": f.discoveryFault, "link": f.linkFault,
 		"load": f.loadFault,
-	}[faultKinds[a.Kind].on]
+	}[faultKinds[a.Kind].actsOn]
 	var all sync.WaitGroup
 	errs := make(chan error, len(a.Targets))
 	for i, target := range a.Targets {
-		if i > 0 && a.Pause > 0 && faultKinds[a.Kind].on != "link" && faultKinds[a.Kind].on != "discovery" && !sleep(ctx, a.Pause.Std()) {
+		if i > 0 && a.Pause > 0 && faultKinds[a.Kind].actsOn != "link" && faultKinds[a.Kind].actsOn != "discovery" && !sleep(ctx, a.Pause.Std()) {
 			break
 		}
 		all.Go(func() { errs <- applyToTarget(ctx, a, target) })
--- a/internal/lab/scenario.go
+++ b/internal/lab/scenario.go
@@ -115,10 +115,10 @@
 	State     string        `toml:"state" default:"kept" oneof:"kept emptied truncated flipped readonly" help:"kill: what happens to the files of the state folder before the restart"`
 }
 
-// faultKinds lists what each kind of fault acts on, and whether it needs a size.
+// faultKinds lists what each kind of fault acts on, and whether it needs a size. docs/lab.md describes the kinds.
 var faultKinds = map[string]struct {
-	on   string
-	size bool
+	actsOn    string
+	needsSize bool
 }{
 	"kill": {"sidecar", false}, "stop": {"sidecar", false}, "pause": {"sidecar", false}, "starve": {"sidecar", true}, "upgrade": {"sidecar", false}, "full": {"sidecar", true}, "push": {"sidecar", false},
 	"term": {"sidecar", true}, "swap": {"sidecar", true}, "crowd": {"sidecar", true}, "busy": {"load", true},
@@ -160,7 +160,7 @@
 			bad = append(bad, fmt.Errorf("fault[%d], %s at %v: %s", i, f.Kind, f.At, fmt.Sprintf(format, args...)))
 		}
 		kind := faultKinds[f.Kind]
-		if kind.size && f.Size == 0 {
+		if kind.needsSize && f.Size == 0 {
 			fail("it needs a size")
 		}
 		if f.At > s.For {
@@ -169,7 +169,7 @@
 		if _, err := s.resolveTargets(f, f.Target, nil); err != nil {
 			fail("target: %v", err)
 		}
-		switch kind.on {
+		switch kind.actsOn {
 		case "link":
 			if !s.Fleet.Mesh {
 				fail("it needs fleet.mesh")
@@ -185,7 +185,7 @@
 		if slices.Contains(supervisedFaults, f.Kind) && !s.Fleet.Supervised {
 			fail("it needs fleet.supervised")
 		}
-		if kind.on != "link" && f.Peer != "" {
+		if kind.actsOn != "link" && f.Peer != "" {
 			fail("only links have a peer")
 		}
 	}
@@ -196,7 +196,7 @@
 // is drawn at random with rng; if rng is nil, it selects the first ones.
 func (s *Scenario) resolveTargets(f Fault, text string, rng *rand.Rand) ([]int, error) {
 	n := s.Fleet.Sidecars
-	switch faultKinds[f.Kind].on {
+	switch faultKinds[f.Kind].actsOn {
 	case "link":
 		n = s.totalSidecars()
 	case "sidecar":
@@ -296,7 +296,7 @@
 				spare++
 			}
 		}
-		if faultKinds[f.Kind].on == "link" {
+		if faultKinds[f.Kind].actsOn == "link" {
 			a.Peers, _ = s.resolveTargets(f, cmp.Or(f.Peer, "all"), rng)
 		}
 		plan = append(plan, a)
--- a/internal/lab/spread.go
+++ b/internal/lab/spread.go
@@ -53,7 +53,7 @@
 		all[server] = left
 	}
 	for _, a := range plan {
-		if faultKinds[a.Kind].on != "server" {
+		if faultKinds[a.Kind].actsOn != "server" {
 			continue
 		}
 		back := s.Discovery.UpdateDelay.Std()
