--- a/internal/lab/process.go
+++ b/internal/lab/process.go
@@ -340,7 +340,7 @@
 	err := q.cmd.Wait()
 	p.mu.Lock()
 	p.cpu += q.cmd.ProcessState.UserTime() + q.cmd.ProcessState.SystemTime()
-	wanted := q.endExpected
+	endExpected := q.endExpected
 	isCurrent := p.current[q.sidecar] == q
 	if isCurrent {
 		p.current[q.sidecar] = nil
@@ -349,7 +349,7 @@
 	if isCurrent {
 		p.history.recordProcess(q.sidecar, p.clock.now(), false)
 	}
-	if !wanted {
+	if !endExpected {
 		p.history.addFinding(&p.history.processFailures, "at %v sidecar %s ended unexpectedly: %v; its log ends with: %s",
 			p.clock.now(), sidecarName(q.sidecar), err, q.logTail())
 	} else if status, _ := q.cmd.ProcessState.Sys().(syscall.WaitStatus); err != nil && !status.Signaled() {
--- a/internal/lab/run.go
+++ b/internal/lab/run.go
@@ -81,20 +81,20 @@
 	if err := ensureDescriptors(s, sharedSockets); err != nil {
 		return nil, err
 	}
-	processRecord, err := newProcessRecord()
+	record, err := newProcessRecord()
 	if err != nil {
 		return nil, err
 	}
-	defer func() { err = errors.Join(err, processRecord.close()) }()
+	defer func() { err = errors.Join(err, record.close()) }()
 	if o.Program == "" {
-		if o.Program, err = Build(processRecord.dir); err != nil {
+		if o.Program, err = Build(record.dir); err != nil {
 			return nil, err
 		}
 	}
-	if o.Program, err = copyProgram(o.Program, processRecord.dir); err != nil {
+	if o.Program, err = copyProgram(o.Program, record.dir); err != nil {
 		return nil, err
 	}
-	logs := filepath.Join(processRecord.dir, "logs")
+	logs := filepath.Join(record.dir, "logs")
 	if o.Out != "" {
 		logs = filepath.Join(o.Out, "logs")
 	}
@@ -115,7 +115,7 @@
 	if err != nil {
 		return nil, err
 	}
-	r.processes = newProcesses(s, r.clock, r.history, r.net, r.roster, o.Program, processRecord.dir, logs, processRecord, o.Seed)
+	r.processes = newProcesses(s, r.clock, r.history, r.net, r.roster, o.Program, record.dir, logs, record, o.Seed)
 	defer func() {
 		shutdownCtx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 		defer cancel()
