--- a/internal/conf/conf_test.go
+++ b/internal/conf/conf_test.go
@@ -6,6 +6,7 @@
 	"time"
 )
 
+// sample has a field of each kind that tags describe.
 type sample struct {
 	Name  string   `toml:"name" need:"yes"`
 	Wait  Duration `toml:"wait" default:"250ms" min:"1ms" max:"1m"`
@@ -24,6 +25,7 @@
 	Size int      `toml:"size" min:"0" max:"5"`
 }
 
+// Given values and defaults are read, and what Write writes can be read again.
 func TestDefaultsAndValues(t *testing.T) {
 	var s sample
 	err := Parse("f", []byte("name='x'\nshare=0.25\n[[part]]\nkind='a'\n[[part]]\nkind='b'\nfor='2s'\n[routes]\nn1='1:2'\n"), &s)
@@ -40,11 +42,11 @@
 	}
 	var again sample
 	if err := Parse("written", []byte(b.String()), &again); err != nil || again.Part[1].For != s.Part[1].For {
-		t.Errorf("what is written reads as %+v, error %v:\n%s", again, err, &b)
+		t.Errorf("the written file reads as %+v, error %v:\n%s", again, err, &b)
 	}
 }
 
-// Each mistake is an error that names the line and the key.
+// Each mistake in a file is an error that names the line and the key.
 func TestMistakesNameLineAndKey(t *testing.T) {
 	for _, c := range []struct{ text, want string }{
 		{"name='x'\nshaer=1", `f:2: unknown key "shaer"`},
@@ -72,12 +74,13 @@
 	}
 }
 
+// Parse does not panic, and accepts no file without the required key.
 func FuzzParse(f *testing.F) {
 	f.Add([]byte("name='x'\n[[part]]\nkind='a'\n[routes]\na.b='c'\n\"q u\"=''\n"))
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		var s sample
 		if err := Parse("f", raw, &s); err == nil && (s.Name == "" && !strings.Contains(string(raw), "name")) {
-			t.Errorf("a file with no name was taken")
+			t.Errorf("a file without a name was accepted")
 		}
 	})
 }
--- a/internal/sidecar/accept.go
+++ b/internal/sidecar/accept.go
@@ -13,47 +13,49 @@
 )
 
 const (
-	acceptPause = 5 * time.Millisecond // before accept is tried again after a failure
-	listenTime  = 5 * time.Second      // a listener is tried for so long at the start of the process
-	listenPause = 50 * time.Millisecond
+	acceptRetryInterval = 5 * time.Millisecond  // pause before accept is retried after a failure
+	listenTimeout       = 5 * time.Second       // for opening a listener at the start of the process
+	listenRetryInterval = 50 * time.Millisecond // pause between attempts to listen or to read the configuration
 )
 
-// clientListener is where clients connect: package listener's, or a test's.
+// clientListener is the listener that clients connect to: a listener.Listener, or a fake in tests.
 type clientListener interface {
 	net.Listener
-	Finish() error // takes what waits, for Accept to return, and ends listening; an error says that it has not ended
-	Waiting() bool // whether connections have come that Accept has not returned
+	Shutdown() error  // stops listening; Accept still returns the connections that wait. After an error it still listens.
+	HasPending() bool // reports whether connections wait to be accepted
 }
 
-// listen opens a listener, and tries for a while: the system may lack a buffer, or the address, for a moment only. With
-// shared a second process may listen beside this one: an upgrade starts it before this one ends.
+// listen opens a listener. For listenTimeout it retries errors of the system, which may lack a buffer or the address
+// only briefly. With shared a second process can listen at the same address, as in an upgrade.
 func listen(ctx context.Context, address string, shared bool) (*listener.Listener, error) {
-	for end := time.Now().Add(listenTime); ; {
+	for end := time.Now().Add(listenTimeout); ; {
 		l, err := listener.Listen(ctx, address, shared)
-		if err == nil || !mayListenLater(err) || time.Now().After(end) {
+		if err == nil || !isTransientListenError(err) || time.Now().After(end) {
 			return l, err
 		}
 		slog.Warn("listen failed", "listen", address, "error", err)
 		select {
-		case <-time.After(listenPause):
+		case <-time.After(listenRetryInterval):
 		case <-ctx.Done():
 			return nil, err
 		}
 	}
 }
 
-// mayListenLater tells whether it was the system that failed: that may pass. An address that can't be parsed does not.
-func mayListenLater(err error) bool {
+// isTransientListenError reports whether a failure to listen is worth a retry: errors of the system are, an address
+// that can't be parsed is not.
+func isTransientListenError(err error) bool {
 	return isSystemError(err) || errors.Is(err, listener.ErrUnregistered)
 }
 
-// isSystemError tells whether a system call failed.
+// isSystemError reports whether err comes from a system call.
 func isSystemError(err error) bool {
 	var errno syscall.Errno
 	return errors.As(err, &errno)
 }
 
-// Accept returns the next connection that there is room for.
+// Accept returns the next connection that there is room for. It closes the others, with a refusal if one can be
+// reserved.
 func (l *clients) Accept() (net.Conn, error) {
 	for {
 		c, err := l.acceptRetrying()
@@ -61,23 +63,23 @@
 			return nil, err
 		}
 		raw, err := c.(syscall.Conn).SyscallConn()
-		if err != nil { // it is closed
+		if err != nil { // closed
 			continue
 		}
-		k := &clientConn{Conn: c, raw: raw, clients: l, queuedSince: l.failingSince()}
+		k := &clientConn{Conn: c, raw: raw, clients: l, queuedSince: l.acceptFailingSince()}
 		if l.add(k) {
 			return k, nil
 		}
 		if l.reserveRefusal() {
-			go k.closeRefused() // a request may be on its way, or have come
+			go k.refuseAndClose() // a request may be on its way or have arrived
 		} else {
 			c.Close()
 		}
 	}
 }
 
-// accept returns the next connection. Whatever the system says passes, but for the end of listening: net/http would end
-// the service at most errors, and wait twice as long each time at others, up to a second.
+// acceptRetrying returns the next connection. It retries every error except the end of listening: net/http's Serve
+// would return on most errors, and on others back off for up to a second.
 func (l *clients) acceptRetrying() (net.Conn, error) {
 	for {
 		c, err := l.clientListener.Accept()
@@ -87,71 +89,73 @@
 		if errors.Is(err, net.ErrClosed) {
 			return nil, err
 		}
-		l.acceptFailed(err)
-		time.Sleep(acceptPause)
+		l.handleAcceptError(err)
+		time.Sleep(acceptRetryInterval)
 		l.mu.Lock()
-		l.lookAtQueue()
+		l.resetAcceptFailure()
 		l.mu.Unlock()
 	}
 }
 
-// failingSince tells since when a connection that is accepted now may have waited because accept failed; 0: it has not.
-func (l *clients) failingSince() time.Duration {
+// acceptFailingSince returns when the failure of accept began that a connection accepted now may have waited for; 0
+// if it has not waited.
+func (l *clients) acceptFailingSince() time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	since := l.failing
-	l.lookAtQueue()
+	since := l.failingSince
+	l.resetAcceptFailure()
 	return since
 }
 
-// lookAtQueue ends the time for which accept has failed where nobody waits for it any more. The caller holds the lock.
-func (l *clients) lookAtQueue() {
-	if l.failing > 0 && !l.Waiting() {
-		l.failing = 0
+// resetAcceptFailure ends the period in which accept fails if no connection waits any more. The caller holds the lock.
+func (l *clients) resetAcceptFailure() {
+	if l.failingSince > 0 && !l.HasPending() {
+		l.failingSince = 0
 	}
 }
 
-// scarce are the errors of accept that pass once something is closed.
-var scarce = []syscall.Errno{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM}
+// resourceErrors are the errors of accept that mean a lack of descriptors or memory, which closing a connection
+// relieves.
+var resourceErrors = []syscall.Errno{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM}
 
-// acceptFailed counts a failure, and where descriptors or memory are scarce closes a connection that nobody misses. One
-// that has come just now stays, and one with part of a request: what they are to bring is on its way.
-func (l *clients) acceptFailed(err error) {
+// handleAcceptError counts and logs a failure of accept. If descriptors or memory are short, it closes a silent or idle
+// connection, but none that has just arrived or has part of a request, as the rest of the request is on its way.
+func (l *clients) handleAcceptError(err error) {
 	var errno syscall.Errno
-	errors.As(err, &errno) // else it is 0
+	errors.As(err, &errno) // stays 0 for other errors
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.failures++
-	l.failing = cmp.Or(l.failing, l.clock.now())
-	for _, e := range scarce {
+	l.acceptFailures++
+	l.failingSince = cmp.Or(l.failingSince, l.clock.now())
+	for _, e := range resourceErrors {
 		if errno == e {
-			l.scarce++
-			l.shedOne(closedRoomIdle)
+			l.exhausted++
+			l.shedOne(closedShedIdle)
 			break
 		}
 	}
-	if now := time.Now(); now.Sub(l.failureLogged) >= time.Second {
-		l.failureLogged = now
-		slog.Warn("accept failed", "error", err, "times", l.failures)
+	if now := time.Now(); now.Sub(l.failureLoggedAt) >= time.Second {
+		l.failureLoggedAt = now
+		slog.Warn("accept failed", "error", err, "times", l.acceptFailures)
 	}
 }
 
-// leave stops listening, for a second process that listens here too. Connections that have come but were not accepted
-// yet would be reset with the listener: Accept returns them first. Where that fails it is tried until end, as nobody else
-// can accept them.
+// stopListening closes the listener, so that new connections go to a second process that listens at the same address.
+// Connections that wait to be accepted would be reset with the listener, so Accept returns them first. If that fails,
+// stopListening retries until end, as no other process can accept them.
 func (l *clients) stopListening(end time.Time) error {
 	l.mu.Lock()
 	l.stopping = true
 	l.mu.Unlock()
 	var err error
 	for {
-		if err = l.Finish(); err == nil || !time.Now().Before(end) {
+		if err = l.Shutdown(); err == nil || !time.Now().Before(end) {
 			break
 		}
-		l.acceptFailed(err)
-		time.Sleep(acceptPause)
+		l.handleAcceptError(err)
+		time.Sleep(acceptRetryInterval)
 	}
-	if closed := l.Close(); !errors.Is(closed, net.ErrClosed) { // the server does so too, as Accept fails
+	if closed := l.Close(); !errors.Is(closed, net.ErrClosed) { // the HTTP server closes it too once Accept fails
 		err = errors.Join(err, closed)
 	}
 	return err
--- a/internal/sidecar/config_test.go
+++ b/internal/sidecar/config_test.go
@@ -8,10 +8,11 @@
 	"arrowgw/internal/balance"
 )
 
+// A valid configuration is parsed into the sidecar's and the decision module's settings.
 func TestConfig(t *testing.T) {
 	c := testConfig(t, listAnswer(41, "ready", "127.0.0.1:80"), nil)
-	if c.Seed != 0x8c1f30d27a5be964 || c.UpstreamIdleTimeout != 30*time.Second || c.Longest != 20*time.Second || c.KnownServers.version != 41 ||
-		c.Classes["entry"] != 1 || c.Tenants["south"] != 1 || c.Zones["b"] != 1 || c.MostOpen != 100 {
+	if c.Seed != 0x8c1f30d27a5be964 || c.UpstreamIdleTimeout != 30*time.Second || c.MaxDeadline != 20*time.Second || c.KnownServers.version != 41 ||
+		c.Classes["entry"] != 1 || c.Tenants["south"] != 1 || c.Zones["b"] != 1 || c.MaxOpenRequests != 100 {
 		t.Errorf("config %+v", c)
 	}
 	p := c.Policy
@@ -21,7 +22,7 @@
 	}
 }
 
-// A config that can't be used is told in one line that names the field.
+// The error of an invalid configuration is one line that names the field.
 func TestUnusableConfig(t *testing.T) {
 	const settings = `{"balancers":1,"caps":{"most_tries":3,"conn_idle_ms":30000,"dial_timeout_ms":250},"classes":[{"name":"a","aim_ms":5,"hard_limit_ms":9}]}`
 	const usable = `{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"1f","settings":` + settings + `}`
--- a/internal/sidecar/handover_test.go
+++ b/internal/sidecar/handover_test.go
@@ -14,10 +14,11 @@
 	"time"
 )
 
-// die ends a process as the kernel would: its lock goes with it.
-func (h *sharedState) exit() { h.lock.Close() }
+// exit releases the process's lock, as the kernel does when a process exits.
+func (h *sharedState) exit() { h.lockFile.Close() }
 
-// A second process is told by its lock, which dies with it; no file that a killed one leaves is taken for it.
+// A second process is recognized by its lock, which ends with it. Files that a killed process leaves do not count as
+// one.
 func TestProcessesAreCounted(t *testing.T) {
 	dir := t.TempDir()
 	counts := func(want int, all ...*sharedState) {
@@ -42,8 +43,8 @@
 	counts(1, third)
 }
 
-// Calls made to either process are known to both, and to the next one.
-func TestCallsAreShared(t *testing.T) {
+// Operator calls made at either process are known to both, and to the successor.
+func TestOperatorCallsAreShared(t *testing.T) {
 	dir, now := t.TempDir(), time.Now()
 	same := func(h *sharedState, want map[string]bool) {
 		t.Helper()
@@ -74,35 +75,36 @@
 	old.exit()
 	third := newSharedState(dir, "n0")
 	same(third, map[string]bool{"a": false, "b": true, "c": true})
-	now = now.Add(2 * backKept)
-	save(third, "b", false) // a long ago is forgotten
+	now = now.Add(2 * enableRetention)
+	save(third, "b", false) // the enable call on a is older than enableRetention
 	same(newSharedState(dir, "n0"), map[string]bool{"b": false, "c": true})
 }
 
-// A call back is kept for its minute though the wall clock is stepped by an hour behind it: that was counted as time passed.
-func TestSteppedClockForgetsNoCallBack(t *testing.T) {
+// An enable call is kept for enableRetention even if the wall clock is stepped by an hour after it. The step was
+// counted as time that has passed.
+func TestSteppedClockKeepsEnableCalls(t *testing.T) {
 	for _, step := range []time.Duration{time.Hour, -time.Hour} {
 		h := newSharedState(t.TempDir(), "n0")
-		before := time.Now().Add(-step) // the clock's date as the call was made
-		if err := errors.Join(h.enterCall("a", operatorCall{true, before.UnixMilli()}), h.enterCall("a", operatorCall{false, before.UnixMilli()})); err != nil {
+		before := time.Now().Add(-step) // the wall clock's time of the call
+		if err := errors.Join(h.storeCall("a", operatorCall{true, before.UnixMilli()}), h.storeCall("a", operatorCall{false, before.UnixMilli()})); err != nil {
 			t.Fatal(err)
 		}
 		h.currentCalls()
 		now := time.Now()
-		h.dropOldEnables(now.Add(backKept / 2))
+		h.dropOldEnables(now.Add(enableRetention / 2))
 		if _, kept := h.callsInForce()["a"]; !kept {
-			t.Errorf("stepped by %v: the call back is forgotten half a minute behind it", step)
+			t.Errorf("stepped by %v: the enable call is dropped after half of enableRetention", step)
 		}
-		h.dropOldEnables(now.Add(2 * backKept))
+		h.dropOldEnables(now.Add(2 * enableRetention))
 		if _, kept := h.callsInForce()["a"]; kept {
-			t.Errorf("stepped by %v: the call back is kept for two minutes", step)
+			t.Errorf("stepped by %v: the enable call is kept for twice enableRetention", step)
 		}
 		h.exit()
 	}
 }
 
-// A state file that can't be used keeps no process from its start, and the next call replaces it.
-func TestDamagedState(t *testing.T) {
+// An invalid legacy file does not prevent a process from starting, and the next operator call replaces it.
+func TestDamagedLegacyFile(t *testing.T) {
 	for name, text := range map[string]string{
 		"empty": "", "torn": `{"version":1,"serv`, "of another version": `{"version":2,"servers":{"a":{"out":true}}}`,
 		"of no servers": `{"version":1}`,
@@ -125,10 +127,10 @@
 	}
 }
 
-// A call that can't be written down holds in this process, and is an error.
+// An operator call that can't be stored is in force in this process, and returns an error.
 func TestStateThatCannotBeWritten(t *testing.T) {
 	dir := t.TempDir()
-	if err := os.WriteFile(filepath.Join(dir, "sidecar-n0.kept"), nil, 0o600); err != nil { // in the way
+	if err := os.WriteFile(filepath.Join(dir, "sidecar-n0.kept"), nil, 0o600); err != nil { // a file at the path of the store's folder
 		t.Fatal(err)
 	}
 	h := newSharedState(dir, "n0")
@@ -142,18 +144,18 @@
 	if err := os.Remove(filepath.Join(dir, "sidecar-n0.kept")); err != nil {
 		t.Fatal(err)
 	}
-	if err := h.saveCall("a", true, time.Now()); err != nil { // said again, it is kept
+	if err := h.saveCall("a", true, time.Now()); err != nil { // the repeated call is stored
 		t.Error(err)
 	}
 	if got := newSharedState(dir, "n0").currentCalls(); !got["a"].Out {
 		t.Errorf("known to the next %v", got)
 	}
 	if h := newSharedState(filepath.Join(dir, "missing"), "n0"); h.countProcesses() != 1 || h.persistCall("a", true, time.Now()) != nil {
-		t.Error("without its folder it is not a process alone")
+		t.Error("without its folder it does not count as the only process")
 	}
 }
 
-// A process hears of a second one, of the calls made to that, and of its end.
+// A process notices a second one, the operator calls made at it, and its exit.
 func TestSecondProcessIsWatched(t *testing.T) {
 	dir := t.TempDir()
 	h := newSharedState(dir, "n0")
@@ -171,20 +173,20 @@
 	for !wait(t, "the call", out) {
 	}
 	next.exit()
-	if n := wait(t, "its end", numbers); n != 1 {
+	if n := wait(t, "its exit", numbers); n != 1 {
 		t.Fatalf("%d processes, want 1", n)
 	}
 }
 
-// Connections that have come when the process leaves are handed out, whether or not Accept waits for one; those
-// that come later reach the second process.
-func TestLeavingEmptiesTheQueue(t *testing.T) {
+// Accept returns the connections that had arrived when the process stops listening, whether or not Accept was blocked
+// then; later connections reach the second process.
+func TestStopListeningEmptiesAcceptQueue(t *testing.T) {
 	listener, err := listen(context.Background(), "127.0.0.1:0", true)
 	if err != nil {
 		t.Fatal(err)
 	}
 	address := listener.Addr().String()
-	first := newClients(testConfig(t, listAnswer(1, "ready"), nil), listener, noUpstreams)
+	first := newClients(testConfig(t, listAnswer(1, "ready"), nil), listener, noUpstreamConns)
 	for range 5 {
 		c := dialTCP(t, address)
 		if _, err := io.WriteString(c, "x"); err != nil {
@@ -223,12 +225,12 @@
 	}
 }
 
-// Beside a second process each keeps to its part: idle connections above it are closed.
-func TestSharesShrinkAndGrow(t *testing.T) {
+// With two processes each keeps to its part of the limits, and closes idle connections above it.
+func TestLimitsOfTwoProcesses(t *testing.T) {
 	cfg := testConfig(t, listAnswer(1, "ready"), func(file, _ map[string]any) { file["console"] = "127.0.0.1:0" })
 	for n := 1; n <= 2; n++ {
-		room := cfg.clientConns(n)
-		if all := n * (max(room+room/6+cfg.upstreamConnLimit(n), cfg.allConns(n)) + cfg.ownFiles()); all > cfg.Sockets {
+		room := cfg.clientConnLimit(n)
+		if all := n * (max(room+room/6+cfg.upstreamConnLimit(n), cfg.totalConnLimit(n)) + cfg.reservedFiles()); all > cfg.Sockets {
 			t.Errorf("%d processes hold up to %d descriptors of %d", n, all, cfg.Sockets)
 		}
 	}
@@ -242,18 +244,19 @@
 	if u.open != 1 || len(u.idle[s.address]) != 1 {
 		t.Errorf("%d open, %d idle, want 1", u.open, len(u.idle[s.address]))
 	}
-	l := newClients(cfg, nil, noUpstreams)
+	l := newClients(cfg, nil, noUpstreamConns)
 	for range l.clientShare {
 		a, b := net.Pipe()
 		defer b.Close()
 		l.add(&clientConn{Conn: a})
 	}
-	l.setLimits(cfg.clientConns(2), cfg.clientConns(2))
-	if len(l.conns) != cfg.clientConns(2) {
-		t.Errorf("%d clients held, want %d", len(l.conns), cfg.clientConns(2))
+	l.setLimits(cfg.clientConnLimit(2), cfg.clientConnLimit(2))
+	if len(l.conns) != cfg.clientConnLimit(2) {
+		t.Errorf("%d client connections, want %d", len(l.conns), cfg.clientConnLimit(2))
 	}
 }
 
+// dialTCP opens a connection to address that is closed at the end of the test.
 func dialTCP(t *testing.T, address string) net.Conn {
 	t.Helper()
 	c, err := net.Dial("tcp", address)
@@ -264,9 +267,9 @@
 	return c
 }
 
-// A process that starts again is ready and serves by the list that it has, whatever discovery does, and with a state
-// that is damaged.
-func TestReadyWhateverIsAway(t *testing.T) {
+// A restarted process is ready and serves by the server list that it has, even if discovery fails or the state is
+// damaged.
+func TestReadyWithoutDiscoveryOrState(t *testing.T) {
 	answers := map[string]func(net.Conn, stubRequest) bool{
 		"discovery silent": neverAnswer,
 		"discovery busy": func(c net.Conn, _ stubRequest) bool {
@@ -319,9 +322,9 @@
 	}
 }
 
-// From the yes on a server that is taken out by hand has nothing new from either process of an upgrade: the other one heard of
-// it up to a quarter of a second later.
-func TestCallByHandBindsBothProcessesFromItsYes(t *testing.T) {
+// Once disable-server is answered, neither process of an upgrade sends the server new requests. The other process
+// learned of the call only up to 250 ms later.
+func TestDisableServerBindsBothProcesses(t *testing.T) {
 	out, other := newStub(t, echo), newStub(t, echo)
 	shared := t.TempDir()
 	begin := func() *testSidecar {
@@ -342,6 +345,6 @@
 		}
 	}
 	if n := len(out.requests); n > 0 {
-		t.Errorf("%d requests went to the server behind the yes", n)
+		t.Errorf("%d requests went to the server after disable-server was answered", n)
 	}
 }
--- a/internal/sidecar/loop_test.go
+++ b/internal/sidecar/loop_test.go
@@ -10,8 +10,8 @@
 	"arrowgw/internal/guard"
 )
 
-// idleLoop is a loop whose goroutine is the test itself, with one server in its list.
-func idleLoop(t *testing.T, address string) *loop {
+// newTestLoop returns a loop with one listed server. The test itself acts as its goroutine.
+func newTestLoop(t *testing.T, address string) *loop {
 	t.Helper()
 	cfg := testConfig(t, listAnswer(1, "ready", address), nil)
 	c := newClock()
@@ -21,32 +21,32 @@
 	}
 	l.now = c.now()
 	l.guard.Start()
-	l.b.Start(l.now)
-	l.take(cfg.KnownServers, balance.ListCached)
+	l.balancer.Start(l.now)
+	l.applyList(cfg.KnownServers, balance.ListCached)
 	return l
 }
 
-// next runs the next event and what it owes.
-func (l *loop) next(t *testing.T) {
+// runNextEvent runs the next event and reports the sends that it left undone.
+func (l *loop) runNextEvent(t *testing.T) {
 	t.Helper()
 	event := wait(t, "an event", l.events)
 	l.now = l.clock.now()
 	event(l.now)
-	l.settle()
+	l.reportUnsent()
 }
 
-// hold enters a request that the module does not know, so that the test can decide for it.
-func (l *loop) hold(id balance.RequestID) (*request, chan answer) {
+// addRequest enters a request that the module does not know, so that the test can decide for it.
+func (l *loop) addRequest(id balance.RequestID) (*request, chan answer) {
 	reply := make(chan answer, 1)
 	l.guard.Admit(id, guard.Request{RequestID: "held", Deadline: l.now + testTimeout, Effect: balance.Safe})
-	r := &request{message: testMessage("1"), reply: reply, deadline: l.now + testTimeout}
+	r := &request{outbound: testRequest("1"), reply: reply, deadline: l.now + testTimeout}
 	l.requests[id] = r
 	return r, reply
 }
 
-// The first served attempt answers at once; what the module says of the request after that, and
-// what other attempts bring, changes nothing. Each attempt has one Outcome, then the entry goes.
-func TestOneAnswerForEachRequest(t *testing.T) {
+// The first served attempt answers at once. What the module decides for the request after that, and the results of other
+// attempts, change nothing. Every attempt has one Outcome, and then the entry is removed.
+func TestOneAnswerPerRequest(t *testing.T) {
 	release := make(chan struct{})
 	s := newStub(t, func(c net.Conn, r stubRequest) bool {
 		if r.conn > 0 {
@@ -54,36 +54,36 @@
 		}
 		return ok(c, "first")
 	})
-	l := idleLoop(t, s.address)
-	r, reply := l.hold(7)
+	l := newTestLoop(t, s.address)
+	r, reply := l.addRequest(7)
 	to := serverID("s-0")
 	l.Send(7, to, 0, 0)
-	l.next(t)
+	l.runNextEvent(t)
 	if a := wait(t, "the answer", reply); a.status != http.StatusOK || string(a.body) != "first" {
 		t.Fatalf("answer %+v", a)
 	}
 	if len(l.requests) != 0 {
 		t.Fatal("the request is still in the table")
 	}
-	l.requests[7] = r // as if another attempt were out
+	l.requests[7] = r // as if another attempt were in flight
 	l.Refuse(7, time.Second, balance.OutOfTime)
 	l.Fail(7, balance.OutOfTime)
 	l.Send(7, to, 0, 0)
-	if len(reply) != 0 || len(l.notSent) != 1 || l.notSent[0] != (balance.Outcome{ID: 7, Attempt: 1, Ending: balance.NotSent}) {
-		t.Errorf("%d more answers, not sent %+v, want none and attempt 1", len(reply), l.notSent)
+	if len(reply) != 0 || len(l.unsentOutcomes) != 1 || l.unsentOutcomes[0] != (balance.Outcome{ID: 7, Attempt: 1, Ending: balance.NotSent}) {
+		t.Errorf("%d more answers, not sent %+v, want none and attempt 1", len(reply), l.unsentOutcomes)
 	}
-	l.settle()
-	if len(l.requests) != 0 || r.out != 0 {
-		t.Errorf("%d requests in the table, %d attempts out, want none", len(l.requests), r.out)
+	l.reportUnsent()
+	if len(l.requests) != 0 || r.attemptsInFlight != 0 {
+		t.Errorf("%d requests in the table, %d attempts in flight, want none", len(l.requests), r.attemptsInFlight)
 	}
 	close(release)
 }
 
-// An Outcome comes after the answer too, for an attempt that is called off.
-func TestOutcomeAfterTheAnswer(t *testing.T) {
+// The Outcome of a cancelled attempt is reported even after the request's answer.
+func TestOutcomeAfterAnswer(t *testing.T) {
 	s := newStub(t, neverAnswer)
-	l := idleLoop(t, s.address)
-	r, reply := l.hold(7)
+	l := newTestLoop(t, s.address)
+	r, reply := l.addRequest(7)
 	l.Send(7, serverID("s-0"), 0, 0)
 	wait(t, "the request", s.requests)
 	l.Fail(7, balance.OutOfTime)
@@ -91,27 +91,27 @@
 		t.Errorf("status %d, want 504", a.status)
 	}
 	if l.requests[7] != r {
-		t.Fatal("the request has left the table with an attempt out")
+		t.Fatal("the request has left the table with an attempt in flight")
 	}
 	l.Cancel(7, 0)
 	l.Cancel(7, 5)
-	l.next(t)
+	l.runNextEvent(t)
 	if len(l.requests) != 0 {
 		t.Error("the request is still in the table")
 	}
 }
 
-// Sends past caps.most_tries, past the deadline or to a server that is not listed are not carried out.
-func TestNotSent(t *testing.T) {
+// Sends beyond caps.most_tries, after the deadline, or to a server that is not listed are not carried out.
+func TestImpossibleSends(t *testing.T) {
 	s := newStub(t, neverAnswer)
-	l := idleLoop(t, s.address)
-	l.hold(7)
+	l := newTestLoop(t, s.address)
+	l.addRequest(7)
 	to := serverID("s-0")
 	for range 3 {
 		l.Send(7, to, 0, 0)
 	}
 	l.Send(7, to, 0, 0)
-	l.hold(8)
+	l.addRequest(8)
 	l.Send(8, serverID("unheard of"), 0, 0)
 	l.Send(8, to, -time.Second, 0)
 	l.now += 2 * testTimeout
@@ -120,12 +120,12 @@
 		{ID: 7, Attempt: 3, Ending: balance.NotSent}, {ID: 8, Attempt: 0, Ending: balance.NotSent},
 		{ID: 8, Attempt: 1, Ending: balance.NotSent}, {ID: 8, Attempt: 2, Ending: balance.NotSent},
 	}
-	if len(l.notSent) != len(want) {
-		t.Fatalf("not sent %+v, want %+v", l.notSent, want)
+	if len(l.unsentOutcomes) != len(want) {
+		t.Fatalf("not sent %+v, want %+v", l.unsentOutcomes, want)
 	}
 	for i := range want {
-		if l.notSent[i] != want[i] {
-			t.Errorf("not sent %+v, want %+v", l.notSent[i], want[i])
+		if l.unsentOutcomes[i] != want[i] {
+			t.Errorf("not sent %+v, want %+v", l.unsentOutcomes[i], want[i])
 		}
 	}
 	for range 3 {
@@ -133,55 +133,56 @@
 	}
 	for i := range 3 {
 		l.Cancel(7, i)
-		l.next(t)
+		l.runNextEvent(t)
 	}
 }
 
-// A client that closes its connection is owed nothing more; its attempts are called off.
+// A client that closes its connection gets no answer, and its attempts are cancelled.
 func TestClientGone(t *testing.T) {
 	s := newStub(t, neverAnswer)
-	l := idleLoop(t, s.address)
+	l := newTestLoop(t, s.address)
 	reply := make(chan answer, 1)
-	id := l.submit(balance.Request{Class: 0}, testMessage("1"), l.now+testTimeout, reply)
-	l.next(t)
+	id := l.submit(balance.Request{Class: 0}, testRequest("1"), l.now+testTimeout, reply)
+	l.runNextEvent(t)
 	wait(t, "the request", s.requests)
 	l.clientGone(id)
-	l.next(t)
-	l.next(t) // the end of its attempt
+	l.runNextEvent(t)
+	l.runNextEvent(t) // the end of its attempt
 	wait(t, "the connection to close", s.closed)
 	if len(l.requests) != 0 || len(reply) != 0 {
 		t.Errorf("%d requests in the table, %d answers, want none", len(l.requests), len(reply))
 	}
 }
 
-// Timers due at one moment share one call, the rest wait for theirs.
+// Wakes due at the same moment share one call; later ones wait for their time.
 func TestWakesAreMerged(t *testing.T) {
-	l := idleLoop(t, "127.0.0.1:1")
-	l.wakes = nil
+	l := newTestLoop(t, "127.0.0.1:1")
+	l.wakeTimes = nil
 	now := l.now
 	for _, d := range []time.Duration{30, 10, 20, 10, -5} {
 		l.Wake(d * time.Millisecond)
 	}
-	if len(l.wakes) != 4 || l.wakes[0] != now || l.wakes[1] != now+10*time.Millisecond {
-		t.Fatalf("due in %v from %v", l.wakes, now)
+	if len(l.wakeTimes) != 4 || l.wakeTimes[0] != now || l.wakeTimes[1] != now+10*time.Millisecond {
+		t.Fatalf("due in %v from %v", l.wakeTimes, now)
 	}
 	l.now = now + 15*time.Millisecond
-	l.wake()
-	if first := l.wakes[0]; first > now+20*time.Millisecond {
+	l.runDueWakes()
+	if first := l.wakeTimes[0]; first > now+20*time.Millisecond {
 		t.Errorf("first due in %v, want 20ms at most", first-now)
 	}
 }
 
+// The clock is monotonic, close to Unix time, and its moments convert back to times of the system.
 func TestClockNeverGoesBack(t *testing.T) {
 	c := newClock()
 	last := c.now()
-	if off := last - time.Duration(time.Now().UnixNano()); off > time.Minute || off < -time.Minute {
-		t.Fatalf("%v off Unix time", off)
+	if offset := last - time.Duration(time.Now().UnixNano()); offset > time.Minute || offset < -time.Minute {
+		t.Fatalf("%v off Unix time", offset)
 	}
 	for range 1000 {
 		now := c.now()
 		if now < last {
-			t.Fatalf("went back by %v", last-now)
+			t.Fatalf("the clock went back by %v", last-now)
 		}
 		last = now
 	}
@@ -190,35 +191,35 @@
 	}
 }
 
-// The guard lets nothing go to a server that has drained for longer than the grace, and lets a ready one have its
-// requests where another that drains is listed at the same address.
-func TestGuardKnowsTheList(t *testing.T) {
+// The guard stops sends to a server that has drained for longer than the grace period, and allows sends to a ready server even
+// if a draining one is listed at the same address.
+func TestGuardFollowsList(t *testing.T) {
 	const grace = time.Second
 	for name, c := range map[string]struct {
-		states []balance.State // of s-0 and of another server there
+		states []balance.State // of s-0, and of a second server at the same address
 		after  time.Duration
 		sent   bool
 	}{
 		"draining within the grace":    {[]balance.State{balance.Draining}, grace / 2, true},
-		"draining for long":            {[]balance.State{balance.Draining}, 2 * grace, false},
-		"ready beside one that drains": {[]balance.State{balance.Ready, balance.Draining}, 2 * grace, true},
-		"draining beside a ready one":  {[]balance.State{balance.Draining, balance.Ready}, 2 * grace, true},
+		"draining for longer":          {[]balance.State{balance.Draining}, 2 * grace, false},
+		"ready next to a draining one": {[]balance.State{balance.Ready, balance.Draining}, 2 * grace, true},
+		"draining next to a ready one": {[]balance.State{balance.Draining, balance.Ready}, 2 * grace, true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			l := idleLoop(t, "127.0.0.1:1")
+			l := newTestLoop(t, "127.0.0.1:1")
 			l.guard = guard.New(func(guard.Violation) {}, grace)
 			l.guard.Start()
-			_, _ = l.hold(7)
-			news := listing{whole: true, address: make(map[balance.ServerID]string)}
+			_, _ = l.addRequest(7)
+			list := listing{whole: true, addresses: make(map[balance.ServerID]string)}
 			for i, state := range c.states {
 				id := serverID([]string{"s-0", "s-1"}[i])
-				news.servers = append(news.servers, balance.Server{ID: id, State: state})
-				news.address[id] = "127.0.0.1:1"
+				list.servers = append(list.servers, balance.Server{ID: id, State: state})
+				list.addresses[id] = "127.0.0.1:1"
 			}
-			l.take(news, balance.ListFull)
+			l.applyList(list, balance.ListFull)
 			l.now += c.after
 			l.Send(7, serverID("s-0"), 0, 0)
-			if sent := len(l.notSent) == 0; sent != c.sent {
+			if sent := len(l.unsentOutcomes) == 0; sent != c.sent {
 				t.Errorf("sent: %v", sent)
 			}
 		})
--- a/internal/sidecar/peers_test.go
+++ b/internal/sidecar/peers_test.go
@@ -9,9 +9,9 @@
 	"arrowgw/internal/member"
 )
 
-// What the module is told of a view: members that are present and stay, by what they have told; nothing of it unless the fleet file
-// has spread.share, and nothing any more once this process is no member.
-func TestFleetAsToldToTheModule(t *testing.T) {
+// The fleet that is passed to the decision module lists the traffic of members that are present and not draining, but
+// only if the fleet file has spread.share, and no longer once this process is not a member.
+func TestFleetUpdate(t *testing.T) {
 	seen := member.View{Standing: member.Member, Present: 5, Silent: 1, Agreed: true, Members: []member.MemberInfo{
 		{Name: "a", State: member.Present, Phase: member.Serving, Zone: "za", Index: 4, Traffic: 8},
 		{Name: "b", State: member.Present, Phase: member.Starved, Zone: "zb", Index: 0, Traffic: 0.5},
@@ -30,14 +30,14 @@
 		want   balance.Fleet
 		ok     bool
 	}{
-		"off":                        {false, func(*member.View) {}, balance.Fleet{}, bare, true},
-		"on":                         {true, func(*member.View) {}, balance.Fleet{}, all, true},
-		"starved":                    {true, func(v *member.View) { v.Starved = true }, all, balance.Fleet{}, false},
-		"alone so far":               {true, func(v *member.View) { v.Standing = member.Alone }, balance.Fleet{}, balance.Fleet{}, false},
-		"its name is another's":      {true, func(v *member.View) { v.Standing = member.Conflict }, all, none, true},
-		"and that has been told":     {true, func(v *member.View) { v.Standing = member.Conflict }, none, balance.Fleet{}, false},
-		"a later process came":       {true, func(v *member.View) { v.Standing = member.Replaced }, all, none, true},
-		"off, its name is another's": {false, func(v *member.View) { v.Standing = member.Conflict }, bare, balance.Fleet{}, false},
+		"off":                                {false, func(*member.View) {}, balance.Fleet{}, bare, true},
+		"on":                                 {true, func(*member.View) {}, balance.Fleet{}, all, true},
+		"starved":                            {true, func(v *member.View) { v.Starved = true }, all, balance.Fleet{}, false},
+		"not joined yet":                     {true, func(v *member.View) { v.Standing = member.Alone }, balance.Fleet{}, balance.Fleet{}, false},
+		"name taken by another process":      {true, func(v *member.View) { v.Standing = member.Conflict }, all, none, true},
+		"name taken, already passed on":      {true, func(v *member.View) { v.Standing = member.Conflict }, none, balance.Fleet{}, false},
+		"replaced by a later process":        {true, func(v *member.View) { v.Standing = member.Replaced }, all, none, true},
+		"off, name taken by another process": {false, func(v *member.View) { v.Standing = member.Conflict }, bare, balance.Fleet{}, false},
 	} {
 		cfg := &Config{Fleet: &fleet.File{Spread: fleet.Spread{Share: c.share}}, Zones: map[string]int{"za": 0, "zb": 1}}
 		v := seen
--- a/internal/sidecar/size_test.go
+++ b/internal/sidecar/size_test.go
@@ -12,10 +12,11 @@
 	"arrowgw/policy"
 )
 
-// listSizes are servers of one service, of a small fleet, and of the whole one at the planned size and at twice that.
+// listSizes are the numbers of servers of one service, of a small fleet, and of the whole fleet at its planned size
+// and at twice that size.
 var listSizes = []int{world.PlannedFleet.Sidecars / world.PlannedFleet.Services, 200, world.PlannedFleet.Sidecars, 2 * world.PlannedFleet.Sidecars}
 
-// wholeList is a list as discovery writes it.
+// wholeList returns a whole list in discovery's JSON.
 func wholeList(tb testing.TB, servers int) []byte {
 	type entry struct {
 		InstanceID  string  `json:"instanceId"`
@@ -39,24 +40,25 @@
 	return raw
 }
 
-// grown is by how much the heap grows by what make returns.
-func grown(make func() any) float64 {
+// heapGrowth returns how many bytes of heap the result of build occupies.
+func heapGrowth(build func() any) float64 {
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
-	kept := make()
+	kept := build()
 	runtime.GC()
 	runtime.ReadMemStats(&after)
 	runtime.KeepAlive(kept)
 	return float64(after.HeapAlloc) - float64(before.HeapAlloc)
 }
 
-// BenchmarkWholeList reads a whole list: its bytes, and what is kept of it for each server.
+// BenchmarkWholeList measures the parsing of a whole list, the list's size, and the memory that its result takes per
+// server.
 func BenchmarkWholeList(b *testing.B) {
 	for _, n := range listSizes {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			raw := wholeList(b, n)
-			kept := grown(func() any {
+			kept := heapGrowth(func() any {
 				l, err := parseListing(raw, nil)
 				if err != nil || len(l.servers) != n {
 					b.Fatal(len(l.servers), err)
@@ -74,21 +76,25 @@
 	}
 }
 
-// still is a host that does nothing but note where requests go.
-type still struct{ sent int }
+// countingHost is a policy host that only counts the attempts it is asked to send.
+type countingHost struct{ sent int }
 
-func (s *still) Send(balance.RequestID, balance.ServerID, time.Duration, time.Duration) { s.sent++ }
-func (*still) Refuse(balance.RequestID, time.Duration, balance.Reason)                  {}
-func (*still) Fail(balance.RequestID, balance.Reason)                                   {}
-func (*still) Cancel(balance.RequestID, int)                                            {}
-func (*still) Withdraw(balance.RequestID, int)                                          {}
-func (*still) Wake(time.Duration)                                                       {}
-func (*still) CloseIdle(balance.ServerID)                                               {}
-func (*still) Probe(balance.ServerID)                                                   {}
-func (*still) WatchList()                                                               {}
-func (*still) Log(string)                                                               {}
+// Send implements balance.Host; the other methods do nothing.
+func (s *countingHost) Send(balance.RequestID, balance.ServerID, time.Duration, time.Duration) {
+	s.sent++
+}
+func (*countingHost) Refuse(balance.RequestID, time.Duration, balance.Reason) {}
+func (*countingHost) Fail(balance.RequestID, balance.Reason)                  {}
+func (*countingHost) Cancel(balance.RequestID, int)                           {}
+func (*countingHost) Withdraw(balance.RequestID, int)                         {}
+func (*countingHost) Wake(time.Duration)                                      {}
+func (*countingHost) CloseIdle(balance.ServerID)                              {}
+func (*countingHost) Probe(balance.ServerID)                                  {}
+func (*countingHost) WatchList()                                              {}
+func (*countingHost) Log(string)                                              {}
 
-// BenchmarkModuleBySize has the module take a whole list, one change of it, and requests at the planned rate.
+// BenchmarkModuleBySize measures how the decision module handles a whole list, a change of one server, and requests
+// at the planned rate.
 func BenchmarkModuleBySize(b *testing.B) {
 	cfg := balance.Config{
 		Balancers: world.PlannedFleet.Sidecars, MaxAttempts: 3, MaxRetryAfter: time.Second, ColdFrom: 0.2, ColdTime: 10 * time.Second, ColdMultiple: 4,
@@ -99,8 +105,8 @@
 		if err != nil {
 			b.Fatal(err)
 		}
-		begin := func() (*policy.Balancer, *still) {
-			host := new(still)
+		begin := func() (*policy.Balancer, *countingHost) {
+			host := new(countingHost)
 			m, err := policy.New(cfg, 1, host)
 			if err != nil {
 				b.Fatal(err)
@@ -110,7 +116,7 @@
 			return m, host
 		}
 		b.Run(fmt.Sprintf("%d/list", n), func(b *testing.B) {
-			kept := grown(func() any { m, _ := begin(); return m })
+			kept := heapGrowth(func() any { m, _ := begin(); return m })
 			m, _ := begin()
 			for b.Loop() {
 				m.UpdateServers(0, balance.ListFull, l.servers)
--- a/internal/sidecar/state_test.go
+++ b/internal/sidecar/state_test.go
@@ -17,67 +17,67 @@
 	"arrowgw/internal/store"
 )
 
-// What a process kept is what the next one goes by: the list, what was learned, and who is out.
-func TestNextProcessGoesByWhatWasKept(t *testing.T) {
+// A process starts from what the previous one saved: the list, the learned state and the operator calls.
+func TestNextProcessRestoresState(t *testing.T) {
 	dir := t.TempDir()
 	cfg := testConfig(t, listAnswer(1, "ready", "127.0.0.1:1"), nil)
 	h, now := newSharedState(dir, "n0"), newClock().now()
-	if v := h.loadServerList(cfg, now); v.top != 1 || !v.watched() {
-		t.Errorf("without a kept list: version %d", v.top)
+	if v := h.loadServerList(cfg, now); v.version != 1 || !v.canWatch() {
+		t.Errorf("without a stored list: version %d", v.version)
 	}
 	l, err := parseListing([]byte(listAnswer(7, "ready", "127.0.0.1:2", "127.0.0.1:3")), cfg.Zones)
 	if err != nil {
 		t.Fatal(err)
 	}
-	v := newVersions(cfg.Discovery)
-	v.take(l, now)
-	v.take(listing{version: 8, servers: []balance.Server{{ID: serverID("s-0"), State: balance.Gone}}}, now)
+	v := newServerList(cfg.Discovery)
+	v.apply(l, now)
+	v.apply(listing{version: 8, servers: []balance.Server{{ID: serverID("s-0"), State: balance.Gone}}}, now)
 	h.queueList(v, true)
-	told := balance.Learned{At: time.Duration(time.Now().UnixMilli()) * time.Millisecond, Rate: 120, Servers: []balance.LearnedServer{
+	learnedBefore := balance.Learned{At: time.Duration(time.Now().UnixMilli()) * time.Millisecond, Rate: 120, Servers: []balance.LearnedServer{
 		{ID: serverID("s-1"), Failures: 3, SilentSince: 5 * time.Second, WarmAt: 9 * time.Second, LatencyRatio: 7.5},
 	}}
 	ctx, stop := context.WithCancel(context.Background())
-	asked := make(chan bool, 100)
+	calls := make(chan bool, 100)
 	done := make(chan bool)
 	go func() {
-		h.persist(ctx, func(context.Context) (balance.Learned, error) { asked <- true; return told, nil })
+		h.persist(ctx, func(context.Context) (balance.Learned, error) { calls <- true; return learnedBefore, nil })
 		close(done)
 	}()
-	wait(t, "the module is asked", asked)
-	wait(t, "the module is asked again", asked) // so that the first answer is kept
+	wait(t, "the module to be asked", calls)
+	wait(t, "the module to be asked again", calls) // so that the first answer is saved
 	stop()
 	<-done
 	h.exit()
 
 	next := newSharedState(dir, "n0")
-	if learned, ok := next.loadLearned(); !ok || !reflect.DeepEqual(learned, told) {
-		t.Errorf("learned %+v, %v, want %+v", learned, ok, told)
+	if learned, ok := next.loadLearned(); !ok || !reflect.DeepEqual(learned, learnedBefore) {
+		t.Errorf("learned %+v, %v, want %+v", learned, ok, learnedBefore)
 	}
 	for name, c := range map[string]struct {
-		known  int64 // the configuration's version
+		known  int64 // version of the configuration's list
 		source string
-		later  time.Duration
+		later  time.Duration // between the save and the start of the next process
 		top    int64
 		want   string
 	}{
-		"kept":                      {1, cfg.Discovery, 0, 8, "s-1@127.0.0.1:3"},
+		"stored":                    {1, cfg.Discovery, 0, 8, "s-1@127.0.0.1:3"},
 		"the configuration's newer": {9, cfg.Discovery, 0, 9, "s-0@127.0.0.1:1"},
 		"of another discovery":      {1, "127.0.0.1:9", 0, 1, "s-0@127.0.0.1:1 out"},
-		"kept long ago":             {1, cfg.Discovery, 2 * listKept, 8, "s-0@127.0.0.1:1 out"},
-		"kept in the future":        {1, cfg.Discovery, -2 * listKept, 8, "s-0@127.0.0.1:1 out"},
+		"stored long ago":           {1, cfg.Discovery, 2 * maxSavedListAge, 8, "s-0@127.0.0.1:1 out"},
+		"stored in the future":      {1, cfg.Discovery, -2 * maxSavedListAge, 8, "s-0@127.0.0.1:1 out"},
 	} {
 		cfg.KnownServers.version, cfg.Discovery = c.known, c.source
 		at := newClock().now() + c.later
 		v := next.loadServerList(cfg, at)
-		if got := wording(v.effectiveListing()); got != c.want || v.top != c.top {
-			t.Errorf("%s: version %d, %s, want %d, %s", name, v.top, got, c.top, c.want)
+		if got := describeServers(v.effectiveListing()); got != c.want || v.version != c.top {
+			t.Errorf("%s: version %d, %s, want %d, %s", name, v.version, got, c.top, c.want)
 		}
 	}
 }
 
-// Programs from before the state have a file without a sum: what they write is taken over, and what they read goes on
-// to be written. A damaged one is told where it is all there was.
-func TestOlderPrograms(t *testing.T) {
+// Older programs use a file without a checksum. What they write is taken over, and the file that they read is still written. A
+// damaged file is reported if there is no other state.
+func TestStateFileOfOlderPrograms(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, "sidecar-n0.state")
 	write := func(text string) {
@@ -93,22 +93,22 @@
 		t.Errorf("known %v", got)
 	}
 	write(fmt.Sprintf(`{"version":1,"servers":{"a":{"out":false,"atMs":%d},"b":{"out":true,"atMs":%d}}}`, now+1000, now+1000))
-	if got := h.currentCalls(); got["a"].Out || !got["b"].Out { // an older process beside this one was told
+	if got := h.currentCalls(); got["a"].Out || !got["b"].Out { // a process of an older program has stored calls
 		t.Errorf("known %v", got)
 	}
 	if err := h.persistCall("c", true, time.Now()); err != nil {
 		t.Fatal(err)
 	}
 	raw, err := os.ReadFile(path)
-	var old struct { // as an older program reads it
+	var old struct { // as an older program reads the file
 		Version int                     `json:"version"`
 		Servers map[string]operatorCall `json:"servers"`
 	}
 	if err != nil || json.Unmarshal(raw, &old) != nil || old.Version != 1 || !old.Servers["b"].Out || !old.Servers["c"].Out {
-		t.Errorf("written for older programs: %s, error %v", raw, err)
+		t.Errorf("the file for older programs: %s, error %v", raw, err)
 	}
 	h.exit()
-	for bit := range len(raw) * 8 { // its own file damaged takes nobody in or out, as the state has the truth
+	for bit := range len(raw) * 8 { // damage to the file changes nothing, as the state has the calls
 		flipped := append([]byte(nil), raw...)
 		flipped[bit/8] ^= 1 << (bit % 8)
 		write(string(flipped))
@@ -126,10 +126,10 @@
 		}
 		next.exit()
 	}
-	bare := t.TempDir()
-	path = filepath.Join(bare, "sidecar-n0.state")
+	emptyDir := t.TempDir()
+	path = filepath.Join(emptyDir, "sidecar-n0.state")
 	write(strings.Replace(string(raw), `"b"`, `"x"`, 1))
-	h = newSharedState(bare, "n0")
+	h = newSharedState(emptyDir, "n0")
 	if h.damageCount() != 1 || len(h.currentCalls()) != 0 {
 		t.Errorf("damaged %d, known %v", h.damageCount(), h.currentCalls())
 	}
@@ -138,39 +138,40 @@
 	}
 }
 
-// On the console: a damaged state is told until it is confirmed, and a call that is not kept is told apart.
-func TestConsoleTellsOfTheState(t *testing.T) {
+// The console reports a damaged state until it is confirmed, and answers a call that could not be stored differently.
+func TestConsoleReportsState(t *testing.T) {
 	s := newStub(t, echo)
-	side := startSidecar(t, nil, s.address)
-	if got := side.callConsole(t, "show-stat\n"); !strings.Contains(got, "app.state_damaged=0\n") || strings.Contains(got, "app.state_bytes=0\n") {
+	sidecar := startSidecar(t, nil, s.address)
+	if got := sidecar.callConsole(t, "show-stat\n"); !strings.Contains(got, "app.state_damaged=0\n") || strings.Contains(got, "app.state_bytes=0\n") {
 		t.Errorf("figures %q", got)
 	}
-	if got := side.callConsole(t, "confirm-state\n"); !strings.HasPrefix(got, "200 ") {
+	if got := sidecar.callConsole(t, "confirm-state\n"); !strings.HasPrefix(got, "200 ") {
 		t.Errorf("confirmed: %q", got)
 	}
 	c := &console{setServer: func(context.Context, string, bool) error { return errNotDurable{os.ErrDeadlineExceeded} }}
 	var out strings.Builder
 	c.execute(context.Background(), &out, []string{"disable-server", "x"})
 	if !strings.HasPrefix(out.String(), "202 ") || strings.Count(out.String(), "\n") != 1 {
-		t.Errorf("not kept: %q", &out)
+		t.Errorf("not stored: %q", &out)
 	}
 }
 
-// stuckDisk is a disk whose syncs begin to wait at some moment, until it is let go.
+// stuckDisk is a disk whose syncs block while stuck is set, until released is closed.
 type stuckDisk struct {
 	store.OS
-	stuck atomic.Bool
-	free  chan struct{} // closed: it is let go
-	waits chan struct{} // a sync waits
+	stuck    atomic.Bool
+	released chan struct{} // closed to let waiting syncs go on
+	waiting  chan struct{} // receives a value when a sync blocks
 }
 
+// sync blocks while the disk is stuck.
 func (d *stuckDisk) sync() {
 	if d.stuck.Load() {
 		select {
-		case d.waits <- struct{}{}:
+		case d.waiting <- struct{}{}:
 		default:
 		}
-		<-d.free
+		<-d.released
 	}
 }
 
@@ -180,6 +181,7 @@
 
 func (d *stuckDisk) Open(path string) (store.File, error) { return d.file(d.OS.Open(path)) }
 
+// file wraps a file so that its syncs block too.
 func (d *stuckDisk) file(f store.File, err error) (store.File, error) {
 	if err != nil {
 		return nil, err
@@ -191,6 +193,7 @@
 	return d.OS.SameFile(path, f.(stuckFile).File)
 }
 
+// stuckFile is a file on a stuckDisk.
 type stuckFile struct {
 	store.File
 	disk *stuckDisk
@@ -198,83 +201,83 @@
 
 func (f stuckFile) Sync() error { f.disk.sync(); return f.File.Sync() }
 
-// While a sync hangs, requests, ready and the figures are answered all the same, and a call by hand is told that it
-// holds and is not kept. Once the disk goes on it is kept, said again.
-func TestStuckDiskHoldsNothingUp(t *testing.T) {
+// While a sync hangs, requests, ready and the figures are answered, and an operator call is answered as in force but not stored.
+// Once the disk goes on, the call is stored when it is repeated.
+func TestStuckDiskBlocksNothing(t *testing.T) {
 	s := newStub(t, echo)
-	d := &stuckDisk{free: make(chan struct{}), waits: make(chan struct{}, 1)}
-	side := startSidecarOnDisk(t, d, nil, s.address)
-	if got := side.callConsole(t, "ready\n"); !strings.HasPrefix(got, "200 ") {
+	d := &stuckDisk{released: make(chan struct{}), waiting: make(chan struct{}, 1)}
+	sidecar := startSidecarOnDisk(t, d, nil, s.address)
+	if got := sidecar.callConsole(t, "ready\n"); !strings.HasPrefix(got, "200 ") {
 		t.Fatalf("ready: %q", got)
 	}
 	d.stuck.Store(true)
-	if got := side.callConsole(t, "disable-server s-9\n"); !strings.HasPrefix(got, "400 ") {
+	if got := sidecar.callConsole(t, "disable-server s-9\n"); !strings.HasPrefix(got, "400 ") {
 		t.Errorf("of a server that there is not: %q", got)
 	}
-	if got := side.callConsole(t, "disable-server s-0\n"); !strings.HasPrefix(got, "202 ") {
-		t.Errorf("not kept: %q", got)
+	if got := sidecar.callConsole(t, "disable-server s-0\n"); !strings.HasPrefix(got, "202 ") {
+		t.Errorf("not stored: %q", got)
 	}
-	wait(t, "a sync that hangs", d.waits)
-	if got := side.callConsole(t, "enable-server s-0\n"); !strings.HasPrefix(got, "202 ") {
-		t.Errorf("not kept: %q", got)
+	wait(t, "a sync that hangs", d.waiting)
+	if got := sidecar.callConsole(t, "enable-server s-0\n"); !strings.HasPrefix(got, "202 ") {
+		t.Errorf("not stored: %q", got)
 	}
 	for range 20 {
-		if res, _ := sendRequest(t, side.newRequest(t, "GET", "/look", "")); res.StatusCode != 200 {
+		if res, _ := sendRequest(t, sidecar.newRequest(t, "GET", "/look", "")); res.StatusCode != 200 {
 			t.Errorf("a request while the disk hangs: %d", res.StatusCode)
 		}
 	}
-	if got := side.callConsole(t, "ready\n"); !strings.HasPrefix(got, "200 ") {
+	if got := sidecar.callConsole(t, "ready\n"); !strings.HasPrefix(got, "200 ") {
 		t.Errorf("ready while the disk hangs: %q", got)
 	}
-	if got := side.callConsole(t, "show-stat\n"); !strings.Contains(got, "app.members=1\napp.members_unavailable=0\n") {
+	if got := sidecar.callConsole(t, "show-stat\n"); !strings.Contains(got, "app.members=1\napp.members_unavailable=0\n") {
 		t.Errorf("figures while the disk hangs: %q", got)
 	}
 	d.stuck.Store(false)
-	close(d.free)
+	close(d.released)
 	for got := ""; !strings.HasPrefix(got, "200 "); {
-		got = side.callConsole(t, "disable-server s-0\n")
+		got = sidecar.callConsole(t, "disable-server s-0\n")
 	}
-	side.stop()
-	if err := wait(t, "the end", side.ended); err != nil {
+	sidecar.stop()
+	if err := wait(t, "the end", sidecar.ended); err != nil {
 		t.Error(err)
 	}
 }
 
-// blindFS is a file system whose folders can't be listed for now.
-type blindFS struct {
+// unlistableFS is a file system whose directories can't be listed while failing is set.
+type unlistableFS struct {
 	store.OS
-	blind *atomic.Bool
+	failing *atomic.Bool
 }
 
-func (f blindFS) List(dir string) ([]string, error) {
-	if f.blind.Load() {
+func (f unlistableFS) List(dir string) ([]string, error) {
+	if f.failing.Load() {
 		return nil, syscall.EIO
 	}
 	return f.OS.List(dir)
 }
 
-// Calls in a folder that can't be read as a process begins are taken in once it can be.
-func TestUnreadCallsAreTakenInLater(t *testing.T) {
+// Operator calls in a folder that can't be read when the process starts are applied once it can be read.
+func TestUnreadableCallsAreAppliedLater(t *testing.T) {
 	dir := t.TempDir()
 	before := newSharedState(dir, "n0")
 	if err := before.persistCall("s-1", true, time.Now()); err != nil {
 		t.Fatal(err)
 	}
 	before.exit()
-	if err := os.Remove(filepath.Join(dir, "sidecar-n0.state")); err != nil { // the copy for older programs
+	if err := os.Remove(filepath.Join(dir, "sidecar-n0.state")); err != nil { // the copy for older programs is not to be used
 		t.Fatal(err)
 	}
-	disk := blindFS{blind: new(atomic.Bool)}
-	disk.blind.Store(true)
+	disk := unlistableFS{failing: new(atomic.Bool)}
+	disk.failing.Store(true)
 	h := openSharedState(dir, "n0", store.Options{FS: disk})
 	if len(h.currentCalls()) > 0 {
 		t.Fatal("the folder could be read")
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	heard := make(chan map[string]operatorCall, 100)
-	go h.watchProcesses(ctx, 1, func(int) {}, func(calls map[string]operatorCall) { heard <- calls })
-	disk.blind.Store(false)
-	for !wait(t, "the call", heard)["s-1"].Out {
+	applied := make(chan map[string]operatorCall, 100)
+	go h.watchProcesses(ctx, 1, func(int) {}, func(calls map[string]operatorCall) { applied <- calls })
+	disk.failing.Store(false)
+	for !wait(t, "the call", applied)["s-1"].Out {
 	}
 }
--- a/internal/sidecar/upstream_test.go
+++ b/internal/sidecar/upstream_test.go
@@ -16,33 +16,35 @@
 	"arrowgw/internal/balance"
 )
 
+// testTransport returns a transport of the test configuration.
 func testTransport(t *testing.T) *transport {
 	return newTransport(testConfig(t, listAnswer(1, "ready"), nil), newClock())
 }
 
-func testMessage(id string) *outboundRequest {
+// testRequest returns a request with an ID and a buffered body.
+func testRequest(id string) *outboundRequest {
 	return &outboundRequest{
 		method: http.MethodPost, url: &url.URL{Path: "/reading"}, host: "service.internal", body: []byte("weight"),
 		header: http.Header{"X-Request-Id": {id}, "Idempotency-Key": {"k" + id}},
 	}
 }
 
-// attempt sends one and waits for its end.
-func attempt(t *testing.T, u *transport, address, id string, limit time.Duration) result {
+// runAttempt sends a test request and waits for the result of the attempt.
+func runAttempt(t *testing.T, u *transport, address, id string, limit time.Duration) attemptResult {
 	t.Helper()
-	done := make(chan result, 2)
-	u.send(address, testMessage(id), u.clock.now()+limit, 0, u.clock.now()+limit, func(r result) { done <- r })
+	done := make(chan attemptResult, 2)
+	u.send(address, testRequest(id), u.clock.now()+limit, 0, u.clock.now()+limit, func(r attemptResult) { done <- r })
 	return wait(t, "the end of an attempt", done)
 }
 
-// Every kind of answer has its ending; a connection is kept only behind a whole and clean one.
-func TestEndings(t *testing.T) {
+// Every kind of answer has its ending. A connection is reused only after a complete answer without extra bytes.
+func TestAttemptEndings(t *testing.T) {
 	long := strings.Repeat("x", maxBufferedBody+1)
-	atLimit := "HTTP/1.0 500 No\r\nX-A: " + strings.Repeat("x", answerLimit-29) + "\r\n\r\n" // but for two bytes of its body
+	atLimit := "HTTP/1.0 500 No\r\nX-A: " + strings.Repeat("x", maxAnswerBytes-29) + "\r\n\r\n" // the limit falls after two bytes of the body
 	for name, c := range map[string]struct {
 		answer string
 		ending balance.Ending
-		kept   bool
+		reused bool
 	}{
 		"served":              {"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi", balance.Served, true},
 		"chunked":             {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\n\r\n", balance.Served, true},
@@ -78,20 +80,20 @@
 				if r.conn > 0 {
 					return ok(conn, "again")
 				}
-				_, _ = conn.Write([]byte(c.answer)) // fails where the sidecar has had enough of it
+				_, _ = conn.Write([]byte(c.answer)) // fails if the sidecar has closed the connection
 				if strings.HasSuffix(name, ", reset") {
-					_ = conn.(*net.TCPConn).SetLinger(0) // it only makes the end a reset
+					_ = conn.(*net.TCPConn).SetLinger(0) // makes the close a reset
 				}
-				return c.kept || name == "bytes left over" || name == "to be closed" || name == "headers without end"
+				return c.reused || name == "bytes left over" || name == "to be closed" || name == "headers without end"
 			})
 			u := testTransport(t)
-			if got := attempt(t, u, s.address, "1", testTimeout); got.ending != c.ending {
+			if got := runAttempt(t, u, s.address, "1", testTimeout); got.ending != c.ending {
 				t.Fatalf("ending %v, want %v", got.ending, c.ending)
 			} else if got.ending == balance.Served && string(got.body) != "hi" {
 				t.Fatalf("body %q, want hi", got.body)
 			}
-			if idle := len(u.idle[s.address]); idle != 0 != c.kept || u.open != idle {
-				t.Errorf("%d connections idle, %d open, want one kept: %v", idle, u.open, c.kept)
+			if idle := len(u.idle[s.address]); idle != 0 != c.reused || u.open != idle {
+				t.Errorf("%d connections idle, %d open, want one reusable: %v", idle, u.open, c.reused)
 			}
 			if len(s.requests) != 1 {
 				t.Errorf("the upstream had %d requests, want one", len(s.requests))
@@ -100,15 +102,15 @@
 	}
 }
 
-// A kept connection that breaks behind the request's last byte: it may have run, so it must not be
-// sent again by anything but the module. http.Transport does, also for a POST with Idempotency-Key.
-func TestNothingIsSentAgain(t *testing.T) {
+// A reused connection breaks after the last byte of the request: the request may have run, so that only the module may
+// send it again. http.Transport resends it, even a POST with Idempotency-Key.
+func TestBrokenReusedConnectionIsNotRetried(t *testing.T) {
 	s := newStub(t, func(c net.Conn, r stubRequest) bool {
 		return r.Header.Get("X-Request-ID") == "1" && ok(c, "hi")
 	})
 	u := testTransport(t)
-	attempt(t, u, s.address, "1", testTimeout)
-	if got := attempt(t, u, s.address, "2", testTimeout); got.ending != balance.Broken {
+	runAttempt(t, u, s.address, "1", testTimeout)
+	if got := runAttempt(t, u, s.address, "2", testTimeout); got.ending != balance.Broken {
 		t.Fatalf("ending %v, want %v", got.ending, balance.Broken)
 	}
 	if first, second := wait(t, "1", s.requests), wait(t, "2", s.requests); first.conn != second.conn || len(s.requests) > 0 {
@@ -116,8 +118,8 @@
 	}
 }
 
-// One that its server closed while it was idle (idle time-out, drain, restart) is found out before
-// a request is written to it.
+// An idle connection that its server closed (at its idle time-out, when it drains or restarts) is detected before a request
+// is written to it.
 func TestStaleConnectionIsNotUsed(t *testing.T) {
 	hangUp := make(chan struct{})
 	gone := make(chan struct{})
@@ -131,16 +133,16 @@
 		return answered && r.conn > 0
 	})
 	u := testTransport(t)
-	u.unrested() // nobody waits for one that is closed to rest
-	attempt(t, u, s.address, "1", testTimeout)
+	u.blockReuse() // a closed connection is detected without a wait
+	runAttempt(t, u, s.address, "1", testTimeout)
 	close(hangUp)
 	wait(t, "the server to close", gone)
 	for end := time.Now().Add(testTimeout); u.idle[s.address][0].usable(); time.Sleep(time.Millisecond) {
-		if time.Now().After(end) { // the news has long crossed the loopback
-			t.Fatal("the closed connection passes for usable")
+		if time.Now().After(end) { // the close has long arrived
+			t.Fatal("the closed connection counts as usable")
 		}
 	}
-	if got := attempt(t, u, s.address, "2", testTimeout); got.ending != balance.Served {
+	if got := runAttempt(t, u, s.address, "2", testTimeout); got.ending != balance.Served {
 		t.Fatalf("ending %v, want %v", got.ending, balance.Served)
 	}
 	if u.stale != 1 || u.dialled != 2 || u.open != 1 {
@@ -148,16 +150,16 @@
 	}
 }
 
-// unrested has a request wait until quiet is closed wherever no connection has rested; waits hears of it.
-func (u *transport) unrested() (waits chan time.Duration, quiet chan time.Time) {
+// blockReuse makes every connection wait before its reuse until quiet is closed; waits receives each such wait.
+func (u *transport) blockReuse() (waits chan time.Duration, quiet chan time.Time) {
 	waits, quiet = make(chan time.Duration, 10), make(chan time.Time)
-	u.after = func(d time.Duration) <-chan time.Time { waits <- d; return quiet }
-	u.quietTime = u.keep // however long the test is held up, it has not passed
+	u.waitTimer = func(d time.Duration) <-chan time.Time { waits <- d; return quiet }
+	u.reuseDelay = u.maxIdle // so that it does not pass by itself, however long the test is held up
 	return waits, quiet
 }
 
-// untilIdle waits until so many connections to an address are idle.
-func (u *transport) untilIdle(t *testing.T, address string, n int) {
+// waitIdle waits until an address has n idle connections.
+func (u *transport) waitIdle(t *testing.T, address string, n int) {
 	t.Helper()
 	for end, there := time.Now().Add(testTimeout), -1; there != n; time.Sleep(time.Millisecond) {
 		u.mu.Lock()
@@ -169,36 +171,36 @@
 	}
 }
 
-// A second answer that comes some milliseconds late, when the next request is waiting for that connection, is found
-// and passed on to nobody: a 503 among them would have what runs once sent again. That request goes over the spare
-// connection that was opened meanwhile, or over a new one.
-func TestSecondAnswerIsNobodys(t *testing.T) {
+// A second answer that arrives some milliseconds after the first, while the next request waits for that connection, is
+// detected and passed to nobody: a second 503 would make the module resend a request that is running. The next request goes
+// over the spare connection opened in the meantime, or over a new one.
+func TestSecondAnswerIsDiscarded(t *testing.T) {
 	const more = "HTTP/1.1 503 No\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n"
 	for _, spare := range []bool{true, false} {
 		first := make(chan net.Conn, 1)
 		s := newStub(t, func(c net.Conn, r stubRequest) bool {
 			if r.conn == 0 && r.Header.Get("X-Request-ID") == "1" {
 				first <- c
-			} else if r.conn == 0 { // with no pause the request is here before the second answer
-				_, _ = c.Write([]byte(more)) // fails only where the sidecar has gone, which it has not
+			} else if r.conn == 0 { // without the delay the request arrives before the second answer
+				_, _ = c.Write([]byte(more)) // fails only if the sidecar has closed the connection, which it has not
 			}
 			return echo(c, r)
 		})
 		u := testTransport(t)
 		u.hasRoom = func(int) bool { return spare }
-		waits, quiet := u.unrested()
-		attempt(t, u, s.address, "1", testTimeout)
-		kept, done := u.idle[s.address][0], make(chan result, 2)
-		u.send(s.address, testMessage("2"), u.clock.now()+testTimeout, 0, u.clock.now()+testTimeout, func(r result) { done <- r })
+		waits2, quiet := u.blockReuse()
+		runAttempt(t, u, s.address, "1", testTimeout)
+		firstConn, done := u.idle[s.address][0], make(chan attemptResult, 2)
+		u.send(s.address, testRequest("2"), u.clock.now()+testTimeout, 0, u.clock.now()+testTimeout, func(r attemptResult) { done <- r })
 		select {
-		case <-waits:
+		case <-waits2:
 			if spare {
-				u.untilIdle(t, s.address, 1)
+				u.waitIdle(t, s.address, 1)
 			}
 			if _, err := wait(t, "the first connection", first).Write([]byte(more)); err != nil {
 				t.Fatal(err)
 			}
-			for end := time.Now().Add(testTimeout); kept.usable(); time.Sleep(time.Millisecond) {
+			for end := time.Now().Add(testTimeout); firstConn.usable(); time.Sleep(time.Millisecond) {
 				if time.Now().After(end) {
 					t.Fatal("the second answer has not come")
 				}
@@ -209,7 +211,7 @@
 		case <-time.After(testTimeout):
 			t.Fatal("the second request neither waits nor ends")
 		}
-		if r := wait(t, "its end", done); r.ending != balance.Served || string(r.body) != "done 2" {
+		if r := wait(t, "the end of the attempt", done); r.ending != balance.Served || string(r.body) != "done 2" {
 			t.Fatalf("spare %v: ending %v, body %q, want its own answer", spare, r.ending, r.body)
 		}
 		if u.dialled != 2 || u.stale != 1 || u.open != 1 {
@@ -218,12 +220,12 @@
 	}
 }
 
-// Where no connection to a server has rested, a spare one is opened beside the request that waits, for those after it:
-// one at a time, and only where there is room. Whatever becomes of it, that request goes on over its own.
+// If no connection to a server may be reused yet, a spare one is opened for later requests while the current request waits:
+// one at a time and only if there is room. Whatever happens to the spare one, the waiting request uses its own connection.
 func TestSpareConnection(t *testing.T) {
 	for name, c := range map[string]struct {
 		edit    func(u *transport)
-		happens string // to the spare one or the request while both are awaited
+		happens string // to the spare connection or to the request while both are waited for
 		dialled int
 		open    int
 	}{
@@ -232,14 +234,14 @@
 		"late":               {dialled: 2, open: 2},
 		"request given up":   {happens: "cancelled", dialled: 2, open: 2},
 		"request called off": {happens: "withdrawn", dialled: 2, open: 2},
-		"at the limit":       {edit: func(u *transport) { u.most = 1 }, dialled: 1, open: 1},
+		"at the limit":       {edit: func(u *transport) { u.maxOpen = 1 }, dialled: 1, open: 1},
 		"no room":            {edit: func(u *transport) { u.hasRoom = func(int) bool { return false } }, dialled: 1, open: 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := newStub(t, echo)
 			u := testTransport(t)
-			waits, quiet := u.unrested()
-			attempt(t, u, s.address, "1", testTimeout)
+			waits, quiet := u.blockReuse()
+			runAttempt(t, u, s.address, "1", testTimeout)
 			wait(t, "1", s.requests)
 			first := u.idle[s.address][0]
 			dialled, up := make(chan struct{}, 10), make(chan error, 10)
@@ -254,18 +256,18 @@
 			if c.edit != nil {
 				c.edit(u)
 			}
-			done := make(chan result, 2)
-			x := u.send(s.address, testMessage("2"), u.clock.now()+testTimeout, 0, u.clock.now()+testTimeout, func(r result) { done <- r })
+			done := make(chan attemptResult, 2)
+			x := u.send(s.address, testRequest("2"), u.clock.now()+testTimeout, 0, u.clock.now()+testTimeout, func(r attemptResult) { done <- r })
 			wait(t, "the request to wait", waits)
 			want := balance.Served
 			if c.dialled > 1 {
-				wait(t, "the call for a spare connection", dialled)
+				wait(t, "the dial of a spare connection", dialled)
 			}
 			switch c.happens {
-			case "opened": // the next request goes over it, before the one that waits
+			case "opened": // the next request uses it, before the waiting one is sent
 				up <- nil
-				u.untilIdle(t, s.address, 1)
-				if got := attempt(t, u, s.address, "3", testTimeout); got.ending != balance.Served || wait(t, "3", s.requests).conn != 1 {
+				u.waitIdle(t, s.address, 1)
+				if got := runAttempt(t, u, s.address, "3", testTimeout); got.ending != balance.Served || wait(t, "3", s.requests).conn != 1 {
 					t.Errorf("the next request: ending %v, want it served over the spare connection", got.ending)
 				}
 			case "fails":
@@ -280,54 +282,54 @@
 			if want == balance.Served {
 				close(quiet)
 			}
-			if got := wait(t, "its end", done); got.ending != want {
+			if got := wait(t, "the end of the attempt", done); got.ending != want {
 				t.Errorf("ending %v, want %v", got.ending, want)
 			}
-			up <- nil // or it has come up, or nobody asks
-			u.untilIdle(t, s.address, c.open)
+			up <- nil // ends the dial of the spare connection if it is still waiting
+			u.waitIdle(t, s.address, c.open)
 			u.mu.Lock()
 			defer u.mu.Unlock()
 			if u.dialled != c.dialled || u.open != c.open || len(dialled) > 0 || !slices.Contains(u.idle[s.address], first) {
 				t.Errorf("dialled %d and %d more, open %d, want %d and %d with the first kept", u.dialled, len(dialled), u.open, c.dialled, c.open)
 			}
 			if want == balance.Served && wait(t, "2", s.requests).conn != 0 || len(s.requests) > 0 {
-				t.Error("the request that waited was not sent over its own connection, or one given up was sent")
+				t.Error("the waiting request was not sent over its own connection, or a cancelled one was sent")
 			}
 		})
 	}
 }
 
-// Two requests that wait at once have one spare connection between them; the next wait has another.
-func TestOneSpareAtATime(t *testing.T) {
+// Two requests that wait at the same time share one spare connection; a later wait opens another.
+func TestOneSpareConnectionAtATime(t *testing.T) {
 	s := newStub(t, echo)
 	u := testTransport(t)
-	waits, quiet := u.unrested()
-	attempt(t, u, s.address, "1", testTimeout)
+	waits, quiet := u.blockReuse()
+	runAttempt(t, u, s.address, "1", testTimeout)
 	u.mu.Lock()
 	u.open++
 	u.mu.Unlock()
-	c, err := u.openConn(t.Context(), s.address)
+	c, err := u.dialHedged(t.Context(), s.address)
 	if err != nil {
 		t.Fatal(err)
 	}
-	u.keepIdle(s.address, c, false)
-	dialled, free := u.late(s.address)
-	done := make(chan result, 3)
+	u.putIdle(s.address, c, false)
+	dialled, free := u.delayDials(s.address)
+	done := make(chan attemptResult, 3)
 	for _, id := range []string{"2", "3"} {
-		u.send(s.address, testMessage(id), u.clock.now()+testTimeout, 0, u.clock.now()+testTimeout, func(r result) { done <- r })
+		u.send(s.address, testRequest(id), u.clock.now()+testTimeout, 0, u.clock.now()+testTimeout, func(r attemptResult) { done <- r })
 		wait(t, "the request to wait", waits)
 	}
-	wait(t, "the call for a spare connection", dialled)
+	wait(t, "the dial of a spare connection", dialled)
 	if u.mu.Lock(); u.dialled != 2 || len(dialled) > 0 {
 		t.Errorf("%d connections dialled, want the first and one spare", u.dialled)
 	}
 	u.mu.Unlock()
 	close(free)
-	u.untilIdle(t, s.address, 1)
-	attempt(t, u, s.address, "4", testTimeout)
-	u.send(s.address, testMessage("5"), u.clock.now()+testTimeout, 0, u.clock.now()+testTimeout, func(r result) { done <- r })
+	u.waitIdle(t, s.address, 1)
+	runAttempt(t, u, s.address, "4", testTimeout)
+	u.send(s.address, testRequest("5"), u.clock.now()+testTimeout, 0, u.clock.now()+testTimeout, func(r attemptResult) { done <- r })
 	wait(t, "the request to wait", waits)
-	wait(t, "the call for a second spare connection", dialled)
+	wait(t, "the dial of a second spare connection", dialled)
 	close(quiet)
 	for range 3 {
 		if r := wait(t, "an end", done); r.ending != balance.Served {
@@ -336,101 +338,101 @@
 	}
 }
 
-// Of several idle connections the one that was used last is taken, of those that have been idle for long enough, so
-// that the others can end; else the one that will have been first. One that was given back unused has been idle all
-// the while: its server counts on.
-func TestWhichConnectionIsTaken(t *testing.T) {
+// takeIdle returns the most recently used of the reusable connections, so that the others can expire, else the one that will
+// be reusable first. A connection returned unused keeps its idle time, as it does for its server.
+func TestTakeIdleOrder(t *testing.T) {
 	u := testTransport(t)
 	now := u.clock.now()
 	for name, c := range map[string]struct {
 		ages  []time.Duration
-		spare []int // places of those that have carried nothing
-		want  int   // by its place in ages; -1: a new one
+		spare []int // indices of connections that have carried no exchange
+		want  int   // index in ages; -1: a new connection
 	}{
 		"all quiet":       {[]time.Duration{3 * time.Second, 2 * time.Second, time.Second}, nil, 2},
 		"last too new":    {[]time.Duration{3 * time.Second, 2 * time.Second, 0}, nil, 1},
 		"all too new":     {[]time.Duration{2 * time.Millisecond, 0}, nil, 0},
-		"old and new":     {[]time.Duration{u.keep, 0}, nil, 1},
-		"too old":         {[]time.Duration{u.keep}, nil, -1},
+		"old and new":     {[]time.Duration{u.maxIdle, 0}, nil, 1},
+		"too old":         {[]time.Duration{u.maxIdle}, nil, -1},
 		"a new spare":     {[]time.Duration{2 * time.Millisecond, time.Millisecond, 0}, []int{1}, 1},
-		"a spare in need": {[]time.Duration{3 * time.Second, 2 * time.Second, 0}, []int{0}, 1}, // as it is there for that alone
-		"a spare too old": {[]time.Duration{u.keep, 0}, []int{0}, 1},
+		"a spare in need": {[]time.Duration{3 * time.Second, 2 * time.Second, 0}, []int{0}, 1}, // it is spare for exactly this case
+		"a spare too old": {[]time.Duration{u.maxIdle, 0}, []int{0}, 1},
 	} {
 		u.idle, u.open = map[string][]*conn{}, len(c.ages)
-		u.quietTime = time.Second / 2 // the test may be held up
+		u.reuseDelay = time.Second / 2 // long enough for a test that is held up
 		var all []*conn
 		for i, age := range c.ages {
 			a, b := net.Pipe()
 			defer b.Close()
-			all = append(all, &conn{Conn: a, idleSince: now - age, kept: !slices.Contains(c.spare, i)})
+			all = append(all, &conn{Conn: a, idleSince: now - age, reused: !slices.Contains(c.spare, i)})
 		}
 		u.idle["a"] = slices.Clone(all)
-		got, err := u.take("a")
+		got, err := u.takeIdle("a")
 		if at := slices.Index(all, got); err != nil || at != c.want {
-			t.Errorf("%s: took the one at %d (%v), want %d", name, at, err, c.want)
+			t.Errorf("%s: got index %d (%v), want %d", name, at, err, c.want)
 		}
 		if got != nil {
 			since := got.idleSince
-			u.keepIdle("a", got, true)
+			u.putIdle("a", got, true)
 			if list := u.idle["a"]; got.idleSince != since || !slices.IsSortedFunc(list, func(a, b *conn) int { return cmp.Compare(a.idleSince, b.idleSince) }) {
-				t.Errorf("%s: given back unused, it is not where it was", name)
+				t.Errorf("%s: returned unused, it is not in its old place", name)
 			}
 		}
 	}
 }
 
-// Nor is one used, or kept open, that has been idle for nearly as long as its server allows.
-func TestOldConnectionsAreRetired(t *testing.T) {
+// A connection that has been idle for almost as long as its server allows is neither used nor kept open.
+func TestOldConnectionsAreClosed(t *testing.T) {
 	s := newStub(t, echo)
 	u := testTransport(t)
-	attempt(t, u, s.address, "1", testTimeout)
+	runAttempt(t, u, s.address, "1", testTimeout)
 	u.mu.Lock()
-	u.idle[s.address][0].idleSince -= u.keep
+	u.idle[s.address][0].idleSince -= u.maxIdle
 	u.mu.Unlock()
-	u.sweep()
+	u.closeExpired()
 	wait(t, "the old connection to close", s.closed)
-	attempt(t, u, s.address, "2", testTimeout)
+	runAttempt(t, u, s.address, "2", testTimeout)
 	u.mu.Lock()
-	u.idle[s.address][0].idleSince -= u.keep
+	u.idle[s.address][0].idleSince -= u.maxIdle
 	u.mu.Unlock()
-	attempt(t, u, s.address, "3", testTimeout)
+	runAttempt(t, u, s.address, "3", testTimeout)
 	if u.dialled != 3 || u.open != 1 {
 		t.Errorf("dialled %d, open %d, want 3, 1", u.dialled, u.open)
 	}
 }
 
+// Consecutive requests to a server share one connection.
 func TestConnectionsAreReused(t *testing.T) {
 	s := newStub(t, echo)
 	u := testTransport(t)
-	u.quietTime = 0 // each has rested when the next request comes
+	u.reuseDelay = 0 // every connection is reusable at once
 	for i := range 5 {
-		attempt(t, u, s.address, fmt.Sprint(i), testTimeout)
+		runAttempt(t, u, s.address, fmt.Sprint(i), testTimeout)
 	}
 	if u.dialled != 1 {
-		t.Errorf("%d connections for five requests one after the other, want 1", u.dialled)
+		t.Errorf("%d connections for five consecutive requests, want 1", u.dialled)
 	}
 }
 
-// At the limit on descriptors an idle connection to another server makes room; where there is
-// none, nothing is sent.
-func TestConnectionsStayUnderTheLimit(t *testing.T) {
+// At the limit an idle connection to another server is closed for a new one; if there is none, nothing is sent.
+func TestUpstreamConnectionLimit(t *testing.T) {
 	a, b, mute := newStub(t, echo), newStub(t, echo), newStub(t, neverAnswer)
 	u := testTransport(t)
-	u.most = 1
-	attempt(t, u, a.address, "1", testTimeout)
-	if got := attempt(t, u, b.address, "2", testTimeout); got.ending != balance.Served || u.open != 1 {
+	u.maxOpen = 1
+	runAttempt(t, u, a.address, "1", testTimeout)
+	if got := runAttempt(t, u, b.address, "2", testTimeout); got.ending != balance.Served || u.open != 1 {
 		t.Errorf("ending %v, %d open, want served over the one connection", got.ending, u.open)
 	}
-	done := make(chan result, 1)
-	x := u.send(mute.address, testMessage("3"), u.clock.now()+testTimeout, 0, u.clock.now()+testTimeout, func(r result) { done <- r })
+	done := make(chan attemptResult, 1)
+	x := u.send(mute.address, testRequest("3"), u.clock.now()+testTimeout, 0, u.clock.now()+testTimeout, func(r attemptResult) { done <- r })
 	wait(t, "the request", mute.requests)
-	if got := attempt(t, u, a.address, "4", testTimeout); got.ending != balance.NoConnection {
+	if got := runAttempt(t, u, a.address, "4", testTimeout); got.ending != balance.NoConnection {
 		t.Errorf("ending %v, want %v", got.ending, balance.NoConnection)
 	}
 	x.cancel()
 	wait(t, "the cancelled attempt", done)
 }
 
+// An attempt to a server that refuses connections ends with NoConnection and leaves no connection open.
 func TestRefusedConnection(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -439,13 +441,13 @@
 	address := l.Addr().String()
 	l.Close()
 	u := testTransport(t)
-	if got := attempt(t, u, address, "1", testTimeout); got.ending != balance.NoConnection || u.open != 0 {
+	if got := runAttempt(t, u, address, "1", testTimeout); got.ending != balance.NoConnection || u.open != 0 {
 		t.Fatalf("ending %v, %d open, want %v and none", got.ending, u.open, balance.NoConnection)
 	}
 }
 
-// What went wrong is counted by its kind, so that the log tells a server that closes what was kept
-// from one that breaks new connections or answers nonsense.
+// Failures are counted by kind, so that the log distinguishes a server that closes reused connections from one that breaks new
+// connections or sends malformed answers.
 func TestFailuresAreCounted(t *testing.T) {
 	s := newStub(t, func(c net.Conn, r stubRequest) bool {
 		switch id := r.Header.Get("X-Request-ID"); id {
@@ -458,19 +460,19 @@
 	})
 	u := testTransport(t)
 	for _, id := range []string{"break", "good", "break", "cut"} {
-		attempt(t, u, s.address, id, testTimeout)
+		runAttempt(t, u, s.address, id, testTimeout)
 	}
-	if want := (failures{reset: 1, resetKept: 1, unreadable: 1}); u.failed != want {
+	if want := (failures{reset: 1, resetReused: 1, unreadable: 1}); u.failed != want {
 		t.Errorf("counted %+v, want %+v", u.failed, want)
 	}
 }
 
-// A machine that vanished says nothing: only the time-out ends the attempt, and its connection goes.
-func TestSilentServer(t *testing.T) {
+// A machine that vanished sends nothing: the attempt ends by its time-out, and its connection is closed.
+func TestUnresponsiveServer(t *testing.T) {
 	s := newStub(t, neverAnswer)
 	u := testTransport(t)
-	if got := attempt(t, u, s.address, "1", 30*time.Millisecond); got.ending != balance.TimedOut {
-		// where the machine was too busy to send at all in that time, it never ran
+	if got := runAttempt(t, u, s.address, "1", 30*time.Millisecond); got.ending != balance.TimedOut {
+		// a busy machine may not have sent the request in that time, which then never ran
 		if got.ending != balance.NoConnection || len(s.requests) > 0 {
 			t.Fatalf("ending %v, want %v", got.ending, balance.TimedOut)
 		}
@@ -480,16 +482,16 @@
 	}
 }
 
-// A cancelled attempt closes its connection, which tells the upstream, and still has its one end.
+// A cancelled attempt closes its connection, which tells the upstream, and ends exactly once.
 func TestCancelClosesTheConnection(t *testing.T) {
 	s := newStub(t, neverAnswer)
 	u := testTransport(t)
-	done := make(chan result, 2)
-	x := u.send(s.address, testMessage("1"), u.clock.now()+testTimeout, 0, u.clock.now()+testTimeout, func(r result) { done <- r })
+	done := make(chan attemptResult, 2)
+	x := u.send(s.address, testRequest("1"), u.clock.now()+testTimeout, 0, u.clock.now()+testTimeout, func(r attemptResult) { done <- r })
 	wait(t, "the request", s.requests)
 	x.cancel()
 	x.cancel()
-	if got := wait(t, "its end", done); got.ending != balance.Cancelled {
+	if got := wait(t, "the end of the attempt", done); got.ending != balance.Cancelled {
 		t.Errorf("ending %v, want %v", got.ending, balance.Cancelled)
 	}
 	wait(t, "the connection to close", s.closed)
@@ -498,35 +500,34 @@
 	}
 }
 
-// After the final answer nothing more goes out for a request, also if its attempt was still
-// waiting for a connection when it was cancelled.
-func TestCancelledBeforeItIsWritten(t *testing.T) {
+// A request is not written after its attempt was cancelled, even if the attempt was still waiting for a connection.
+func TestCancelBeforeWrite(t *testing.T) {
 	s := newStub(t, echo)
 	u := testTransport(t)
-	attempt(t, u, s.address, "1", testTimeout)
+	runAttempt(t, u, s.address, "1", testTimeout)
 	x := new(exchange)
 	x.cancel()
 	req := &http.Request{Method: http.MethodGet, URL: &url.URL{Path: "/look"}, Header: http.Header{"X-Request-Id": {"2"}}}
-	for i := range 2 { // over the kept connection, then over a new one
-		if _, _, ending := u.exchange(x, s.address, req, testMessage("2"), u.clock.now()+testTimeout, nil); ending != balance.Cancelled {
+	for i := range 2 { // over the reused connection, then over a new one
+		if _, _, ending := u.roundTrip(x, s.address, req, testRequest("2"), u.clock.now()+testTimeout, nil); ending != balance.Cancelled {
 			t.Errorf("ending %v, want %v", ending, balance.Cancelled)
 		}
-		x.cancel() // once more: the connection is not its own any more
+		x.cancel() // a second cancel: the connection is no longer the exchange's
 		if list := u.idle[s.address]; i == 0 && (len(list) != 1 || !list[0].usable()) {
 			t.Fatal("the connection, which nothing was written to, is not kept")
 		}
-		u.close(s.address)
+		u.closeIdle(s.address)
 	}
-	attempt(t, u, s.address, "3", testTimeout)
+	runAttempt(t, u, s.address, "3", testTimeout)
 	if wait(t, "1", s.requests); wait(t, "3", s.requests).Header.Get("X-Request-ID") != "3" {
 		t.Error("the cancelled request went out")
 	}
 }
 
-// What the upstream must have unchanged, and the time-out, which it must be told anew.
+// The upstream receives the request unchanged, with the time that is left in X-Timeout.
 func TestWhatGoesOn(t *testing.T) {
 	s := newStub(t, echo)
-	attempt(t, testTransport(t), s.address, "7", testTimeout)
+	runAttempt(t, testTransport(t), s.address, "7", testTimeout)
 	r := wait(t, "the request", s.requests)
 	left, ok := parseTimeout(r.Header.Get("X-Timeout"))
 	if r.Method != http.MethodPost || r.uri != "/reading" || r.body != "weight" || r.Host != "service.internal" ||
@@ -535,6 +536,7 @@
 	}
 }
 
+// A probe returns the load report, and succeeds only with status 200. Unknown and malformed fields count as absent.
 func TestProbe(t *testing.T) {
 	type told struct {
 		ok   bool
