--- a/internal/lab/faults.go
+++ b/internal/lab/faults.go
@@ -15,27 +15,27 @@
 
 // PlayedFault is a fault as it was played, for the report.
 type PlayedFault struct {
-	At, Until   time.Duration // Until is 0 where it was never mended
+	At, Until   time.Duration // Until is 0 if the fault lasted until the end of the run
 	Description string
 }
 
-// reloadGap is the time between two signals to read the configuration again, in a row of them.
-const reloadGap = 15 * time.Millisecond
+// reloadInterval is the time between two signals of a fault that reloads a configuration several times.
+const reloadInterval = 15 * time.Millisecond
 
-// faults plays a plan. Each action has a goroutine while it lasts; all end with the context.
+// faults plays a plan of faults. Each fault has a goroutine while it lasts; all of them end with the context.
 type faults struct {
 	run  *run
-	rng  *rand.Rand // of damages; guarded by mu
+	rng  *rand.Rand // draws damage to state files and the clients' behaviour at a termination; guarded by mu
 	work sync.WaitGroup
 
-	restartMu []sync.Mutex // by sidecar: one end and new start after the other
+	restartMu []sync.Mutex // by sidecar; held while a fault stops, replaces or restarts the sidecar's process
 
 	mu     sync.Mutex
 	played []PlayedFault
 	errs   []error
 }
 
-// play plays the plan until the context ends, and returns once all that was begun has ended too.
+// play plays the plan until the context ends, and returns once every fault that began has ended.
 func (f *faults) play(ctx context.Context, plan []PlannedFault) {
 	defer f.work.Wait()
 	for _, a := range plan {
@@ -49,10 +49,10 @@
 		}
 		f.mu.Lock()
 		f.played = append(f.played, PlayedFault{At: a.At.Std(), Description: a.describe()})
-		mark := len(f.played) - 1
+		index := len(f.played) - 1
 		f.mu.Unlock()
 		f.work.Go(func() {
-			if err := f.act(ctx, a); err != nil && ctx.Err() == nil {
+			if err := f.apply(ctx, a); err != nil && ctx.Err() == nil {
 				f.mu.Lock()
 				f.errs = append(f.errs, fmt.Errorf("fault %s: %w", a.describe(), err))
 				f.mu.Unlock()
@@ -60,17 +60,17 @@
 			f.mu.Lock()
 			defer f.mu.Unlock()
 			if a.For > 0 || a.Kind == "upgrade" {
-				f.played[mark].Until = f.run.clock.now()
+				f.played[index].Until = f.run.clock.now()
 			}
 		})
 	}
 }
 
-// describe words an action for people.
+// describe returns a one-line description of the fault.
 func (a PlannedFault) describe() string {
 	words := []string{a.Kind}
-	if faultKinds[a.Kind].on != "discovery" && faultKinds[a.Kind].on != "load" {
-		words = append(words, faultKinds[a.Kind].on+"s", fmt.Sprint(a.Targets))
+	if faultKinds[a.Kind].actsOn != "discovery" && faultKinds[a.Kind].actsOn != "load" {
+		words = append(words, faultKinds[a.Kind].actsOn+"s", fmt.Sprint(a.Targets))
 	}
 	if a.Size != 0 {
 		words = append(words, fmt.Sprintf("size %g", a.Size))
@@ -84,7 +84,7 @@
 	return strings.Join(words, " ")
 }
 
-// sleep waits; false: the context has ended.
+// sleep waits for d and reports whether the context is still alive.
 func sleep(ctx context.Context, d time.Duration) bool {
 	t := time.NewTimer(max(0, d))
 	defer t.Stop()
@@ -96,27 +96,27 @@
 	}
 }
 
-// act carries out one action on all its targets: at once, or one after another where it has a pause.
-func (f *faults) act(ctx context.Context, a PlannedFault) error {
-	one := map[string]func(context.Context, PlannedFault, int) error{
-		"sidecar": f.sidecarFault, "server": f.serverFault, "discovery": f.discovery, "link": f.link,
-		"load": f.load,
-	}[faultKinds[a.Kind].on]
+// apply carries out a fault on all its targets: at once, or one after another if the fault has a pause.
+func (f *faults) apply(ctx context.Context, a PlannedFault) error {
+	applyToTarget := map[string]func(context.Context, PlannedFault, int) error{
+		"sidecar": f.sidecarFault, "server": f.serverFault, "discovery": f.discoveryFault, "link": f.linkFault,
+		"load": f.loadFault,
+	}[faultKinds[a.Kind].actsOn]
 	var all sync.WaitGroup
 	errs := make(chan error, len(a.Targets))
 	for i, target := range a.Targets {
-		if i > 0 && a.Pause > 0 && faultKinds[a.Kind].on != "link" && faultKinds[a.Kind].on != "discovery" && !sleep(ctx, a.Pause.Std()) {
+		if i > 0 && a.Pause > 0 && faultKinds[a.Kind].actsOn != "link" && faultKinds[a.Kind].actsOn != "discovery" && !sleep(ctx, a.Pause.Std()) {
 			break
 		}
-		all.Go(func() { errs <- one(ctx, a, target) })
+		all.Go(func() { errs <- applyToTarget(ctx, a, target) })
 	}
 	all.Wait()
 	close(errs)
-	return joined(errs)
+	return joinErrors(errs)
 }
 
-// joined are all errors of a channel that is closed.
-func joined(errs <-chan error) error {
+// joinErrors drains a closed channel and joins its errors.
+func joinErrors(errs <-chan error) error {
 	var bad []error
 	for err := range errs {
 		bad = append(bad, err)
@@ -124,17 +124,22 @@
 	return errors.Join(bad...)
 }
 
-// load carries out what is not in the arrivals already.
-func (f *faults) load(ctx context.Context, a PlannedFault, _ int) error {
+// loadFault carries out a fault of the load. Only "busy" needs anything done; the others are part of the arrivals or of
+// the clients' behaviour.
+func (f *faults) loadFault(ctx context.Context, a PlannedFault, _ int) error {
 	if a.Kind != "busy" {
 		return nil
 	}
-	return keepBusy(ctx, f.run.processes.launch, int(a.Size), a.For.Std())
+	return runBusyLoops(ctx, f.run.processes.launch, int(a.Size), a.For.Std())
 }
 
-// mended waits until an action's time is over; false: it is for good, or the run ends before.
-func mended(ctx context.Context, a PlannedFault) bool { return a.For > 0 && sleep(ctx, a.For.Std()) }
+// waitForEnd waits until a fault's time is over. It returns false if the fault lasts until the end of the run or the
+// context ends first.
+func waitForEnd(ctx context.Context, a PlannedFault) bool {
+	return a.For > 0 && sleep(ctx, a.For.Std())
+}
 
+// sidecarFault carries out a fault of sidecar i, real or hollow, and undoes it at its end.
 func (f *faults) sidecarFault(ctx context.Context, a PlannedFault, i int) error {
 	p := f.run.processes
 	h := f.run.hollow
@@ -142,17 +147,17 @@
 		return h.pushRules(ctx, i, int(a.Size))
 	}
 	if h.workerOf(i) != nil {
-		from := time.Now()
+		endedAt := time.Now()
 		err := h.endSidecar(i, a.Kind == "stop")
 		if err == nil && a.For == 0 {
-			err = h.measureLoss(ctx, i, from)
+			err = h.measureLoss(ctx, i, endedAt)
 		}
-		if err == nil && mended(ctx, a) {
+		if err == nil && waitForEnd(ctx, a) {
 			err = h.restartSidecar(i)
 		}
 		return err
 	}
-	again := func() error {
+	restart := func() error {
 		f.run.roster.sidecarRestarted(i)
 		_, err := p.start(i)
 		return err
@@ -164,25 +169,25 @@
 	switch a.Kind {
 	case "kill":
 		p.kill(i)
-		if !mended(ctx, a) {
+		if !waitForEnd(ctx, a) {
 			return nil
 		}
 		f.mu.Lock()
 		err := p.damageState(i, a.State, f.rng)
 		f.mu.Unlock()
-		return errors.Join(err, again())
+		return errors.Join(err, restart())
 	case "stop":
 		if q := p.running(i); q != nil {
 			p.stop(q)
 		}
-		if mended(ctx, a) {
-			return again()
+		if waitForEnd(ctx, a) {
+			return restart()
 		}
 	case "pause":
 		q := p.running(i)
-		p.pause(q, true)
-		mended(ctx, a)
-		p.pause(q, false)
+		p.setPaused(q, true)
+		waitForEnd(ctx, a)
+		p.setPaused(q, false)
 	case "starve":
 		if a.For > 0 {
 			var cancel context.CancelFunc
@@ -191,177 +196,179 @@
 		}
 		p.starve(ctx, i, a.Size)
 	case "upgrade":
-		defer f.run.history.recordLinkChange(f.run.clock) // a member is another process now
+		defer f.run.history.recordLinkChange(f.run.clock) // the member's process is replaced
 		return p.upgrade(i)
 	case "term":
 		return f.terminate(ctx, a, i)
 	case "swap":
-		return f.replaceBySeries(ctx, a, i)
+		return f.replaceWithSignals(ctx, a, i)
 	case "crowd":
-		f.crowd(ctx, a, i)
+		f.holdIdleConnections(ctx, a, i)
 	case "full":
-		return p.fileLimit(i, uint64(a.Size))
+		return p.setFileSizeLimit(i, uint64(a.Size))
 	case "calls", "deaf", "forward", "back", "rude":
-		f.disturb(ctx, a, i)
+		f.disturbProcess(ctx, a, i)
 	case "hup":
-		return f.hangUps(ctx, a, i)
+		return f.reloadRepeatedly(ctx, a, i)
 	}
 	return nil
 }
 
-// hangUps has a sidecar read its configuration again, several times in a row.
-func (f *faults) hangUps(ctx context.Context, a PlannedFault, i int) error {
+// reloadRepeatedly makes a sidecar reload its configuration a.Size times in a row.
+func (f *faults) reloadRepeatedly(ctx context.Context, a PlannedFault, i int) error {
 	for range int(a.Size) {
 		if err := f.run.processes.reload(i); err != nil {
 			return err
 		}
-		if !sleep(ctx, reloadGap) {
+		if !sleep(ctx, reloadInterval) {
 			break
 		}
 	}
 	return nil
 }
 
+// serverFault carries out a fault of server i and undoes it at its end. Discovery hears of changes after its delays.
 func (f *faults) serverFault(ctx context.Context, a PlannedFault, i int) error {
 	s, r, list := f.run.servers, f.run.roster, f.run.scenario.Discovery
-	entry := func(life world.Lifecycle) world.Entry { return world.Entry{Server: i, Lifecycle: life} }
-	fresh := func() world.Entry {
-		e := entry(world.Ready)
+	listEntry := func(life world.Lifecycle) world.Entry { return world.Entry{Server: i, Lifecycle: life} }
+	readyEntry := func() world.Entry {
+		e := listEntry(world.Ready)
 		e.StartedAt = f.run.clock.now()
 		return e
 	}
 	switch a.Kind {
 	case "crash":
 		s.crash(i)
-		r.scheduleUpdate(list.UpdateDelay.Std(), entry(world.Gone))
-		if mended(ctx, a) {
-			r.scheduleUpdate(list.UpdateDelay.Std(), fresh())
+		r.scheduleUpdate(list.UpdateDelay.Std(), listEntry(world.Gone))
+		if waitForEnd(ctx, a) {
+			r.scheduleUpdate(list.UpdateDelay.Std(), readyEntry())
 			return s.start(i)
 		}
 	case "replace":
 		s.crash(i)
-		r.scheduleUpdate(list.UpdateDelay.Std(), entry(world.Gone))
+		r.scheduleUpdate(list.UpdateDelay.Std(), listEntry(world.Gone))
 		sleep(ctx, a.For.Std())
 		if ctx.Err() == nil {
 			i = a.Replacements[slices.Index(a.Targets, i)]
-			r.scheduleUpdate(list.UpdateDelay.Std(), fresh())
+			r.scheduleUpdate(list.UpdateDelay.Std(), readyEntry())
 			return s.start(i)
 		}
 	case "silence":
 		s.silence(i, true)
-		r.scheduleUpdate(list.Silence.Std(), entry(world.Gone))
-		if mended(ctx, a) {
+		r.scheduleUpdate(list.SilenceDelay.Std(), listEntry(world.Gone))
+		if waitForEnd(ctx, a) {
 			s.silence(i, false)
-			r.scheduleUpdate(list.UpdateDelay.Std(), fresh())
+			r.scheduleUpdate(list.UpdateDelay.Std(), readyEntry())
 		}
 	case "drain":
-		r.scheduleUpdate(list.UpdateDelay.Std(), entry(world.Draining))
-		if mended(ctx, a) {
-			r.scheduleUpdate(list.UpdateDelay.Std(), entry(world.Ready))
+		r.scheduleUpdate(list.UpdateDelay.Std(), listEntry(world.Draining))
+		if waitForEnd(ctx, a) {
+			r.scheduleUpdate(list.UpdateDelay.Std(), listEntry(world.Ready))
 		}
 	case "slow":
 		s.changeModel(i, func(m *world.Server) { m.SetSlowdown(a.Size) })
-		if mended(ctx, a) {
+		if waitForEnd(ctx, a) {
 			s.changeModel(i, func(m *world.Server) { m.SetSlowdown(1) })
 		}
 	case "err":
 		s.changeModel(i, func(m *world.Server) { m.SetErrorShare(a.Size) })
-		if mended(ctx, a) {
+		if waitForEnd(ctx, a) {
 			s.changeModel(i, func(m *world.Server) { m.SetErrorShare(0) })
 		}
 	case "refuse":
 		s.changeModel(i, func(m *world.Server) { m.SetRejecting(true) })
-		if mended(ctx, a) {
+		if waitForEnd(ctx, a) {
 			s.changeModel(i, func(m *world.Server) { m.SetRejecting(false) })
 		}
 	case "spoil", "hang", "reset", "close":
-		f.misbehaviour(ctx, a, i)
+		f.misbehave(ctx, a, i)
 	case "late":
-		s.hold(i, true)
-		mended(ctx, a)
-		s.hold(i, false)
+		s.holdConnections(i, true)
+		waitForEnd(ctx, a)
+		s.holdConnections(i, false)
 	case "out":
-		f.byHand(ctx, "disable-server", i)
-		if mended(ctx, a) {
-			f.byHand(ctx, "enable-server", i)
+		f.callConsoles(ctx, "disable-server", i)
+		if waitForEnd(ctx, a) {
+			f.callConsoles(ctx, "enable-server", i)
 		}
 	}
 	return nil
 }
 
-// disturb does something to a sidecar's surroundings: its system calls, its clock, or who connects. It ends at the
-// process that it began at, whichever is the sidecar's by then.
-func (f *faults) disturb(ctx context.Context, a PlannedFault, i int) {
+// disturbProcess makes a sidecar's system calls fail, steps its clock, or sends it malformed requests. It stops with
+// the process that it began with, even if another one has taken that process's place.
+func (f *faults) disturbProcess(ctx context.Context, a PlannedFault, i int) {
 	q := f.run.processes.running(i)
 	switch a.Kind {
 	case "calls":
-		q.disturb(a.Size)
-		mended(ctx, a)
-		q.disturb(0)
+		q.setCallFaultShare(a.Size)
+		waitForEnd(ctx, a)
+		q.setCallFaultShare(0)
 	case "deaf":
-		q.deafen(true)
-		mended(ctx, a)
-		q.deafen(false)
+		q.failAccepts(true)
+		waitForEnd(ctx, a)
+		q.failAccepts(false)
 	case "forward":
 		q.stepClock(time.Duration(a.Size * float64(time.Second)))
 	case "back":
 		q.stepClock(-time.Duration(a.Size * float64(time.Second)))
 	case "rude":
-		f.beRude(ctx, a, i)
+		f.sendMalformedRequests(ctx, a, i)
 	}
 }
 
-// misbehaviour has a server answer badly while a fault lasts.
-func (f *faults) misbehaviour(ctx context.Context, a PlannedFault, i int) {
+// misbehave makes server i answer badly while a fault lasts, or ends its connections once.
+func (f *faults) misbehave(ctx context.Context, a PlannedFault, i int) {
 	s := f.run.servers
 	switch a.Kind {
 	case "reset":
-		s.misbehave(i, (*server).reset)
+		s.setMisbehaviour(i, (*server).reset)
 		return
 	case "close":
-		s.misbehave(i, (*server).closeAll)
+		s.setMisbehaviour(i, (*server).closeAll)
 		return
 	}
 	set := func(share float64) func(u *server) {
 		return func(u *server) {
 			if a.Kind == "hang" {
-				u.hangs = share
+				u.hangShare = share
 			} else {
-				u.spoils = share
+				u.spoilShare = share
 			}
 		}
 	}
-	s.misbehave(i, set(a.Size))
-	mended(ctx, a)
-	s.misbehave(i, set(0))
+	s.setMisbehaviour(i, set(a.Size))
+	waitForEnd(ctx, a)
+	s.setMisbehaviour(i, set(0))
 }
 
-// beRude has strangers connect to a sidecar, one after the other, while the fault lasts.
-func (f *faults) beRude(ctx context.Context, a PlannedFault, sidecar int) {
+// sendMalformedRequests sends malformed requests to a sidecar, one after another, while the fault lasts.
+func (f *faults) sendMalformedRequests(ctx context.Context, a PlannedFault, sidecar int) {
 	ctx, cancel := context.WithTimeout(ctx, a.For.Std())
 	defer cancel()
 	h, c := f.run.history, f.run.clock
 	for n := 0; ctx.Err() == nil; n++ {
 		from := c.now()
-		if err := rude(f.run.net.address(sidecar, clientPort), rudeKinds[n%len(rudeKinds)]); err != nil {
-			h.addFinding(&h.unansweredPeers, "a stranger that came to sidecar %s at %v: %v", sidecarName(sidecar), from, err)
+		if err := sendMalformed(f.run.net.address(sidecar, clientPort), malformedRequests[n%len(malformedRequests)]); err != nil {
+			h.addFinding(&h.unansweredPeers, "malformed request to sidecar %s at %v: %v", sidecarName(sidecar), from, err)
 		}
-		sleep(ctx, rudeRest)
+		sleep(ctx, malformedInterval)
 	}
 }
 
-// byHand calls at every sidecar's console, as an operator does: again and again until it says yes.
-func (f *faults) byHand(ctx context.Context, call string, server int) {
+// callConsoles makes a call for one server at every sidecar's console, as an operator does. It repeats the call at each
+// console until that confirms it.
+func (f *faults) callConsoles(ctx context.Context, command string, server int) {
 	var all sync.WaitGroup
 	for i := range f.run.scenario.Fleet.Sidecars {
 		all.Go(func() {
 			for ctx.Err() == nil {
 				if q := f.run.processes.running(i); q != nil {
-					if call == "enable-server" { // from the moment that it may be heard
+					if command == "enable-server" { // the sidecar may apply it before it answers
 						f.run.history.recordServerUpdate(ServerUpdate{At: f.run.clock.now(), Sidecar: i, Server: server, ByHand: true})
 					}
-					if answer, err := callConsole(q.console, call+" "+serverName(server)); err == nil && strings.HasPrefix(answer, "200") {
-						if call == "disable-server" {
+					if answer, err := callConsole(q.console, command+" "+serverName(server)); err == nil && strings.HasPrefix(answer, "200") {
+						if command == "disable-server" {
 							f.run.history.recordServerUpdate(ServerUpdate{At: f.run.clock.now(), Sidecar: i, Server: server, Out: true, ByHand: true})
 						}
 						return
@@ -374,24 +381,25 @@
 	all.Wait()
 }
 
-func (f *faults) discovery(ctx context.Context, a PlannedFault, _ int) error {
+// discoveryFault carries out a fault of discovery and undoes it at its end.
+func (f *faults) discoveryFault(ctx context.Context, a PlannedFault, _ int) error {
 	r := f.run.roster
 	switch a.Kind {
 	case "away":
 		r.setOutage(true)
-		if mended(ctx, a) {
+		if waitForEnd(ctx, a) {
 			r.setOutage(false)
 		}
 	case "stale":
 		r.setStale(true)
-		if mended(ctx, a) {
+		if waitForEnd(ctx, a) {
 			r.setStale(false)
 		}
 	case "mute":
 		r.silenceWatches()
 	case "crawl":
 		r.setExtraDelay(a.Pause.Std())
-		if mended(ctx, a) {
+		if waitForEnd(ctx, a) {
 			r.setExtraDelay(0)
 		}
 	case "move":
@@ -407,9 +415,10 @@
 	return nil
 }
 
-func (f *faults) link(ctx context.Context, a PlannedFault, i int) error {
+// linkFault changes the conditions of the links between sidecar i and its peers while a fault lasts.
+func (f *faults) linkFault(ctx context.Context, a PlannedFault, i int) error {
 	set := func(on bool) {
-		change := func(w *weather) {
+		change := func(w *conditions) {
 			size := a.Size
 			if !on {
 				size = 0
@@ -439,11 +448,11 @@
 			if peer == i {
 				continue
 			}
-			if a.Way != "in" {
-				f.run.mesh.set(i, peer, change)
+			if a.Direction != "in" {
+				f.run.mesh.setConditions(i, peer, change)
 			}
-			if a.Way != "out" {
-				f.run.mesh.set(peer, i, change)
+			if a.Direction != "out" {
+				f.run.mesh.setConditions(peer, i, change)
 			}
 		}
 	}
@@ -451,11 +460,12 @@
 	from := f.run.clock.now()
 	set(true)
 	h.recordLinkChange(f.run.clock)
-	if mended(ctx, a) {
+	if waitForEnd(ctx, a) {
 		set(false)
 		h.recordLinkChange(f.run.clock)
 	}
-	oneLink := a.Way != "both" && len(a.Targets)*len(a.Peers) == 1 // the others ask for those two
+	// With a single directed link cut, the other members still probe on behalf of both its ends: views must not differ.
+	oneLink := a.Direction != "both" && len(a.Targets)*len(a.Peers) == 1
 	if a.Kind == "cut" && !oneLink || a.Kind == "limit" {
 		h.addSpan(&h.linkOutages, sidecarSpan{i, from, f.run.clock.now()})
 	}
--- a/internal/lab/spread.go
+++ b/internal/lab/spread.go
@@ -54,12 +54,12 @@
 		all[server] = rest
 	}
 	for _, a := range plan {
-		if faultKinds[a.Kind].on != "server" {
+		if faultKinds[a.Kind].actsOn != "server" {
 			continue
 		}
 		back := s.Discovery.UpdateDelay.Std()
 		if a.Kind == "crash" || a.Kind == "silence" || a.Kind == "replace" {
-			back = max(back, s.Server.ColdTime.Std())
+			back = max(back, s.Server.WarmUpTime.Std())
 		}
 		for i, server := range a.Targets {
 			from := a.At.Std() + time.Duration(i)*a.Pause.Std()
@@ -76,8 +76,8 @@
 		}
 	}
 	for i, u := range r.servers.all {
-		if u.collapsed {
-			exclude(i, u.collapsedAt, s.For.Std())
+		if u.crashedCold {
+			exclude(i, u.crashedColdAt, s.For.Std())
 		}
 	}
 	return all
--- a/internal/lab/terminate.go
+++ b/internal/lab/terminate.go
@@ -14,48 +14,47 @@
 )
 
 const (
-	killSlack    = 700 * time.Millisecond // SIGKILL comes so long behind SIGTERM and the longest deadline
-	killedFrom   = 3 * time.Second        // a longer deadline counts as this
-	signalGap    = 50 * time.Millisecond  // between two signals of a series
-	clingers     = 8                      // clients that keep a connection and send on it through a termination
-	clingRest    = 60 * time.Millisecond  // between two of a clinger's requests, at most
-	clingWork    = 3 * time.Millisecond   // of its requests at a server
-	clingArrival = 1 << 40                // arrivals of its requests count from here on
+	killSlack              = 700 * time.Millisecond // SIGKILL follows SIGTERM after the longest deadline and this
+	maxKillDeadline        = 3 * time.Second        // a longer deadline counts as this
+	signalInterval         = 50 * time.Millisecond  // between two signals of a series
+	persistentClients      = 8                      // clients that use a sidecar's connections through its termination
+	maxPersistentPause     = 60 * time.Millisecond  // upper bound of the pause between two of their requests on a connection
+	persistentWork         = 3 * time.Millisecond   // work of their requests at a server
+	firstPersistentArrival = 1 << 40                // their requests are numbered from here on
 )
 
-// The series of signals that a termination may come with, as a fault's size has them.
+// The series of signals that a termination sends, as the fault's size selects them.
 const (
-	plainTerm    = 1 + iota // SIGTERM alone
-	termTwice               // and once more
-	hangupBefore            // behind SIGHUP
-	hangupBehind            // with SIGHUP right behind it
-	earlyTerm               // in the first second of a process that has just been started in its place
+	seriesTerm      = 1 + iota // SIGTERM
+	seriesTermTwice            // SIGTERM twice
+	seriesHupTerm              // SIGHUP, then SIGTERM
+	seriesTermHup              // SIGTERM, then SIGHUP
+	seriesEarlyTerm            // SIGTERM, and again to the process that replaces it, right after its start
 )
 
 // lastSeries is the largest size of a termination.
-const lastSeries = earlyTerm
+const lastSeries = seriesEarlyTerm
 
-// killAfter is how long behind SIGTERM the platform may kill a process.
-func (s *Scenario) killAfter() time.Duration {
+// killDelay returns how long after SIGTERM the platform kills a process, at the earliest.
+func (s *Scenario) killDelay() time.Duration {
 	longest := time.Duration(0)
 	for _, c := range s.classes() {
 		longest = max(longest, c.Deadline)
 	}
-	return min(longest, killedFrom) + killSlack
+	return min(longest, maxKillDeadline) + killSlack
 }
 
-// terminate ends a sidecar's process by a series of signals, and kills it at the page's earliest. Clients use their
-// connections until then.
+// terminate terminates sidecar i's process with a series of signals, and restarts it at the end of the fault.
 func (f *faults) terminate(ctx context.Context, a PlannedFault, i int) error {
-	if int(a.Size) == earlyTerm {
-		f.terminateOne(ctx, f.run.processes.running(i), plainTerm)
+	if int(a.Size) == seriesEarlyTerm {
+		f.terminateProcess(ctx, f.run.processes.running(i), seriesTerm)
 		f.run.roster.sidecarRestarted(i)
 		if _, err := f.run.processes.start(i); err != nil {
 			return err
 		}
 	}
-	f.terminateOne(ctx, f.run.processes.running(i), int(a.Size))
-	if !mended(ctx, a) {
+	f.terminateProcess(ctx, f.run.processes.running(i), int(a.Size))
+	if !waitForEnd(ctx, a) {
 		return nil
 	}
 	f.run.roster.sidecarRestarted(i)
@@ -63,155 +62,159 @@
 	return err
 }
 
-// replaceBySeries starts a process beside the old one, which is terminated once the new one is ready.
-func (f *faults) replaceBySeries(ctx context.Context, a PlannedFault, i int) error {
+// replaceWithSignals starts a process next to the current one, which is terminated with a series of signals once the
+// new one is ready.
+func (f *faults) replaceWithSignals(ctx context.Context, a PlannedFault, i int) error {
 	defer f.run.history.recordLinkChange(f.run.clock)
 	old := f.run.processes.running(i)
 	if _, err := f.run.processes.start(i); err != nil {
 		return err
 	}
-	f.terminateOne(ctx, old, int(a.Size))
+	f.terminateProcess(ctx, old, int(a.Size))
 	return nil
 }
 
-// terminateOne sends one process its signals, and returns once it has ended.
-func (f *faults) terminateOne(ctx context.Context, q *process, series int) {
+// terminateProcess terminates one process while clients use its connections, and returns once it has ended. q may be
+// nil.
+func (f *faults) terminateProcess(ctx context.Context, q *process, series int) {
 	if q == nil {
 		return
 	}
 	f.mu.Lock()
 	seed := f.rng.Uint64()
 	f.mu.Unlock()
-	after := f.run.scenario.killAfter()
-	clung, release := context.WithCancel(ctx)
+	killDelay := f.run.scenario.killDelay()
+	clientsCtx, stopClients := context.WithCancel(ctx)
 	var clients sync.WaitGroup
 	defer clients.Wait()
-	defer release()
-	for n := range clingers {
+	defer stopClients()
+	for n := range persistentClients {
 		rng := rand.New(rand.NewPCG(seed, uint64(n)))
 		clients.Go(func() {
 			if n%2 == 0 {
-				f.run.clients.cling(clung, q.sidecar, rng)
+				f.run.clients.sendPersistently(clientsCtx, q.sidecar, rng)
 			} else {
-				f.run.clients.holdBack(clung, q.sidecar, rng, after)
+				f.run.clients.withholdEnd(clientsCtx, q.sidecar, rng, killDelay)
 			}
 		})
 	}
-	sleep(ctx, signalGap) // they have connected
-	f.run.processes.terminate(q, series, after)
+	sleep(ctx, signalInterval) // let the clients connect
+	f.run.processes.terminate(q, series, killDelay)
 }
 
-// terminate sends a process SIGTERM, with others by the series, and kills it so long behind that. What it had taken and not
-// answered when it is killed is the kill's only where it came within killSlack of the signal.
-func (p *processes) terminate(q *process, series int, after time.Duration) {
+// terminate sends a process a series of signals, and kills it killDelay after SIGTERM if it still runs. The history then
+// excuses unanswered requests only if they were sent within killSlack of SIGTERM.
+func (p *processes) terminate(q *process, series int, killDelay time.Duration) {
 	p.mu.Lock()
 	q.endExpected = true
 	p.mu.Unlock()
-	send := func(signal syscall.Signal) { _ = q.cmd.Process.Signal(signal) } // it may have ended by itself
-	if series == hangupBefore {
+	send := func(signal syscall.Signal) { _ = q.cmd.Process.Signal(signal) } // fails only if it has ended
+	if series == seriesHupTerm {
 		send(syscall.SIGHUP)
 	}
 	send(syscall.SIGTERM)
-	told, due := p.clock.now(), time.After(after)
+	termAt, kill := p.clock.now(), time.After(killDelay)
 	switch series {
-	case hangupBehind:
+	case seriesTermHup:
 		send(syscall.SIGHUP)
-	case termTwice:
-		time.Sleep(signalGap)
+	case seriesTermTwice:
+		time.Sleep(signalInterval)
 		send(syscall.SIGTERM)
 	}
 	select {
 	case <-q.ended:
 		return
-	case <-due:
+	case <-kill:
 	}
 	from := p.clock.now()
-	_ = q.cmd.Process.Kill() // it may have ended by itself
+	_ = q.cmd.Process.Kill() // fails only if it has ended
 	<-q.ended
-	p.history.recordLateKill(sidecarSpan{q.sidecar, from, p.clock.now()}, told+killSlack)
+	p.history.recordLateKill(sidecarSpan{q.sidecar, from, p.clock.now()}, termAt+killSlack)
 }
 
-// clung begins a request of a client that keeps its connection.
-func (k *clients) clung(sidecar int, rng *rand.Rand) (t *Try, text []byte) {
+// beginPersistentRequest draws a request to a sidecar, enters it in the history, and returns it as HTTP text.
+func (k *clients) beginPersistentRequest(sidecar int, rng *rand.Rand) (t *Try, text []byte) {
 	class := rng.IntN(len(k.classes))
-	n := clingArrival + int(k.clinging.Add(1))
-	a := world.Arrival{Sidecar: sidecar, Class: class, Tenant: rng.IntN(len(tenants)), Key: rng.Uint64(), Work: clingWork}
+	n := firstPersistentArrival + int(k.persistentRequests.Add(1))
+	a := world.Arrival{Sidecar: sidecar, Class: class, Tenant: rng.IntN(len(tenants)), Key: rng.Uint64(), Work: persistentWork}
 	now := k.clock.now()
 	t = k.history.beginTry(n, sidecar, class, now)
-	patience := k.classes[class].Deadline
-	k.history.recordSent(t, now, patience)
-	var out writer
-	if err := k.message(t, n, a, k.classes[class], manner{}, patience, false).Write(&out); err != nil {
-		panic(err) // of parts that are all well formed
+	timeout := k.classes[class].Deadline
+	k.history.recordSent(t, now, timeout)
+	var out byteWriter
+	if err := k.newRequest(t, n, a, k.classes[class], behaviour{}, timeout, false).Write(&out); err != nil {
+		panic(err) // cannot happen: all parts are well formed
 	}
 	return t, out
 }
 
-// writer collects what is written.
-type writer []byte
+// byteWriter is an io.Writer that appends to itself.
+type byteWriter []byte
 
-func (w *writer) Write(p []byte) (int, error) { *w = append(*w, p...); return len(p), nil }
+func (w *byteWriter) Write(p []byte) (int, error) { *w = append(*w, p...); return len(p), nil }
 
-// cling sends requests one behind the other on connections that it keeps for as long as they stay open, until ctx ends.
-func (k *clients) cling(ctx context.Context, sidecar int, rng *rand.Rand) {
+// sendPersistently sends requests one after another on a connection, which it reopens whenever it is closed, until ctx
+// ends.
+func (k *clients) sendPersistently(ctx context.Context, sidecar int, rng *rand.Rand) {
 	for ctx.Err() == nil {
-		c, err := net.DialTimeout("tcp", k.net.address(sidecar, clientPort), dialTime)
+		c, err := net.DialTimeout("tcp", k.net.address(sidecar, clientPort), dialTimeout)
 		if err != nil {
-			sleep(ctx, clingRest)
+			sleep(ctx, maxPersistentPause)
 			continue
 		}
 		r := bufio.NewReader(c)
 		for fresh := true; ctx.Err() == nil; fresh = false {
-			t, text := k.clung(sidecar, rng)
-			_, _ = c.Write(text) // that it is closed shows as the answer is read
+			t, text := k.beginPersistentRequest(sidecar, rng)
+			_, _ = c.Write(text) // an error shows when the answer is read
 			if k.readTryAnswer(c, r, t, fresh) == Broken {
 				break
 			}
-			sleep(ctx, time.Duration(rng.Int64N(int64(clingRest))))
+			sleep(ctx, time.Duration(rng.Int64N(int64(maxPersistentPause))))
 		}
 		c.Close()
 	}
 }
 
-// holdBack connects, sends all but the end of a request, and the end at some moment within a time.
-func (k *clients) holdBack(ctx context.Context, sidecar int, rng *rand.Rand, within time.Duration) {
+// withholdEnd connects and sends a request but for its last bytes, which follow at a random time within window.
+func (k *clients) withholdEnd(ctx context.Context, sidecar int, rng *rand.Rand, window time.Duration) {
 	const end = 2 // bytes
-	c, err := net.DialTimeout("tcp", k.net.address(sidecar, clientPort), dialTime)
+	c, err := net.DialTimeout("tcp", k.net.address(sidecar, clientPort), dialTimeout)
 	if err != nil {
 		return
 	}
 	defer c.Close()
-	t, text := k.clung(sidecar, rng)
-	body := len(text) - end
-	_, _ = c.Write(text[:body]) // that it is closed shows below
-	at := time.Now().Add(time.Duration(rng.Int64N(int64(within))))
+	t, text := k.beginPersistentRequest(sidecar, rng)
+	split := len(text) - end
+	_, _ = c.Write(text[:split]) // an error shows below
+	at := time.Now().Add(time.Duration(rng.Int64N(int64(window))))
 	r := bufio.NewReader(c)
-	_ = c.SetReadDeadline(at) // fails only on a closed one
-	if _, err := r.Peek(1); err == nil || endOf(err) == Broken {
-		k.history.endTry(t, k.clock.now(), Unreachable, 0, "", false, false) // it ended before the request was whole
+	_ = c.SetReadDeadline(at) // fails only if it is closed
+	if _, err := r.Peek(1); err == nil || outcomeOfError(err) == Broken {
+		k.history.endTry(t, k.clock.now(), Unreachable, 0, "", false, false) // closed before the request was complete
 		return
 	}
 	k.history.recordSent(t, k.clock.now(), k.classes[t.Class].Deadline)
-	if _, err := c.Write(text[body:]); err != nil {
+	if _, err := c.Write(text[split:]); err != nil {
 		k.history.endTry(t, k.clock.now(), Unreachable, 0, "", false, false)
 		return
 	}
 	k.readTryAnswer(c, r, t, true)
 }
 
-// readTryAnswer reads a try's answer, and says how it ended.
+// readTryAnswer reads a try's answer, records the outcome, and returns it.
 func (k *clients) readTryAnswer(c net.Conn, r *bufio.Reader, t *Try, fresh bool) Outcome {
 	k.history.mu.Lock()
-	owed := t.Owed
+	deadline := t.Owed
 	k.history.mu.Unlock()
-	_ = c.SetDeadline(k.clock.timeAt(owed + k.scenario.Load.extraWait())) // fails only on a closed one
+	_ = c.SetDeadline(k.clock.timeAt(deadline + k.scenario.Load.extraWait())) // fails only if it is closed
 	end, status, answer, partial := readAnswer(r)
 	k.history.endTry(t, k.clock.now(), end, status, answer, partial, fresh)
 	return end
 }
 
-// crowd holds so many idle connections to a sidecar while a fault lasts, and opens others for those that it closes.
-func (f *faults) crowd(ctx context.Context, a PlannedFault, i int) {
+// holdIdleConnections keeps a.Size idle connections to a sidecar open while the fault lasts. It reopens those that the
+// sidecar closes.
+func (f *faults) holdIdleConnections(ctx context.Context, a PlannedFault, i int) {
 	ctx, cancel := context.WithTimeout(ctx, a.For.Std())
 	defer cancel()
 	h, from := f.run.history, f.run.clock.now()
@@ -219,14 +222,14 @@
 	for range int(a.Size) {
 		all.Go(func() {
 			for ctx.Err() == nil {
-				c, err := net.DialTimeout("tcp", f.run.net.address(i, clientPort), dialTime)
+				c, err := net.DialTimeout("tcp", f.run.net.address(i, clientPort), dialTimeout)
 				if err == nil {
 					stop := context.AfterFunc(ctx, func() { c.Close() })
-					_, _ = io.Copy(io.Discard, c) // until either side ends it
+					_, _ = io.Copy(io.Discard, c) // returns when either side closes
 					stop()
 					c.Close()
 				}
-				sleep(ctx, crowdRest)
+				sleep(ctx, idleReconnectDelay)
 			}
 		})
 	}
@@ -234,5 +237,5 @@
 	h.addSpan(&h.descriptorsFull, sidecarSpan{i, from, f.run.clock.now()})
 }
 
-// crowdRest is the pause before an idle client that was closed on comes again.
-const crowdRest = 200 * time.Millisecond
+// idleReconnectDelay is the pause before an idle connection that was closed is reopened.
+const idleReconnectDelay = 200 * time.Millisecond
