--- a/internal/lab/hollow.go
+++ b/internal/lab/hollow.go
@@ -164,7 +164,7 @@
 	if !strings.Contains(s.Fleet.File, "[member]") {
 		return ctx.Err()
 	}
-	h.lateReasons = append(h.lateReasons, fmt.Sprintf("hollow sidecars did not agree on one view within %v after the last start", agreementTimeout))
+	h.lateReasons = append(h.lateReasons, fmt.Sprintf("hollow sidecars were not of one mind %v after the last had started", agreementTimeout))
 	return errors.Join(ctx.Err(), h.collectLateness(time.Since(began), "start"))
 }
 
@@ -294,7 +294,7 @@
 		if why != "" {
 			h.mu.Lock()
 			defer h.mu.Unlock()
-			h.lateReasons = append(h.lateReasons, fmt.Sprintf("%s, workers of hollow sidecars: %s", what, why))
+			h.lateReasons = append(h.lateReasons, fmt.Sprintf("%s, of hollow sidecars: %s", what, why))
 		}
 		return nil
 	})
--- a/internal/lab/lab.go
+++ b/internal/lab/lab.go
@@ -124,10 +124,10 @@
 		lost += g.to - g.from
 	}
 	if p99 := time.Duration(l.hist.ValueAtQuantile(99)) * time.Microsecond; p99 > maxP99Lateness {
-		return fmt.Sprintf("99th percentile of the lab's timer delays is %v, allowed are %v", p99, maxP99Lateness)
+		return fmt.Sprintf("the lab's timers went off up to %v late in 99 of 100 cases, %v is allowed", p99, maxP99Lateness)
 	}
 	if part := float64(lost) / float64(length); part > maxGapShare || l.gapsDropped > 0 {
-		return fmt.Sprintf("the lab was blocked for %v in total, in gaps of at least %v", lost, gapThreshold)
+		return fmt.Sprintf("the lab stood still for %v in all, in gaps of over %v", lost, gapThreshold)
 	}
 	return ""
 }
--- a/internal/lab/upstream.go
+++ b/internal/lab/upstream.go
@@ -141,7 +141,7 @@
 	defer a.mu.Unlock()
 	for c := range a.all[i].conns {
 		if at, ok := c.RemoteAddr().(*net.TCPAddr); ok && at.AddrPort().Port() == local.Port() {
-			c.noteCut("broken at the sidecar's end only")
+			c.noteCut("broken for the sidecar alone")
 		}
 	}
 	return true
@@ -415,7 +415,7 @@
 }
 
 // errVanished is returned by reads and writes that a silence interrupted.
-var errVanished = errors.New("the server was silent, and the connection was reset")
+var errVanished = errors.New("the server had vanished")
 
 // waitWhileSilent waits while the server is silent. If it was, the connection is closed and an error returned.
 func (c *conn) waitWhileSilent() error {
@@ -426,7 +426,7 @@
 		return nil
 	}
 	<-silent
-	c.noteCut("reset after a silence")
+	c.noteCut("reset behind a silence")
 	c.Close()
 	return errVanished
 }
@@ -643,7 +643,7 @@
 	}
 	try, index := u.servers.history.recordReached(id, Reached{Server: u.number, Sidecar: c.sidecar, At: at, Verdict: world.Rejected, Told: parseTimeout(r.Header.Get("X-Timeout")), Port: portOf(c.RemoteAddr())})
 	if try == nil {
-		http.Error(w, "no client sent a request with this X-Request-ID", http.StatusBadRequest)
+		http.Error(w, "an id that no client sent", http.StatusBadRequest)
 		return
 	}
 	if sum := r.URL.Query().Get("sum"); sum != "" && sum != bodyHash(body) {
@@ -653,7 +653,7 @@
 	u.servers.arrivals[u.number].add(at, 1)
 	work, err := time.ParseDuration(r.URL.Query().Get("work"))
 	if err != nil {
-		http.Error(w, "query work is missing or malformed", http.StatusBadRequest)
+		http.Error(w, "no work", http.StatusBadRequest)
 		return
 	}
 	ended, job, verdict := u.submit(work, keyHash(r.Header.Get("X-Route-Key")), keyHash(r.Header.Get("Idempotency-Key")))
@@ -674,7 +674,7 @@
 	select {
 	case e, alive := <-ended:
 		if !alive {
-			step("dropped when the server went down")
+			step("dropped as its server went down")
 			panic(http.ErrAbortHandler)
 		}
 		if e.Failed {
@@ -702,7 +702,7 @@
 	}
 	if hangs {
 		u.servers.history.markSpoilt(t, n)
-		step("never answered")
+		step("hangs")
 		<-r.Context().Done()
 		step("connection ended")
 		return
@@ -710,7 +710,7 @@
 	u.servers.history.recordVerdict(t, n, world.Accepted, body)
 	if spoils {
 		writeSpoilt(w, body, draw, func(way string, whole bool) {
-			step("answer spoilt: %s", way)
+			step("spoils: %s", way)
 			if !whole {
 				u.servers.history.markSpoilt(t, n)
 			}
@@ -729,7 +729,7 @@
 		step("%s", why)
 	}
 	c.onCut.Store(&cut)
-	step("long answer begun")
+	step("begins a long answer")
 	sent, err := writeLongAnswer(w, body, draw)
 	step("sent %d of %d bytes, error %v", sent, len(body), err)
 }
