--- a/internal/sidecar/front.go
+++ b/internal/sidecar/front.go
@@ -296,7 +296,7 @@
 	h := r.Header
 	for _, name := range []string{"X-Request-Id", "X-Priority-Class", "X-Tenant-Id", "X-Timeout", "Idempotency-Key"} {
 		if len(h[name]) > 1 { // another reader might use the second value
-			return q, 0, errors.New(name + " occurs more than once")
+			return q, 0, errors.New(name + " is there twice")
 		}
 	}
 	if h.Get("X-Request-ID") == "" {
@@ -308,17 +308,17 @@
 		return q, 0, errors.New("X-Priority-Class names no class")
 	}
 	if first, _, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, "/"), "/"); first != name {
-		return q, 0, errors.New("the path names another class than X-Priority-Class")
+		return q, 0, errors.New("the path is of another class than X-Priority-Class")
 	}
 	method := http.MethodPost
 	if f.cfg.Policy.Classes[q.Class].Idempotency == balance.Safe {
 		method = http.MethodGet
 	}
 	if r.Method != method {
-		return q, 0, errors.New("the method does not match the class")
+		return q, 0, errors.New("the method is not that of the class")
 	}
 	if method == http.MethodGet && r.ContentLength != 0 {
-		return q, 0, errors.New("a request of this class must not have a body")
+		return q, 0, errors.New("a request of the class has no body")
 	}
 	if f.cfg.Policy.Classes[q.Class].Idempotency == balance.Keyed && h.Get("Idempotency-Key") == "" {
 		return q, 0, errors.New("Idempotency-Key is missing")
--- a/internal/sidecar/stream.go
+++ b/internal/sidecar/stream.go
@@ -27,7 +27,7 @@
 
 var (
 	errRequestOver    = errors.New("the request has ended")
-	errBodyTooLarge   = errors.New("request body exceeds the size limit")
+	errBodyTooLarge   = errors.New("the body is too long")
 	errAnswerCutShort = errors.New("the server's answer was cut short")
 )
 
