--- a/cmd/caperarch/faults_test.go
+++ b/cmd/caperarch/faults_test.go
@@ -304,7 +304,7 @@
 	first := s.connect()
 	second := s.connect()
 	// Two connections take six calls: odd calls fail, even ones accept a connection, and the sixth finds none waiting. So the
-	// first connection is accepted by the fourth call at the latest, and the fifth fails after it. Nobody connects to the console.
+	// first connection is accepted by the fourth call at the latest, and the fifth fails after it. The test does not connect to the console.
 	eventually(t, "the sixth call of accept at a listener", func() bool {
 		mu.Lock()
 		defer mu.Unlock()
@@ -545,7 +545,7 @@
 }
 
 // stalledLongAnswerEnds has a server stall in the middle of an answer of over 64 KiB. Guards against the client being held up
-// for five seconds whatever its deadline.
+// for five seconds regardless of its deadline.
 func stalledLongAnswerEnds(t *testing.T, framing, before string) {
 	stalledAnswerEnds(t, "HTTP/1.1 200 OK\r\n"+framing+"\r\n\r\n"+before+strings.Repeat("x", 100000))
 }
--- a/cmd/caperarch/rules_test.go
+++ b/cmd/caperarch/rules_test.go
@@ -163,7 +163,7 @@
 
 var rulesStatusLine = regexp.MustCompile(`^200 in-force=(\d+) floor=(\d+) digest=(\S*) token=\d+ serves=(\S+) differs=(\S+) holds=(\d+)`)
 
-// rulesStatus asks the node's console for its rule set status. ok is false without a complete answer.
+// rulesStatus requests the rule set status at the node's console. ok is false without a complete answer.
 func (m *node) rulesStatus() (v rulesStatus, ok bool) {
 	var answer bytes.Buffer
 	if call(&answer, m.console, []string{"show-rules"}) != nil || !strings.HasSuffix(answer.String(), "EOF\n") {
@@ -320,7 +320,7 @@
 				s.start(m, program)
 			}
 		}
-		// The nodes that had this version in their files may have older files by now.
+		// The nodes whose files contained this version may have older files now.
 		s.updateRules(s.nodes[rng.IntN(len(s.nodes))], ruleSet(1, version, 2))
 		s.waitUntil(fmt.Sprintf("version %d in force", version), inForce(version))
 		if k%20 == 19 {
@@ -402,7 +402,7 @@
 }
 
 // Upgrades a cluster from a program that reads form 1. Each successor process must start with the stored floor, pick up a version
-// that comes into force while both run from the shared state folder, and become the member once its predecessor has exited.
+// that is put in force while both run from the shared state folder, and become the member once its predecessor has exited.
 // Then a set of form 2 must come into force.
 func TestRulesDuringUpgrade(t *testing.T) {
 	program, old := buildCaperarch(t, "2"), buildCaperarch(t, "1")
--- a/cmd/caperarch/stalledlog_test.go
+++ b/cmd/caperarch/stalledlog_test.go
@@ -89,7 +89,7 @@
 	}
 }
 
-// With a full log pipe that nobody reads, requests must still be answered and SIGTERM must still end the sidecar.
+// With a full log pipe that has no active reader, requests must still be answered and SIGTERM must still end the sidecar.
 func TestStalledLogReaderBlocksNoRequest(t *testing.T) {
 	server := newQueueServer(t, answerAtOnce)
 	s := startLogging(t, fmt.Sprintf(faultySettings, "127.0.0.1:1", server.listener.Addr(), 2000))
--- a/cmd/caperarch/stopfaults_test.go
+++ b/cmd/caperarch/stopfaults_test.go
@@ -147,7 +147,7 @@
 	})
 	c := s.connect()
 	c.send("GET /look HT")
-	time.Sleep(400 * time.Millisecond) // the process has checked for others by then
+	time.Sleep(400 * time.Millisecond) // long enough for the process to have checked for others
 	s.signal(syscall.SIGTERM)
 	stopped := time.Now()
 	c.send(strings.TrimPrefix(request("q1", time.Second), "GET /look HT"))
--- a/internal/listener/listener.go
+++ b/internal/listener/listener.go
@@ -87,7 +87,7 @@
 }
 
 // Accept waits for the next connection. After Shutdown it returns the connections that Shutdown has accepted, and then
-// net.ErrClosed. Any other error comes from the system and may be transient.
+// net.ErrClosed. Any other error is one of a system call and may be transient.
 func (l *Listener) Accept() (net.Conn, error) {
 	for {
 		if c := l.nextQueued(); c != nil {
--- a/internal/listener/listener_test.go
+++ b/internal/listener/listener_test.go
@@ -143,7 +143,7 @@
 	}
 }
 
-// A blocked Accept returns all connections that had arrived at Shutdown, and then net.ErrClosed.
+// A blocked Accept returns all connections that arrived before Shutdown, and then net.ErrClosed.
 func TestAcceptAfterShutdown(t *testing.T) {
 	l, address := listen(t, defaultOptions())
 	accepted := make(chan error, 10)
--- a/internal/sidecar/accept.go
+++ b/internal/sidecar/accept.go
@@ -48,7 +48,7 @@
 	return isSystemError(err) || errors.Is(err, listener.ErrUnregistered)
 }
 
-// isSystemError reports whether err comes from a system call.
+// isSystemError reports whether err is or wraps the error of a system call.
 func isSystemError(err error) bool {
 	var errno syscall.Errno
 	return errors.As(err, &errno)
--- a/internal/sidecar/clients.go
+++ b/internal/sidecar/clients.go
@@ -35,7 +35,7 @@
 	clientShare  int           // limit of connections with open requests
 	maxTotal     int           // limit of all connections, those to upstreams included
 	stopping     bool          // each connection closes with its next answer, as the process stops
-	failingSince time.Duration // when accept began to fail, until no connection waits any more; 0: it does not fail
+	failingSince time.Duration // when accept began to fail; 0 once no connection waits to be accepted
 	conns        map[*clientConn]struct{}
 	peak         int    // maximum number of connections since the last call of counters
 	shedCounts   [3]int // connections closed to make room: silent, idle, with a partial request
@@ -214,9 +214,9 @@
 	return l.clock.now() - time.Duration(ctx.Value(connKey{}).(*clientConn).lastRead.Load())
 }
 
-// queryPresence reports whether the client of ctx's connection has closed it or its sending side. It asks the kernel,
-// which knows of the close whatever is still unread before it: net/http notices a close only by reading, and reads at
-// most one byte beyond a request and nothing of a body that waits to be forwarded.
+// queryPresence reports whether the client of ctx's connection has closed it or its sending side. It queries the kernel,
+// which detects the close even if unread data precedes it. net/http detects a close only by reading, and reads at most
+// one byte beyond a request and nothing of a body that waits to be forwarded.
 func (l *clients) queryPresence(ctx context.Context) presence {
 	c, ok := ctx.Value(connKey{}).(*clientConn).Conn.(syscall.Conn)
 	if !ok {
--- a/internal/sidecar/clients_test.go
+++ b/internal/sidecar/clients_test.go
@@ -211,7 +211,7 @@
 }
 
 // TestMain runs the tests, or, if SIDECAR_TEST_CONFIG is set, a sidecar in this process, with its descriptors limited
-// as the configuration says.
+// to the configured number.
 func TestMain(m *testing.M) {
 	path := os.Getenv("SIDECAR_TEST_CONFIG")
 	if path == "" {
--- a/internal/sidecar/console.go
+++ b/internal/sidecar/console.go
@@ -23,8 +23,8 @@
 	maxCallDrain     = 64 << 10               // bytes read after an unusable line, so that a reset does not destroy the answer
 )
 
-// console serves operators: each connection sends one line, receives one answer and is closed. It has a listener and
-// limits of its own, so that neither client load nor callers that send nothing delay an answer.
+// console serves operators: each connection sends one line, receives one answer and is closed. It has its own
+// listener and limits, so that neither client load nor callers that send nothing delay an answer.
 type console struct {
 	ready        func() bool                                               // reports whether the sidecar serves
 	writeStats   func(io.Writer)                                           // writes the figures
@@ -94,7 +94,7 @@
 // handle reads one caller's line, carries out the call and sends the answer.
 func (c *console) handle(ctx context.Context, conn net.Conn) {
 	defer conn.Close()
-	// Deadlines and writes fail only on a closed connection, which nobody reads any more.
+	// Deadlines and writes fail only on a closed connection, on which no answer can be delivered.
 	_ = conn.SetDeadline(time.Now().Add(callReadTimeout))
 	line, err := bufio.NewReaderSize(conn, maxCallLine).ReadSlice('\n')
 	c.removeWaiting(conn)
--- a/internal/sidecar/discovery.go
+++ b/internal/sidecar/discovery.go
@@ -21,7 +21,7 @@
 
 const (
 	minWatchWait   = 10 * time.Second // shortest time for which discovery is asked to hold a watch
-	maxWatchWait   = 20 * time.Second // longest; drawn anew for each watch, so that watches that time out together are not reopened together
+	maxWatchWait   = 20 * time.Second // longest; the wait of each watch is random, so that watches that time out together are not reopened together
 	firstWatchWait = time.Millisecond // for the first watch after a start or a failure: the module waits for an answer
 
 	// Limits of calls. A change that an unanswered call misses must be known 2 s after the end of that watch's wait, or 6 s
@@ -46,7 +46,7 @@
 	errAnswerIncomplete = errors.New("the answer is incomplete")
 )
 
-// unknownVersion stands for no version: the whole list is needed.
+// unknownVersion is the version before any list has been applied: the whole list is needed.
 const unknownVersion = int64(-1)
 
 // listing is an answer of discovery: the whole list, or the changes since an earlier version.
@@ -259,7 +259,7 @@
 		}
 		slog.Warn("discovery failed", "error", err)
 		select {
-		case <-d.subscribeRequests: // requested during the call: the failure settles it, and the module decides anew
+		case <-d.subscribeRequests: // requested during the call: the failure answers this request too, and the module decides again
 		default:
 		}
 		d.onFailure()
@@ -275,7 +275,7 @@
 }
 
 // sleepJittered waits for 0.5 to 1.5 times d. All sidecars lose discovery at the same moment, and the jitter keeps them from
-// returning at the same moment.
+// reconnecting at the same moment.
 func sleepJittered(ctx context.Context, d time.Duration) {
 	select {
 	case <-time.After(time.Duration(float64(d) * (0.5 + rand.Float64()))):
@@ -284,9 +284,9 @@
 }
 
 // watchUntilError calls discovery until a call fails, and reports whether any call succeeded. It opens one watch after
-// another from the version held, or asks for the whole list first if there is none; a failure leaves the list as it is.
+// another from the version held, or asks for the whole list first if there is none; a failure does not change the list.
 // Whole lists are asked for only when needed, as the service is shared by all sidecars and many of them may start or
-// fail at once. After an answer older than the list held, whole lists are requested every now and then until it is clear
+// fail at once. After an answer older than the list held, whole lists are requested at intervals until it is clear
 // whether that answer was stale or discovery has restarted with new versions. A call that times out is repeated at once,
 // because the time until its changes count is short.
 func (d *discovery) watchUntilError(ctx context.Context, address string) (anySuccess bool, err error) {
@@ -340,7 +340,7 @@
 	return maxRetryDelay
 }
 
-// applyOtherProcessList applies the list that the other process of an upgrade goes by.
+// applyOtherProcessList applies the list that the other process of an upgrade has stored.
 func (d *discovery) applyOtherProcessList(saved savedList, l listing) {
 	d.applyMu.Lock()
 	defer d.applyMu.Unlock()
@@ -378,7 +378,8 @@
 	return fmt.Sprintf("?index=%d&wait=%d", since, wait.Milliseconds()), limit
 }
 
-// allReady reports whether a list or change has only ready servers, so that it takes none away.
+// allReady reports whether all servers of a list or change are ready. A change that takes servers out of use has to be
+// stored at once.
 func allReady(l listing) bool {
 	return !slices.ContainsFunc(l.servers, func(s balance.Server) bool { return s.State != balance.Ready })
 }
--- a/internal/sidecar/discovery_test.go
+++ b/internal/sidecar/discovery_test.go
@@ -131,7 +131,7 @@
 	}
 }
 
-// If lists are pushed, changes made while discovery was away count as soon as it is back, and a drain has to be obeyed within
+// If lists are pushed, changes made while discovery was away are in force as soon as it is back, and a drain has to be obeyed within
 // a second. No delay between calls may reach that, however long discovery was away.
 func TestRetryDelaysStayShortForPushedLists(t *testing.T) {
 	const limit, failures = time.Second, 12
--- a/internal/sidecar/front.go
+++ b/internal/sidecar/front.go
@@ -99,7 +99,7 @@
 		}
 		return
 	}
-	if r.ContentLength != 0 { // until readBody sets its own: a body that is never read must not hold the connection
+	if r.ContentLength != 0 { // until readBody sets its own deadline: a body that is never read must not hold the connection
 		_ = http.NewResponseController(w).SetReadDeadline(time.Now().Add(bodyStallTimeout)) // fails only on a closed connection
 	}
 	if len(r.TransferEncoding) > 0 || !r.ProtoAtLeast(1, 1) {
@@ -119,15 +119,15 @@
 	f.serveRequest(w, r, q, m)
 }
 
-// serveRequest answers a request that has arrived, or of which the buffered part of the body has. It refuses the
-// request without an attempt where connections or open requests exceed their limit or the rules bar serving.
+// serveRequest answers a request that has arrived completely or up to the end of the buffered part of its body. It refuses
+// the request without an attempt if connections or open requests exceed their limit or the rules bar serving.
 func (f *front) serveRequest(w http.ResponseWriter, r *http.Request, q balance.Request, m *outboundRequest) {
 	arrived := f.clock.now() // the client's timeout began with its last byte; for a longer body that byte is still to come
 	if m.upload == nil {
 		arrived -= max(0, f.clients.sinceLastRead(r.Context()))
 	}
 	m.timeLeft = f.stopLimits.Load().bound(arrived, m.timeLeft)
-	if !f.clients.requestReceived(r.Context()) { // its connection was shed for others, and closes with a refusal
+	if !f.clients.requestReceived(r.Context()) { // the connection is being closed to make room, with a refusal
 		f.loop.trace.logUnanswered(m.id, closedShedPartial, f.clock.now()-arrived)
 		panic(http.ErrAbortHandler)
 	}
@@ -201,7 +201,7 @@
 	panic(http.ErrAbortHandler)
 }
 
-// readBody reads a request's body into m: all of it, or the part that is buffered, with m.rest for the remainder.
+// readBody reads a request's body into m: all of it, or the part that is buffered, with m.upload for the remainder.
 func (f *front) readBody(w http.ResponseWriter, r *http.Request, m *outboundRequest) error {
 	if r.ContentLength > maxRequestBody {
 		return errBodyTooLarge
@@ -240,7 +240,7 @@
 	writeRejection(w, "body: "+err.Error(), status)
 }
 
-// reply sends a final answer to the client. The request's body may not have arrived whole by then.
+// reply sends a final answer to the client. The request's body need not have arrived completely.
 func (f *front) reply(w http.ResponseWriter, r *http.Request, class int, a answer, rest *upload) {
 	controller := http.NewResponseController(w)
 	_ = controller.SetWriteDeadline(time.Now().Add(writeTimeout)) // fails only on a closed connection, as this and the next do
@@ -402,7 +402,7 @@
 	return longest/2 + rand.N(longest/2+1)
 }
 
-// writeRefusal answers 503, which tells the client that a retry is safe, with Retry-After if pause is above 0.
+// writeRefusal answers 503, by which the client knows that a retry is safe, with a Retry-After header if pause is above 0.
 func writeRefusal(w http.ResponseWriter, pause time.Duration) {
 	if pause > 0 {
 		w.Header().Set("Retry-After", strconv.FormatFloat(pause.Seconds(), 'f', 3, 64))
--- a/internal/sidecar/front_test.go
+++ b/internal/sidecar/front_test.go
@@ -362,7 +362,7 @@
 }
 
 // With upstreams that fail in various ways, each request has one answer, and an unsafe request runs at most once: it is
-// sent again only if the first server said that it was not processed.
+// sent again only if the first server answered that it had not processed it.
 func TestAmongFailingUpstreams(t *testing.T) {
 	var mu sync.Mutex
 	ran := make(map[string]int)
--- a/internal/sidecar/handover.go
+++ b/internal/sidecar/handover.go
@@ -50,7 +50,7 @@
 
 	mu           sync.Mutex
 	pendingList  *pendingList // server list to be saved next; nil: none
-	legacyDamage int          // 1 if the state had to be read from the legacy file and that is damaged
+	legacyDamage int          // 1 if the state was read from a damaged legacy file
 }
 
 // newSharedState registers this process among those of sidecar name and opens the state in dir. Missing or invalid
--- a/internal/sidecar/late_test.go
+++ b/internal/sidecar/late_test.go
@@ -37,7 +37,7 @@
 	return dialled, release
 }
 
-// A connection that comes up after its attempt may no longer be written does not carry the request.
+// A connection that is established after the time for writing its request has passed does not carry the request.
 func TestLateConnections(t *testing.T) {
 	for name, c := range map[string]struct {
 		abandonAfter, sendWithin time.Duration
@@ -156,8 +156,8 @@
 	}
 }
 
-// A request that waits for a connection to a server that begins to drain goes to another server, and the connection that comes up
-// afterwards carries nothing.
+// A request that waits for a connection to a server that begins to drain goes to another server, and the connection that is
+// established afterwards carries nothing.
 func TestDrainWhileConnecting(t *testing.T) {
 	late, other := newStub(t, echo), newStub(t, echo)
 	l := newTestLoop(t, late.address)
@@ -207,7 +207,7 @@
 }
 
 // If a client leaves while its request waits for a connection, the request is not sent, whether or not attempts may be
-// cancelled and whatever the client has sent that is still unread: a reader does not notice a close behind unread bytes.
+// cancelled, and even if bytes from the client are still unread: reading detects a close only after all bytes before it.
 func TestClientLeavesWhileConnecting(t *testing.T) {
 	body := string(patternedBody(maxBufferedBody + 4<<10))
 	short := requestHead("1", "Content-Length: 0")
--- a/internal/sidecar/loop.go
+++ b/internal/sidecar/loop.go
@@ -17,13 +17,13 @@
 
 const (
 	countersLogInterval  = 5 * time.Second        // between two log lines with the counters
-	serverCountsInterval = 100 * time.Millisecond // least time between two updates of the console's server counts
+	serverCountsInterval = 100 * time.Millisecond // minimum time between two updates of the console's server counts
 	eventQueueLength     = 256                    // events that may wait before post blocks
 )
 
-// loop owns the Balancer and implements balance.Host for it. All of its events run on one goroutine, in order;
-// other goroutines hand them over with post. The loop ensures what must happen exactly once: one final answer for
-// each request and one Outcome for each attempt.
+// loop owns the Balancer of package policy, the decision module, and implements balance.Host for it. All of its events
+// run on one goroutine, in order; other goroutines hand them over with post. The loop guarantees exactly one final
+// answer for each request and one Outcome for each attempt.
 type loop struct {
 	clock             clock
 	balancer          *policy.Balancer
@@ -102,8 +102,8 @@
 	return l, nil
 }
 
-// publishServerCounts updates the console's server counts, at most once per serverCountsInterval: the loop runs far
-// more events than that.
+// publishServerCounts updates the console's server counts, at most once per serverCountsInterval, as the loop runs
+// events much more often.
 func (l *loop) publishServerCounts() {
 	if l.now-l.serverCountsAt < serverCountsInterval {
 		return
@@ -136,14 +136,14 @@
 	if err != nil {
 		slog.Error("by hand not kept", "server", instance, "out", disabled, "error", err)
 	}
-	if disabled && err == nil && l.handover.countProcessesWithin(countTimeout) > 1 { // from the answer on the call binds the other process too
+	if disabled && err == nil && l.handover.countProcessesWithin(countTimeout) > 1 { // once answered, the call has to be in force in the other process too
 		l.waitForOtherProcess(ctx)
 	}
 	return err
 }
 
 // waitForOtherProcess waits long enough for the other process of an upgrade to apply the operator calls stored so
-// far, even if that process is held up.
+// far, even if that process stalls for up to processStallMargin.
 func (l *loop) waitForOtherProcess(ctx context.Context) {
 	select {
 	case <-time.After(soloPollInterval + upgradePollInterval + processStallMargin):
@@ -167,7 +167,7 @@
 	return l.postAndWait(ctx, func(now time.Duration) { l.balancer.SetRules(now, set.Rules) })
 }
 
-// setProcessCount tells the module how many processes this sidecar currently has.
+// setProcessCount passes the number of this sidecar's running processes to the module.
 func (l *loop) setProcessCount(n int) { l.post(func(time.Duration) { l.balancer.SetProcessCount(n) }) }
 
 // applyOperatorCalls applies the calls that operators made at the other process.
@@ -288,7 +288,7 @@
 	l.post(func(time.Duration) { l.applyList(update, kind) })
 }
 
-// discoveryFailed tells the module that a call to discovery failed.
+// discoveryFailed reports a failed call to discovery to the module.
 func (l *loop) discoveryFailed() {
 	l.post(func(now time.Duration) { l.balancer.UpdateServers(now, balance.ListFailed, nil) })
 }
@@ -390,7 +390,7 @@
 	})
 }
 
-// bodySent handles the last byte of a request's body going out: the client's deadline counts from now.
+// bodySent is called when the last byte of a request's body has been written, from which the client's timeout counts.
 func (l *loop) bodySent(now time.Duration, id balance.RequestID) {
 	if r := l.requests[id]; r != nil && !r.settled {
 		left := l.limitTimeLeft(now, r.outbound.timeLeft)
@@ -451,10 +451,10 @@
 	l.reportOutcome(balance.Outcome{ID: id, Attempt: number, Ending: result.ending, Load: result.load, BodySpent: r.outbound.bodyConsumed()})
 }
 
-// Send starts an attempt that is abandoned after timeout or at the client's deadline, whichever is earlier; 0 leaves
-// the deadline alone. Its request is written within sendWithin or not at all, unless that is 0. Nothing is sent if
-// either is negative, if the request is settled or has used up its attempts, its body or its time, or if the server is
-// not listed.
+// Send starts an attempt that is abandoned after timeout or at the client's deadline, whichever is earlier; a timeout of
+// 0 means the deadline. If the request is not written completely within sendWithin, it is cut short; 0 means no such
+// limit. Nothing is sent if either duration is negative, if the request is settled or has used up its attempts, its
+// body or its time, or if the server is not listed.
 func (l *loop) Send(id balance.RequestID, to balance.ServerID, timeout, sendWithin time.Duration) {
 	r := l.requests[id]
 	if r == nil {
@@ -499,7 +499,8 @@
 	}
 }
 
-// Fail ends a request with a 502 or 504, which say nothing about whether it has run.
+// Fail ends a request with 504 if its last attempt timed out or one is still in flight, else with 502. The client can't
+// conclude from either whether the request has run.
 func (l *loop) Fail(id balance.RequestID, why balance.Reason) {
 	r := l.requests[id]
 	if r == nil || r.settled {
@@ -520,7 +521,7 @@
 	}
 }
 
-// Withdraw cancels an attempt unless some of its request has been written, in which case the attempt goes on.
+// Withdraw cancels an attempt if no byte of its request has been written. Otherwise the attempt continues.
 func (l *loop) Withdraw(id balance.RequestID, attempt int) {
 	if r := l.requests[id]; r != nil && attempt >= 0 && attempt < len(r.attempts) && r.attempts[attempt] != nil {
 		r.attempts[attempt].withdraw()
@@ -539,7 +540,7 @@
 	}
 }
 
-// Probe asks a server for a load report and passes the result to the module.
+// Probe requests the load report of a server and passes the result to the module.
 func (l *loop) Probe(to balance.ServerID) {
 	report := func(ok bool, load balance.Load) {
 		l.post(func(now time.Duration) { l.balancer.Probed(now, to, ok, load) })
@@ -552,7 +553,7 @@
 	l.upstream.probe(address, l.now, report)
 }
 
-// Close closes the idle connections to a server.
+// CloseIdle closes the idle connections to a server.
 func (l *loop) CloseIdle(to balance.ServerID) { l.upstream.closeIdle(l.addresses[to]) }
 
 // WatchList subscribes to the server list at discovery.
--- a/internal/sidecar/momentary.go
+++ b/internal/sidecar/momentary.go
@@ -80,7 +80,7 @@
 	clientUnknown          // the system gives no information: no attempt is sent for the request, and the request is not ended
 )
 
-// pollAttempts is how often the system is asked for a client's presence, in each of two ways.
+// pollAttempts is how often each of two system calls is tried to find out a client's presence.
 const pollAttempts = 3
 
 // pollPresence reports whether the other side has closed the connection with descriptor fd, or its sending side. If
--- a/internal/sidecar/peers.go
+++ b/internal/sidecar/peers.go
@@ -173,7 +173,7 @@
 }
 
 // fleetUpdate returns the fleet as the decision module is to see it in view v; ok is false if nothing is to be passed
-// on. last is what was passed on before. The view of a process that stalled lately is outdated and not passed on. A
+// on. last is the fleet passed on before. The view of a process that stalled recently is outdated and not passed on. A
 // process that is no longer a member, because another one has its name, is not counted by the others: the traffic of
 // the others is removed from its fleet.
 func (p *peers) fleetUpdate(v member.View, last balance.Fleet) (f balance.Fleet, ok bool) {
--- a/internal/sidecar/processlock.go
+++ b/internal/sidecar/processlock.go
@@ -52,7 +52,7 @@
 	return fmt.Errorf("lock %s: %w", path, err)
 }
 
-// fcntl locks or unlocks (ofdSetLock) the byte at offset of a lock file, as kind says. With ofdGetLock it returns
+// fcntl sets the lock on the byte at offset of a lock file to kind (ofdSetLock). With ofdGetLock it instead returns
 // EAGAIN if another process has locked the byte.
 func fcntl(f *os.File, command int, offset int64, kind int16) error {
 	lock := syscall.Flock_t{Type: kind, Whence: io.SeekStart, Start: offset, Len: 1}
--- a/internal/sidecar/room.go
+++ b/internal/sidecar/room.go
@@ -7,8 +7,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// silentGrace is how long after it was accepted or became idle a connection is kept as if part of a request had
-// arrived, as the application's next request may be on its way.
+// silentGrace is how long a connection that was accepted or became idle is treated as if part of a request had arrived,
+// as the application's next request may be on its way.
 const silentGrace = 250 * time.Millisecond
 
 // setLimits sets the clients' share of connections and the limit of client and upstream connections together, and
@@ -42,7 +42,8 @@
 	return true
 }
 
-// hasRoomForUpstream reports whether an upstream connection can be added to the given number of them as it is.
+// hasRoomForUpstream reports whether an upstream connection can be added to the given number of them without
+// closing a client connection.
 func (l *clients) hasRoomForUpstream(upstreams int) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -182,8 +182,8 @@
 // after the delay. maxDeadline is the longest deadline of any class, and served receives the result of the HTTP
 // server's Serve.
 //
-// http.Server.Shutdown does not serve here: after it, a request on a connection that had none before is read and
-// dropped, and connections with a request count as idle.
+// http.Server.Shutdown can't be used here: after it, the first request on a connection is read and dropped, and
+// connections with a request count as idle.
 func (f *front) drain(served <-chan error, maxDeadline time.Duration, replaced bool) error {
 	began, now := time.Now(), f.clock.now()
 	end := began.Add(maxDeadline + exitMargin)
--- a/internal/sidecar/state.go
+++ b/internal/sidecar/state.go
@@ -18,8 +18,8 @@
 
 const (
 	saveInterval      = time.Second            // how often learned state is saved if it changed
-	syncInterval      = 10 * time.Second       // how often it is made durable: a power failure loses up to this much of it, the end of a process nothing
-	listSaveInterval  = 100 * time.Millisecond // least time between two writes of the list
+	syncInterval      = 10 * time.Second       // how often it is made durable: a power failure loses up to this much, a killed process nothing
+	listSaveInterval  = 100 * time.Millisecond // minimum time between two writes of the list
 	maxSavedListAge   = time.Hour              // an older saved list is not used
 	maxSavedListBytes = 256 << 10              // of a larger list only the servers that are not ready are saved
 	minRateChange     = 0.2                    // smaller relative changes of the request rate are not saved
@@ -273,7 +273,7 @@
 }
 
 // restoreServerList builds the list from the newer of the stored one and the configuration's. If the stored one is too old
-// to be served from, the servers that it has as removed are still withheld.
+// to be served from, the servers that it records as removed are still withheld.
 func restoreServerList(cfg *Config, saved savedList, savedAt time.Time, now time.Duration) *serverList {
 	list, known := newServerList(cfg.Discovery), cfg.KnownServers
 	known.whole = true
@@ -324,7 +324,7 @@
 	return list
 }
 
-// loadLearned returns what an earlier process had learned. The module decides how much of it still holds.
+// loadLearned returns the learned state that an earlier process stored. The module decides how much of it is still valid.
 func (h *sharedState) loadLearned() (balance.Learned, bool) {
 	if h.store == nil {
 		return balance.Learned{}, false
@@ -391,7 +391,7 @@
 	}
 }
 
-// damageCount returns in how many places the state was found damaged without an operator having confirmed it since.
+// damageCount returns the number of places where the state was found damaged since an operator last confirmed it.
 func (h *sharedState) damageCount() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/sidecar/state_test.go
+++ b/internal/sidecar/state_test.go
@@ -160,7 +160,7 @@
 type stuckDisk struct {
 	store.OS
 	stuck    atomic.Bool
-	released chan struct{} // closed to let waiting syncs go on
+	released chan struct{} // closed to let waiting syncs continue
 	waiting  chan struct{} // receives a value when a sync blocks
 }
 
@@ -202,7 +202,7 @@
 func (f stuckFile) Sync() error { f.disk.sync(); return f.File.Sync() }
 
 // While a sync hangs, requests, ready and the figures are answered, and an operator call is answered as in force but not stored.
-// Once the disk goes on, the call is stored when it is repeated.
+// Once the disk works again, the call is stored when it is repeated.
 func TestStuckDiskBlocksNothing(t *testing.T) {
 	s := newStub(t, echo)
 	d := &stuckDisk{released: make(chan struct{}), waiting: make(chan struct{}, 1)}
--- a/internal/sidecar/stream.go
+++ b/internal/sidecar/stream.go
@@ -16,7 +16,7 @@
 
 const (
 	maxRequestBody     = 32 << 20                // bytes
-	bodyBaseTime       = 2700 * time.Millisecond // how long a client may take over a request, without the time that minBodyRate adds
+	bodyBaseTime       = 2700 * time.Millisecond // how long a client may take to send a request, not counting the time that minBodyRate adds
 	minBodyRate        = 48 << 10                // bytes a second; each byte of the body extends the time accordingly
 	bodyStallTimeout   = 2 * time.Second         // longest pause within a body; a connection that stalls has to be closed within 3 s
 	clientStallTimeout = 15 * time.Second        // how long a client may read nothing; at 64 kB/s its kernel opens the receive window only every 6 s
@@ -87,7 +87,7 @@
 	return u
 }
 
-// Read reads on in the body, until interrupt is called.
+// Read reads the next bytes of the body. It fails after a call of interrupt.
 func (u *upload) Read(b []byte) (int, error) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -115,7 +115,7 @@
 	_ = u.body.setReadDeadline(time.Unix(1, 0)) // fails only on a closed connection
 }
 
-// stop interrupts the upload and returns once no read is under way: the body then belongs to its handler again.
+// stop interrupts the upload and returns once no read is under way: from then on only the request's handler uses the body.
 func (u *upload) stop() {
 	u.interrupt()
 	u.mu.Lock()
@@ -135,7 +135,7 @@
 	sendBy time.Time // nothing is written after it; zero means no bound
 }
 
-// Write writes all of b, with a deadline that starts anew with each call.
+// Write writes all of b within serverStallTimeout, and nothing after sendBy.
 func (s stallWriter) Write(b []byte) (int, error) {
 	until := time.Now().Add(serverStallTimeout)
 	if !s.sendBy.IsZero() && s.sendBy.Before(until) {
--- a/internal/sidecar/upstream.go
+++ b/internal/sidecar/upstream.go
@@ -33,14 +33,14 @@
 	// A faulty server may send a second answer some milliseconds after the first. It must not find another request in
 	// flight on its connection.
 	connReuseDelay = 10 * time.Millisecond
-	// A connection whose first packet is lost comes up only after the initial retransmission time-out of one second
-	// (RFC 6298, section 2.1), which may exceed the dial time-out. A second connection, dialled before that, usually
-	// comes up at once.
+	// A connection whose first packet is lost is established only after the initial retransmission time-out of one second
+	// (RFC 6298, section 2.1), which may exceed the dial time-out. A second connection, dialled before that, is
+	// usually established at once.
 	maxParallelDials = 3 // dials for one connection, including the first
 	lateDialDivisor  = 8 // another dial starts when the previous one has taken dialTimeout/lateDialDivisor
 )
 
-// outboundRequest is a client's request as it is forwarded to an upstream, without the X-Timeout header.
+// outboundRequest is a client's request in the form that is forwarded to an upstream. Each attempt sets its own X-Timeout.
 type outboundRequest struct {
 	id       string // X-Request-ID, for the log
 	method   string
@@ -50,7 +50,7 @@
 	body     []byte        // the whole body, or the part of it that is buffered
 	upload   *upload       // the part of the body after the buffered part; nil if there is none
 	length   int64         // of the whole body, or -1 if unknown
-	timeLeft time.Duration // with upload: how long the client waits from its last byte on, less the time spent on getting a connection
+	timeLeft time.Duration // the client's timeout; with upload it counts from the last byte sent, and the time taken to get a connection is deducted
 
 	clientPresence func() presence                                // whether the client is still there; nil if there is no client
 	permitWrite    func(now time.Duration, address string) error  // whether the first byte may be written to address; nil if always
@@ -86,8 +86,8 @@
 	columns         wire.Columns
 	probePath       string                               // path of the probes' requests
 	attemptsWritten atomic.Uint64                        // attempts whose last byte was written
-	makeRoom        func(upstreams int) bool             // closes client connections until one more than these upstream connections fits
-	hasRoom         func(upstreams int) bool             // reports whether one more than these upstream connections fits as it is
+	makeRoom        func(upstreams int) bool             // closes client connections until one more upstream connection fits; false if it can't
+	hasRoom         func(upstreams int) bool             // reports whether one more upstream connection fits without closing any
 	reuseDelay      time.Duration                        // how long a connection is idle at least before it is used again
 	waitTimer       func(time.Duration) <-chan time.Time // time.After, for the reuse delay and between dials; replaced in tests
 	lateDialTimer   func(time.Duration) <-chan time.Time // time.After, for the start of another dial; replaced in tests
@@ -106,11 +106,11 @@
 	failed     failures
 }
 
-// failures counts, for the log, the attempts and probes that had no complete answer.
+// failures counts, for the log, the attempts and probes that received no complete answer.
 type failures struct {
-	unsent      int // no connection came up, or it broke before the request was written
+	unsent      int // no connection was established, or it broke before the request was written
 	reset       int // a new connection broke before the answer began
-	resetReused int // a reused connection did, which its server may have closed at that moment
+	resetReused int // a reused connection broke before the answer began; its server may have closed it at that moment
 	unreadable  int // the answer was malformed, too long or cut short
 	timedOut    int // the answer was not complete in time
 	local       int // dials that failed for a reason of this machine; they are retried
@@ -151,7 +151,7 @@
 
 // exchange is one attempt or probe under way.
 type exchange struct {
-	sendBy         time.Duration // the last byte of the request is written by then or never; 0 means no bound
+	sendBy         time.Duration // deadline for writing the last byte of the request; 0 means no bound
 	clientDeadline time.Duration // the client's deadline; 0 if there is none
 
 	mu        sync.Mutex
@@ -184,9 +184,9 @@
 	}
 }
 
-// enterPhase sets the function by which cancel ends the exchange's next phase; writing is true from the writing of the
-// request on. It returns false, and sets nothing, if the exchange has been cancelled or withdrawn: a second cancel must
-// not close a connection that is back in the pool and may serve another exchange by then.
+// enterPhase begins the exchange's next phase, which cancel ends by calling stop. writing is true once the request may
+// be written. enterPhase returns false, and sets nothing, if the exchange has been cancelled or withdrawn: a second
+// cancel must not close a connection that is back in the pool and may already serve another exchange.
 func (x *exchange) enterPhase(writing bool, stop func()) bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -260,7 +260,7 @@
 	return x
 }
 
-// probe asks a server for its load report and calls report once with the result.
+// probe requests the load report of a server and calls report once with the result.
 func (u *transport) probe(address string, now time.Duration, report func(ok bool, load balance.Load)) {
 	go func() {
 		req := &http.Request{
@@ -276,10 +276,10 @@
 	}()
 }
 
-// roundTrip sends a request and reads its answer; outbound is nil for a probe. Without a complete answer the ending
-// says what is known: it is NoConnection until the last byte of the request is written, as the request can't have run
-// before that. An answer that is too long to be buffered is passed to onBegin if that is set, and has ended when
-// roundTrip returns.
+// roundTrip sends a request and reads its answer; outbound is nil for a probe. If the last byte of the request is not
+// written, the request can't have run, and the ending is NoConnection, NotSent or Cancelled. If onBegin is set, an
+// answer that is too long to be buffered is streamed: onBegin is called when the stream begins, and roundTrip returns
+// when it has ended.
 func (u *transport) roundTrip(
 	x *exchange, address string, req *http.Request, outbound *outboundRequest, deadline time.Duration, onBegin func(*http.Response, *stream),
 ) (*http.Response, []byte, balance.Ending) {
@@ -315,7 +315,7 @@
 	return res, body, balance.Served
 }
 
-// acquireConn returns a connection on which the exchange may write at once, or the ending that tells why there is none.
+// acquireConn returns a connection on which the exchange may write at once, or nil and the ending of the exchange.
 func (u *transport) acquireConn(x *exchange, address string, outbound *outboundRequest, deadline time.Duration) (*conn, balance.Ending) {
 	start := u.clock.now()
 	c, err := u.getConn(x, address, x.limitToSendBy(deadline))
@@ -332,7 +332,7 @@
 	if outbound != nil && outbound.upload != nil {
 		stop = func() { c.Conn.Close(); outbound.upload.interrupt() }
 	}
-	// The loop may learn of a client's leaving later than this, but from now on nothing may be sent for it.
+	// The loop may learn later than this that the client has left, but from now on nothing may be sent for it.
 	if outbound.clientAbsent() || outbound != nil && outbound.permitWrite != nil && outbound.permitWrite(u.clock.now(), address) != nil {
 		x.withdraw()
 	}
@@ -363,7 +363,7 @@
 	return res, body, err
 }
 
-// failureEnding counts an exchange that had no complete answer and returns its ending.
+// failureEnding counts an exchange whose request was written but not answered completely, and returns its ending.
 func (u *transport) failureEnding(x *exchange, c *conn, res *http.Response, err error) balance.Ending {
 	switch {
 	case x.isCancelled():
@@ -483,8 +483,8 @@
 }
 
 // dialHedged opens a connection that the counter open already includes. While a dial is late, another is started, up to
-// maxParallelDials, as long as there is room without closing anything. The first dial to end decides. The others are
-// cancelled; a connection that comes up nevertheless goes to the pool.
+// maxParallelDials, as long as there is room without closing anything. The result of the first dial to end is returned, even if it
+// is an error. The others are cancelled; a connection that is established nevertheless goes to the pool.
 func (u *transport) dialHedged(ctx context.Context, address string) (*conn, error) {
 	type dialResult struct {
 		c   *conn
--- a/internal/sidecar/upstream_test.go
+++ b/internal/sidecar/upstream_test.go
@@ -172,7 +172,7 @@
 }
 
 // A second answer that arrives some milliseconds after the first, while the next request waits for that connection, is
-// detected and passed to nobody: a second 503 would make the module resend a request that is running. The next request goes
+// detected and discarded: a second 503 would make the module resend a request that is running. The next request goes
 // over the spare connection opened in the meantime, or over a new one.
 func TestSecondAnswerIsDiscarded(t *testing.T) {
 	const more = "HTTP/1.1 503 No\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n"
@@ -221,7 +221,7 @@
 }
 
 // If no connection to a server may be reused yet, a spare one is opened for later requests while the current request waits:
-// one at a time and only if there is room. Whatever happens to the spare one, the waiting request uses its own connection.
+// one at a time and only if there is room. The waiting request uses its own connection even if the spare one fails.
 func TestSpareConnection(t *testing.T) {
 	for name, c := range map[string]struct {
 		edit    func(u *transport)
@@ -482,7 +482,7 @@
 	}
 }
 
-// A cancelled attempt closes its connection, which tells the upstream, and ends exactly once.
+// A cancelled attempt closes its connection, by which the upstream detects the cancellation, and ends exactly once.
 func TestCancelClosesTheConnection(t *testing.T) {
 	s := newStub(t, neverAnswer)
 	u := testTransport(t)
--- a/internal/sidecar/versions.go
+++ b/internal/sidecar/versions.go
@@ -15,10 +15,10 @@
 
 // Versions of the list only move forward (docs/list.md). If discovery restarts with lower versions, a new epoch begins.
 const (
-	resetMinAge     = 6 * time.Second // discovery has restarted once answers have only been older than the list held for this long
-	resetMinAnswers = 3               // and there were this many, of which the last is a whole list
-	resetClockSkew  = 5 * time.Second // a list with a server that started this much after a version was received was made after that version
-	carryOverTime   = time.Minute     // how long a removal recorded in an earlier epoch outlives the first list of the next one
+	resetMinAge     = 6 * time.Second // discovery counts as restarted once all answers have been older than the list held for this long
+	resetMinAnswers = 3               // minimum number of such answers; the last of them has to be a whole list
+	resetClockSkew  = 5 * time.Second // a list with a server that started more than this after a version was received is newer than that version
+	carryOverTime   = time.Minute     // how long after an epoch begins the removals recorded in earlier ones stay in force
 	maxGoneServers  = 256             // removed servers that are remembered
 )
 
@@ -46,8 +46,8 @@
 	complete        bool          // entries are those of version; otherwise the whole list is needed
 
 	entries      map[balance.ServerID]entry
-	withheld     map[balance.ServerID]int64   // ready as of version but not by another answer: draining until a list of at least this version
-	gone         map[balance.ServerID]removal // announced gone lately
+	withheld     map[balance.ServerID]int64   // ready in the list held but not in another answer: draining until a list of at least this version
+	gone         map[balance.ServerID]removal // recently announced gone
 	carriedOver  map[balance.ServerID]removal // removed in an earlier epoch: draining until a change in this one
 	carriedUntil time.Duration                // when carriedOver expires
 
@@ -84,8 +84,8 @@
 	return r.version, r.suspected && r.sawWholeList && v.complete && now-r.firstAt < resetMinAge
 }
 
-// apply applies an answer and returns the changes for the module: the answer itself, except that nothing that was removed
-// comes back by it too early. An answer older than version only withholds servers; older then is true.
+// apply applies an answer and returns the changes for the module: the answer itself, except that a removed server
+// does not become ready again too early. An answer older than version can only withhold servers; older is then true.
 func (v *serverList) apply(l listing, now time.Duration) (changes listing, older bool) {
 	if v.version != unknownVersion && l.version < v.version {
 		if !v.confirmReset(l, now) {
@@ -183,8 +183,8 @@
 	}
 }
 
-// withhold returns, as draining, the ready servers that another answer has draining or gone. They stay so until a list of
-// version until or later names them, or is a whole list.
+// withhold marks as draining the ready servers that are draining or gone in another answer, and returns them. They stay
+// so until a list of version until or later names them or is a whole list.
 func (v *serverList) withhold(l listing, until int64) listing {
 	changes := listing{version: v.version, addresses: make(map[balance.ServerID]string)}
 	states := make(map[balance.ServerID]balance.State, len(l.servers))
@@ -262,8 +262,9 @@
 	}
 }
 
-// useOlderList goes on with a list older than version, as the list of version is not available. Servers that version
-// is known not to have ready are withheld. A short list of version names only the servers that are not ready.
+// useOlderList continues with a list older than version, as the complete list of version is not available. Servers that
+// are known not to be ready as of version are withheld. If short is true, only the servers that are not ready as of
+// version are known.
 func (v *serverList) useOlderList(older listing, short bool) {
 	newer := v.entries
 	v.entries, v.complete = make(map[balance.ServerID]entry), false
--- a/internal/sidecar/versions_test.go
+++ b/internal/sidecar/versions_test.go
@@ -326,8 +326,8 @@
 	return s
 }
 
-// Of the lists of two processes the newer one is stored, whichever process writes last. A later epoch comes before a higher
-// version.
+// Of the lists of two processes the newer one is stored, whichever process writes last. A list of a later epoch is newer
+// even if its version is lower.
 func TestNewerListIsKept(t *testing.T) {
 	dir, now := t.TempDir(), newClock().now()
 	cfg := testConfig(t, listAnswer(1, "ready", "127.0.0.1:1"), nil)
@@ -462,7 +462,7 @@
 		theirs listing // received by the other process, if any
 		ours   listing // received by this one
 		want   string
-		whole  bool // the whole list is asked for next
+		whole  bool // the next call requests the whole list
 	}{
 		{theirs: whole(60, "draining"), want: "s-0@127.0.0.1:1 out, s-1@127.0.0.1:2"},
 		{ours: whole(57, "ready"), want: "s-0@127.0.0.1:1 out, s-1@127.0.0.1:2"},
@@ -497,7 +497,7 @@
 	}
 }
 
-// Of the two processes of an upgrade discovery tells only one that a server drains: both must stop using it.
+// If only one of the two processes of an upgrade learns from discovery that a server drains, both must stop using it.
 func TestBothProcessesStopUsingDrainedServer(t *testing.T) {
 	s := newStub(t, echo)
 	drainForOne := make(chan struct{}, 1)
@@ -533,7 +533,7 @@
 }
 
 // Of a list that is too long only the version and the servers that are not ready are stored: the next process starts from the
-// configuration's list without those servers, and asks for the whole list.
+// configuration's list without those servers, and requests the whole list.
 func TestLongListIsSavedShort(t *testing.T) {
 	var addresses []string
 	for i := range 3000 {
--- a/internal/sidecar/watch_test.go
+++ b/internal/sidecar/watch_test.go
@@ -41,7 +41,7 @@
 	t.Cleanup(func() { slog.SetDefault(before) })
 }
 
-// parseQuery returns what a call asked for: changes since a version, held for wait, or the whole list (unknownVersion, 0).
+// parseQuery returns what a call requested: changes since a version, held for wait, or the whole list (unknownVersion, 0).
 func parseQuery(r *http.Request) (since int64, wait time.Duration) {
 	since, err := strconv.ParseInt(r.URL.Query().Get("index"), 10, 64)
 	if err != nil {
@@ -51,8 +51,8 @@
 	return since, time.Duration(ms) * time.Millisecond
 }
 
-// Whatever a call for the list encounters, a later call has to deliver a change before it must be known and the grace period of
-// a drain is over. The clock is virtual, and the module's own delays count.
+// However a call for the list fails, a later call has to deliver a change before it must be known and before the grace period
+// of a drain is over. The clock is virtual, and the module's own delays count.
 func TestNewsAreHeardBeforeTheyCount(t *testing.T) {
 	discardLogs(t)
 	const (
@@ -181,7 +181,7 @@
 							case "news":
 								ok(c, strings.Replace(listAnswer(2, "draining", "127.0.0.1:80"), "true", strconv.FormatBool(since == unknownVersion), 1))
 							case "hold":
-								_, _ = io.Copy(io.Discard, in) // until the client gives up
+								_, _ = io.Copy(io.Discard, in) // until the client closes the connection
 							case "full":
 								time.Sleep(time.Second)
 								fallthrough
@@ -238,7 +238,7 @@
 }
 
 // All watches of a fleet begin together, after a change of the list, and stop being answered together. Discovery can handle only
-// so many new ones at a time: each sidecar must learn of the change in time, with one call. After an outage for all, during
+// a limited number of new ones at a time: each sidecar must learn of the change in time, with one call. After an outage for all, during
 // operation or from their start, each must learn of it within 6 s of discovery's return, and only few calls may be refused.
 func TestFleetReopensWatchesInTurn(t *testing.T) {
 	discardLogs(t)
@@ -403,7 +403,7 @@
 }
 
 // A subscription requested during a call is settled by the end of that call: after a failure the next call is made only when the
-// module asks again.
+// module requests it again.
 func TestFailureSettlesSubscription(t *testing.T) {
 	discardLogs(t)
 	synctest.Test(t, func(t *testing.T) {
