--- a/cmd/caperarch/faults_test.go
+++ b/cmd/caperarch/faults_test.go
@@ -304,7 +304,8 @@
 	first := s.connect()
 	second := s.connect()
 	// Two connections take six calls: odd calls fail, even ones accept a connection, and the sixth finds none waiting. So the
-	// first connection is accepted by the fourth call at the latest, and the fifth fails after it. The test does not connect to the console.
+	// first connection is accepted by the fourth call at the latest, and the fifth fails after it. The test does not connect
+	// to the console.
 	eventually(t, "the sixth call of accept at a listener", func() bool {
 		mu.Lock()
 		defer mu.Unlock()
@@ -373,7 +374,7 @@
 		return fails(c)
 	})
 	c := s.connect()
-	c.send(request("q1", 4*time.Second) + strings.Repeat("G", unreadBytes)) // net/http does not detect a close after that
+	c.send(request("q1", 4*time.Second) + strings.Repeat("G", unreadBytes)) // net/http does not detect a close that follows these bytes
 	s.waitForLog(`msg="(request taken)" id=q1`)
 	c.conn.Close()
 	time.Sleep(150 * time.Millisecond) // more than the time allowed to stop sending
@@ -544,7 +545,7 @@
 	stalledAnswerEnds(t, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nfirst\r\n")
 }
 
-// stalledLongAnswerEnds has a server stall in the middle of an answer of over 64 KiB. Guards against the client being held up
+// stalledLongAnswerEnds has a server stall in the middle of an answer of over 64 KiB. Guards against the client having to wait
 // for five seconds regardless of its deadline.
 func stalledLongAnswerEnds(t *testing.T, framing, before string) {
 	stalledAnswerEnds(t, "HTTP/1.1 200 OK\r\n"+framing+"\r\n\r\n"+before+strings.Repeat("x", 100000))
--- a/cmd/fleetlab/main.go
+++ b/cmd/fleetlab/main.go
@@ -27,7 +27,7 @@
 
 // The exit codes.
 const (
-	exitHeld     = 0
+	exitHeld     = 0 // all invariants held
 	exitBroken   = 1 // an invariant did not hold
 	exitUnusable = 2 // the input is invalid, or the run failed
 )
@@ -96,6 +96,7 @@
 	return scene.Resize(s.sidecars, s.servers, s.hollow)
 }
 
+// try returns the command that plays the built-in scenario try.
 func try() *cobra.Command {
 	var s sizes
 	c := &cobra.Command{
@@ -139,6 +140,7 @@
 	return nil
 }
 
+// list returns the command that lists the built-in scenarios.
 func list() *cobra.Command {
 	return &cobra.Command{
 		Use: "list", Short: "List the built-in scenarios", Args: cobra.NoArgs,
@@ -159,6 +161,7 @@
 	}
 }
 
+// play returns the command that plays one scenario.
 func play() *cobra.Command {
 	var s sizes
 	c := &cobra.Command{Use: "play SCENARIO", Short: "Play a scenario, given by name or by the path of its file", Args: cobra.ExactArgs(1)}
@@ -190,6 +193,7 @@
 // defaultFigures are the figures in tables unless --figures names others.
 var defaultFigures = []string{"worth", "refused", "failed", "p99_ms", "attempts", "work", "recovery_s", "cpu_ms", "rss_mib"}
 
+// figureFlag adds the flag --figures to a command and returns its value.
 func figureFlag(c *cobra.Command) *[]string {
 	return c.Flags().StringSlice("figures", defaultFigures, "figures to show; all: every figure; spread: how evenly requests are distributed over the servers")
 }
@@ -209,6 +213,7 @@
 	return names
 }
 
+// compare returns the command that compares the results in two directories.
 func compare() *cobra.Command {
 	c := &cobra.Command{
 		Use: "compare A B", Short: "Compare the results in two directories, by pairs of the same scenario, size and seed", Args: cobra.ExactArgs(2),
@@ -231,6 +236,7 @@
 	return c
 }
 
+// experiment returns the command that plays the grid of runs that a file describes.
 func experiment() *cobra.Command {
 	c := &cobra.Command{
 		Use: "experiment FILE", Args: cobra.ExactArgs(1),
@@ -265,6 +271,7 @@
 	return c
 }
 
+// sweep returns the command that removes what killed labs have left behind.
 func sweep() *cobra.Command {
 	return &cobra.Command{
 		Use: "sweep", Short: "Remove what killed labs have left behind, according to their own records", Args: cobra.NoArgs,
@@ -278,6 +285,7 @@
 	}
 }
 
+// soak returns the command that plays random faults drawn from seeds.
 func soak() *cobra.Command {
 	c := &cobra.Command{
 		Use: "soak", Args: cobra.NoArgs,
--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -76,8 +76,8 @@
 // counterLogInterval is the interval at which an instance logs its counters.
 const counterLogInterval = 10 * time.Second
 
-// Send writes a CallOut. In this protocol an attempt counts as sent as soon as its CallOut is written, however long its
-// connection takes, so the limit on the time until the attempt is sent is always met and is ignored here. The CallOut's
+// Send writes a CallOut. In this protocol an attempt counts as sent as soon as its CallOut is written, before its
+// connection is established, so the limit on the time until the attempt is sent is always met and is ignored here. The CallOut's
 // patience_ms could not express that limit, as it also ends the wait for the answer.
 func (i *instance) Send(id balance.RequestID, to balance.ServerID, timeout, _ time.Duration) {
 	i.host.reply.CallOut(i.number, uint32(id), wire.Upstream(to), timeout)
--- a/internal/listener/listener.go
+++ b/internal/listener/listener.go
@@ -78,7 +78,7 @@
 	return &Listener{file: file, raw: raw, address: inner.Addr(), options: defaultOptions()}, nil
 }
 
-// checkRegistered returns nil if file is registered with the network poller: only then it accepts a deadline.
+// checkRegistered returns nil if file is registered with the network poller: only then does it accept a deadline.
 func checkRegistered(file *os.File) error {
 	if file.SetReadDeadline(noDeadline) != nil {
 		return ErrUnregistered
--- a/internal/sidecar/accept.go
+++ b/internal/sidecar/accept.go
@@ -26,7 +26,8 @@
 }
 
 // listen opens a listener. For listenTimeout it retries errors of the system, which may lack a buffer or the address
-// only briefly. With shared a second process can listen at the same address, as in an upgrade.
+// only briefly. If shared is true, a second process can listen at the same
+// address, as in an upgrade.
 func listen(ctx context.Context, address string, shared bool) (*listener.Listener, error) {
 	for end := time.Now().Add(listenTimeout); ; {
 		l, err := listener.Listen(ctx, address, shared)
@@ -97,7 +98,7 @@
 	}
 }
 
-// acceptFailingSince returns when the failure of accept began that a connection accepted now may have waited for; 0
+// acceptFailingSince returns when accept began to fail, if the connection accepted now may have waited since then, or 0
 // if it has not waited.
 func (l *clients) acceptFailingSince() time.Duration {
 	l.mu.Lock()
@@ -119,7 +120,8 @@
 var resourceErrors = []syscall.Errno{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM}
 
 // handleAcceptError counts and logs a failure of accept. If descriptors or memory are short, it closes a silent or idle
-// connection, but none that has just arrived or has part of a request, as the rest of the request is on its way.
+// connection. A connection that has just been accepted or on which part of a request has arrived stays open, as the
+// rest of the request is on its way.
 func (l *clients) handleAcceptError(err error) {
 	var errno syscall.Errno
 	errors.As(err, &errno) // stays 0 for other errors
--- a/internal/sidecar/byhand.go
+++ b/internal/sidecar/byhand.go
@@ -107,7 +107,7 @@
 	}
 	var s legacyFile
 	d := json.NewDecoder(bytes.NewReader(raw))
-	d.DisallowUnknownFields() // no older program writes other keys, so one is a sign of damage
+	d.DisallowUnknownFields() // no older program writes other keys, so another key is a sign of damage
 	if err := d.Decode(&s); err != nil {
 		return nil, false, fmt.Errorf("%s is damaged: %w", h.legacyPath, err)
 	}
@@ -143,7 +143,7 @@
 		return err
 	}
 	h.dropOldEnables(now)
-	if err := h.writeLegacy(); err != nil { // only an older program would miss it
+	if err := h.writeLegacy(); err != nil { // only older programs read it
 		slog.Warn("state not kept", "reason", err)
 	}
 	return nil
@@ -196,7 +196,7 @@
 	h.noteEnables(now)
 	for instance, seen := range h.enables {
 		if h.store != nil && now.Sub(seen.at) > enableRetention {
-			_ = h.store.Delete(sectionCalls, instance) // after an error it is kept for longer
+			_ = h.store.Delete(sectionCalls, instance) // after an error the call is kept until the next deletion
 		}
 	}
 }
--- a/internal/sidecar/calledoff_test.go
+++ b/internal/sidecar/calledoff_test.go
@@ -31,7 +31,7 @@
 }
 
 // A request whose attempt is cancelled after its body has been sent whole still gets its final answer. The cancellation
-// interrupted the reads of the client's connection, and that was mistaken for the client's disconnecting.
+// interrupted the reads of the client's connection, which was mistaken for a disconnect of the client.
 func TestCancelledUploadIsAnswered(t *testing.T) {
 	s := newStub(t, func(net.Conn, stubRequest) bool { select {} })
 	f, side, serve := newTestFront(t, s.address, nil)
--- a/internal/sidecar/clients_test.go
+++ b/internal/sidecar/clients_test.go
@@ -25,7 +25,7 @@
 	"arrowgw/internal/listener"
 )
 
-// Connections are closed to make room in the order of how little they are needed; those with an open request are not.
+// The connections that are least likely to be needed are closed first to make room; those with an open request stay open.
 func TestShedOrder(t *testing.T) {
 	l := newClients(testConfig(t, listAnswer(1, "ready"), nil), nil, noUpstreamConns)
 	names := make(map[*clientConn]string)
@@ -366,7 +366,7 @@
 	}
 }
 
-// A malformed pipelined request does not cost the request before it its answer. net/http detects a close by reading one
+// The request before a malformed pipelined one still gets its answer. net/http detects a close by reading one
 // byte; if that read would hit the end of the malformed head, it must return nothing, and only the next read fails.
 func TestMalformedPipelinedRequest(t *testing.T) {
 	inner, err := listen(context.Background(), "127.0.0.1:0", true)
--- a/internal/sidecar/clock.go
+++ b/internal/sidecar/clock.go
@@ -3,10 +3,10 @@
 import "time"
 
 // clock gives the time since the Unix epoch, which can be compared with the start times that discovery lists. After its
-// creation it follows the monotonic clock: it never goes back, even if the machine's date is changed.
+// creation it follows the monotonic clock: it never goes back, even if the wall clock is stepped.
 type clock struct{ start time.Time }
 
-// newClock returns a clock that is set from the machine's date now.
+// newClock returns a clock that starts at the wall clock's current time.
 func newClock() clock { return clock{time.Now()} }
 
 // now returns the current time since the Unix epoch.
--- a/internal/sidecar/config.go
+++ b/internal/sidecar/config.go
@@ -64,7 +64,7 @@
 }
 
 // ReadConfig reads the configuration file at path, which the caller takes from EDGE_CONFIG. The environment variables
-// EDGE_NAME, EDGE_LISTEN, EDGE_DISCOVERY, EDGE_CONSOLE and EDGE_FLEET give the values that the file omits.
+// EDGE_NAME, EDGE_LISTEN, EDGE_DISCOVERY, EDGE_CONSOLE and EDGE_FLEET provide the values that the file omits.
 func ReadConfig(path string) (*Config, error) { return readConfig(path, os.Getenv) }
 
 // ReadConfigAtStart is ReadConfig, but retries errors of the system for readConfigTimeout. A file that is missing,
@@ -212,7 +212,7 @@
 	}
 }
 
-// applySettings sets the fields that come from the settings: the module's configuration, and what the sidecar itself
+// applySettings sets the fields that are derived from the settings: the module's configuration, and what the sidecar itself
 // uses.
 func (c *Config) applySettings(s *wire.Settings) error {
 	var err error
--- a/internal/sidecar/console.go
+++ b/internal/sidecar/console.go
@@ -36,7 +36,7 @@
 	confirmState func() error                                              // confirms that the right servers are disabled after damage to the state
 
 	mu      sync.Mutex
-	waiting []net.Conn // callers whose line has not arrived, in the order of their connecting
+	waiting []net.Conn // callers whose line has not arrived, in the order in which they connected
 	callers sync.WaitGroup
 }
 
@@ -79,7 +79,7 @@
 	c.waiting = append(c.waiting, conn)
 }
 
-// removeWaiting removes a caller once its line has arrived or failed to, so that it is not closed to make room.
+// removeWaiting removes a caller once its line has arrived or reading it has failed, so that it is not closed to make room.
 func (c *console) removeWaiting(conn net.Conn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/sidecar/console_test.go
+++ b/internal/sidecar/console_test.go
@@ -95,7 +95,7 @@
 	}
 }
 
-// Callers that send nothing do not keep others from an answer, and have at most maxConsoleConns connections.
+// Callers that send nothing do not delay the answers to others, and have at most maxConsoleConns connections.
 func TestSilentCallersMakeRoom(t *testing.T) {
 	side := startSidecar(t, nil, newStub(t, echo).address)
 	var silent []net.Conn
--- a/internal/sidecar/control.go
+++ b/internal/sidecar/control.go
@@ -66,7 +66,7 @@
 
 // start starts to follow the server list and the sidecar's other processes, and puts the floor's rule set in force,
 // which has to happen before the first request. It passes the number of processes to setProcessCount, and again
-// whenever it changes. saved is closed when, after ctx has ended, the state is saved.
+// whenever it changes. saved is closed once the state has been saved after the end of ctx.
 func (k *control) start(ctx context.Context, saved chan<- struct{}, setProcessCount func(n int)) error {
 	n := k.state.countProcesses()
 	setProcessCount(n)
@@ -95,7 +95,7 @@
 }
 
 const (
-	reloadTimeout       = 3 * time.Second // how long an invalid configuration is read again, as it may be in the course of being written
+	reloadTimeout       = 3 * time.Second // how long an invalid configuration is read again, as another process may still be writing it
 	reloadRetryInterval = 50 * time.Millisecond
 )
 
--- a/internal/sidecar/discovery.go
+++ b/internal/sidecar/discovery.go
@@ -25,8 +25,8 @@
 	firstWatchWait = time.Millisecond // for the first watch after a start or a failure: the module waits for an answer
 
 	// Limits of calls. A change that an unanswered call misses must be known 2 s after the end of that watch's wait, or 6 s
-	// after the call stopped answering, 4 s after a SIGHUP, or 6 s after discovery became reachable again, whatever failed
-	// before. The next call has to be answered by then, although other sidecars' calls may come first (docs/list.md).
+	// after the call stopped answering, 4 s after a SIGHUP, or 6 s after discovery became reachable again, regardless of
+	// earlier failures. The next call has to be answered by then, although other sidecars' calls may come first (docs/list.md).
 	watchAnswerTimeout  = 750 * time.Millisecond  // for the answer to a watch, after its wait
 	callTimeout         = 2500 * time.Millisecond // for the answer to any other call
 	retryCallTimeout    = 4 * time.Second         // instead of callTimeout after two unanswered calls: discovery may have a long queue
--- a/internal/sidecar/discovery_test.go
+++ b/internal/sidecar/discovery_test.go
@@ -131,8 +131,8 @@
 	}
 }
 
-// If lists are pushed, changes made while discovery was away are in force as soon as it is back, and a drain has to be obeyed within
-// a second. No delay between calls may reach that, however long discovery was away.
+// If lists are pushed, changes made during an outage of discovery are in force as soon as it is back, and a drain has to be obeyed
+// within a second. No delay between calls may reach that, regardless of the length of the outage.
 func TestRetryDelaysStayShortForPushedLists(t *testing.T) {
 	const limit, failures = time.Second, 12
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusServiceUnavailable) }))
--- a/internal/sidecar/duties.go
+++ b/internal/sidecar/duties.go
@@ -43,7 +43,7 @@
 	c := duty.Config{
 		Name: cfg.Name, Start: state.store.ProcessNumber(), Voters: cfg.Fleet.Duty.Voters, Lease: cfg.Fleet.Duty.Lease.Std(),
 		Transport: p.group, Storage: storeKeeper{state.store}, StorageDamaged: len(state.store.Damage().Findings) > 0, Candidates: d.candidates,
-		OnAcquired: func(string, uint64) {}, OnLost: func(string) {}, // the code that acts on a duty asks whether it is held
+		OnAcquired: func(string, uint64) {}, OnLost: func(string) {}, // the code that acts on a duty checks each time whether it is held
 	}
 	if cfg.Fleet.Duty.Report {
 		c.Duties = append(c.Duties, duty.Duty{Name: reportDuty})
@@ -56,7 +56,7 @@
 	return d, err
 }
 
-// storeKeeper adapts the state store to duty.Keeper.
+// storeKeeper adapts the state store to duty.Storage and rules.Storage.
 type storeKeeper struct{ *store.Store }
 
 // Get implements duty.Storage.
--- a/internal/sidecar/framing_test.go
+++ b/internal/sidecar/framing_test.go
@@ -107,7 +107,7 @@
 	}
 }
 
-// Bodies are not parsed as heads, in whatever pieces the bytes arrive.
+// Bodies are not parsed as heads, regardless of how the bytes are split among reads.
 func TestFramingFollowsBodies(t *testing.T) {
 	body := "Content-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n"
 	good := requestHead("1", fmt.Sprintf("Content-Length: %d", len(body))) + body
--- a/internal/sidecar/front_test.go
+++ b/internal/sidecar/front_test.go
@@ -257,7 +257,7 @@
 }
 
 // Connections on which no request has arrived are closed to make room, oldest first, so that the application keeps its
-// connections however many other clients connect.
+// connections even if very many other clients connect.
 func TestSilentConnectionsMakeRoom(t *testing.T) {
 	l := newBusyClients(t)
 	connect := func() (*clientConn, net.Conn) {
--- a/internal/sidecar/handover.go
+++ b/internal/sidecar/handover.go
@@ -18,9 +18,9 @@
 const (
 	soloPollInterval        = 250 * time.Millisecond // how often a process checks for a second one
 	upgradePollInterval     = 50 * time.Millisecond  // how often, during an upgrade, it checks for calls made at the other process
-	processStallMargin      = 150 * time.Millisecond // time for which the other process may stall in addition
+	processStallMargin      = 150 * time.Millisecond // added to these intervals, as the other process may stall
 	unreadableRetryInterval = time.Second            // how often it retries to read a state folder that could not be read
-	folderTimeout           = 4 * time.Second        // for the state folder to answer, as a start may take 6 s
+	folderTimeout           = 4 * time.Second        // how long the start waits for the state folder, as a start may take 6 s in all
 )
 
 // sharedState is what the processes of a sidecar share in the folder $TMPDIR: a lock file that shows which of them
@@ -29,7 +29,7 @@
 //
 // The zero value is a sharedState without a folder.
 type sharedState struct {
-	lockFile     *os.File // nil: no other process is known of
+	lockFile     *os.File // nil: other processes can't be detected
 	lockIndex    int64    // byte of lockFile that this process has locked
 	legacyPath   string   // path of the legacy file
 	store        *store.Store
@@ -42,7 +42,7 @@
 
 	enables map[string]enableSeen // enable calls in force, by instanceId
 
-	lateState <-chan *sharedState // receives the state of a folder that did not answer in time; nil: it did
+	lateState <-chan *sharedState // receives the state of a folder that did not answer in time; nil: it answered
 
 	countMu        sync.Mutex
 	otherProcesses [maxProcesses]bool // other processes that run, by byte of lockFile, as last known
@@ -84,7 +84,7 @@
 	return &sharedState{pendingSaves: make(chan struct{}, maxPendingSaves), listChanged: make(chan struct{}, 1)}
 }
 
-// openStateFolder takes a byte of the lock file in dir and opens the state store and the legacy file there.
+// openStateFolder locks a byte of the lock file in dir and opens the state store and the legacy file there.
 func openStateFolder(dir, name string, options store.Options) *sharedState {
 	h := emptySharedState()
 	base := filepath.Join(dir, "sidecar-"+url.PathEscape(name))
--- a/internal/sidecar/handover_test.go
+++ b/internal/sidecar/handover_test.go
@@ -17,8 +17,8 @@
 // exit releases the process's lock, as the kernel does when a process exits.
 func (h *sharedState) exit() { h.lockFile.Close() }
 
-// A second process is recognized by its lock, which ends with it. Files that a killed process leaves do not count as
-// one.
+// A second process is recognized by its lock, which ends with it. Files left by a killed process are not
+// mistaken for one.
 func TestProcessesAreCounted(t *testing.T) {
 	dir := t.TempDir()
 	counts := func(want int, all ...*sharedState) {
--- a/internal/sidecar/hollow.go
+++ b/internal/sidecar/hollow.go
@@ -24,8 +24,8 @@
 }
 
 // StartHollow starts a hollow sidecar from a sidecar's configuration file and a folder for its state. rate is the traffic
-// that it reports to its peers, in requests a second. It runs until Stop or Kill. An error says what in the configuration
-// is unusable.
+// that it reports to its peers, in requests a second. It runs until Stop or Kill. An unusable configuration is an
+// error.
 func StartHollow(config, shared string, rate float64) (*Hollow, error) {
 	cfg, err := readConfig(config, func(name string) string {
 		if name == "TMPDIR" {
@@ -69,7 +69,7 @@
 	h.shutDown()
 }
 
-// Stop ends the sidecar as a planned stop does: it passes its duties on and announces that it leaves.
+// Stop ends the sidecar as a planned stop does: it releases its duties and announces to its peers that it leaves.
 func (h *Hollow) Stop() {
 	left := make(chan struct{})
 	go func() {
@@ -96,7 +96,7 @@
 // SetDiscovery switches to another address of discovery, as a reload of the configuration does.
 func (h *Hollow) SetDiscovery(discovery string) { h.control.discovery.setAddress(discovery) }
 
-// ReadRules reads the file of rules again, as a reload of the configuration does.
+// ReadRules reads the rule set file again and pushes it, as a reload of the configuration does.
 func (h *Hollow) ReadRules() { h.control.ruleSets.pushFile() }
 
 // Members returns the sidecar's view of its fleet, without the list of members.
@@ -121,7 +121,7 @@
 	return s
 }
 
-// DiscoveryCounts returns how many whole lists discovery has given so far, and how many calls to it failed.
+// DiscoveryCounts returns how many whole lists discovery has returned so far, and how many calls to it failed.
 func (h *Hollow) DiscoveryCounts() (whole, failed int) {
 	d := h.control.discovery
 	d.mu.Lock()
@@ -132,7 +132,7 @@
 // Traffic returns what the control plane has sent and received so far.
 func (h *Hollow) Traffic() meter.Traffic { return h.control.meter.Traffic() }
 
-// noRequestPath implements requests for a sidecar that carries no client traffic.
+// noRequestPath is the dataPlane of a hollow sidecar. It ignores everything that the control plane passes to it.
 type noRequestPath struct {
 	clock clock
 	rate  float64 // requests a second that learnedState reports
--- a/internal/sidecar/late_test.go
+++ b/internal/sidecar/late_test.go
@@ -18,8 +18,8 @@
 	"arrowgw/internal/balance"
 )
 
-// delayDials makes connections to an address come up only when the dial is cancelled or release is closed. dialled receives
-// each dial as it starts.
+// delayDials makes dials to an address succeed only when they are cancelled or release is closed. dialled receives a value
+// as each dial starts.
 func (u *transport) delayDials(address string) (dialled chan struct{}, release chan struct{}) {
 	dialled, release = make(chan struct{}, 100), make(chan struct{})
 	dial := u.dial
@@ -290,7 +290,7 @@
 }
 
 // A client leaves while the event that reports this is queued behind others, and an attempt is about to be written: it must not
-// be sent. The kernel is asked before each write. The loop is blocked from the beginning of the attempt, so that nothing else
+// be sent. The kernel is queried before each write. The loop is blocked from the beginning of the attempt, so that nothing else
 // can report that the client has left.
 func TestClientLeavesBeforeLoopKnows(t *testing.T) {
 	departures := map[string]func(c *net.TCPConn) error{
@@ -380,8 +380,8 @@
 	}
 }
 
-// The X-Timeout header tells the server what is left after its connection has come up, even for a long body all of which may
-// have arrived long before.
+// X-Timeout is the time that is left after the connection to the server was established, even for a long body that may have
+// arrived completely long before.
 func TestTimeoutHeaderAfterSlowConnect(t *testing.T) {
 	for name, m := range map[string]*outboundRequest{"buffered": testRequest("1"), "upload": testRequest("1")} {
 		t.Run(name, func(t *testing.T) {
@@ -404,8 +404,8 @@
 	}
 }
 
-// While a dial is late others are started, up to maxParallelDials and only if there is room. The first connection to come up
-// carries the request, once; a later one goes to the pool.
+// While a dial is late others are started, up to maxParallelDials and only if there is room. The first connection that is
+// established carries the request, once; a later one goes to the pool.
 func TestLateDialsAreHedged(t *testing.T) {
 	refused := errors.New("refused")
 	for name, c := range map[string]struct {
@@ -478,7 +478,7 @@
 	}
 }
 
-// The X-Timeout header of a retry with a long body tells no more than what was left when the retry was sent.
+// The X-Timeout header of a retry with a long body is at most the time that was left when the retry was sent.
 func TestTimeoutHeaderOfRetry(t *testing.T) {
 	s := newStub(t, echo)
 	l := newTestLoop(t, s.address)
--- a/internal/sidecar/loop_test.go
+++ b/internal/sidecar/loop_test.go
@@ -26,7 +26,7 @@
 	return l
 }
 
-// runNextEvent runs the next event and reports the sends that it left undone.
+// runNextEvent runs the next event and reports to the module the sends that were not carried out.
 func (l *loop) runNextEvent(t *testing.T) {
 	t.Helper()
 	event := wait(t, "an event", l.events)
@@ -35,7 +35,7 @@
 	l.reportUnsent()
 }
 
-// addRequest enters a request that the module does not know, so that the test can decide for it.
+// addRequest enters a request that the module does not know, so that the test makes the decisions in place of the module.
 func (l *loop) addRequest(id balance.RequestID) (*request, chan answer) {
 	reply := make(chan answer, 1)
 	l.guard.Admit(id, guard.Request{RequestID: "held", Deadline: l.now + testTimeout, Effect: balance.Safe})
--- a/internal/sidecar/processlock.go
+++ b/internal/sidecar/processlock.go
@@ -12,7 +12,7 @@
 const (
 	maxLockAttempts   = 50 // attempts to lock a byte of the lock file, as the system may fail transiently
 	lockRetryInterval = 10 * time.Millisecond
-	countTimeout      = 50 * time.Millisecond // for counting the processes when this one exits
+	countTimeout      = 50 * time.Millisecond // for counting the processes, as the caller can't wait for a folder that hangs
 
 	// Bytes of the lock file: one for each process, and one for the process that writes the legacy file.
 	maxProcesses = 4
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -95,8 +95,8 @@
 }
 
 // serve runs a sidecar until ctx ends and its open requests are answered. The console listens on consoleListener; nil
-// means no console. The clients' listener is opened last, so that a client that connects is served at once, however
-// long a disk or an address has delayed the start.
+// means no console. The clients' listener is opened last, so that a client that connects is served at once, even
+// if a slow disk or an address in use has delayed the start.
 func serve(ctx context.Context, cfg *Config, open func() (clientListener, error), consoleListener net.Listener, reload <-chan os.Signal) error {
 	if consoleListener != nil {
 		defer consoleListener.Close()
--- a/internal/sidecar/state_test.go
+++ b/internal/sidecar/state_test.go
@@ -75,7 +75,7 @@
 	}
 }
 
-// Older programs use a file without a checksum. What they write is taken over, and the file that they read is still written. A
+// Older programs use a file without a checksum. What they write is imported, and the file that they read is still written. A
 // damaged file is reported if there is no other state.
 func TestStateFileOfOlderPrograms(t *testing.T) {
 	dir := t.TempDir()
--- a/internal/sidecar/stream_test.go
+++ b/internal/sidecar/stream_test.go
@@ -223,7 +223,7 @@
 	}
 }
 
-// A client's deadline counts from the last byte of its request, however long that takes to arrive.
+// A client's deadline counts from the last byte of its request, even if that arrives late.
 func TestTimeBeginsWithTheLastByte(t *testing.T) {
 	for name, size := range map[string]int{"buffered": 100, "upload": 200 << 10} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/sidecar/upstream_test.go
+++ b/internal/sidecar/upstream_test.go
@@ -154,7 +154,7 @@
 func (u *transport) blockReuse() (waits chan time.Duration, quiet chan time.Time) {
 	waits, quiet = make(chan time.Duration, 10), make(chan time.Time)
 	u.waitTimer = func(d time.Duration) <-chan time.Time { waits <- d; return quiet }
-	u.reuseDelay = u.maxIdle // so that it does not pass by itself, however long the test is held up
+	u.reuseDelay = u.maxIdle // so that it does not pass by itself, even if the test is delayed
 	return waits, quiet
 }
 
@@ -358,7 +358,7 @@
 		"a spare too old": {[]time.Duration{u.maxIdle, 0}, []int{0}, 1},
 	} {
 		u.idle, u.open = map[string][]*conn{}, len(c.ages)
-		u.reuseDelay = time.Second / 2 // long enough for a test that is held up
+		u.reuseDelay = time.Second / 2 // long enough for a test that is delayed
 		var all []*conn
 		for i, age := range c.ages {
 			a, b := net.Pipe()
@@ -467,7 +467,7 @@
 	}
 }
 
-// A machine that vanished sends nothing: the attempt ends by its time-out, and its connection is closed.
+// An attempt to a server that does not respond ends by its time-out, and its connection is closed.
 func TestUnresponsiveServer(t *testing.T) {
 	s := newStub(t, neverAnswer)
 	u := testTransport(t)
--- a/internal/sidecar/versions_test.go
+++ b/internal/sidecar/versions_test.go
@@ -157,7 +157,7 @@
 	return l
 }
 
-// The list in force is checked against what it may be, over generated histories of discovery with stale replicas, restarts of
+// The list in force is checked against the true lists, over generated histories of discovery with stale replicas, restarts of
 // the process, changes of address and restarts of discovery. Each seed yields the same history in every run.
 func TestListNeverMovesBack(t *testing.T) {
 	resets, olderAnswers, restarts := 0, 0, 0
@@ -201,7 +201,7 @@
 				starts[s.ID] = s.Started
 			}
 			named := make(map[balance.ServerID]bool)
-			for _, s := range l.servers { // every removal is obeyed, however old the answer
+			for _, s := range l.servers { // every removal is obeyed, even in an old answer
 				named[s.ID] = true
 				if s.State != balance.Ready && inForce[s.ID].State == balance.Ready {
 					t.Fatalf("seed %d: a server that discovery has draining at %d is ready", seed, l.version)
@@ -365,8 +365,8 @@
 	}
 }
 
-// What decides whether an older answer means that discovery has restarted, and how long earlier removals hold: s-0 drained at
-// version 50, which arrived at 0 s.
+// The conditions under which an older answer means that discovery has restarted, and how long earlier removals stay in force:
+// s-0 drained at version 50, which arrived at 0 s.
 func TestDiscoveryReset(t *testing.T) {
 	type answer struct {
 		at      time.Duration
@@ -438,8 +438,8 @@
 	}
 }
 
-// If the other process of an upgrade learns that a server drains, this process withholds it too until it has a list as new: a list
-// of a version in between does not bring the server back, one of that version decides.
+// If the other process of an upgrade learns that a server drains, this process withholds it too until it has a list of the same
+// version: a list of a version in between does not make the server ready again, but one of that version may.
 func TestOtherProcessWithholdsServer(t *testing.T) {
 	dir, now := t.TempDir(), newClock().now()
 	cfg := testConfig(t, listAnswer(50, "ready", "127.0.0.1:1", "127.0.0.1:2"), nil)
--- a/internal/sidecar/watch_test.go
+++ b/internal/sidecar/watch_test.go
@@ -59,14 +59,14 @@
 		afterWait    = 2 * time.Second // after the end of the wait of an unanswered watch
 		afterTimeout = 6 * time.Second // after any other call stopped being answered
 		afterReload  = 4 * time.Second // after a SIGHUP
-		afterReturn  = 6 * time.Second // after discovery became reachable again, whatever failed before
+		afterReturn  = 6 * time.Second // after discovery became reachable again, regardless of earlier failures
 	)
 	unreachable := func(what string, n int) string { return strings.Repeat(what+" ", n) + what + "!" }
 	for _, c := range []struct {
 		name, mode string
 		grace      time.Duration // in milliseconds
 		// What the connections and calls encounter, in order. The time limit counts from the one marked "!", from a watch's end of
-		// wait. "none" is an answer without changes, "hold" no answer, "hang" a connection that does not come up, "refuse" one that is
+		// wait. "none" is an answer without changes, "hold" no answer, "hang" a connection that is never established, "refuse" one that is
 		// refused, "busy" a 503, "full" a 503 after a second, "half" an answer cut off, "stuck" one that stalls, "late" one at the
 		// time-out, "cut" a closed connection; "+move", "+twice" and "+back" change discovery's address.
 		behaviours string
@@ -238,8 +238,9 @@
 }
 
 // All watches of a fleet begin together, after a change of the list, and stop being answered together. Discovery can handle only
-// a limited number of new ones at a time: each sidecar must learn of the change in time, with one call. After an outage for all, during
-// operation or from their start, each must learn of it within 6 s of discovery's return, and only few calls may be refused.
+// a limited number of new ones at a time: each sidecar must learn of the change in time, with one call. After an outage for
+// all, during operation or from their start, each must learn of it within 6 s of discovery's return, and only few calls may be
+// refused.
 func TestFleetReopensWatchesInTurn(t *testing.T) {
 	discardLogs(t)
 	const timeout, grace, continued = time.Second, 250 * time.Millisecond, 200 * time.Millisecond
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -200,7 +200,7 @@
 		},
 	}
 	if s.text("caps.retry_after") == "false" {
-		c.MaxRetryAfter = 0 // clients are not told when to retry
+		c.MaxRetryAfter = 0 // refusals carry no Retry-After
 	}
 	if s.text("telemetry.how") != "silent" {
 		c.Reports = s.Columns().fields()
@@ -214,7 +214,7 @@
 			LateShare:   s.number(p+"late_share", 0),
 			Worth:       s.number(p+"worth", 0),
 			DedupWindow: FromMillis(s.number(p+"window_ms", 0)),
-			Idempotency: balance.Unsafe, // an unknown value means the strictest effect
+			Idempotency: balance.Unsafe, // unknown values are treated as the strictest
 			Scope:       balance.ScopeCell,
 			InOrder:     s.flag(p + "fifo_by_key"),
 		}
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -272,7 +272,7 @@
 // Upstream is an address and port: the six bytes on the wire, with the first byte lowest.
 type Upstream uint64
 
-// Report is a load report: up to four values in the order that the settings give.
+// Report is a load report: up to four values in the order of the setting telemetry.columns.
 type Report struct {
 	N      int // number of valid Values
 	Values [4]float32
@@ -356,9 +356,9 @@
 	Job      uint32 // number of the request
 	Hop      uint8  // number of the attempt
 	Upstream Upstream
-	Ending   uint16        // EndServed and so on
+	Ending   uint16        // outcome code, such as EndServed
 	Took     time.Duration // from the start of the attempt
-	Settled  bool          // the request had its final answer before
+	Settled  bool          // the request already had its final answer
 	Pressure Report        // load report that came with the answer
 }
 
@@ -381,7 +381,7 @@
 	return up, ending, report, c.err(r.Code)
 }
 
-// Headers decodes which attempt's answer has begun.
+// Headers decodes the event that an answer has begun: the number of the request, and hop, the number of the attempt.
 func (r Record) Headers() (job uint32, hop uint8, err error) {
 	c := cursor{rest: r.Fields}
 	c.u32()
@@ -414,7 +414,7 @@
 	count uint32
 }
 
-// Begin discards the actions so far and starts the reply to the batch with a number.
+// Begin discards the actions so far and starts the reply to the batch with the given number.
 func (p *Reply) Begin(number uint32) {
 	p.buf = append(p.buf[:0], make([]byte, replyHeaderLen)...)
 	binary.LittleEndian.PutUint32(p.buf, number)
@@ -448,7 +448,7 @@
 	}
 }
 
-// text appends a record with a text, which is cut to the longest length that fits.
+// text appends a record with a text, which is cut to math.MaxUint16 bytes, the maximum of its length field.
 func (p *Reply) text(code uint16, inst uint32, s string) {
 	s = s[:min(len(s), math.MaxUint16)]
 	p.beginRecord(code, 6+len(s), inst)
@@ -464,7 +464,7 @@
 	p.f64(ToMillis(timeout))
 }
 
-// SetAlarm requests a Wake event with a cookie.
+// SetAlarm requests a Wake event after a delay. The event carries the cookie.
 func (p *Reply) SetAlarm(inst uint32, after time.Duration, cookie uint64) {
 	p.beginRecord(ActSetAlarm, 20, inst)
 	p.f64(ToMillis(after))
