--- a/internal/sidecar/clients_test.go
+++ b/internal/sidecar/clients_test.go
@@ -32,7 +32,7 @@
 	for _, c := range []struct {
 		name  string
 		age   time.Duration
-		spoke time.Duration // time since its last bytes; 0: it has sent nothing
+		spoke time.Duration // time since it last sent bytes; 0: it has sent nothing
 		known bool
 		state http.ConnState
 	}{
@@ -97,7 +97,7 @@
 	}
 	for ; upstreams < cfg.upstreamConnLimit(1); upstreams++ {
 		if !l.makeRoomForUpstream(upstreams) || len(l.conns)+upstreams >= cfg.totalConnLimit(1) {
-			t.Fatalf("%d clients with %d upstreams and one more to come", len(l.conns), upstreams)
+			t.Fatalf("%d clients with %d upstream connections, no room for another", len(l.conns), upstreams)
 		}
 	}
 	for _, k := range all {
@@ -458,11 +458,11 @@
 			t.Fatal("no room")
 		}
 		if asked > n+1 {
-			t.Fatalf("the kernel was asked %d times for %d connections", asked, n+1)
+			t.Fatalf("%d system calls for %d connections", asked, n+1)
 		}
 	}
 	if asked == 0 {
-		t.Error("the kernel was never asked")
+		t.Error("no system call was made")
 	}
 }
 
--- a/internal/sidecar/discovery_test.go
+++ b/internal/sidecar/discovery_test.go
@@ -150,11 +150,11 @@
 	d.run(ctx)
 	for i, by := range pauses {
 		if longest := by * 3 / 2; longest >= limit*8/10 || by <= 0 { // jitter adds up to a half, and the call itself takes time
-			t.Errorf("after %d failures the next call may be %v away", i+1, longest)
+			t.Errorf("after %d failures the delay until the next call may be %v", i+1, longest)
 		}
 	}
 	if len(pauses) != failures || slices.Max(pauses) < 2*pauses[0] {
-		t.Errorf("pauses %v: want %d that grow", pauses, failures)
+		t.Errorf("delays %v, want %d increasing ones", pauses, failures)
 	}
 }
 
--- a/internal/sidecar/front_test.go
+++ b/internal/sidecar/front_test.go
@@ -38,7 +38,7 @@
 		t.Errorf("the upstream received %s %s %q, headers %v", got.Method, got.uri, got.body, got.Header)
 	}
 	if got.Header.Get("X-Hop") != "" || res.Header.Get("X-Server-Load") != "" {
-		t.Errorf("headers of one connection went on: %v, %v", got.Header, res.Header)
+		t.Errorf("hop-by-hop headers were forwarded: %v, %v", got.Header, res.Header)
 	}
 }
 
@@ -441,7 +441,7 @@
 	wait(t, "the first request", s.requests)
 	res, _ := sendRequest(t, side.newRequest(t, "GET", "/look", ""))
 	if pause, _ := strconv.ParseFloat(res.Header.Get("Retry-After"), 64); res.StatusCode != http.StatusServiceUnavailable || pause < 0.4 || pause > 0.8 {
-		t.Errorf("%s, headers %v, want 503 and a pause of 0.4 to 0.8, the longest that clients heed", res.Status, res.Header)
+		t.Errorf("%s, headers %v, want 503 and a pause of 0.4 to 0.8, the longest that clients honour", res.Status, res.Header)
 	}
 	if len(s.requests) > 0 {
 		t.Error("an attempt was made for the second request")
--- a/internal/sidecar/handover_test.go
+++ b/internal/sidecar/handover_test.go
@@ -213,7 +213,7 @@
 		}
 	}
 	if _, err := first.Accept(); err != net.ErrClosed {
-		t.Errorf("past the queue: %v, want %v", err, net.ErrClosed)
+		t.Errorf("Accept after the waiting connections: %v, want %v", err, net.ErrClosed)
 	}
 	for i := range 10 {
 		dialTCP(t, address)
--- a/internal/sidecar/late_test.go
+++ b/internal/sidecar/late_test.go
@@ -71,7 +71,7 @@
 			u.dial = (&net.Dialer{}).DialContext
 			runAttempt(t, u, s.address, "2", testTimeout)
 			if r := wait(t, "the next request", s.requests); r.Header.Get("X-Request-ID") != "2" {
-				t.Errorf("request %s went out", r.Header.Get("X-Request-ID"))
+				t.Errorf("request %s was sent first", r.Header.Get("X-Request-ID"))
 			}
 		})
 	}
@@ -149,7 +149,7 @@
 			}
 			if name == "buffered" {
 				if n, _ := io.Copy(io.Discard, server); n >= maxBufferedBody {
-					t.Errorf("all of it was written, %d bytes", n)
+					t.Errorf("the whole body was written, %d bytes", n)
 				}
 			}
 		})
@@ -278,7 +278,7 @@
 		return f.clients.peak > 0 && len(f.clients.conns) == 0
 	})
 	if f.loop.lastID.Load() > 0 {
-		t.Error("the module had the request")
+		t.Error("the request was passed to the module")
 	}
 }
 
--- a/internal/sidecar/loop_test.go
+++ b/internal/sidecar/loop_test.go
@@ -91,7 +91,7 @@
 		t.Errorf("status %d, want 504", a.status)
 	}
 	if l.requests[7] != r {
-		t.Fatal("the request has left the table with an attempt in flight")
+		t.Fatal("the request was removed from the table with an attempt in flight")
 	}
 	l.Cancel(7, 0)
 	l.Cancel(7, 5)
--- a/internal/sidecar/peers_test.go
+++ b/internal/sidecar/peers_test.go
@@ -26,7 +26,7 @@
 	for what, c := range map[string]struct {
 		share  bool
 		change func(v *member.View)
-		told   balance.Fleet
+		last   balance.Fleet
 		want   balance.Fleet
 		ok     bool
 	}{
@@ -42,7 +42,7 @@
 		cfg := &Config{Fleet: &fleet.File{Spread: fleet.Spread{Share: c.share}}, Zones: map[string]int{"za": 0, "zb": 1}}
 		v := seen
 		c.change(&v)
-		if got, ok := (&peers{cfg: cfg}).fleetUpdate(v, c.told); ok != c.ok || !reflect.DeepEqual(got, c.want) {
+		if got, ok := (&peers{cfg: cfg}).fleetUpdate(v, c.last); ok != c.ok || !reflect.DeepEqual(got, c.want) {
 			t.Errorf("%s: %+v, %v; want %+v, %v", what, got, ok, c.want, c.ok)
 		}
 	}
--- a/internal/sidecar/state_test.go
+++ b/internal/sidecar/state_test.go
@@ -43,8 +43,8 @@
 		h.persist(ctx, func(context.Context) (balance.Learned, error) { calls <- true; return learnedBefore, nil })
 		close(done)
 	}()
-	wait(t, "the module to be asked", calls)
-	wait(t, "the module to be asked again", calls) // so that the first answer is saved
+	wait(t, "the learned state to be requested", calls)
+	wait(t, "the learned state to be requested again", calls) // so that the first answer is saved
 	stop()
 	<-done
 	h.exit()
@@ -212,7 +212,7 @@
 	}
 	d.stuck.Store(true)
 	if got := sidecar.callConsole(t, "disable-server s-9\n"); !strings.HasPrefix(got, "400 ") {
-		t.Errorf("of a server that there is not: %q", got)
+		t.Errorf("for an unknown server: %q", got)
 	}
 	if got := sidecar.callConsole(t, "disable-server s-0\n"); !strings.HasPrefix(got, "202 ") {
 		t.Errorf("not stored: %q", got)
--- a/internal/sidecar/stream_test.go
+++ b/internal/sidecar/stream_test.go
@@ -179,7 +179,7 @@
 	body := string(patternedBody(8 << 20))
 	res, _ := sendRequest(t, sidecar.newRequest(t, "POST", "/entry", body))
 	if res.StatusCode != http.StatusServiceUnavailable || reached.Load() != 1 {
-		t.Errorf("%s after %d attempts, want 503 after one: it was never written whole", res.Status, reached.Load())
+		t.Errorf("%s after %d attempts, want 503 after one, as the request was never written completely", res.Status, reached.Load())
 	}
 
 	refusing, err := net.Listen("tcp", "127.0.0.1:0")
@@ -213,7 +213,7 @@
 	r := bufio.NewReader(c)
 	res, err := http.ReadResponse(r, nil)
 	if err != nil || res.StatusCode != http.StatusServiceUnavailable || res.ContentLength != 0 || !res.Close {
-		t.Fatalf("%+v, error %v, want a whole 503 and a close", res, err)
+		t.Fatalf("%+v, error %v, want a complete 503 and a close", res, err)
 	}
 	if _, err := c.Write(body[maxBufferedBody:]); err != nil { // the client may not have received the answer yet
 		t.Fatal(err)
@@ -266,7 +266,7 @@
 		"half a body, then a byte a while": {pacedBody{clientTime: 4 * time.Second, bytesRead: 40 << 10}, -466 * time.Millisecond},
 	} {
 		if got := c.p.readDeadline(now).Sub(now); got < c.want-time.Millisecond || got > c.want+time.Millisecond {
-			t.Errorf("%s: due in %v, want %v", name, got, c.want)
+			t.Errorf("%s: the next byte is due in %v, want %v", name, got, c.want)
 		}
 	}
 }
--- a/internal/sidecar/upstream_test.go
+++ b/internal/sidecar/upstream_test.go
@@ -202,7 +202,7 @@
 			}
 			for end := time.Now().Add(testTimeout); firstConn.usable(); time.Sleep(time.Millisecond) {
 				if time.Now().After(end) {
-					t.Fatal("the second answer has not come")
+					t.Fatal("the second answer has not arrived")
 				}
 			}
 			close(quiet)
@@ -212,10 +212,10 @@
 			t.Fatal("the second request neither waits nor ends")
 		}
 		if r := wait(t, "the end of the attempt", done); r.ending != balance.Served || string(r.body) != "done 2" {
-			t.Fatalf("spare %v: ending %v, body %q, want its own answer", spare, r.ending, r.body)
+			t.Fatalf("spare connection %v: ending %v, body %q, want the answer to this request", spare, r.ending, r.body)
 		}
 		if u.dialled != 2 || u.stale != 1 || u.open != 1 {
-			t.Errorf("spare %v: dialled %d, stale %d, open %d, want 2, 1, 1", spare, u.dialled, u.stale, u.open)
+			t.Errorf("spare connection %v: dialled %d, stale %d, open %d, want 2, 1, 1", spare, u.dialled, u.stale, u.open)
 		}
 	}
 }
@@ -374,7 +374,7 @@
 			since := got.idleSince
 			u.putIdle("a", got, true)
 			if list := u.idle["a"]; got.idleSince != since || !slices.IsSortedFunc(list, func(a, b *conn) int { return cmp.Compare(a.idleSince, b.idleSince) }) {
-				t.Errorf("%s: returned unused, it is not in its old place", name)
+				t.Errorf("%s: a connection returned unused is not at its previous position in the pool", name)
 			}
 		}
 	}
@@ -514,13 +514,13 @@
 		}
 		x.cancel() // a second cancel: the connection is no longer the exchange's
 		if list := u.idle[s.address]; i == 0 && (len(list) != 1 || !list[0].usable()) {
-			t.Fatal("the connection, which nothing was written to, is not kept")
+			t.Fatal("a connection to which nothing was written was not kept")
 		}
 		u.closeIdle(s.address)
 	}
 	runAttempt(t, u, s.address, "3", testTimeout)
 	if wait(t, "1", s.requests); wait(t, "3", s.requests).Header.Get("X-Request-ID") != "3" {
-		t.Error("the cancelled request went out")
+		t.Error("the cancelled request was sent")
 	}
 }
 
--- a/internal/sidecar/versions_test.go
+++ b/internal/sidecar/versions_test.go
@@ -172,9 +172,9 @@
 		v := newServerList(cfg.Discovery)
 		inForce := make(map[balance.ServerID]balance.Server) // as the module has it
 		starts := make(map[balance.ServerID]time.Duration)
-		removed := make(map[balance.ServerID]time.Duration) // draining or gone by the newest answer of its epoch: the start time then
-		withheld := make(map[balance.ServerID]bool)         // removed by an older answer since the last one that was not older
-		var resetAt time.Duration                           // when discovery restarted, while the list does not know; 0 if it does
+		removed := make(map[balance.ServerID]time.Duration) // start times of the servers that are draining or gone in the newest answer of the epoch
+		withheld := make(map[balance.ServerID]bool)         // removed by an older answer after the last answer that was not older
+		var resetAt time.Duration                           // when discovery restarted, until the list has detected that; else 0
 		apply := func(l listing) {
 			epochBefore := v.epoch
 			changes, isOlder := v.apply(l, now)
@@ -204,12 +204,12 @@
 			for _, s := range l.servers { // every removal is obeyed, even in an old answer
 				named[s.ID] = true
 				if s.State != balance.Ready && inForce[s.ID].State == balance.Ready {
-					t.Fatalf("seed %d: a server that discovery has draining at %d is ready", seed, l.version)
+					t.Fatalf("seed %d: a server is ready that is draining or gone in version %d", seed, l.version)
 				}
 			}
 			for id, s := range inForce {
 				if l.whole && !named[id] && s.State == balance.Ready {
-					t.Fatalf("seed %d: a server that the whole list %d does not have is ready", seed, l.version)
+					t.Fatalf("seed %d: a server is ready that the whole list %d does not contain", seed, l.version)
 				}
 			}
 			if !isOlder && v.epoch == epochBefore { // the newest answer of its epoch
@@ -227,17 +227,17 @@
 					withheld[id] = true
 				}
 				if withheld[id] && inForce[id].State == balance.Ready {
-					t.Fatalf("seed %d: a server is back without a newer list that has it, by version %d", seed, l.version)
+					t.Fatalf("seed %d: a withheld server is ready again by version %d, without a newer list that contains it", seed, l.version)
 				}
 			}
-			for id, started := range removed { // undone only by time or by a later start
+			for id, started := range removed { // a removal ends only by time or by a later start of the server
 				if s := inForce[id]; s.State == balance.Ready && s.Started <= started && now < v.carriedUntil {
-					t.Fatalf("seed %d: a removed server is back by version %d", seed, l.version)
+					t.Fatalf("seed %d: a removed server is ready again by version %d", seed, l.version)
 				}
 			}
 			for id := range inForce {
 				if _, known := starts[id]; !known {
-					t.Fatalf("seed %d: a server that was never listed", seed)
+					t.Fatalf("seed %d: a server is in force that was never listed", seed)
 				}
 			}
 		}
@@ -267,7 +267,7 @@
 				for _, e := range v.effectiveListing().servers {
 					inForce[e.ID] = e
 					if withheld[e.ID] && e.State == balance.Ready {
-						t.Fatalf("seed %d: a restart brings back a server that an older answer removed", seed)
+						t.Fatalf("seed %d: after a restart a server is ready that an older answer removed", seed)
 					}
 				}
 			case n == 2: // discovery's address changes
@@ -291,7 +291,7 @@
 				resetAt = 0
 			}
 			if resetAt > 0 && now-resetAt > 2*resetMinAge+4*time.Second {
-				t.Fatalf("seed %d: discovery restarted %v ago, and that is not recognised", seed, now-resetAt)
+				t.Fatalf("seed %d: discovery restarted %v ago, which has not been detected", seed, now-resetAt)
 			}
 		}
 		for range 3 { // in the end, with true answers and enough time, the list is the true one
@@ -486,7 +486,7 @@
 				d.applyOtherProcessList(k, l)
 			}
 		} else if again := d.applyAnswer(step.ours) > 0; again != step.whole {
-			t.Errorf("version %d: the whole list is asked for: %v", step.ours.version, again)
+			t.Errorf("version %d: the next call requests the whole list: %v", step.ours.version, again)
 		}
 		if got := describeServers(d.list.effectiveListing()); got != step.want {
 			t.Errorf("after %d and %d: %s, want %s", step.theirs.version, step.ours.version, got, step.want)
