--- a/cmd/caperarch/faults_test.go
+++ b/cmd/caperarch/faults_test.go
@@ -341,7 +341,7 @@
 	c.wantAnswer("q1", http.StatusOK)
 }
 
-// pollIsInterrupted makes the poll that detects a closed client connection fail with EINTR, for a client whose leaving can be
+// pollIsInterrupted makes the poll that detects a closed client connection fail with EINTR, for a client whose disconnect can be
 // detected in no other way.
 func pollIsInterrupted(t *testing.T) {
 	clientLeavesWithUnreadBytes(t, []int{unix.SYS_POLL, unix.SYS_PPOLL}, func(sysfault.Call) sysfault.Effect { return sysfault.Effect{Errno: unix.EINTR} })
@@ -589,7 +589,7 @@
 		t.Fatal(err)
 	}
 	if body, err := io.ReadAll(res.Body); err != nil || len(body) != piece*len(pauses) {
-		t.Errorf("%d bytes of the answer came, error %v, want all %d", len(body), err, piece*len(pauses))
+		t.Errorf("%d bytes of the answer arrived, error %v, want all %d", len(body), err, piece*len(pauses))
 	}
 }
 
--- a/cmd/caperarch/stopfaults_test.go
+++ b/cmd/caperarch/stopfaults_test.go
@@ -180,7 +180,7 @@
 		t.Fatal(err)
 	}
 	if body, err := io.ReadAll(res.Body); err != nil || len(body) != piece*pieces {
-		t.Errorf("%d bytes of the answer came, error %v, want all %d", len(body), err, piece*pieces)
+		t.Errorf("%d bytes of the answer arrived, error %v, want all %d", len(body), err, piece*pieces)
 	}
 	select {
 	case <-s.exited:
--- a/internal/sidecar/console_test.go
+++ b/internal/sidecar/console_test.go
@@ -164,7 +164,7 @@
 		_, err := io.WriteString(c, "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n")
 		return err == nil
 	})
-	// With this many balancers a server is ejected for long.
+	// With this many balancers a server stays ejected for a long time.
 	side := startSidecar(t, func(_, settings map[string]any) { settings["balancers"] = 400.0 }, fine.address, bad.address)
 	unavailable := func(n string) {
 		t.Helper()
