--- a/cmd/caperarch/faults_test.go
+++ b/cmd/caperarch/faults_test.go
@@ -304,7 +304,8 @@
 	first := s.connect()
 	second := s.connect()
 	// Two connections take six calls: odd calls fail, even ones accept a connection, and the sixth finds none waiting. So the
-	// first connection is accepted by the fourth call at the latest, and the fifth fails after it. Nobody connects to the console.
+	// first connection is accepted by the fourth call at the latest, and the fifth fails after it. The test does not connect
+	// to the console.
 	eventually(t, "the sixth call of accept at a listener", func() bool {
 		mu.Lock()
 		defer mu.Unlock()
@@ -340,7 +341,7 @@
 	c.wantAnswer("q1", http.StatusOK)
 }
 
-// pollIsInterrupted makes the poll that detects a closed client connection fail with EINTR, for a client whose leaving can be
+// pollIsInterrupted makes the poll that detects a closed client connection fail with EINTR, for a client whose disconnect can be
 // detected in no other way.
 func pollIsInterrupted(t *testing.T) {
 	clientLeavesWithUnreadBytes(t, []int{unix.SYS_POLL, unix.SYS_PPOLL}, func(sysfault.Call) sysfault.Effect { return sysfault.Effect{Errno: unix.EINTR} })
@@ -373,7 +374,7 @@
 		return fails(c)
 	})
 	c := s.connect()
-	c.send(request("q1", 4*time.Second) + strings.Repeat("G", unreadBytes)) // net/http does not detect a close after that
+	c.send(request("q1", 4*time.Second) + strings.Repeat("G", unreadBytes)) // net/http does not detect a close that follows these bytes
 	s.waitForLog(`msg="(request taken)" id=q1`)
 	c.conn.Close()
 	time.Sleep(150 * time.Millisecond) // more than the time allowed to stop sending
@@ -544,8 +545,8 @@
 	stalledAnswerEnds(t, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nfirst\r\n")
 }
 
-// stalledLongAnswerEnds has a server stall in the middle of an answer of over 64 KiB. Guards against the client being held up
-// for five seconds whatever its deadline.
+// stalledLongAnswerEnds has a server stall in the middle of an answer of over 64 KiB. Guards against the client having to wait
+// for five seconds regardless of its deadline.
 func stalledLongAnswerEnds(t *testing.T, framing, before string) {
 	stalledAnswerEnds(t, "HTTP/1.1 200 OK\r\n"+framing+"\r\n\r\n"+before+strings.Repeat("x", 100000))
 }
@@ -588,7 +589,7 @@
 		t.Fatal(err)
 	}
 	if body, err := io.ReadAll(res.Body); err != nil || len(body) != piece*len(pauses) {
-		t.Errorf("%d bytes of the answer came, error %v, want all %d", len(body), err, piece*len(pauses))
+		t.Errorf("%d bytes of the answer arrived, error %v, want all %d", len(body), err, piece*len(pauses))
 	}
 }
 
--- a/cmd/caperarch/stopfaults_test.go
+++ b/cmd/caperarch/stopfaults_test.go
@@ -147,7 +147,7 @@
 	})
 	c := s.connect()
 	c.send("GET /look HT")
-	time.Sleep(400 * time.Millisecond) // the process has checked for others by then
+	time.Sleep(400 * time.Millisecond) // long enough for the process to have checked for others
 	s.signal(syscall.SIGTERM)
 	stopped := time.Now()
 	c.send(strings.TrimPrefix(request("q1", time.Second), "GET /look HT"))
@@ -180,7 +180,7 @@
 		t.Fatal(err)
 	}
 	if body, err := io.ReadAll(res.Body); err != nil || len(body) != piece*pieces {
-		t.Errorf("%d bytes of the answer came, error %v, want all %d", len(body), err, piece*pieces)
+		t.Errorf("%d bytes of the answer arrived, error %v, want all %d", len(body), err, piece*pieces)
 	}
 	select {
 	case <-s.exited:
--- a/internal/listener/listener.go
+++ b/internal/listener/listener.go
@@ -78,7 +78,7 @@
 	return &Listener{file: file, raw: raw, address: inner.Addr(), options: defaultOptions()}, nil
 }
 
-// checkRegistered returns nil if file is registered with the network poller: only then it accepts a deadline.
+// checkRegistered returns nil if file is registered with the network poller: only then does it accept a deadline.
 func checkRegistered(file *os.File) error {
 	if file.SetReadDeadline(noDeadline) != nil {
 		return ErrUnregistered
@@ -87,7 +87,7 @@
 }
 
 // Accept waits for the next connection. After Shutdown it returns the connections that Shutdown has accepted, and then
-// net.ErrClosed. Any other error comes from the system and may be transient.
+// net.ErrClosed. Any other error is one of a system call and may be transient.
 func (l *Listener) Accept() (net.Conn, error) {
 	for {
 		if c := l.nextQueued(); c != nil {
--- a/internal/sidecar/clients_test.go
+++ b/internal/sidecar/clients_test.go
@@ -25,14 +25,14 @@
 	"arrowgw/internal/listener"
 )
 
-// Connections are closed to make room in the order of how little they are needed; those with an open request are not.
+// The connections that are least likely to be needed are closed first to make room; those with an open request stay open.
 func TestShedOrder(t *testing.T) {
 	l := newClients(testConfig(t, listAnswer(1, "ready"), nil), nil, noUpstreamConns)
 	names := make(map[*clientConn]string)
 	for _, c := range []struct {
 		name  string
 		age   time.Duration
-		spoke time.Duration // time since its last bytes; 0: it has sent nothing
+		spoke time.Duration // time since it last sent bytes; 0: it has sent nothing
 		known bool
 		state http.ConnState
 	}{
@@ -97,7 +97,7 @@
 	}
 	for ; upstreams < cfg.upstreamConnLimit(1); upstreams++ {
 		if !l.makeRoomForUpstream(upstreams) || len(l.conns)+upstreams >= cfg.totalConnLimit(1) {
-			t.Fatalf("%d clients with %d upstreams and one more to come", len(l.conns), upstreams)
+			t.Fatalf("%d clients with %d upstream connections, no room for another", len(l.conns), upstreams)
 		}
 	}
 	for _, k := range all {
@@ -211,7 +211,7 @@
 }
 
 // TestMain runs the tests, or, if SIDECAR_TEST_CONFIG is set, a sidecar in this process, with its descriptors limited
-// as the configuration says.
+// to the configured number.
 func TestMain(m *testing.M) {
 	path := os.Getenv("SIDECAR_TEST_CONFIG")
 	if path == "" {
@@ -366,7 +366,7 @@
 	}
 }
 
-// A malformed pipelined request does not cost the request before it its answer. net/http detects a close by reading one
+// The request before a malformed pipelined one still gets its answer. net/http detects a close by reading one
 // byte; if that read would hit the end of the malformed head, it must return nothing, and only the next read fails.
 func TestMalformedPipelinedRequest(t *testing.T) {
 	inner, err := listen(context.Background(), "127.0.0.1:0", true)
@@ -458,11 +458,11 @@
 			t.Fatal("no room")
 		}
 		if asked > n+1 {
-			t.Fatalf("the kernel was asked %d times for %d connections", asked, n+1)
+			t.Fatalf("%d system calls for %d connections", asked, n+1)
 		}
 	}
 	if asked == 0 {
-		t.Error("the kernel was never asked")
+		t.Error("no system call was made")
 	}
 }
 
--- a/internal/sidecar/console.go
+++ b/internal/sidecar/console.go
@@ -23,8 +23,8 @@
 	maxCallDrain     = 64 << 10               // bytes read after an unusable line, so that a reset does not destroy the answer
 )
 
-// console serves operators: each connection sends one line, receives one answer and is closed. It has a listener and
-// limits of its own, so that neither client load nor callers that send nothing delay an answer.
+// console serves operators: each connection sends one line, receives one answer and is closed. It has its own
+// listener and limits, so that neither client load nor callers that send nothing delay an answer.
 type console struct {
 	ready        func() bool                                               // reports whether the sidecar serves
 	writeStats   func(io.Writer)                                           // writes the figures
@@ -36,7 +36,7 @@
 	confirmState func() error                                              // confirms that the right servers are disabled after damage to the state
 
 	mu      sync.Mutex
-	waiting []net.Conn // callers whose line has not arrived, in the order of their connecting
+	waiting []net.Conn // callers whose line has not arrived, in the order in which they connected
 	callers sync.WaitGroup
 }
 
@@ -79,7 +79,7 @@
 	c.waiting = append(c.waiting, conn)
 }
 
-// removeWaiting removes a caller once its line has arrived or failed to, so that it is not closed to make room.
+// removeWaiting removes a caller once its line has arrived or reading it has failed, so that it is not closed to make room.
 func (c *console) removeWaiting(conn net.Conn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -94,7 +94,7 @@
 // handle reads one caller's line, carries out the call and sends the answer.
 func (c *console) handle(ctx context.Context, conn net.Conn) {
 	defer conn.Close()
-	// Deadlines and writes fail only on a closed connection, which nobody reads any more.
+	// Deadlines and writes fail only on a closed connection, on which no answer can be delivered.
 	_ = conn.SetDeadline(time.Now().Add(callReadTimeout))
 	line, err := bufio.NewReaderSize(conn, maxCallLine).ReadSlice('\n')
 	c.removeWaiting(conn)
--- a/internal/sidecar/front_test.go
+++ b/internal/sidecar/front_test.go
@@ -38,7 +38,7 @@
 		t.Errorf("the upstream received %s %s %q, headers %v", got.Method, got.uri, got.body, got.Header)
 	}
 	if got.Header.Get("X-Hop") != "" || res.Header.Get("X-Server-Load") != "" {
-		t.Errorf("headers of one connection went on: %v, %v", got.Header, res.Header)
+		t.Errorf("hop-by-hop headers were forwarded: %v, %v", got.Header, res.Header)
 	}
 }
 
@@ -257,7 +257,7 @@
 }
 
 // Connections on which no request has arrived are closed to make room, oldest first, so that the application keeps its
-// connections however many other clients connect.
+// connections even if very many other clients connect.
 func TestSilentConnectionsMakeRoom(t *testing.T) {
 	l := newBusyClients(t)
 	connect := func() (*clientConn, net.Conn) {
@@ -362,7 +362,7 @@
 }
 
 // With upstreams that fail in various ways, each request has one answer, and an unsafe request runs at most once: it is
-// sent again only if the first server said that it was not processed.
+// sent again only if the first server answered that it had not processed it.
 func TestAmongFailingUpstreams(t *testing.T) {
 	var mu sync.Mutex
 	ran := make(map[string]int)
@@ -441,7 +441,7 @@
 	wait(t, "the first request", s.requests)
 	res, _ := sendRequest(t, side.newRequest(t, "GET", "/look", ""))
 	if pause, _ := strconv.ParseFloat(res.Header.Get("Retry-After"), 64); res.StatusCode != http.StatusServiceUnavailable || pause < 0.4 || pause > 0.8 {
-		t.Errorf("%s, headers %v, want 503 and a pause of 0.4 to 0.8, the longest that clients heed", res.Status, res.Header)
+		t.Errorf("%s, headers %v, want 503 and a pause of 0.4 to 0.8, the longest that clients honour", res.Status, res.Header)
 	}
 	if len(s.requests) > 0 {
 		t.Error("an attempt was made for the second request")
--- a/internal/sidecar/handover_test.go
+++ b/internal/sidecar/handover_test.go
@@ -17,8 +17,8 @@
 // exit releases the process's lock, as the kernel does when a process exits.
 func (h *sharedState) exit() { h.lockFile.Close() }
 
-// A second process is recognized by its lock, which ends with it. Files that a killed process leaves do not count as
-// one.
+// A second process is recognized by its lock, which ends with it. Files left by a killed process are not
+// mistaken for one.
 func TestProcessesAreCounted(t *testing.T) {
 	dir := t.TempDir()
 	counts := func(want int, all ...*sharedState) {
@@ -213,7 +213,7 @@
 		}
 	}
 	if _, err := first.Accept(); err != net.ErrClosed {
-		t.Errorf("past the queue: %v, want %v", err, net.ErrClosed)
+		t.Errorf("Accept after the waiting connections: %v, want %v", err, net.ErrClosed)
 	}
 	for i := range 10 {
 		dialTCP(t, address)
--- a/internal/sidecar/late_test.go
+++ b/internal/sidecar/late_test.go
@@ -18,8 +18,8 @@
 	"arrowgw/internal/balance"
 )
 
-// delayDials makes connections to an address come up only when the dial is cancelled or release is closed. dialled receives
-// each dial as it starts.
+// delayDials makes dials to an address succeed only when they are cancelled or release is closed. dialled receives a value
+// as each dial starts.
 func (u *transport) delayDials(address string) (dialled chan struct{}, release chan struct{}) {
 	dialled, release = make(chan struct{}, 100), make(chan struct{})
 	dial := u.dial
@@ -37,7 +37,7 @@
 	return dialled, release
 }
 
-// A connection that comes up after its attempt may no longer be written does not carry the request.
+// A connection that is established after the time for writing its request has passed does not carry the request.
 func TestLateConnections(t *testing.T) {
 	for name, c := range map[string]struct {
 		abandonAfter, sendWithin time.Duration
@@ -71,7 +71,7 @@
 			u.dial = (&net.Dialer{}).DialContext
 			runAttempt(t, u, s.address, "2", testTimeout)
 			if r := wait(t, "the next request", s.requests); r.Header.Get("X-Request-ID") != "2" {
-				t.Errorf("request %s went out", r.Header.Get("X-Request-ID"))
+				t.Errorf("request %s was sent first", r.Header.Get("X-Request-ID"))
 			}
 		})
 	}
@@ -149,15 +149,15 @@
 			}
 			if name == "buffered" {
 				if n, _ := io.Copy(io.Discard, server); n >= maxBufferedBody {
-					t.Errorf("all of it was written, %d bytes", n)
+					t.Errorf("the whole body was written, %d bytes", n)
 				}
 			}
 		})
 	}
 }
 
-// A request that waits for a connection to a server that begins to drain goes to another server, and the connection that comes up
-// afterwards carries nothing.
+// A request that waits for a connection to a server that begins to drain goes to another server, and the connection that is
+// established afterwards carries nothing.
 func TestDrainWhileConnecting(t *testing.T) {
 	late, other := newStub(t, echo), newStub(t, echo)
 	l := newTestLoop(t, late.address)
@@ -207,7 +207,7 @@
 }
 
 // If a client leaves while its request waits for a connection, the request is not sent, whether or not attempts may be
-// cancelled and whatever the client has sent that is still unread: a reader does not notice a close behind unread bytes.
+// cancelled, and even if bytes from the client are still unread: reading detects a close only after all bytes before it.
 func TestClientLeavesWhileConnecting(t *testing.T) {
 	body := string(patternedBody(maxBufferedBody + 4<<10))
 	short := requestHead("1", "Content-Length: 0")
@@ -278,7 +278,7 @@
 		return f.clients.peak > 0 && len(f.clients.conns) == 0
 	})
 	if f.loop.lastID.Load() > 0 {
-		t.Error("the module had the request")
+		t.Error("the request was passed to the module")
 	}
 }
 
@@ -290,7 +290,7 @@
 }
 
 // A client leaves while the event that reports this is queued behind others, and an attempt is about to be written: it must not
-// be sent. The kernel is asked before each write. The loop is blocked from the beginning of the attempt, so that nothing else
+// be sent. The kernel is queried before each write. The loop is blocked from the beginning of the attempt, so that nothing else
 // can report that the client has left.
 func TestClientLeavesBeforeLoopKnows(t *testing.T) {
 	departures := map[string]func(c *net.TCPConn) error{
@@ -380,8 +380,8 @@
 	}
 }
 
-// The X-Timeout header tells the server what is left after its connection has come up, even for a long body all of which may
-// have arrived long before.
+// X-Timeout is the time that is left after the connection to the server was established, even for a long body that may have
+// arrived completely long before.
 func TestTimeoutHeaderAfterSlowConnect(t *testing.T) {
 	for name, m := range map[string]*outboundRequest{"buffered": testRequest("1"), "upload": testRequest("1")} {
 		t.Run(name, func(t *testing.T) {
@@ -404,8 +404,8 @@
 	}
 }
 
-// While a dial is late others are started, up to maxParallelDials and only if there is room. The first connection to come up
-// carries the request, once; a later one goes to the pool.
+// While a dial is late others are started, up to maxParallelDials and only if there is room. The first connection that is
+// established carries the request, once; a later one goes to the pool.
 func TestLateDialsAreHedged(t *testing.T) {
 	refused := errors.New("refused")
 	for name, c := range map[string]struct {
@@ -478,7 +478,7 @@
 	}
 }
 
-// The X-Timeout header of a retry with a long body tells no more than what was left when the retry was sent.
+// The X-Timeout header of a retry with a long body is at most the time that was left when the retry was sent.
 func TestTimeoutHeaderOfRetry(t *testing.T) {
 	s := newStub(t, echo)
 	l := newTestLoop(t, s.address)
--- a/internal/sidecar/processlock.go
+++ b/internal/sidecar/processlock.go
@@ -12,7 +12,7 @@
 const (
 	maxLockAttempts   = 50 // attempts to lock a byte of the lock file, as the system may fail transiently
 	lockRetryInterval = 10 * time.Millisecond
-	countTimeout      = 50 * time.Millisecond // for counting the processes when this one exits
+	countTimeout      = 50 * time.Millisecond // for counting the processes, as the caller can't wait for a folder that hangs
 
 	// Bytes of the lock file: one for each process, and one for the process that writes the legacy file.
 	maxProcesses = 4
@@ -52,7 +52,7 @@
 	return fmt.Errorf("lock %s: %w", path, err)
 }
 
-// fcntl locks or unlocks (ofdSetLock) the byte at offset of a lock file, as kind says. With ofdGetLock it returns
+// fcntl sets the lock on the byte at offset of a lock file to kind (ofdSetLock). With ofdGetLock it instead returns
 // EAGAIN if another process has locked the byte.
 func fcntl(f *os.File, command int, offset int64, kind int16) error {
 	lock := syscall.Flock_t{Type: kind, Whence: io.SeekStart, Start: offset, Len: 1}
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -95,8 +95,8 @@
 }
 
 // serve runs a sidecar until ctx ends and its open requests are answered. The console listens on consoleListener; nil
-// means no console. The clients' listener is opened last, so that a client that connects is served at once, however
-// long a disk or an address has delayed the start.
+// means no console. The clients' listener is opened last, so that a client that connects is served at once, even
+// if a slow disk or an address in use has delayed the start.
 func serve(ctx context.Context, cfg *Config, open func() (clientListener, error), consoleListener net.Listener, reload <-chan os.Signal) error {
 	if consoleListener != nil {
 		defer consoleListener.Close()
@@ -182,8 +182,8 @@
 // after the delay. maxDeadline is the longest deadline of any class, and served receives the result of the HTTP
 // server's Serve.
 //
-// http.Server.Shutdown does not serve here: after it, a request on a connection that had none before is read and
-// dropped, and connections with a request count as idle.
+// http.Server.Shutdown can't be used here: after it, the first request on a connection is read and dropped, and
+// connections with a request count as idle.
 func (f *front) drain(served <-chan error, maxDeadline time.Duration, replaced bool) error {
 	began, now := time.Now(), f.clock.now()
 	end := began.Add(maxDeadline + exitMargin)
--- a/internal/sidecar/state_test.go
+++ b/internal/sidecar/state_test.go
@@ -43,8 +43,8 @@
 		h.persist(ctx, func(context.Context) (balance.Learned, error) { calls <- true; return learnedBefore, nil })
 		close(done)
 	}()
-	wait(t, "the module to be asked", calls)
-	wait(t, "the module to be asked again", calls) // so that the first answer is saved
+	wait(t, "the learned state to be requested", calls)
+	wait(t, "the learned state to be requested again", calls) // so that the first answer is saved
 	stop()
 	<-done
 	h.exit()
@@ -75,7 +75,7 @@
 	}
 }
 
-// Older programs use a file without a checksum. What they write is taken over, and the file that they read is still written. A
+// Older programs use a file without a checksum. What they write is imported, and the file that they read is still written. A
 // damaged file is reported if there is no other state.
 func TestStateFileOfOlderPrograms(t *testing.T) {
 	dir := t.TempDir()
@@ -160,7 +160,7 @@
 type stuckDisk struct {
 	store.OS
 	stuck    atomic.Bool
-	released chan struct{} // closed to let waiting syncs go on
+	released chan struct{} // closed to let waiting syncs continue
 	waiting  chan struct{} // receives a value when a sync blocks
 }
 
@@ -202,7 +202,7 @@
 func (f stuckFile) Sync() error { f.disk.sync(); return f.File.Sync() }
 
 // While a sync hangs, requests, ready and the figures are answered, and an operator call is answered as in force but not stored.
-// Once the disk goes on, the call is stored when it is repeated.
+// Once the disk works again, the call is stored when it is repeated.
 func TestStuckDiskBlocksNothing(t *testing.T) {
 	s := newStub(t, echo)
 	d := &stuckDisk{released: make(chan struct{}), waiting: make(chan struct{}, 1)}
@@ -212,7 +212,7 @@
 	}
 	d.stuck.Store(true)
 	if got := sidecar.callConsole(t, "disable-server s-9\n"); !strings.HasPrefix(got, "400 ") {
-		t.Errorf("of a server that there is not: %q", got)
+		t.Errorf("for an unknown server: %q", got)
 	}
 	if got := sidecar.callConsole(t, "disable-server s-0\n"); !strings.HasPrefix(got, "202 ") {
 		t.Errorf("not stored: %q", got)
--- a/internal/sidecar/upstream_test.go
+++ b/internal/sidecar/upstream_test.go
@@ -154,7 +154,7 @@
 func (u *transport) blockReuse() (waits chan time.Duration, quiet chan time.Time) {
 	waits, quiet = make(chan time.Duration, 10), make(chan time.Time)
 	u.waitTimer = func(d time.Duration) <-chan time.Time { waits <- d; return quiet }
-	u.reuseDelay = u.maxIdle // so that it does not pass by itself, however long the test is held up
+	u.reuseDelay = u.maxIdle // so that it does not pass by itself, even if the test is delayed
 	return waits, quiet
 }
 
@@ -172,7 +172,7 @@
 }
 
 // A second answer that arrives some milliseconds after the first, while the next request waits for that connection, is
-// detected and passed to nobody: a second 503 would make the module resend a request that is running. The next request goes
+// detected and discarded: a second 503 would make the module resend a request that is running. The next request goes
 // over the spare connection opened in the meantime, or over a new one.
 func TestSecondAnswerIsDiscarded(t *testing.T) {
 	const more = "HTTP/1.1 503 No\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n"
@@ -202,7 +202,7 @@
 			}
 			for end := time.Now().Add(testTimeout); firstConn.usable(); time.Sleep(time.Millisecond) {
 				if time.Now().After(end) {
-					t.Fatal("the second answer has not come")
+					t.Fatal("the second answer has not arrived")
 				}
 			}
 			close(quiet)
@@ -212,16 +212,16 @@
 			t.Fatal("the second request neither waits nor ends")
 		}
 		if r := wait(t, "the end of the attempt", done); r.ending != balance.Served || string(r.body) != "done 2" {
-			t.Fatalf("spare %v: ending %v, body %q, want its own answer", spare, r.ending, r.body)
+			t.Fatalf("spare connection %v: ending %v, body %q, want the answer to this request", spare, r.ending, r.body)
 		}
 		if u.dialled != 2 || u.stale != 1 || u.open != 1 {
-			t.Errorf("spare %v: dialled %d, stale %d, open %d, want 2, 1, 1", spare, u.dialled, u.stale, u.open)
+			t.Errorf("spare connection %v: dialled %d, stale %d, open %d, want 2, 1, 1", spare, u.dialled, u.stale, u.open)
 		}
 	}
 }
 
 // If no connection to a server may be reused yet, a spare one is opened for later requests while the current request waits:
-// one at a time and only if there is room. Whatever happens to the spare one, the waiting request uses its own connection.
+// one at a time and only if there is room. The waiting request uses its own connection even if the spare one fails.
 func TestSpareConnection(t *testing.T) {
 	for name, c := range map[string]struct {
 		edit    func(u *transport)
@@ -358,7 +358,7 @@
 		"a spare too old": {[]time.Duration{u.maxIdle, 0}, []int{0}, 1},
 	} {
 		u.idle, u.open = map[string][]*conn{}, len(c.ages)
-		u.reuseDelay = time.Second / 2 // long enough for a test that is held up
+		u.reuseDelay = time.Second / 2 // long enough for a test that is delayed
 		var all []*conn
 		for i, age := range c.ages {
 			a, b := net.Pipe()
@@ -374,7 +374,7 @@
 			since := got.idleSince
 			u.putIdle("a", got, true)
 			if list := u.idle["a"]; got.idleSince != since || !slices.IsSortedFunc(list, func(a, b *conn) int { return cmp.Compare(a.idleSince, b.idleSince) }) {
-				t.Errorf("%s: returned unused, it is not in its old place", name)
+				t.Errorf("%s: a connection returned unused is not at its previous position in the pool", name)
 			}
 		}
 	}
@@ -467,7 +467,7 @@
 	}
 }
 
-// A machine that vanished sends nothing: the attempt ends by its time-out, and its connection is closed.
+// An attempt to a server that does not respond ends by its time-out, and its connection is closed.
 func TestUnresponsiveServer(t *testing.T) {
 	s := newStub(t, neverAnswer)
 	u := testTransport(t)
@@ -482,7 +482,7 @@
 	}
 }
 
-// A cancelled attempt closes its connection, which tells the upstream, and ends exactly once.
+// A cancelled attempt closes its connection, by which the upstream detects the cancellation, and ends exactly once.
 func TestCancelClosesTheConnection(t *testing.T) {
 	s := newStub(t, neverAnswer)
 	u := testTransport(t)
@@ -514,13 +514,13 @@
 		}
 		x.cancel() // a second cancel: the connection is no longer the exchange's
 		if list := u.idle[s.address]; i == 0 && (len(list) != 1 || !list[0].usable()) {
-			t.Fatal("the connection, which nothing was written to, is not kept")
+			t.Fatal("a connection to which nothing was written was not kept")
 		}
 		u.closeIdle(s.address)
 	}
 	runAttempt(t, u, s.address, "3", testTimeout)
 	if wait(t, "1", s.requests); wait(t, "3", s.requests).Header.Get("X-Request-ID") != "3" {
-		t.Error("the cancelled request went out")
+		t.Error("the cancelled request was sent")
 	}
 }
 
--- a/internal/sidecar/versions_test.go
+++ b/internal/sidecar/versions_test.go
@@ -157,7 +157,7 @@
 	return l
 }
 
-// The list in force is checked against what it may be, over generated histories of discovery with stale replicas, restarts of
+// The list in force is checked against the true lists, over generated histories of discovery with stale replicas, restarts of
 // the process, changes of address and restarts of discovery. Each seed yields the same history in every run.
 func TestListNeverMovesBack(t *testing.T) {
 	resets, olderAnswers, restarts := 0, 0, 0
@@ -172,9 +172,9 @@
 		v := newServerList(cfg.Discovery)
 		inForce := make(map[balance.ServerID]balance.Server) // as the module has it
 		starts := make(map[balance.ServerID]time.Duration)
-		removed := make(map[balance.ServerID]time.Duration) // draining or gone by the newest answer of its epoch: the start time then
-		withheld := make(map[balance.ServerID]bool)         // removed by an older answer since the last one that was not older
-		var resetAt time.Duration                           // when discovery restarted, while the list does not know; 0 if it does
+		removed := make(map[balance.ServerID]time.Duration) // start times of the servers that are draining or gone in the newest answer of the epoch
+		withheld := make(map[balance.ServerID]bool)         // removed by an older answer after the last answer that was not older
+		var resetAt time.Duration                           // when discovery restarted, until the list has detected that; else 0
 		apply := func(l listing) {
 			epochBefore := v.epoch
 			changes, isOlder := v.apply(l, now)
@@ -201,15 +201,15 @@
 				starts[s.ID] = s.Started
 			}
 			named := make(map[balance.ServerID]bool)
-			for _, s := range l.servers { // every removal is obeyed, however old the answer
+			for _, s := range l.servers { // every removal is obeyed, even in an old answer
 				named[s.ID] = true
 				if s.State != balance.Ready && inForce[s.ID].State == balance.Ready {
-					t.Fatalf("seed %d: a server that discovery has draining at %d is ready", seed, l.version)
+					t.Fatalf("seed %d: a server is ready that is draining or gone in version %d", seed, l.version)
 				}
 			}
 			for id, s := range inForce {
 				if l.whole && !named[id] && s.State == balance.Ready {
-					t.Fatalf("seed %d: a server that the whole list %d does not have is ready", seed, l.version)
+					t.Fatalf("seed %d: a server is ready that the whole list %d does not contain", seed, l.version)
 				}
 			}
 			if !isOlder && v.epoch == epochBefore { // the newest answer of its epoch
@@ -227,17 +227,17 @@
 					withheld[id] = true
 				}
 				if withheld[id] && inForce[id].State == balance.Ready {
-					t.Fatalf("seed %d: a server is back without a newer list that has it, by version %d", seed, l.version)
+					t.Fatalf("seed %d: a withheld server is ready again by version %d, without a newer list that contains it", seed, l.version)
 				}
 			}
-			for id, started := range removed { // undone only by time or by a later start
+			for id, started := range removed { // a removal ends only by time or by a later start of the server
 				if s := inForce[id]; s.State == balance.Ready && s.Started <= started && now < v.carriedUntil {
-					t.Fatalf("seed %d: a removed server is back by version %d", seed, l.version)
+					t.Fatalf("seed %d: a removed server is ready again by version %d", seed, l.version)
 				}
 			}
 			for id := range inForce {
 				if _, known := starts[id]; !known {
-					t.Fatalf("seed %d: a server that was never listed", seed)
+					t.Fatalf("seed %d: a server is in force that was never listed", seed)
 				}
 			}
 		}
@@ -267,7 +267,7 @@
 				for _, e := range v.effectiveListing().servers {
 					inForce[e.ID] = e
 					if withheld[e.ID] && e.State == balance.Ready {
-						t.Fatalf("seed %d: a restart brings back a server that an older answer removed", seed)
+						t.Fatalf("seed %d: after a restart a server is ready that an older answer removed", seed)
 					}
 				}
 			case n == 2: // discovery's address changes
@@ -291,7 +291,7 @@
 				resetAt = 0
 			}
 			if resetAt > 0 && now-resetAt > 2*resetMinAge+4*time.Second {
-				t.Fatalf("seed %d: discovery restarted %v ago, and that is not recognised", seed, now-resetAt)
+				t.Fatalf("seed %d: discovery restarted %v ago, which has not been detected", seed, now-resetAt)
 			}
 		}
 		for range 3 { // in the end, with true answers and enough time, the list is the true one
@@ -326,8 +326,8 @@
 	return s
 }
 
-// Of the lists of two processes the newer one is stored, whichever process writes last. A later epoch comes before a higher
-// version.
+// Of the lists of two processes the newer one is stored, whichever process writes last. A list of a later epoch is newer
+// even if its version is lower.
 func TestNewerListIsKept(t *testing.T) {
 	dir, now := t.TempDir(), newClock().now()
 	cfg := testConfig(t, listAnswer(1, "ready", "127.0.0.1:1"), nil)
@@ -365,8 +365,8 @@
 	}
 }
 
-// What decides whether an older answer means that discovery has restarted, and how long earlier removals hold: s-0 drained at
-// version 50, which arrived at 0 s.
+// The conditions under which an older answer means that discovery has restarted, and how long earlier removals stay in force:
+// s-0 drained at version 50, which arrived at 0 s.
 func TestDiscoveryReset(t *testing.T) {
 	type answer struct {
 		at      time.Duration
@@ -438,8 +438,8 @@
 	}
 }
 
-// If the other process of an upgrade learns that a server drains, this process withholds it too until it has a list as new: a list
-// of a version in between does not bring the server back, one of that version decides.
+// If the other process of an upgrade learns that a server drains, this process withholds it too until it has a list of the same
+// version: a list of a version in between does not make the server ready again, but one of that version may.
 func TestOtherProcessWithholdsServer(t *testing.T) {
 	dir, now := t.TempDir(), newClock().now()
 	cfg := testConfig(t, listAnswer(50, "ready", "127.0.0.1:1", "127.0.0.1:2"), nil)
@@ -462,7 +462,7 @@
 		theirs listing // received by the other process, if any
 		ours   listing // received by this one
 		want   string
-		whole  bool // the whole list is asked for next
+		whole  bool // the next call requests the whole list
 	}{
 		{theirs: whole(60, "draining"), want: "s-0@127.0.0.1:1 out, s-1@127.0.0.1:2"},
 		{ours: whole(57, "ready"), want: "s-0@127.0.0.1:1 out, s-1@127.0.0.1:2"},
@@ -486,7 +486,7 @@
 				d.applyOtherProcessList(k, l)
 			}
 		} else if again := d.applyAnswer(step.ours) > 0; again != step.whole {
-			t.Errorf("version %d: the whole list is asked for: %v", step.ours.version, again)
+			t.Errorf("version %d: the next call requests the whole list: %v", step.ours.version, again)
 		}
 		if got := describeServers(d.list.effectiveListing()); got != step.want {
 			t.Errorf("after %d and %d: %s, want %s", step.theirs.version, step.ours.version, got, step.want)
@@ -497,7 +497,7 @@
 	}
 }
 
-// Of the two processes of an upgrade discovery tells only one that a server drains: both must stop using it.
+// If only one of the two processes of an upgrade learns from discovery that a server drains, both must stop using it.
 func TestBothProcessesStopUsingDrainedServer(t *testing.T) {
 	s := newStub(t, echo)
 	drainForOne := make(chan struct{}, 1)
@@ -533,7 +533,7 @@
 }
 
 // Of a list that is too long only the version and the servers that are not ready are stored: the next process starts from the
-// configuration's list without those servers, and asks for the whole list.
+// configuration's list without those servers, and requests the whole list.
 func TestLongListIsSavedShort(t *testing.T) {
 	var addresses []string
 	for i := range 3000 {
