--- a/internal/balance/balance.go
+++ b/internal/balance/balance.go
@@ -196,7 +196,7 @@
 type LearnedServer struct {
 	ID           ServerID
 	Failures     int           // recent failed attempts
-	SilentSince  time.Duration // it has not answered since this time; 0: it has
+	SilentSince  time.Duration // it has not answered since this time; 0: it is not silent
 	WarmAt       time.Duration // time at which its cold start ends
 	LatencyRatio float64       // ratio of its latency to the typical one; failures raise it too
 }
--- a/internal/duty/calls.go
+++ b/internal/duty/calls.go
@@ -19,13 +19,13 @@
 // RenewReply names the duties whose leases were renewed.
 type RenewReply struct{ Granted []string }
 
-// ReleaseArgs lists duties that their holder gives up.
+// ReleaseArgs lists duties that their holder releases.
 type ReleaseArgs struct{ Given []Holding }
 
 // MoveArgs names a duty and the process to move it to.
 type MoveArgs struct{ Duty, To string }
 
-// VoterStatus is the state of a voter as it reports it.
+// VoterStatus is the state of a voter, as service.Who reports it.
 type VoterStatus struct {
 	ID    string // its raft id, which changes when its disk was lost
 	Fresh bool   // its log is empty
@@ -56,7 +56,7 @@
 	return err
 }
 
-// Release frees duties that their holder gives up.
+// Release makes duties that their holder releases free to be reassigned.
 func (s *service) Release(args ReleaseArgs, _ *struct{}) error {
 	v, err := s.leadingVoter()
 	if err != nil {
@@ -125,7 +125,7 @@
 	return nil
 }
 
-// Taken ends a duty at its holder.
+// Taken ends this process's holding of a duty, which is being moved to another process.
 func (s *service) Taken(h Holding, _ *struct{}) error {
 	s.group.revoke(h)
 	return nil
--- a/internal/duty/disk.go
+++ b/internal/duty/disk.go
@@ -16,14 +16,14 @@
 const (
 	sectionLog         = "duty-log"      // entries of the raft log, by index
 	sectionStable      = "duty-stable"   // raft's term and vote
-	sectionSnapshot    = "duty-snapshot" // the last snapshot alone
+	sectionSnapshot    = "duty-snapshot" // only the last snapshot
 	keyLastSnapshot    = "last"
 	writeRetryInterval = 100 * time.Millisecond // between two attempts of a failed write
 )
 
 // raftStorage implements raft's log, stable and snapshot stores on a Storage. Reads are served from memory and
 // never wait for a disk. A failed write of the log, the term or the vote is repeated until it succeeds: raft
-// ends the process when such a write fails, whereas a vote that waits is only late.
+// ends the process when such a write fails, whereas a vote that waits for the write is only delayed.
 type raftStorage struct {
 	storage Storage
 
@@ -189,7 +189,7 @@
 	return strconv.ParseUint(string(raw), 10, 64)
 }
 
-// storedSnapshot is a snapshot as it is stored. Its field names are part of the stored format.
+// storedSnapshot is the stored form of a snapshot. Its field names are part of the format.
 type storedSnapshot struct {
 	Meta raft.SnapshotMeta
 	Data []byte
--- a/internal/duty/duty.go
+++ b/internal/duty/duty.go
@@ -8,8 +8,8 @@
 //     paused notices it before it acts.
 //   - The token of a holding is higher than that of every earlier holding. A process that accepts a holder's
 //     messages refuses tokens lower than the highest it has seen (Fence).
-//   - While a majority of the voters lives, the duty of a lost holder is reassigned within
-//     Lease*(1+maxClockDrift), an election and a poll interval.
+//   - While a majority of the voters is running, the duty of a lost holder is reassigned within
+//     Lease*(1+maxClockDrift) plus the time of an election and a poll interval.
 //
 // The voters, three or five processes, keep the table of holders in a replicated log; the other processes send
 // them requests. Processes are known by name. The transport between them and the storage that outlives a
@@ -109,8 +109,8 @@
 }
 
 // Entry is a version that a duty's holder has entered for the whole fleet, with the digest of its meaning.
-// Versions only increase, and a version keeps its digest for ever. The zero Entry belongs to a duty under which
-// nothing was entered.
+// Versions only increase, and the digest of a version never changes. The zero Entry is that of a duty under
+// which nothing was entered.
 type Entry struct {
 	Token   uint64 `json:"token"` // fencing token of the holder that entered it
 	Version uint64 `json:"version"`
@@ -143,9 +143,9 @@
 // ErrEntryRefused reports a final refusal: the same entry will be refused again under the same holding.
 var ErrEntryRefused = errors.New("not entered")
 
-// CommitEntry enters a version under a duty that this process holds by token. Once it returns nil the voters
-// have agreed on the entry for ever. After any error but ErrEntryRefused it is open whether it was entered: try
-// again, or call LastEntry.
+// CommitEntry enters a version under a duty that this process holds by token. Once it returns nil the entry is
+// committed to the voters' log. After any error other than ErrEntryRefused it is unknown whether it was
+// entered: try again, or call LastEntry.
 func (g *Group) CommitEntry(duty string, token, version uint64, digest string) error {
 	var reply EnterReply
 	if err := g.callLeader("Enter", EnterArgs{duty, Entry{token, version, digest}}, &reply); err != nil {
@@ -157,8 +157,8 @@
 	return nil
 }
 
-// LastEntry returns the entry under a duty as the voters have it. A holder that calls it after it was given its
-// token sees every entry that earlier holders could make.
+// LastEntry returns the last entry under a duty from the voters' log. A holder that calls it after it was given
+// its token sees every entry that earlier holders could make.
 func (g *Group) LastEntry(duty string) (e Entry, err error) {
 	err = g.callLeader("Entered", duty, &e)
 	return e, err
@@ -207,8 +207,8 @@
 	return g, nil
 }
 
-// Run takes part in the fleet's duties until ctx ends. It then gives up what this process holds, so that other
-// processes can take it over at once.
+// Run takes part in the fleet's duties until ctx ends. It then releases the duties that this process holds, so
+// that other processes can take them over at once.
 func (g *Group) Run(ctx context.Context) {
 	var work sync.WaitGroup
 	serving, stop := context.WithCancel(context.Background())
--- a/internal/duty/voter.go
+++ b/internal/duty/voter.go
@@ -19,13 +19,13 @@
 )
 
 const (
-	electionTimeout    = 600 * time.Millisecond // a voter that hears of no leader for this long, up to twice as long, starts an election
-	leaderLeaseTimeout = 400 * time.Millisecond // a leader that hears of no majority for this long steps down
+	electionTimeout    = 600 * time.Millisecond // a voter without contact to a leader starts an election after a random time from this to twice this
+	leaderLeaseTimeout = 400 * time.Millisecond // a leader without contact to a majority for this long steps down
 	applyTimeout       = 2 * time.Second        // for one change of the raft log
 	voterCheckInterval = 2 * time.Second        // the leader checks the voters each half of this time
 	shutdownTimeout    = time.Second            // raft's shutdown may wait for a disk
 	maxVoterIDBytes    = 255                    // the length of an id is one byte on the wire
-	tokenIndexBits     = 24                     // low bits of a token, for indexes of the log; the bits above have the Unix time at which the table was founded
+	tokenIndexBits     = 24                     // low bits of a token, for indexes of the log; the bits above have the Unix time at which the table was created
 )
 
 // voter is the part of a process in the replicated table. While it leads, it assigns the duties and grants
@@ -39,7 +39,7 @@
 	streams *streamLayer
 
 	mu             sync.Mutex
-	leadTerm       uint64                   // the term in which this process leads and has applied all earlier entries; 0: it does not
+	leadTerm       uint64                   // the term in which this process leads and has applied all earlier entries; 0: it does not lead
 	leasedAt       map[string]time.Duration // by duty: when a lease was last granted, or the holder chosen
 	reassigning    map[string]bool          // by duty: a new holder was submitted to the log, with the result not known yet
 	revoked        map[string]bool          // by duty: no lease is granted any more, as the duty goes to another process
@@ -152,9 +152,9 @@
 	v.streams.Close()
 }
 
-// bootstrap founds the table when there never was one. The first voter does so, once all others report that
-// their logs are empty too. If it has only lost its disk, the others have entries, and it waits until the
-// leader adds it again.
+// bootstrap creates the raft cluster if there has never been one. Only the first configured voter does so, once
+// all others report that their logs are empty too. If it has only lost its own disk, the others have entries,
+// and it waits until the leader adds it again.
 func (v *voter) bootstrap() {
 	if v.group.cfg.Voters[0] != v.group.cfg.Name || !v.voterCheckDue() {
 		return
@@ -289,7 +289,7 @@
 	return v.table.entry(duty), nil
 }
 
-// release frees duties that their holder has given up.
+// release makes duties that their holder has released free to be reassigned.
 func (v *voter) release(given []Holding) error {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -304,7 +304,7 @@
 	return nil
 }
 
-// expireLease has a duty reassigned at the next poll. mu is held.
+// expireLease makes a duty due for reassignment at the next poll. The caller holds mu.
 func (v *voter) expireLease(duty string) {
 	v.revoked[duty] = true
 	v.leasedAt[duty] = v.group.now() - v.group.reassignDelay()
@@ -555,7 +555,7 @@
 	return h
 }
 
-// holding returns the row of a duty, if it was ever assigned.
+// holding returns the row of a duty, if it has been assigned.
 func (t *table) holding(duty string) (Holding, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -581,7 +581,7 @@
 	return all
 }
 
-// tableSnapshot is the table as it is stored in a snapshot.
+// tableSnapshot is the stored form of the table in a snapshot.
 type tableSnapshot struct {
 	Base     uint64           `json:"base"`
 	Holdings []Holding        `json:"holdings"`
@@ -627,7 +627,7 @@
 }
 
 // streamLayer is the raft.StreamLayer between voters. Each stream begins with the id of the voter that it is
-// for: a process that has lost its disk has another id and must not be taken for the voter that it was.
+// for: a process that has lost its disk has a new id and must not be mistaken for the voter that it was before.
 type streamLayer struct {
 	transport Transport
 	id        raft.ServerID
--- a/internal/rules/core.go
+++ b/internal/rules/core.go
@@ -43,7 +43,7 @@
 	Store                          // store the document durably as the staged one
 	Activate                       // the version is entered: put it in force
 	ReportRefusals                 // refusals of a push, to be shown to operators
-	QueryFloor                     // answer with your floor, and with its document if the floor is above the version asked with
+	QueryFloor                     // answer with your floor, and with its document if the floor is above Message.Version
 	Fetch                          // answer with the document of this version and digest
 	Offer                          // push this document to all members
 )
@@ -66,7 +66,7 @@
 	Kind     Kind
 	Answer   Answer
 	From, To Peer
-	Token    uint64 // fencing token of the holder that asked
+	Token    uint64 // fencing token of the holder that sent the question
 	Push     uint64 // number of the push among those of that holder
 	Version  uint64
 	Digest   string
@@ -113,8 +113,8 @@
 	checked, stored, awaitingAnswer bool
 }
 
-// push is a rule set that this process, as the holder of the duty, is distributing to the members. id tells it
-// from the holder's other pushes.
+// push is a rule set that this process, as the holder of the duty, is distributing to the members. id
+// distinguishes it from the holder's other pushes.
 type push struct {
 	id      uint64
 	set     *Set
@@ -122,7 +122,7 @@
 }
 
 // pendingChange is the effect of a message, which Advance applies once its writes are durable. floor and staged
-// are nil where they do not change, answer where none is sent.
+// are nil if they do not change, and answer is nil if no answer is sent.
 type pendingChange struct {
 	question      Message
 	floor         *document
@@ -137,14 +137,14 @@
 // concurrent use.
 //
 // Every input except SetMembers and AcquireDuty may return work (Ready). The host must do that work and report
-// its result by Advance before it passes the next input. TakeOutbox returns the messages to send, Proposed the
-// version to enter among the voters.
+// its result by Advance before it passes the next input. TakeOutbox returns the messages to send, and Proposed
+// the version to enter in the voters' log.
 type Core struct {
 	self  Peer
 	parse func([]byte) (*Set, error)
 
 	floor     document // durable; its text is nil if the document was lost
-	staged    document // durable besides the floor: checked, and perhaps entered
+	staged    document // also durable: the document of a push, which has been checked and may have been entered
 	staleKeys []string // keys of stored documents that are obsolete
 
 	inForce        *Set   // nil: the settings apply
@@ -244,14 +244,14 @@
 	return "", true
 }
 
-// EndFloorWait ends the wait for the floors of peers. The highest floor known by then counts.
+// EndFloorWait ends the wait for the floors of peers. The highest floor received so far applies.
 func (c *Core) EndFloorWait() { c.awaitingFloors = false }
 
 // FloorWait reports whether a starting node still waits for the floors of peers, and how many have answered.
 func (c *Core) FloorWait() (answers int, waiting bool) { return len(c.floorAnswers), c.awaitingFloors }
 
 // FloorQuestion returns the question by which a starting node asks a peer for its floor. A node whose document
-// is lost asks with a lower version, so that the answer has the document of its own floor too.
+// is lost sends a lower version than its floor, so that the answer contains the floor's document too.
 func (c *Core) FloorQuestion(to Peer) Message {
 	m := Message{Kind: QueryFloor, From: c.self, To: to, Version: c.floor.Version}
 	if c.floor.text == nil && m.Version > 0 {
@@ -267,7 +267,7 @@
 	return out
 }
 
-// Proposed returns the version to enter among the voters, if there is one. It stays the same until
+// Proposed returns the version to enter in the voters' log, if there is one. It stays the same until
 // ProposalDecided reports the result.
 func (c *Core) Proposed() (Floor, bool) {
 	if c.proposed == nil {
@@ -276,12 +276,12 @@
 	return *c.proposed, true
 }
 
-// AcquireDuty records that this process holds the duty by token. entry is the voters' entry, read at some
-// moment after the token was given.
+// AcquireDuty records that this process holds the duty by token. entry is the last entry in the voters' log,
+// which must have been read after the token was assigned.
 func (c *Core) AcquireDuty(token uint64, entry Floor) {
 	c.token, c.lastEntry, c.proposed, c.push, c.entryText = token, entry, nil, nil, nil
 	c.activated, c.activating, c.retryActivation = make(map[Peer]bool), make(map[Peer]bool), nil
-	if c.floor.Version > entry.Version { // the voters have lost their disks, the node has not
+	if c.floor.Version > entry.Version { // the voters have lost their disks, and this node has not
 		c.proposeFloor(c.floor.Floor)
 	}
 	c.sendDue()
@@ -293,8 +293,8 @@
 // DutyToken returns the token of the duty that this process holds; 0: none.
 func (c *Core) DutyToken() uint64 { return c.token }
 
-// proposeFloor proposes f to the voters again, under this holder's token, after they have lost it. A push under
-// way is dropped.
+// proposeFloor proposes f to the voters again, under this holder's token, after they have lost it. A push in
+// progress is dropped.
 func (c *Core) proposeFloor(f Floor) {
 	f.Token = c.token
 	c.push, c.proposed = nil, &f
@@ -336,7 +336,7 @@
 	c.sendDue()
 }
 
-// PushID returns the number of the push under way; 0: there is none.
+// PushID returns the number of the push in progress; 0: there is none.
 func (c *Core) PushID() uint64 {
 	if c.push == nil {
 		return 0
@@ -366,7 +366,7 @@
 	c.failPush(all...)
 }
 
-// AnswerLost records that a question got no answer. It will be asked again.
+// AnswerLost records that a question was not answered, so that it is sent again.
 func (c *Core) AnswerLost(m Message) {
 	if c.push != nil && m.Push == c.push.id {
 		if p := c.push.members[m.To]; p != nil {
@@ -393,7 +393,7 @@
 }
 
 // sendDue sends every question that is due: an Activate to each member that has not confirmed the last entry,
-// and the next step of the push. A member is asked to store a document only after all have checked it, and the
+// and the next step of the push. Store is sent only after all members have checked the document, and the
 // version is proposed to the voters only after all have stored it.
 func (c *Core) sendDue() {
 	if c.token == 0 || c.proposed != nil {
@@ -664,7 +664,7 @@
 		return c.AdoptFloor(m.Floor, m.Text)
 	}
 	if c.token == 0 || m.Token != c.token {
-		return Ready{} // an answer to a question that this process asked under an earlier token
+		return Ready{} // an answer to a question that this process sent under an earlier token
 	}
 	if m.Floor.Version > c.lastEntry.Version && c.proposed == nil && m.Kind != Offer { // the voters have lost their disks and the entry with them
 		c.proposeFloor(m.Floor)
@@ -688,7 +688,7 @@
 	return Ready{}
 }
 
-// handlePushAnswer handles an answer to a question of the push under way.
+// handlePushAnswer handles an answer to a question of the push in progress.
 func (c *Core) handlePushAnswer(m Message) {
 	p := c.push.members[m.From]
 	if p == nil {
@@ -737,14 +737,14 @@
 	}
 }
 
-// retryLater has p sent an Activate again at the next RetryActivations.
+// retryLater schedules another Activate to p for the next RetryActivations.
 func (c *Core) retryLater(p Peer) {
 	c.activating[p] = true
 	c.retryActivation = append(c.retryActivation, p)
 }
 
-// RetryActivations sends an Activate to the members that could not take the last one. The host calls it from
-// time to time.
+// RetryActivations sends another Activate to the members that could not apply the last one. The host calls it
+// periodically.
 func (c *Core) RetryActivations() {
 	for _, p := range c.retryActivation {
 		delete(c.activating, p)
--- a/internal/rules/document.go
+++ b/internal/rules/document.go
@@ -1,10 +1,11 @@
-// Package rules distributes rule sets to all processes of a fleet. A set comes into force at all of them or at
+// Package rules distributes rule sets to all processes of a fleet. A set takes effect at all of them or at
 // none. docs/rules.md is its contract; in short:
 //
-//   - The version in force at a process never goes down, whatever the process is started with: its floor is
-//     durable before the version is in force.
-//   - A version has one meaning at all processes and for ever: the voters' log decides which.
-//   - A set is in force nowhere before each present process has read it, has found the same digest for it and
+//   - The version in force at a process never decreases, even if the process is started with an older file: its
+//     floor is durable before the version is in force.
+//   - A version has the same meaning at all processes and never changes it: its digest is fixed by the entry in
+//     the voters' log.
+//   - A set takes effect only after every present process has read it, has computed the same digest for it and
 //     has stored it.
 //
 // Core is the protocol, with no goroutine, clock or socket; Node runs it on network streams. Processes are
@@ -236,7 +237,7 @@
 // Documents of the same meaning have the same digest.
 func (set *Set) digest(s Settings, servers, zones map[string]float64) string {
 	h := sha256.New()
-	line := func(key string, values ...any) { // the length comes first, so that no two sets of values give the same text
+	line := func(key string, values ...any) { // each key is preceded by its length, so that no two sets of values give the same text
 		fmt.Fprintf(h, "%d %s", len(key), key)
 		for _, v := range values {
 			fmt.Fprintf(h, " %v", v)
@@ -270,7 +271,7 @@
 	return fmt.Sprintf("%x", h.Sum(nil)[:16])
 }
 
-// shortReason returns a reason on one line, of at most maxReasonBytes, as it is sent and shown.
+// shortReason shortens a reason for messages and the console: to one line of at most maxReasonBytes.
 func shortReason(why string) string {
 	why = strings.Join(strings.Fields(why), " ")
 	return strings.ToValidUTF8(why[:min(len(why), maxReasonBytes)], "")
--- a/internal/rules/node.go
+++ b/internal/rules/node.go
@@ -27,7 +27,7 @@
 	retryInterval      = 3 * time.Second // between two offers of the same document, and between retries of Activate
 	maxFloorQueries    = 8               // peers that a starting node asks for their floors
 	floorQueryTimeout  = 2 * time.Second // a starting node waits at most this long for the answers
-	maxConcurrentCalls = 16              // made at the same time, and as many served
+	maxConcurrentCalls = 16              // limit on the calls made at the same time, and on those served
 	storageSection     = "rules"         // the part of the storage that this package uses
 )
 
@@ -56,8 +56,8 @@
 	// LastEntry returns the last version entered. A holder of the duty sees every entry that earlier holders
 	// could make.
 	LastEntry() (Floor, error)
-	// CommitEntry enters a version. refused is a final refusal; after err it is open whether the version was
-	// entered.
+	// CommitEntry enters a version. refused is a final refusal; after err it is unknown whether the version
+	// was entered.
 	CommitEntry(f Floor) (refused, err error)
 	// AdmitToken reports whether a holder's token is no lower than any seen before. A higher token is durable
 	// before it is admitted.
@@ -155,8 +155,8 @@
 	return n.cfg.Activate(ctx, set)
 }
 
-// Push submits a document to be pushed if its version is above the floor. It is offered to the holder again and
-// again until it is in force or refused for good.
+// Push submits a document to be pushed if its version is above the floor. It is offered to the holder of the
+// duty repeatedly until it is in force or permanently refused.
 func (n *Node) Push(text []byte) {
 	n.mu.Lock()
 	n.fileText, n.fileVersion, n.fileRefusal, n.lastOffer = text, DeclaredVersion(text), "", time.Time{}
@@ -192,7 +192,7 @@
 // Status returns the state as of the last change.
 func (n *Node) Status() Status { return *n.status.Load() }
 
-// publishStatus updates what Status returns. mu is held.
+// publishStatus updates what Status returns. The caller holds mu.
 func (n *Node) publishStatus() {
 	s := &Status{Floor: n.core.floor.Floor, DigestDiffers: n.core.digestDiffers, FileVersion: n.fileVersion, FileRefusal: n.fileRefusal, DutyToken: n.core.token, Refusals: n.core.refusals}
 	s.BarredReason, s.Serves = n.core.Serves()
@@ -226,7 +226,7 @@
 	}
 }
 
-// followDuty tells the core when this process acquires or loses the duty.
+// followDuty informs the core when this process acquires or loses the duty.
 func (n *Node) followDuty() {
 	token, held := n.cfg.Voters.Holds()
 	n.mu.Lock()
@@ -304,7 +304,7 @@
 	}
 }
 
-// queryFloors asks up to maxFloorQueries peers for their floors after a start. It begins with the names that
+// queryFloors queries the floors of up to maxFloorQueries peers after a start. It begins with the names that
 // follow this process's own, so that the queries are spread over the peers when a whole fleet starts. A floor
 // that none of those peers knows arrives later from the holder.
 func (n *Node) queryFloors(members []Member) {
@@ -318,7 +318,7 @@
 		}
 	}
 	slices.SortFunc(peers, func(a, b Peer) int {
-		after := func(p Peer) int { return cmp.Compare(n.cfg.Name, p.Name) } // -1: p comes after this process
+		after := func(p Peer) int { return cmp.Compare(n.cfg.Name, p.Name) } // -1: p's name sorts after this process's
 		return cmp.Or(after(a)-after(b), cmp.Compare(a.Name, b.Name))
 	})
 	for _, p := range peers {
@@ -352,7 +352,7 @@
 	}
 }
 
-// execute does the work that the core asks for, in order, and reports the result to the core.
+// execute makes the writes and the activation that the core requests, in order, and reports the result to it.
 func (n *Node) execute(r Ready) {
 	var err error
 	for _, w := range r.Writes {
@@ -381,7 +381,7 @@
 }
 
 // deliver passes a message of another process to the core, and returns the answer if the message is a question.
-// mu is held.
+// The caller holds mu.
 func (n *Node) deliver(m Message) (answer Message, ok bool) {
 	if !n.core.Accepts(m) {
 		return answer, false
@@ -395,8 +395,7 @@
 	return n.flushOutbox()
 }
 
-// passesFence reports whether a question may be handled: it is refused if it comes from an earlier holder of
-// the duty.
+// passesFence reports whether a question may be handled. Questions of earlier holders of the duty may not.
 func (n *Node) passesFence(m Message) bool {
 	if m.Kind > ReportRefusals {
 		return true
@@ -408,8 +407,8 @@
 	return admitted && err == nil
 }
 
-// flushOutbox sends the core's messages: those to this process itself are handled at once, questions to others
-// go out by calls of their own. An answer to another process is returned.
+// flushOutbox sends the core's messages. Those to this process itself are handled at once, and each question to
+// another process is sent by a separate call. An answer to another process is returned.
 func (n *Node) flushOutbox() (answer Message, ok bool) {
 	for out := n.core.TakeOutbox(); len(out) > 0; out = append(out[1:], n.core.TakeOutbox()...) {
 		switch m := out[0]; {
@@ -434,9 +433,9 @@
 	return answer, ok
 }
 
-// send asks another process in the background and passes its answer to the core. At any time there is at most
-// one question of a push, one Activate, one floor query and one ReportRefusals per peer, so that the number of
-// calls is bounded by a small multiple of the members.
+// send sends a question to another process in the background and passes the answer to the core. At any time
+// there is at most one question of a push, one Activate, one floor query and one ReportRefusals per peer, so
+// that the number of calls is bounded by a small multiple of the members.
 func (n *Node) send(m Message) {
 	ctx := n.ctx
 	n.work.Go(func() {
@@ -496,7 +495,7 @@
 // service has the methods that other processes call by net/rpc.
 type service struct{ node *Node }
 
-// Say answers a question.
+// Say handles a question of another process and returns the answer.
 func (s *service) Say(m Message, answer *Message) error {
 	if m.Answer != Question || m.Kind > Offer || len(m.Text) > MaxDocumentBytes || len(m.Digest) > 128 {
 		return errors.New("rules: not a valid question")
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -56,7 +56,7 @@
 	fleetHalfLife     = 10 * time.Second
 	maxFleetUpdateGap = time.Second // a longer time between two calls of SetFleet counts as this much
 
-	// The fleet's traffic moves a subset only by what exceeds this number of servers, which saves connections.
+	// A subset moves with the fleet's traffic only by the part of the shift above this number of servers.
 	subsetShiftTolerance = 0.5
 
 	minSubsetCoverage  = 2.0  // subsets grow until those of all sharers cover the list this many times
@@ -137,10 +137,10 @@
 }
 
 // sizeCompartments sets the slots and queue places of each tenant. By Little's law the concurrency is rate x
-// time; it is sized for the quotas and a small share of the aim, which leaves the rest of the aim for
-// trouble. If the traffic is split at random among n balancers, the largest part is about (ln n + 0.58)/n of
-// it. Each balancer gets slots for that part and two standard deviations more, so that chance alone refuses
-// nothing.
+// time; it is sized for the quotas and a small share of the aim, which leaves the rest of the aim as a
+// margin. If the traffic is split at random among n balancers, the largest part is about (ln n + 0.58)/n of
+// it. Each balancer gets slots for that part and two standard deviations more, so that random variation
+// alone refuses no request.
 func (b *Balancer) sizeCompartments() {
 	tenants, balancers, shares := b.cfg.Compartments(), b.fleetSize, 0.0
 	b.totalQuota, b.slots = 0, 0
@@ -477,9 +477,9 @@
 			case b.dispatch(now, r):
 				c.queue = slices.Delete(c.queue, n, n+1)
 			case len(r.attempts) == 0 && r.isNextOfKey(now):
-				n = len(c.queue) // eligible for any server: those behind it can't be sent either
+				n = len(c.queue) // eligible for any server: later requests can't be sent either
 			default:
-				n++ // bound to certain servers or waiting for its key: others may go
+				n++ // bound to certain servers or waiting for its key: later requests may be sent
 			}
 		}
 	}
@@ -580,7 +580,7 @@
 // Each of them keeps to its part of the cold servers' budgets and omits probes that no request waits for.
 func (b *Balancer) SetProcessCount(n int) { b.processes = max(1, n) }
 
-// SetFleet updates the balancers that send to the same servers. Their number affects cold servers' budgets,
+// SetFleet sets which balancers send to the same servers. Their number affects cold servers' budgets,
 // compartments, the subset and ejection times. Too high a number keeps this balancer below its part; too low
 // a number overloads servers. A higher number therefore takes effect at once; a lower one slowly, only while
 // all members agree and not for members that are silent.
@@ -619,7 +619,7 @@
 
 // pickServer chooses a server by smooth weighted round robin over the subset. In virtual time, a server's
 // next turn is 1/weight after its last one, and the server with the earliest turn is chosen. Servers that are
-// at their concurrency limit or that the request has tried are passed over. It returns nil if there is none.
+// at their concurrency limit or that the request has tried are skipped. It returns nil if none is eligible.
 func (b *Balancer) pickServer(now time.Duration, r *request) *server {
 	best, skipped := b.nextInTurn(now, r, b.subset)
 	if best == nil && r.firstMayHaveRun() != nil { // a repeat is bound to its Scope, which the subset may lack
@@ -674,9 +674,9 @@
 }
 
 // computeSubset returns this balancer's subset of the ready servers. If this balancer is among the sharers,
-// it lays out the subsets of all sharers: end to end by their traffic, but near the starts that their indexes
-// give. Rounds of proportional fitting then find the turns that give all servers an even load
-// (docs/spread.md). The layout depends on announced traffic only, so that all balancers compute the same one.
+// it computes the subsets of all sharers: each begins where the one before ends by announced traffic, but not
+// far from the start that its index gives. Rounds of proportional fitting then find the turns that give all
+// servers an even load (docs/spread.md). Only announced traffic is used, so that all sharers get one result.
 func (b *Balancer) computeSubset(all []*server) []*server {
 	b.latencyRatioFloor = latencyRatioFloorAlone
 	for _, s := range b.servers {
@@ -765,7 +765,7 @@
 }
 
 // nextInTurn returns the eligible server with the earliest turn, or nil. It also reports whether a server
-// with an earlier turn was passed over because it was at its concurrency limit.
+// with an earlier turn was skipped because it was at its concurrency limit.
 func (b *Balancer) nextInTurn(now time.Duration, r *request, among []*server) (best *server, skipped bool) {
 	earliestSkipped := math.Inf(1)
 	for _, s := range among {
@@ -836,10 +836,10 @@
 	}
 }
 
-// eject stops sends to a server that fails repeatedly, longer each time. Each balancer has to find out by
-// itself that a server is lost and pays with failed requests, again at each test. Where many balancers share
-// a server, their tests alone can keep it overloaded. The time is therefore proportional to the number of
-// sharers.
+// eject stops sends to a server that fails repeatedly, for a longer time after each failure. Each balancer
+// detects a lost server by failed requests of its own, and every further attempt to find out whether it has
+// recovered costs another one. If many balancers share a server, these attempts alone can keep it overloaded.
+// The time is therefore proportional to the number of sharers.
 func (b *Balancer) eject(now time.Duration, s *server) {
 	sharers := b.fleetSize * b.subsetWeight / max(b.readyWeight, 1e-9)
 	s.ejectedUntil = now +
@@ -850,7 +850,7 @@
 func (b *Balancer) UpdateServers(now time.Duration, kind balance.ListKind, entries []balance.Server) {
 	switch {
 	case kind == balance.ListFailed:
-		// soon: changes count as received 6 s after discovery is back, even if calls fail
+		// retried soon: changes count as received 6 s after discovery recovers, even if calls fail
 		b.watchAt = now + b.backoff(firstListRetry, b.watchFailures)
 		b.watchFailures = min(b.watchFailures+1, 2)
 		return
@@ -882,7 +882,7 @@
 
 // effectiveStart returns the time at which a server's cold start began. This process's clock may
 // have been wrong by up to an hour when it was first read. A start in the future therefore counts as now, and
-// so does a newly announced start that lies well before a list that did not have it.
+// so does a newly announced start that is well before the last list, which did not contain it.
 func (b *Balancer) effectiveStart(now time.Duration, kind balance.ListKind, e balance.Server) time.Duration {
 	i, known := b.findServer(e.ID)
 	old := known && e.Started <= b.servers[i].Started
@@ -923,7 +923,7 @@
 }
 
 // Enable reverses Disable as of the time at. Operators restart servers in between, which the list announces
-// late, so the server is treated as cold. Its turn is next.
+// late, so the server is treated as cold. It has the next turn.
 func (b *Balancer) Enable(now time.Duration, id balance.ServerID, at time.Duration) {
 	if !b.disabled[id] {
 		return
@@ -940,7 +940,7 @@
 	}
 }
 
-// watchList subscribes to the server list. If no answer comes it subscribes again before AskWithin is over.
+// watchList subscribes to the server list. Without an answer it subscribes again before AskWithin is over.
 func (b *Balancer) watchList(now time.Duration) {
 	b.watchAt = now + cmp.Or(b.cfg.AskWithin*3/4, maxBackoff)
 	b.host.WatchList()
@@ -963,8 +963,8 @@
 }
 
 // queryLoad asks the server whose turn it is for a load report if its last one is too old, and reports
-// whether the request now waits for it. In a large fleet, a balancer's own attempts say little about a
-// server's load.
+// whether the request now waits for it. In a large fleet, a balancer can't estimate a server's load from its
+// own attempts.
 func (b *Balancer) queryLoad(now time.Duration, r *request) bool {
 	if !b.cfg.MayProbe || b.cfg.Reports&balance.HasInFlight == 0 || b.freshPairs < maxReportPairs-1 ||
 		r.loadQueries >= maxLoadQueries {
--- a/policy/state.go
+++ b/policy/state.go
@@ -26,7 +26,7 @@
 	othersInFlight float64       // other balancers' requests at the server by that report
 	failures       int           // recent failed attempts; a response halves the count
 	ejectedUntil   time.Duration // it is sent nothing before this time
-	silentSince    time.Duration // it has not answered since this time; 0: it has
+	silentSince    time.Duration // it has not answered since this time; 0: it is not silent
 	warmAt         time.Duration // end of its cold start, as listed or as assumed after silence
 	nextColdSend   time.Duration // while cold: earliest time of the next send
 	listedWeight   float64       // its weight in the list; Weight includes the rule set's multiple
@@ -57,7 +57,7 @@
 	class            *class
 	compartment      *compartment
 	deadline         time.Duration // when the client gives up
-	usefulUntil      time.Duration // a response after this time earns nothing
+	usefulUntil      time.Duration // a response after this time has no worth
 	aimAt            time.Duration // a response before this time earns the full worth
 	attempts         []attempt
 	attemptsInFlight int
@@ -166,7 +166,7 @@
 	rate              float64                            // moving average of requests per second
 	rateAt            time.Duration                      // time of the last update of rate
 	subsetTarget      float64                            // subset size by the rate at the last updateSubset
-	latencyRatioFloor float64                            // lower latency ratios than this bring no further turns
+	latencyRatioFloor float64                            // lower latency ratios count as this one
 	secondsPerTurn    float64                            // time in which each server of the subset has a turn
 	typicalLatency    time.Duration                      // typical latency over all classes
 	meanAim           float64                            // mean aim of the classes, in seconds
@@ -294,7 +294,7 @@
 	return slices.DeleteFunc(slices.Clone(b.servers), func(s *server) bool { return !s.inService() })
 }
 
-// countInFlight adds n to the attempts in flight of the request, its server, its compartment and the
+// countInFlight adds change to the attempts in flight of the request, its server, its compartment and the
 // Balancer: 1 when an attempt starts, -1 when it ends.
 func (b *Balancer) countInFlight(r *request, s *server, change int) {
 	r.attemptsInFlight += change
--- a/policy/stream.go
+++ b/policy/stream.go
@@ -36,7 +36,7 @@
 	return StallDetector{deadline: deadline, readStart: now}
 }
 
-// StartRead starts the wait for the next bytes and returns the time at which it has to be given up. Time
+// StartRead starts the wait for the next bytes and returns the time at which the read must time out. Time
 // between two waits, in which the client is slower than the server, is not a pause of the server.
 func (d *StallDetector) StartRead(now time.Duration) (until time.Duration) {
 	d.readStart = now
