--- a/internal/balance/balance.go
+++ b/internal/balance/balance.go
@@ -41,7 +41,7 @@
 	Idempotency Idempotency
 	Scope       Scope         // keyed classes only
 	DedupWindow time.Duration // keyed classes only: how long after the first send servers drop repeats
-	InOrder     bool          // requests of such classes with the same Request.Key run one at a time, in order of arrival
+	InOrder     bool          // requests with the same Request.Key run one at a time, in order of arrival
 }
 
 // Tenant is one customer of the service.
@@ -129,7 +129,7 @@
 	Class       int
 	Tenant      int
 	Key         uint64        // the object that the request concerns, for ordered classes; 0: none
-	TimeLeft    time.Duration // time until the client gives up
+	TimeLeft    time.Duration // time until the client's deadline
 	Work        time.Duration // expected work; 0: unknown
 	ClientRetry bool          // known to be the client's own retry of an earlier request
 	BodyPending bool          // the body is still being received; TimeLeft starts with Balancer.BodyEnded
@@ -158,7 +158,7 @@
 	Ending    Ending
 	Settled   bool // the client has its answer or has left; the request needs no further attempt
 	BodySpent bool // part of the request body is no longer held, so the request can't be sent again
-	Load      Load // the load report that came with the response, if any
+	Load      Load // the load report in the response, if any
 }
 
 // LoadFields is a set of fields of Load.
@@ -174,13 +174,13 @@
 	HasErrors
 )
 
-// Load is a server's report of its own load. The zero value means that there is no report.
+// Load is a load report of a server. The zero value means that there is none.
 type Load struct {
 	Has      LoadFields    // the fields that are set; the others are unknown
 	InFlight float64       // requests that the server holds
 	Queued   float64       // how many of these are waiting
 	Busy     float64       // share of its cores that is busy
-	Service  time.Duration // its recent typical time per request, without waiting
+	Service  time.Duration // recent typical service time of its requests, without time in queues
 	Served   float64       // requests served per second
 	Errors   float64       // errors per second
 }
@@ -208,8 +208,8 @@
 	Agreed  bool // all reachable members have the same view
 
 	// Sharers are the balancers that have announced their traffic, including this one, in the same order at all of
-	// them. A balancer that is not among them keeps to the server subset that its own traffic gives. The Balancer
-	// owns the slice after the call.
+	// them. A balancer that is not among them sizes its server subset by its own traffic only. The Balancer owns the
+	// slice after the call.
 	Sharers []Sharer
 }
 
@@ -222,7 +222,7 @@
 
 // Host carries out what the Balancer decides. Its methods must not call the Balancer.
 type Host interface {
-	// Send starts the next attempt of a request, which is given up after timeout. No byte of it may be written later
+	// Send starts the next attempt of a request, which times out after timeout. No byte of it may be written later
 	// than sendWithin from now, even if its connection takes longer; an attempt that can't comply ends as one that
 	// never ran. A sendWithin of 0 sets no limit other than timeout.
 	Send(id RequestID, to ServerID, timeout, sendWithin time.Duration)
@@ -250,7 +250,7 @@
 // Counters count what a Balancer has done since it was created.
 type Counters struct {
 	Ordinary  uint64 // first attempts that went to the server whose round-robin turn it was
-	Walled    uint64 // attempts that passed over the server whose turn it was, as it had reached its concurrency limit
+	Walled    uint64 // attempts that skipped the server whose turn it was, as it had reached its concurrency limit
 	Held      uint64 // times that a request was held back by the limit over all attempts, as servers were congested
 	NoSlot    uint64 // times that all slots of a request's tenant were in use
 	NoServer  uint64 // times that a slot was free but no server was eligible (limits, ejections, cold servers)
--- a/internal/conf/conf.go
+++ b/internal/conf/conf.go
@@ -292,14 +292,14 @@
 	}
 }
 
-// Write writes a struct as TOML, from which Read would read the same struct.
+// Write writes a struct as TOML. Read restores the same struct from it.
 func Write(w io.Writer, v any) error {
 	e := toml.NewEncoder(w)
 	e.SetIndentTables(false)
 	return e.Encode(v)
 }
 
-// Key describes a key, for the page that lists them.
+// Key describes a key, for the page that lists all keys.
 type Key struct{ Path, Kind, Default, Bounds, Help string }
 
 // Keys returns the keys of a struct, in the order of its fields.
--- a/internal/conform/process.go
+++ b/internal/conform/process.go
@@ -331,7 +331,7 @@
 	return n
 }
 
-// sendRequest sends a request on a connection of its own, and waits until the program has processed it: until it is
+// sendRequest sends a request on a new connection, and waits until the program has processed it: until it is
 // answered, has reached a server, or is counted as pending.
 func (p *processRunner) sendRequest(id string, s Step) error {
 	ctx, cancel := context.WithCancel(context.Background())
--- a/internal/conform/rows.go
+++ b/internal/conform/rows.go
@@ -50,7 +50,7 @@
 	Broken           []int            `toml:"broken"` // caperarch: answered incompletely, in a way that the client can detect
 	OnlyServers      []string         `toml:"only"`   // all attempts go to these servers
 	RetryAfter       string           `toml:"advice"` // yes: each refusal has a Retry-After; no: none has
-	DiscoveryAsked   bool             `toml:"asks"`   // discovery is asked at least once
+	DiscoveryAsked   bool             `toml:"asks"`   // discovery is called at least once
 	RetryAfterVaries bool             `toml:"apart"`  // all Retry-After values differ; on caperarch, which rounds them, they are not all equal
 	CountRanges      map[string][]int `toml:"counts"` // minimum and maximum of sent, served, refused, failed, or of attempts at a server by its id
 	StatusRange      []int            `toml:"status"` // of Raw: minimum and maximum status; a connection closed without an answer passes too
--- a/internal/conform/standin.go
+++ b/internal/conform/standin.go
@@ -61,7 +61,7 @@
 // strayDelay is the delay of the second answer after the first one with the ending "trailed".
 const strayDelay = 3 * time.Millisecond
 
-// standIn is a server that accepts every request, and answers it as and when the row says.
+// standIn is a server that accepts every request, and answers it at the time and in the way that the row specifies.
 type standIn struct {
 	id             string
 	listener       net.Listener
--- a/internal/guard/guard.go
+++ b/internal/guard/guard.go
@@ -1,7 +1,7 @@
 // Package guard checks the invariants of a request's life in one place: each admission, attempt, retry, answer and
-// close of a sidecar is reported to a Guard. The Guard permits or denies what is about to be done, and counts as a
-// violation what has been done against an invariant. It has no sockets and no clock: its callers tell it what happens
-// and when. Times are those of the caller's clock.
+// close of a sidecar is reported to a Guard. The Guard permits or denies operations before they are done, and counts a
+// violation for each operation that was done against an invariant. It has no sockets and no clock: its callers report
+// each event with its time by their own clock.
 //
 // A denial is the result of an ordinary race, such as a client that disconnects while its attempt connects. A violation
 // is a fault of this program, or the effect of a machine that stalled.
@@ -98,7 +98,7 @@
 // Guard checks the invariants for all requests of a process. Its methods are safe for concurrent use.
 type Guard struct {
 	report     func(Violation)
-	drainGrace time.Duration // how long a server may be sent to after it was listed as draining or gone; 0: for ever
+	drainGrace time.Duration // how long a server may be sent to after it was listed as draining or gone; 0: without limit
 	ready      atomic.Bool
 	violations [invariantCount]atomic.Uint64
 	denials    [invariantCount]atomic.Uint64
@@ -111,7 +111,7 @@
 }
 
 // New returns a Guard. It calls report for each violation; report must not call the Guard. drainGrace is how long a
-// server may still be sent to after it was listed as draining or gone; 0 means for ever.
+// server may still be sent to after it was listed as draining or gone; 0 means without limit.
 func New(report func(Violation), drainGrace time.Duration) *Guard {
 	return &Guard{report: report, drainGrace: drainGrace, requests: make(map[balance.RequestID]*requestState), notReady: make(map[string]notReadyServer)}
 }
@@ -287,7 +287,7 @@
 	case s == nil || s.answered:
 		g.reportViolation(AnsweredOnce, requestIDOf(s), "a second final answer, or one to an unknown request")
 		return g.deny(AnsweredOnce)
-	case s.handlerEnded: // the handler has returned as the client left, and the caller does not know yet
+	case s.handlerEnded: // the handler has returned because the client left, which the caller does not know yet
 		s.noAnswerDue = true
 		g.forgetIfEnded(id, s)
 		return g.deny(ClosedAfter)
--- a/internal/lab/history.go
+++ b/internal/lab/history.go
@@ -14,8 +14,8 @@
 	"arrowgw/internal/world"
 )
 
-// History records everything that happened in a run, as the stand-ins for clients, servers and discovery saw it.
-// Its methods are safe for concurrent use. Invariants are judged and figures computed once the run is over.
+// History records the events of a run, as the stand-ins for clients, servers and discovery observed them. Its methods
+// are safe for concurrent use. Invariants are judged and figures computed once the run is over.
 type History struct {
 	mu              sync.Mutex
 	tries           []*Try
@@ -108,7 +108,7 @@
 	Steps   []Step        // what the server did with it, in order; at most maxSteps
 }
 
-// Step is something that a server did with a request, or that happened to the request's connection there.
+// Step is an action of a server on a request, or an event on the request's connection there.
 type Step struct {
 	At   time.Duration
 	What string
@@ -172,7 +172,7 @@
 	t.Fresh = fresh
 }
 
-// recordSent records that a try's last byte is being written. Its client waits for an answer from now on, as long as patience.
+// recordSent records that a try's last byte is being written. Its client waits for an answer for the time patience from now.
 func (h *History) recordSent(t *Try, now, patience time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -229,7 +229,7 @@
 	return os.WriteFile(path, text.Bytes(), 0o644)
 }
 
-// describeServerSide describes what all servers did with a try, for findings. The caller holds the lock.
+// describeServerSide describes the try's arrivals at servers and their steps, for findings. The caller holds the lock.
 func (t *Try) describeServerSide() string {
 	var text strings.Builder
 	for _, r := range t.Reached {
--- a/internal/lab/hold.go
+++ b/internal/lab/hold.go
@@ -58,7 +58,7 @@
 	all map[int]*sidecar.Hollow
 }
 
-// HollowSpec says how to start a hollow sidecar.
+// HollowSpec describes how to start a hollow sidecar.
 type HollowSpec struct {
 	Number         int
 	Config, Shared string  // paths of its configuration file and of the folder for its state
@@ -93,7 +93,7 @@
 // EndRequest is the argument of workerService.End.
 type EndRequest struct {
 	Number int
-	Word   bool // end gracefully and announce the leave; otherwise abruptly
+	Word   bool // whether it leaves the fleet gracefully; otherwise it ends abruptly
 }
 
 // End ends a hollow sidecar.
--- a/internal/lab/judge.go
+++ b/internal/lab/judge.go
@@ -93,7 +93,7 @@
 	}
 }
 
-// brokenByServer reports whether a try's answer had begun and was cut short because its server's answer was.
+// brokenByServer reports whether part of a try's answer arrived and the rest is missing because its server did not send it.
 func brokenByServer(t *Try) bool {
 	return t.Partial && slices.ContainsFunc(t.Reached, func(r Reached) bool { return r.Spoilt || r.Verdict == world.Down })
 }
@@ -104,8 +104,8 @@
 	return slices.ContainsFunc(spans, func(s sidecarSpan) bool { return s.sidecar == sidecar && s.from <= to && s.to >= from })
 }
 
-// endedByKill reports whether a try's sidecar was killed while the try was open, so that its loss is due to the kill. In a
-// late kill that holds only for a try that was sent in full by lateKill.coveredUntil.
+// endedByKill reports whether a try's sidecar was killed while the try was open, so that its loss is due to the kill. A
+// late kill counts only for a try that was sent in full by lateKill.coveredUntil.
 func endedByKill(h *History, t *Try) bool {
 	return overlapsSpan(h.kills, t.Sidecar, t.Sent, t.Ended) || slices.ContainsFunc(h.lateKills, func(k lateKill) bool {
 		return max(t.Sent, t.Whole) <= k.coveredUntil && overlapsSpan([]sidecarSpan{k.sidecarSpan}, t.Sidecar, t.Sent, t.Ended)
@@ -149,8 +149,8 @@
 	}
 }
 
-// checkHonest finds answers that no server made for their request, and refusals of requests that may have been executed
-// and whose repetition is not harmless.
+// checkHonest finds answers that no server gave to their request, and refusals of requests that may have been executed
+// and must not be repeated.
 func checkHonest(h *History, s *Scenario, report func(string, ...any)) {
 	classes := s.classes()
 	for _, t := range h.tries {
--- a/internal/lab/report.go
+++ b/internal/lab/report.go
@@ -18,7 +18,7 @@
 const (
 	plotWidth  = 24 * vg.Centimeter
 	plotHeight = 8 * vg.Centimeter
-	maxCurves  = 40 // in one plot; more could not be told apart
+	maxCurves  = 40 // in one plot; more would be indistinguishable
 )
 
 // curve is one line of a plot, with a value for each second.
@@ -109,7 +109,7 @@
 	return out.Bytes(), err
 }
 
-// drawPlot draws curves over time as SVG, with a line where each fault began and a lighter one where it was mended.
+// drawPlot draws curves over time as SVG, with a vertical line where each fault began and a lighter one where it ended.
 func drawPlot(unit string, curves []curve, marks []PlayedFault, length time.Duration) ([]byte, error) {
 	p := plot.New()
 	p.X.Label.Text, p.Y.Label.Text = "seconds", unit
--- a/internal/lab/result.go
+++ b/internal/lab/result.go
@@ -223,7 +223,7 @@
 	return n
 }
 
-// recoveryTime returns the seconds from the moment at which the last fault was mended (or began, if it is permanent) until
+// recoveryTime returns the seconds from the moment at which the last fault ended (or began, if it is permanent) until
 // the share of requests answered in time was back at recoveredShare of its value before the first fault for two consecutive
 // seconds. It is the rest of the run if that never happened. ok is false for a run without faults.
 func (r *run) recoveryTime() (seconds float64, ok bool) {
@@ -247,10 +247,10 @@
 	returnTime     = 10 * time.Second // after the last fault, from which on the fleet has to stay recovered
 )
 
-// addReturnFigures adds how a fleet does from returnTime after its last fault to the end of the run: its share of requests
-// answered in time, that share in the baselineSpan before the first fault, whether the fleet has returned to it, the share
-// of refused requests, the clients' tries, and the share of the servers that overload keeps slow. It adds nothing for runs
-// that end earlier.
+// addReturnFigures adds figures of the time from returnTime after the last fault to the end of the run: the share of
+// requests answered in time, that share in the baselineSpan before the first fault, whether the fleet has returned to it,
+// the share of refused requests, the tries per client request, and the share of servers that are slow from overload. It
+// adds nothing for runs that end earlier.
 func (r *run) addReturnFigures(f map[string]float64) {
 	first, last, ok := r.faultWindow()
 	from, end := last+returnTime, int(r.scenario.For.Std()/time.Second)
@@ -282,8 +282,8 @@
 	f["after_tipped"] = tipped / float64(end-second) / float64(r.scenario.Fleet.Servers)
 }
 
-// faultWindow returns when the first fault began and when the last one was mended, or began if it is permanent. ok is false
-// for a run without faults.
+// faultWindow returns when the first fault began and when the last one ended, or began if it is permanent. ok is false for a
+// run without faults.
 func (r *run) faultWindow() (first, last time.Duration, ok bool) {
 	for i, m := range r.faults.played {
 		if i == 0 {
--- a/internal/lab/roster.go
+++ b/internal/lab/roster.go
@@ -23,8 +23,8 @@
 // maxWatch is the longest time for which discovery holds a watch open.
 const maxWatch = time.Minute
 
-// roster is the stand-in for discovery. It holds one server list, answers one call after the other (world.Desk), and words
-// each answer for the sidecar that asks, because every sidecar reaches the servers at addresses of its own.
+// roster is the stand-in for discovery. It holds one server list and answers one call after the other (world.FIFOService).
+// Each answer has the addresses at which the calling sidecar reaches the servers, as these differ between sidecars.
 type roster struct {
 	clock          clock
 	history        *History
@@ -40,10 +40,10 @@
 	changed         chan struct{}     // closed and replaced at each change of the list or of availability
 	watchesSilenced chan struct{}     // closed and replaced by silenceWatches
 	unavailable     bool              // calls fail
-	stale           *world.ServerList // answered from in place of list, unless nil
+	stale           *world.ServerList // if not nil, calls are answered from this list instead
 	knownOut        [][]bool          // by sidecar and server: whether the sidecar was informed that the server is out of service
 	calls           int               // calls received
-	lines           int               // list entries sent or ready to be sent
+	lines           int               // list entries in all answers, including those of calls that failed
 	failed          int               // calls that failed, because discovery was busy or unavailable
 
 	httpServers []*http.Server     // one for each address so far; the last is the current one
@@ -145,7 +145,7 @@
 	r.changed = make(chan struct{})
 }
 
-// setStale has discovery answer from a copy of the present list, whatever changes, or from the live list again.
+// setStale makes discovery answer from a copy of the present list, without later changes, or from the live list again.
 func (r *roster) setStale(on bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -155,7 +155,7 @@
 	}
 }
 
-// silenceWatches has all open watches never answer. New ones are served.
+// silenceWatches leaves all open watches without an answer. New ones are answered.
 func (r *roster) silenceWatches() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -163,7 +163,7 @@
 	r.watchesSilenced = make(chan struct{})
 }
 
-// setExtraDelay makes each call take longer than the scenario says.
+// setExtraDelay adds a delay to the time per call that the scenario sets; 0 removes it.
 func (r *roster) setExtraDelay(by time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -283,7 +283,8 @@
 	r.recordKnown(sidecar, out)
 }
 
-// recordKnown records in the history which servers changed, from the point of view of a sidecar. The caller holds the lock.
+// recordKnown records in the history which servers went out of or back into service as far as a sidecar was informed. The
+// caller holds the lock.
 func (r *roster) recordKnown(sidecar int, out map[int]bool) {
 	for server, isOut := range out {
 		if r.knownOut[sidecar][server] != isOut {
--- a/internal/lab/spread.go
+++ b/internal/lab/spread.go
@@ -34,7 +34,7 @@
 }
 
 // eligibleTimes returns for each server, replacements included, when it is ready and warm, from zero on. A fault that acts on
-// a server excludes the time until the server is mended and warm again and discovery's list shows it.
+// a server excludes the time until the fault has ended, the server is warm again and discovery's list shows it.
 func (r *run) eligibleTimes(plan []PlannedFault) []eligibleSpans {
 	s := r.scenario
 	all := make([]eligibleSpans, s.Fleet.Servers+s.replacementServers())
--- a/internal/lab/views.go
+++ b/internal/lab/views.go
@@ -118,8 +118,8 @@
 	}
 }
 
-// queryDuties asks one console for the duties that its process holds, and returns the token of each. It waits for
-// pausedConsoleTimeout.
+// queryDuties asks one console for the duties that its process holds, and returns the token of each. It waits up to
+// pausedConsoleTimeout, because a paused process may still answer when it resumes.
 func queryDuties(console string) (map[string]uint64, error) {
 	c, err := net.DialTimeout("tcp", console, consoleTimeout)
 	if err != nil {
@@ -152,7 +152,7 @@
 }
 
 // checkSingleHolder finds sidecars that held a duty by a token after another sidecar had held it by a higher one, and tokens
-// that two sidecars held. Only a report that was complete before the other was asked for counts as earlier.
+// that two sidecars held. A report counts as earlier than another only if it was received before the other was requested.
 func checkSingleHolder(h *History, _ *Scenario, report func(string, ...any)) {
 	for _, duty := range observedDuties(h) {
 		var all []observedToken
@@ -321,7 +321,7 @@
 }
 
 // hadLinkOutage reports whether any link was cut or rate-limited at some time between two moments. Faults that affect only
-// single packets, and those that streams overcome, are not outages.
+// single packets are not outages, and neither are those that TCP streams recover from.
 func (h *History) hadLinkOutage(from, to time.Duration) bool {
 	return slices.ContainsFunc(h.linkOutages, func(s sidecarSpan) bool { return s.from <= to && s.to >= from })
 }
--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -97,7 +97,7 @@
 	maxRejoinInterval     = 4 * time.Second // largest interval between attempts to reach any member
 )
 
-// Config identifies this process and tells it how to find its peers.
+// Config identifies this process and configures its membership.
 type Config struct {
 	Name    string // unique in the fleet
 	Start   uint64 // identifies the process among those of the same name; a later process has a higher number
--- a/internal/store/format.go
+++ b/internal/store/format.go
@@ -209,9 +209,9 @@
 	entry
 }
 
-// decodeFile reads a file and reports damage in the result. An incomplete record behind the committed length is
-// no damage: its write was under way when the process ended. The error is errNewerFormat for a file of a newer
-// format; a wrong name is an error too.
+// decodeFile decodes a file and reports damage in the result. An incomplete record after the committed length
+// is not damage: its write was in progress when the process ended. The error is errNewerFormat for a file of a
+// newer format; a wrong name is an error too.
 func decodeFile(name string, raw []byte) (c fileContent, err error) {
 	named, ok := parseFileRef(name)
 	if !ok {
--- a/internal/store/fs.go
+++ b/internal/store/fs.go
@@ -21,7 +21,7 @@
 	Open(path string) (File, error)
 	// SameFile reports whether path still names f.
 	SameFile(path string, f File) bool
-	// ChangeStamp returns a text that changes whenever the file does; empty: it does not exist.
+	// ChangeStamp returns a text that changes whenever the file changes. It is empty if the file does not exist.
 	ChangeStamp(path string) string
 	Rename(from, to string) error
 	Remove(path string) error
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -69,7 +69,7 @@
 	fs         FS
 	dir        string
 	maxBytes   int
-	wasEmpty   bool // the folder had no state when it was opened
+	wasEmpty   bool // the folder contained no state when it was opened
 	now        func() time.Time
 	soleWriter func() bool
 
@@ -93,9 +93,9 @@
 	stamps         map[string]string // by name: ChangeStamp of other processes' files when they were last read
 }
 
-// Open opens the store in a folder, which it creates if needed, and starts a file of its own there. If it
-// returns an error the store is usable all the same: it has what was found, and Put tries again to start a
-// file.
+// Open opens the store in a folder, which it creates if needed, and starts a new file for this process there.
+// If it returns an error, the store is usable nevertheless: it has the values that could be read, and Put tries
+// again to start a file.
 func Open(o Options) (*Store, error) {
 	s := &Store{fs: o.FS, dir: o.Dir, maxBytes: o.MaxBytes, now: o.Now, soleWriter: o.SoleWriter, entries: make(map[entryID]entry), stamps: make(map[string]string)}
 	if s.fs == nil {
@@ -199,7 +199,7 @@
 }
 
 const (
-	readRetryTimeout  = time.Second // reads may fail for a moment, and ignoring a file would lose its values: they are repeated for this long
+	readRetryTimeout  = time.Second // failed reads are retried for this long: after a transient error, ignoring the file would lose its values
 	readRetryInterval = 10 * time.Millisecond
 )
 
@@ -301,7 +301,8 @@
 	return nil
 }
 
-// writeFile creates a file that exists either as a whole or not at all, whenever the power fails.
+// writeFile creates a file atomically: whenever power is lost, the file exists with its whole content or not at
+// all.
 func (s *Store) writeFile(path string, raw []byte) (File, error) {
 	f, err := s.fs.Create(path + ".tmp")
 	if err != nil {
@@ -330,7 +331,7 @@
 	return f, nil
 }
 
-// removeObsolete removes the files that the current one replaces: this process's own but for the previous one
+// removeObsolete removes the files that the current one replaces: this process's own except the previous one
 // and, while this process is the only writer, those of ended processes, of which it keeps the newest if there
 // is no previous file.
 func (s *Store) removeObsolete() {
@@ -373,7 +374,7 @@
 	}
 }
 
-// markSuperseded records in the file of an ended process that the current file came after it.
+// markSuperseded records in the file of an ended process that the current file succeeds it.
 func (s *Store) markSuperseded(r fileRef) {
 	path := filepath.Join(s.dir, r.fileName())
 	raw, err := s.fs.Read(path, maxReadBytes)
@@ -396,8 +397,8 @@
 	}
 }
 
-// Put stores a value. It is durable once Put has returned nil; after an error it is valid in this process
-// alone.
+// Put stores a value. The value is durable once Put has returned nil; after an error it is valid in this
+// process, and a later one may find it or not.
 func (s *Store) Put(section, key string, value []byte) error {
 	return s.update(entryID{section, key}, value, false, true)
 }
@@ -407,8 +408,8 @@
 	return s.update(entryID{section, key}, nil, true, true)
 }
 
-// PutUnsynced stores a value that a loss of power may undo until Sync. Storing the present value again writes
-// nothing.
+// PutUnsynced stores a value that a loss of power before the next Sync may undo. Storing the present value
+// again writes nothing.
 func (s *Store) PutUnsynced(section, key string, value []byte) error {
 	s.mu.RLock()
 	old, ok := s.entries[entryID{section, key}]
@@ -519,15 +520,15 @@
 	return all
 }
 
-// ProcessNumber returns the number of this process. It is higher than those of all earlier processes, as long
-// as either the folder or the clock shows them.
+// ProcessNumber returns the number of this process. It is higher than those of all earlier processes, provided
+// that their files are still in the folder or the clock was not set back.
 func (s *Store) ProcessNumber() uint64 {
 	s.ioMu.Lock()
 	defer s.ioMu.Unlock()
 	return s.current.process
 }
 
-// WasEmpty reports whether the folder had no state when the store was opened.
+// WasEmpty reports whether the folder contained no state when the store was opened.
 func (s *Store) WasEmpty() bool { return s.wasEmpty }
 
 // CommittedSize returns the size in bytes of the current file at its last commit.
