--- a/internal/conform/conform_test.go
+++ b/internal/conform/conform_test.go
@@ -60,7 +60,7 @@
 			failures, err = runVirtual(tables, r, s, 1)
 			err = errors.Join(err, s.close())
 		}
-	default: // rows must pass whatever random choices the decision module makes
+	default: // rows must pass for any random choices of the decision module
 		for seed := uint64(1); seed <= policySeeds && err == nil && len(failures) == 0; seed++ {
 			if failures, err = runVirtual(tables, r, new(policySubject), seed); len(failures) > 0 {
 				failures[0] = fmt.Sprintf("seed %d: %s", seed, failures[0])
--- a/internal/duty/duty_test.go
+++ b/internal/duty/duty_test.go
@@ -183,7 +183,7 @@
 	lastStart  uint64
 
 	mu         sync.Mutex
-	unfit      string            // name of a process that is no candidate
+	unfit      string            // name of a process that is not a candidate
 	acquired   map[string]string // callbacks: duties that were acquired and not lost, by duty and process
 	maxToken   map[string]uint64 // highest token seen, by duty
 	holdCounts map[string]int    // how often a duty was seen held, by duty and holder
@@ -247,8 +247,8 @@
 	}
 }
 
-// candidates returns all running processes but unfit. Names with an even number are of zone a, the others of
-// zone b.
+// candidates returns all running processes except unfit. Names with an even number are of zone a, the others
+// of zone b.
 func (f *testFleet) candidates() (all []Candidate) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -289,7 +289,7 @@
 	delete(f.live, name)
 }
 
-// kill ends a process whose connections were cut first, so that it can't release what it holds.
+// kill cuts all connections of a process and then ends it, so that it can't release the duties that it holds.
 func (f *testFleet) kill(name string) {
 	n := f.live[name]
 	f.removeLive(name)
@@ -350,7 +350,7 @@
 	return "", 0
 }
 
-// stopAll ends the cuts, stops all processes and reports the first violations.
+// stopAll restores all connections, stops all processes and reports the first violations.
 func (f *testFleet) stopAll() {
 	f.net.setCut(func(_, _ string) bool { return false })
 	for name := range f.liveNodes() {
@@ -377,8 +377,8 @@
 	})
 }
 
-// After each of these events a duty is held again, by one process at a time and where a limit is known within
-// it.
+// After each of these events a duty is held again, by one process at a time, and within a time limit where one
+// applies.
 func TestFailover(t *testing.T) {
 	for what, c := range map[string]func(t *testing.T, f *testFleet){
 		"the holder is killed": func(t *testing.T, f *testFleet) {
@@ -616,8 +616,8 @@
 	}
 }
 
-// An entry is accepted from the present holder alone, its version never decreases, and a version keeps its
-// digest. This must survive changes of holders and leaders, lost disks of one voter at a time, and snapshots.
+// An entry is accepted only from the present holder, versions never decrease, and the digest of a version never
+// changes. This must hold across changes of holders and leaders, lost disks of one voter at a time, and snapshots.
 func TestEntriesAreDurableAndOrdered(t *testing.T) {
 	last := Entry{Token: 5, Version: 7, Digest: "a"}
 	for _, c := range []struct {
--- a/internal/lab/hollow.go
+++ b/internal/lab/hollow.go
@@ -34,7 +34,7 @@
 	workerCallTimeout    = 20 * time.Second
 	agreementInterval    = 250 * time.Millisecond
 	statusInterval       = 25 * time.Millisecond
-	statusTimeout        = 20 * time.Second // a kill not noticed by all, or a push not in force, by then is counted as such
+	statusTimeout        = 20 * time.Second // for a kill to be noticed, a push to be in force or lists to be received at all; then the time counts as unknown
 	hollowRequestRate    = 142              // per second, as each hollow sidecar reports: the planned requests of one sidecar
 	bytesPerHollow       = 1 << 20          // approximate memory of a hollow sidecar
 	bytesPerMember       = 1 << 10          // more for each member of the fleet
@@ -223,12 +223,12 @@
 		close(worker.closed)
 		worker.client.Close()
 		_ = worker.cmd.Process.Kill() // fails if it has already ended
-		_ = worker.cmd.Wait()         // its error says that it was killed
+		_ = worker.cmd.Wait()         // returns an error, because the worker was killed
 	}
 }
 
-// call calls a method of a worker. It gives up when the run ends, or after workerCallTimeout, because an overloaded worker
-// may answer late or never.
+// call calls a method of a worker. It returns an error when the run ends, or after workerCallTimeout, because an overloaded
+// worker may answer late or never.
 func (h *hollowGroup) call(worker *workerProcess, method string, args, reply any) error {
 	c := worker.client.Go(method, args, reply, make(chan *rpc.Call, 1))
 	select {
@@ -433,8 +433,8 @@
 	return true
 }
 
-// measureLists calls move, which changes discovery's address, tells the hollow sidecars the new address, and measures how long
-// it takes until each has received a whole list again.
+// measureLists calls move, which changes discovery's address, sends the new address to the hollow sidecars, and measures the
+// time until each has received a whole list again.
 func (h *hollowGroup) measureLists(ctx context.Context, move func() error) error {
 	if len(h.workers) == 0 {
 		return move()
@@ -571,8 +571,8 @@
 	}
 }
 
-// readAtRest takes the reading at the start of the time in which nothing happens to the fleet, or with end the one at its end.
-// Only the first call for each counts.
+// readAtRest reads the usage at the start of the period without faults, or with end at its end. Only the first call for each
+// has an effect.
 func (h *hollowGroup) readAtRest(end bool) error {
 	h.mu.Lock()
 	readings := h.restReadings
--- a/internal/lab/judge.go
+++ b/internal/lab/judge.go
@@ -208,8 +208,8 @@
 )
 
 // checkFinalAnswer finds requests that a sidecar accepted, whose client stayed connected, and that got no final answer in
-// time. A sidecar is taken to have accepted every request on a new connection; on a reused one, which it may have been
-// closing, those for which the client waited until its time was up.
+// time. A sidecar is assumed to have accepted every request on a new connection. On a reused connection, which it may have
+// been closing, only those count for which the client waited until its time-out.
 func checkFinalAnswer(h *History, _ *Scenario, report func(string, ...any)) {
 	for _, t := range h.tries {
 		if t.Left > 0 || endedByKill(h, t) {
--- a/internal/rules/core_test.go
+++ b/internal/rules/core_test.go
@@ -30,7 +30,7 @@
 	return c
 }
 
-// startNode starts or restarts a member with what its disk has.
+// startNode starts or restarts a member with the contents of its disk.
 func (c *cluster) startNode(name string, damaged bool) *Core {
 	c.lastStart++
 	if c.disks[name] == nil {
@@ -61,7 +61,7 @@
 	c.execute(core, core.Step(m))
 }
 
-// execute does the work that a Core asks for, unless the disk is full, and reports the result.
+// execute does the work that a Core requests, unless the disk is full, and reports the result to the Core.
 func (c *cluster) execute(core *Core, r Ready) {
 	var err error
 	for _, w := range r.Writes {
@@ -94,7 +94,7 @@
 	}
 }
 
-// acquireDuty gives the duty to a member, with a new token.
+// acquireDuty assigns the duty to a member, with a new token.
 func (c *cluster) acquireDuty(name string) {
 	c.lastStart++
 	core := c.cores[name]
@@ -111,7 +111,7 @@
 	c.flush(core)
 }
 
-// wantInForce checks the version in force at each member; 0 is the settings, -1 that it does not serve.
+// wantInForce checks the version in force at each member; 0 means the settings, -1 that the member does not serve.
 func (c *cluster) wantInForce(want map[string]int) {
 	c.t.Helper()
 	got := make(map[string]int)
@@ -139,7 +139,7 @@
 	}
 }
 
-// Single cases of the protocol, each played in one order of messages.
+// Each case of the protocol is played in one order of messages.
 func TestPushCases(t *testing.T) {
 	both := "form=1\nversion=2\nattempts=1\n"
 	for what, play := range map[string]func(c *cluster){
--- a/internal/rules/explore_test.go
+++ b/internal/rules/explore_test.go
@@ -15,12 +15,12 @@
 
 var deepStates = flag.Int("deep", 0, "explore larger budgets, up to this many states of each")
 
-// The explorer runs Core in every order of messages, membership changes, passes of the duty, expired pushes,
-// crashes and restarts that a budget allows. A crash may come at any moment: before each write, after it, and
-// between the last write and the set in force. A write that was not durable at a crash is lost.
+// The explorer runs Core in every order of messages, membership changes, transfers of the duty, expired pushes,
+// crashes and restarts that a budget allows. A crash may occur at any moment: before each write, after it, and
+// between the last write and the activation of the set. A write that was not durable at a crash is lost.
 //
-// The disk, the network, the membership and the voters' log around Core are models, but for the voters' rule,
-// which is the real one (duty.Entry.Apply).
+// The disk, the network, the membership and the voters' log around Core are models. The rule by which the voters
+// accept an entry is the real one (duty.Entry.Apply).
 
 // program is a version of the software at a node: a name and the settings that documents are read against.
 type program struct {
@@ -37,7 +37,8 @@
 	return map[string]*program{"new": {"new", settings(2)}, "old": {"old", settings(1)}, "skewed": {"skewed", skewed}}
 }
 
-// plan is a budget of events to explore, with the faults planted in the models around Core.
+// plan is a budget of events to explore, with the faults planted in the models around Core. crashes limits the
+// crashes of nodes, and passes the transfers of the duty to another node.
 type plan struct {
 	docs            []string // each is offered once, to a node that believes that it holds the duty
 	programs        [3]string
@@ -112,7 +113,7 @@
 
 func nodeName(i int) string { return string(rune('a' + i)) }
 
-// parse returns how a program reads a text, whatever fault is planted.
+// parse returns what Read returns for a text in a program. Planted faults have no effect on it.
 func (x *explorer) parse(p *program, text []byte) *parsed {
 	key := [2]string{p.name, string(text)}
 	r := x.cache[key]
@@ -137,8 +138,8 @@
 	}
 }
 
-// clone returns a copy that can be changed on its own. Answers to floor queries are left out: no node of the model
-// sends such queries.
+// clone returns an independent copy. It has no answers to floor queries, as no node of the model sends such
+// queries.
 func (c *Core) clone() *Core {
 	if c == nil {
 		return nil
@@ -158,7 +159,7 @@
 	return &d
 }
 
-// clone returns a copy that can be changed on its own.
+// clone returns an independent copy.
 func (w *worldState) clone() *worldState {
 	d := *w
 	for i, n := range w.nodes {
@@ -251,7 +252,7 @@
 	}
 }
 
-// checkInForce checks a set that comes into force at node i.
+// checkInForce checks a set that takes effect at node i.
 func (w *worldState) checkInForce(i int, set *Set, differs bool) {
 	n := w.nodes[i]
 	if set.Version < n.maxInForce {
@@ -276,8 +277,8 @@
 	}
 }
 
-// execute does the work that a Core asks for and returns the number of steps. The node crashes after crashAt steps
-// if there are that many; -1: it does not.
+// execute does the work that a Core requests and returns the number of steps. The node crashes after crashAt steps
+// if there are that many; -1: it does not crash.
 func (w *worldState) execute(i int, r Ready, crashAt int) (steps int) {
 	n := w.nodes[i]
 	for _, write := range r.Writes {
@@ -399,8 +400,8 @@
 	w.flush(i)
 }
 
-// checkEntered checks a new entry: each member present for it must have stored the document, be able to read it
-// and find the same digest, and no member that lives may have refused it.
+// checkEntered checks a new entry: each member that was present for it must have stored the document, be able to
+// read it and compute the same digest, and no running member may have refused it.
 func (w *worldState) checkEntered(e proposal) {
 	f := e.floor
 	var text []byte
--- a/internal/rules/node_test.go
+++ b/internal/rules/node_test.go
@@ -182,8 +182,8 @@
 	return 0
 }
 
-// A pushed set comes into force at every member of a fleet, with real disks. Floor queries at the start that
-// found nothing must not delay it. The log has the times.
+// A pushed set takes effect at every member of a fleet, with real disks. Floor queries at the start that were
+// answered without a floor must not delay it. The test logs the times.
 func TestPushReachesAllNodes(t *testing.T) {
 	a := startFleet(t, *memberCount, 0)
 	a.waitForAll(t, "all have ended the wait for floors", func(s Status) bool { return s.Serves })
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -18,8 +18,8 @@
 )
 
 // memFS is a file system in memory that can lose power. It records every operation and can produce every state
-// that a real disk may be left in after a prefix of them. A write that was not synced may be there or not, each
-// sector on its own; so may a name until its folder was synced.
+// that a real disk may be left in after a prefix of them. A write that was not synced may be lost, independently
+// for each sector, and so may a change of a name until its folder is synced.
 type memFS struct {
 	mu    sync.Mutex
 	files map[string]*memFile
@@ -29,7 +29,7 @@
 	ignoreSync, ignoreSyncDir bool // syncs that do nothing: the checks must detect the loss
 }
 
-// memFile is the content of a file, whatever its name.
+// memFile is the content of a file, to which several names or none may refer.
 type memFile struct{ data []byte }
 
 // operation is a change of a memFS.
@@ -181,8 +181,8 @@
 	return data
 }
 
-// afterPowerLoss returns the disk as it may be left when power is lost after the first cut operations. choose
-// decides for each change that was not durable whether it is there.
+// afterPowerLoss returns a state that the disk may be in when power is lost after the first cut operations. choose
+// decides for each change that was not durable whether it survives.
 func (d *memFS) afterPowerLoss(cut int, choose func() bool) *memFS {
 	left := newMemFS()
 	synced, syncedDir := make(map[*memFile]int), -1
@@ -210,7 +210,7 @@
 				n.data = overwrite(n.data, o.data, o.at)
 				continue
 			}
-			for from := 0; from < len(o.data); { // each sector on its own
+			for from := 0; from < len(o.data); { // each sector independently
 				to := min(len(o.data), from+sectorSize-int((o.at+int64(from))%sectorSize))
 				if choose() {
 					n.data = overwrite(n.data, o.data[from:to], o.at+int64(from))
@@ -417,7 +417,7 @@
 	}
 }
 
-// The test above fails on a disk that does not sync files or folders.
+// The checks of TestPowerLoss fail on a disk that does not sync files or folders.
 func TestPowerLossChecksDetectMissingSync(t *testing.T) {
 	for what, disable := range map[string]func(*memFS){"sync": func(d *memFS) { d.ignoreSync = true }, "syncdir": func(d *memFS) { d.ignoreSyncDir = true }} {
 		found := false
@@ -529,7 +529,7 @@
 	return nil
 }
 
-// clone returns a copy of the files as they are now.
+// clone returns an independent copy of the files.
 func (d *memFS) clone() *memFS {
 	c := newMemFS()
 	for path, n := range d.files {
--- a/policy/cold_test.go
+++ b/policy/cold_test.go
@@ -41,7 +41,7 @@
 type coldWork struct {
 	at       time.Duration
 	work     float64
-	informed bool // its balancer had received the list
+	informed bool // its balancer had received the list with the server's start
 }
 
 // coldStart is the time at which the cold servers start.
@@ -55,7 +55,7 @@
 		return
 	}
 	c.sends++
-	work := 0.2 + 0.2*c.rng.Float64() + c.rng.ExpFloat64()*0.8 // with the handshake
+	work := 0.2 + 0.2*c.rng.Float64() + c.rng.ExpFloat64()*0.8 // includes the handshake
 	c.work[to] = append(c.work[to], coldWork{at, work, informed})
 	total, fromInformed := 0.0, 0.0
 	for _, w := range c.work[to] {
@@ -101,7 +101,7 @@
 		h        *fakeHost
 		rate     float64
 		recorded int             // sends that have been recorded
-		listAt   time.Duration   // when it receives the list; 0: it has
+		listAt   time.Duration   // when it receives the list; 0: it has received it
 		inFlight []sentAttempt   // attempts in flight
 		endsAt   []time.Duration // when they end
 	}
@@ -258,7 +258,7 @@
 		kind     balance.ListKind
 		started  time.Duration
 		warmAt   time.Duration // 1: cold for up to ColdTime from now; 0: warm
-		restarts bool          // the list had the server before
+		restarts bool          // the previous list contained the server
 	}{
 		"clock ahead, and the server restarts": {balance.ListDelta, now - time.Hour, 1, true},
 		"clock right":                          {balance.ListDelta, now, 1, false},
--- a/policy/fleet_test.go
+++ b/policy/fleet_test.go
@@ -9,9 +9,9 @@
 	"arrowgw/internal/balance"
 )
 
-// A higher number of balancers counts at once, a lower one slowly: not while views differ, not for silent members, and
-// no faster than by half in fleetHalfLife, however rarely the fleet is updated. Compartments and cold servers' budgets
-// follow the counted number.
+// A higher number of balancers takes effect at once, a lower one slowly: not while views differ, not for silent
+// members, and no faster than by half in fleetHalfLife, even if the fleet is rarely updated. Compartments and cold
+// servers' budgets follow the number in effect.
 func TestFleetGrowsAtOnceAndShrinksSlowly(t *testing.T) {
 	agreed := func(present, silent int) balance.Fleet {
 		return balance.Fleet{Present: present, Silent: silent, Agreed: true}
--- a/policy/hand_test.go
+++ b/policy/hand_test.go
@@ -8,7 +8,7 @@
 	"arrowgw/internal/balance"
 )
 
-// Guards against any sends to a server that an operator has disabled, whatever its state in the list.
+// Guards against any sends to a server that an operator has disabled, independent of its state in the list.
 func TestDisabledServerStaysOut(t *testing.T) {
 	b, h := startBalancer(t, testConfig(), readyList(1, 2))
 	b.Disable(0, 1)
--- a/policy/limits_test.go
+++ b/policy/limits_test.go
@@ -31,7 +31,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		lines, funcStart := 0, -1 // begun: first line of the current function; -1: none
+		lines, funcStart := 0, -1 // funcStart: index of the first line of the current function; -1: none
 		for n, line := range strings.Split(string(text), "\n") {
 			if strings.TrimSpace(line) != "" {
 				lines++
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -57,7 +57,7 @@
 	}
 }
 
-// Guards against clients that are taken for late for good after they have shortened their time-out.
+// Guards against requests that count as late forever once their clients have shortened their time-out.
 func TestUsualTimeLeftMayChange(t *testing.T) {
 	b, h := startBalancer(t, testConfig(), readyList(1, 2))
 	for id := range balance.RequestID(400) {
@@ -539,7 +539,7 @@
 }
 
 // Guards against overload in a large fleet: with a thousand sidecars of two requests per second, a balancer's own
-// attempts say nothing about a server's load, and reports polled in rotation are outdated when its turn comes.
+// attempts do not show a server's load, and reports polled in rotation are outdated at the server's next turn.
 func TestQueriesLoadBeforeSending(t *testing.T) {
 	cfg := testConfig()
 	cfg.MayProbe, cfg.Reports = true, balance.HasInFlight
@@ -560,7 +560,7 @@
 	}
 	sendRequest(b, time.Second, 2, safeClass)
 	for now := time.Second; now < 1200*ms; now += 10 * ms {
-		b.Wake(now) // no report comes
+		b.Wake(now) // no report arrives
 	}
 	if n := len(h.probes) - 2; n != maxLoadQueries || len(h.sends) != 1 {
 		t.Fatalf("%d queries, %d sends; want %d and nothing sent to servers that did not answer or were not queried",
@@ -1047,7 +1047,7 @@
 	}
 }
 
-// Guards against a request that waits for its key and blocks the queue behind it.
+// Guards against a request that waits for its key and blocks the later requests of its queue.
 func TestOneKeyDoesNotBlockOthers(t *testing.T) {
 	cfg := inOrderConfig(0)
 	cfg.Tenants, cfg.Slots = nil, 10 // two queue places
@@ -1145,7 +1145,7 @@
 	}
 }
 
-// Guards against a server that fails its attempts, for whatever reason, and keeps its turns, or never gets them back.
+// Guards against a server that keeps its turns though its attempts fail, for any reason, or never gets them back.
 func TestFailingServerLosesTurnsAndRecovers(t *testing.T) {
 	for _, ending := range []balance.Ending{balance.Errored, balance.TurnedAway, balance.NoConnection, balance.Broken, balance.TimedOut} {
 		b, h := startBalancer(t, testConfig(), readyList(1, 2, 3, 4))
@@ -1242,7 +1242,7 @@
 	}
 }
 
-// Load shedding goes by worth: the same shortage refuses fewer requests of the class with the higher worth.
+// Load shedding depends on worth: at the same overload, fewer requests of the class with the higher worth are refused.
 func TestAdmissionShedsByWorth(t *testing.T) {
 	cfg := testConfig()
 	cfg.Classes = cfg.Classes[:2]
--- a/policy/rules_test.go
+++ b/policy/rules_test.go
@@ -29,7 +29,7 @@
 }
 
 // After any number of rule sets between list events, fleet updates, operator calls and requests, the empty set restores
-// the state of a Balancer that never had one. Guards against compartments that ignore the fleet, server limits that
+// the state of a Balancer without any. Guards against compartments that ignore the fleet, server limits that
 // keep the weights of an earlier set, and list entries of excluded servers that are lost.
 func TestEmptyRuleSetRestoresTheSettings(t *testing.T) {
 	for seed := range uint64(200) {
@@ -323,8 +323,8 @@
 	}
 }
 
-// Guards against a list with invalid weights that breaks the round robin for good: weights whose sum or product with a
-// multiple is not a finite number count as 1.
+// Guards against a list with invalid weights that breaks the round robin permanently: weights whose sum or product with
+// a multiple is not a finite number count as 1.
 func TestInvalidWeights(t *testing.T) {
 	list := readyList(1, 2, 3, 4)
 	list[0].Weight, list[1].Weight, list[2].Weight = math.MaxFloat64, math.MaxFloat64, math.SmallestNonzeroFloat64
--- a/policy/spread_test.go
+++ b/policy/spread_test.go
@@ -233,9 +233,9 @@
 	}
 }
 
-// For random server lists, a subset holds ready servers, each once, at least minSubsetSize of them if there are, and no
-// more than maxSubsetWidening allows. Turns are within their bounds. If no subset is at its maximum size, the subsets
-// cover all ready servers. Arbitrary announced rates are covered by the random events.
+// For random server lists, a subset holds ready servers, each once, at least minSubsetSize of them if there are that
+// many, and no more than maxSubsetWidening allows. Turns are within their bounds. If no subset is at its maximum size,
+// the subsets cover all ready servers. Arbitrary announced rates are covered by the random events.
 func TestSubsetsOfRandomFleets(t *testing.T) {
 	for seed := range uint64(500) {
 		rng := rand.New(rand.NewPCG(seed, 24))
