--- a/internal/conform/process.go
+++ b/internal/conform/process.go
@@ -58,7 +58,7 @@
 	p.failures = append(p.failures, fmt.Sprintf(format, args...))
 }
 
-// requestName returns the request id that stands for a request number.
+// requestName returns the X-Request-ID of a request number.
 func requestName(id int) string { return "q" + strconv.Itoa(id) }
 
 // runProcess runs a row against the program at a path, with dir for its files, and returns the failed checks.
--- a/internal/conform/simhost.go
+++ b/internal/conform/simhost.go
@@ -57,7 +57,7 @@
 	return append(head, f...)
 }
 
-// serverAddress returns the address that stands for a server number on the wire.
+// serverAddress returns the address that represents a server number on the wire.
 func serverAddress(server int) []byte { return []byte{10, 0, byte(server >> 8), byte(server), 80, 0} }
 
 // serverNumber is the inverse of serverAddress.
--- a/internal/conform/virtual.go
+++ b/internal/conform/virtual.go
@@ -18,7 +18,7 @@
 // messageKind is the kind of an event or an action.
 type messageKind int
 
-// The kinds of events and actions, after the methods of policy.Balancer and balance.Host that they stand for.
+// The kinds of events and actions, named after the methods of policy.Balancer and balance.Host that they represent.
 const (
 	eventRequest messageKind = iota
 	eventOutcome
--- a/internal/guard/guard_test.go
+++ b/internal/guard/guard_test.go
@@ -150,7 +150,7 @@
 			err := c.run(l)
 			var denied DeniedError
 			if got := errors.As(err, &denied); got != (c.denied >= 0) || got && denied.Invariant != c.denied {
-				t.Errorf("denied: %v, want rule %d", err, c.denied)
+				t.Errorf("denied: %v, want invariant %d", err, c.denied)
 			}
 			counted := Invariant(-1)
 			for _, n := range l.Counts() {
@@ -159,7 +159,7 @@
 				}
 			}
 			if counted != c.violated || (len(l.reported) > 0) != (c.violated >= 0) {
-				t.Errorf("violated rule %d, reported %v, want rule %d", counted, l.reported, c.violated)
+				t.Errorf("violated invariant %d, reported %v, want invariant %d", counted, l.reported, c.violated)
 			}
 		})
 	}
--- a/internal/member/transport.go
+++ b/internal/member/transport.go
@@ -34,6 +34,7 @@
 	streamKinds   map[byte]meter.Kind
 }
 
+// newRoutedTransport wraps inner and starts to accept its streams.
 func newRoutedTransport(
 	inner memberlist.NodeAwareTransport, routes map[string]string, recordContact func(string, bool), listenerFor func(byte) *listener, counter *meter.Meter, streamKinds map[byte]meter.Kind,
 ) *routedTransport {
--- a/internal/rules/node_test.go
+++ b/internal/rules/node_test.go
@@ -211,7 +211,7 @@
 	a.nodes["n0"].Push([]byte("form=1\nversion=1\nattempts=3\n"))
 	for began := time.Now(); a.nodes["n0"].Status().FileRefusal == ""; time.Sleep(time.Millisecond) {
 		if time.Since(began) > time.Minute {
-			t.Fatal("another body under version 1 is not refused for good")
+			t.Fatal("another body under version 1 is not permanently refused")
 		}
 	}
 }
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -433,13 +433,13 @@
 	}
 }
 
-// A value for which Put returned nil is found after a loss of power, whichever disk operation failed, once or
-// from then on.
+// A value for which Put returned nil is found after a loss of power, even if disk operations failed, once or
+// permanently.
 func TestFailingDisks(t *testing.T) {
 	errDisk := errors.New("no space left")
 	tried := 0
 	for _, kind := range []string{"create", "write", "sync", "rename", "syncdir", "remove"} {
-		for _, forGood := range []bool{false, true} {
+		for _, permanent := range []bool{false, true} {
 			for at := range 25 {
 				d, n := newMemFS(), 0
 				d.fail = func(k string) error {
@@ -447,7 +447,7 @@
 						return nil
 					}
 					n++
-					if n-1 == at*3 || forGood && n-1 > at*3 {
+					if n-1 == at*3 || permanent && n-1 > at*3 {
 						return errDisk
 					}
 					return nil
@@ -457,7 +457,7 @@
 				for range 4 { // then power is lost
 					rng := rand.New(rand.NewPCG(uint64(at), 3))
 					if err := w.check(d.afterPowerLoss(len(d.ops), func() bool { return rng.IntN(2) == 0 }), len(d.ops)); err != nil {
-						t.Fatalf("%s fails at %d, for good %v: %v", kind, at*3, forGood, err)
+						t.Fatalf("%s fails at %d, permanently %v: %v", kind, at*3, permanent, err)
 					}
 				}
 			}
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -103,6 +103,7 @@
 	}
 }
 
+// If clients mark their retries, an unmarked request is a first try and has its whole aim, even with less time left.
 func TestUnmarkedRequestsAreFirstTriesIfClientsMarkRetries(t *testing.T) {
 	cfg := testConfig()
 	cfg.ClientsMarkRetries = true
@@ -115,6 +116,7 @@
 	}
 }
 
+// A request that no server can take waits in the queue, and is refused before its aim is over.
 func TestQueuedRequestIsRefusedBeforeItsAim(t *testing.T) {
 	b, h := startBalancer(t, testConfig(), nil) // without servers: queued, then refused in time
 	sendRequest(b, 0, 1, unsafeClass)
@@ -144,6 +146,7 @@
 	}
 }
 
+// Servers get round-robin turns in proportion to their weights.
 func TestTurnsFollowWeights(t *testing.T) {
 	list := readyList(1, 2, 3)
 	list[2].Weight = 2
@@ -161,6 +164,7 @@
 	}
 }
 
+// Servers with weights of 0 or NaN get as many turns as each other.
 func TestZeroWeightsMeanEvenTurns(t *testing.T) {
 	list := []balance.Server{{ID: 1, State: balance.Ready}, {ID: 2, State: balance.Ready, Weight: math.NaN()}}
 	b, h := startBalancer(t, testConfig(), list)
@@ -174,6 +178,7 @@
 	}
 }
 
+// An attempt times out at the aim or, if its class gives late responses a worth, at the client's deadline.
 func TestAttemptTimesOutWhenAResponseIsWorthless(t *testing.T) {
 	cfg := testConfig()
 	cfg.Classes[1].LateShare = 0.5
@@ -192,6 +197,7 @@
 	}
 }
 
+// A failed attempt is retried if its class allows repeats or if the attempt provably never ran.
 func TestRetriesByClassAndEnding(t *testing.T) {
 	for _, c := range []struct {
 		name    string
@@ -227,6 +233,7 @@
 	}
 }
 
+// A request that never ran is sent at most MaxAttempts times and then refused.
 func TestRefusalAfterMaxAttempts(t *testing.T) {
 	b, h := startBalancer(t, testConfig(), readyList(1, 2, 3, 4, 5))
 	sendRequest(b, 0, 1, unsafeClass)
@@ -238,6 +245,7 @@
 	}
 }
 
+// A keyed request that may have run is retried only at servers in its scope.
 func TestKeyedRetryStaysInScope(t *testing.T) {
 	list := []balance.Server{
 		{ID: 1, State: balance.Ready, Weight: 1, Zone: 0, Cell: 10}, {ID: 2, State: balance.Ready, Weight: 1, Zone: 0, Cell: 11},
@@ -269,6 +277,7 @@
 	}
 }
 
+// The scope of a keyed request is that of the first attempt that may have run, not of earlier ones that never ran.
 func TestKeyedScopeIsThatOfTheAttemptThatMayHaveRun(t *testing.T) {
 	list := []balance.Server{{ID: 1, State: balance.Ready, Weight: 1, Zone: 0}, {ID: 2, State: balance.Ready, Weight: 1, Zone: 1},
 		{ID: 3, State: balance.Ready, Weight: 1, Zone: 1}}
@@ -294,6 +303,8 @@
 	}
 }
 
+// A keyed request is not retried after its deduplication window. It is then refused if all servers drop repeats, and
+// failed otherwise.
 func TestKeyedWindowAndRefusal(t *testing.T) {
 	b, h := startBalancer(t, testConfig(), readyList(1, 2, 3))
 	sendRequest(b, 0, 1, keyedAll)
@@ -309,6 +320,7 @@
 	}
 }
 
+// Nothing is sent to a server that is draining or gone, or that a full list does not contain.
 func TestDrainingServerGetsNothingMore(t *testing.T) {
 	for _, state := range []balance.State{balance.Draining, balance.Gone} {
 		b, h := startBalancer(t, testConfig(), readyList(1, 2))
@@ -331,6 +343,7 @@
 	}
 }
 
+// A cold server is sent something, but no more than this balancer's part of its budget, and its full share once warm.
 func TestColdServerGetsItsBudget(t *testing.T) {
 	for _, balancers := range []int{1, 4} {
 		cfg := testConfig()
@@ -594,6 +607,7 @@
 	}
 }
 
+// A failed list call is repeated after growing pauses below AskWithin, and the last list remains valid meanwhile.
 func TestFailedListCallsAreRepeated(t *testing.T) {
 	cfg := testConfig()
 	cfg.AskList = true
@@ -627,6 +641,7 @@
 	}
 }
 
+// A list call without an answer is repeated before AskWithin is over.
 func TestUnansweredListCallIsRepeated(t *testing.T) {
 	cfg := testConfig()
 	cfg.AskList = true
@@ -685,6 +700,7 @@
 	}
 }
 
+// The attempt of a client that has left is cancelled. Its slot is free, and the request removed, once the attempt ends.
 func TestClientGoneFreesSlotAndRequest(t *testing.T) {
 	b, h := startBalancer(t, testConfig(), readyList(1))
 	sendRequest(b, 0, 1, safeClass)
@@ -698,6 +714,7 @@
 	}
 }
 
+// A streamed response is not ended by the balancer, even long after the deadline.
 func TestStartedStreamIsNotInterrupted(t *testing.T) {
 	b, h := startBalancer(t, testConfig(), readyList(1, 2))
 	sendRequest(b, 0, 1, safeClass)
@@ -786,6 +803,7 @@
 	}
 }
 
+// Without a setting for slots, their number is derived from the quotas or, without tenants, from the first list.
 func TestDerivedSlots(t *testing.T) {
 	cfg := testConfig()
 	cfg.Slots = 0
@@ -808,6 +826,7 @@
 	}
 }
 
+// The error of New names the invalid field.
 func TestNewNamesTheInvalidField(t *testing.T) {
 	for field, invalidate := range map[string]func(*balance.Config){
 		"Balancers":     func(c *balance.Config) { c.Balancers = 0 },
--- a/policy/random_test.go
+++ b/policy/random_test.go
@@ -71,6 +71,7 @@
 	h.trace = append(h.trace, fmt.Sprintf(format, args...))
 }
 
+// Send implements balance.Host. It checks the rules that apply to a send.
 func (h *randomHost) Send(id balance.RequestID, to balance.ServerID, timeout, sendWithin time.Duration) {
 	h.note("send %d %d %v", id, to, timeout)
 	r, s := h.requests[id], h.listed[to]
@@ -226,6 +227,7 @@
 	return r
 }
 
+// Refuse implements balance.Host. It checks that a refused request had no effect or may be repeated.
 func (h *randomHost) Refuse(id balance.RequestID, retryAfter time.Duration, _ balance.Reason) {
 	h.note("refuse %d %v", id, retryAfter)
 	r := h.answer(id)
