--- a/internal/member/member_test.go
+++ b/internal/member/member_test.go
@@ -133,7 +133,7 @@
 					played += " loss"
 					f.mesh.update(func() { f.mesh.loss = 0.4 })
 				default:
-					played += " mend"
+					played += " restore"
 					f.mesh.update(func() { f.mesh.loss, f.mesh.cut = 0, func(int, int) bool { return false } })
 				}
 				time.Sleep(time.Duration(200+100*(i*j%60)) * time.Millisecond)
--- a/internal/rules/core.go
+++ b/internal/rules/core.go
@@ -30,7 +30,7 @@
 	Token   uint64 `json:"token"` // fencing token of the holder that entered it
 }
 
-// matches reports whether f and o have the same version and digest, whatever their tokens.
+// matches reports whether f and o have the same version and digest, regardless of their tokens.
 func (f Floor) matches(o Floor) bool { return f.Version == o.Version && f.Digest == o.Digest }
 
 // Kind is the subject of a message. Its numbers are on the wire.
@@ -51,7 +51,7 @@
 // Answer is the result in a reply, or Question in a message that asks for one. Its numbers are on the wire.
 type Answer uint8
 
-// The answers. A question answered by No may be answered by Yes once its cause is removed.
+// The answers. After a No, the same question may be answered by Yes once the reason no longer applies.
 const (
 	Question Answer = iota
 	Yes
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -913,7 +913,7 @@
 	}
 }
 
-// Disable takes a server out of service on an operator's call until Enable, whatever its state in the list
+// Disable takes a server out of service on an operator's call until Enable, in any state of the list
 // and even if it is not listed. Attempts in flight finish. A second Disable has no effect.
 func (b *Balancer) Disable(now time.Duration, id balance.ServerID) {
 	b.disabled[id] = true
--- a/policy/random_test.go
+++ b/policy/random_test.go
@@ -286,7 +286,7 @@
 	return r
 }
 
-// setRules puts a rule set in force and updates w.cfg.
+// setRules puts a rule set in force and updates h.cfg.
 func (h *randomHost) setRules(settings balance.Config, r balance.Rules) {
 	for id, s := range h.listed {
 		if h.cfg.CloseWithin > 0 && s.State == balance.Ready && excluded(r, s) && !excluded(h.rules, s) {
--- a/policy/rules_test.go
+++ b/policy/rules_test.go
@@ -68,7 +68,7 @@
 			}
 		}
 		b.SetRules(now, balance.Rules{})
-		without.sizeCompartments() // as SetRules does: the subset by the present traffic
+		without.sizeCompartments() // SetRules also recalculates the subset by the present traffic
 		without.recalculateWeights(now)
 		if got, want := describeRulesState(b), describeRulesState(without); got != want {
 			t.Fatalf("seed %d: after the empty rule set\n%s\nwithout rule sets\n%s", seed, got, want)
@@ -123,7 +123,7 @@
 		b.SetFleet(ms, balance.Fleet{Present: 40})
 		b.SetRules(2*ms, balance.Rules{MaxAttempts: 2, Budget: &balance.RetryBudget{}, Tenants: []balance.Tenant{{}, {Share: 1}}})
 		b.SetRules(3*ms, balance.Rules{Tenants: tenants})
-		same.rate, same.cfg.Balancers = b.rate, cfg.Balancers // the measured rate, and the fleet's number set later
+		same.rate, same.cfg.Balancers = b.rate, cfg.Balancers // the measured rate, and the number of balancers before SetFleet
 		same.updateSubset()
 		if got, want := describeRulesState(b), describeRulesState(same); got != want {
 			t.Errorf("%s:\n%s\nwith the same settings\n%s", name, got, want)
@@ -136,7 +136,7 @@
 func TestRuleSetAppliesToOpenRequests(t *testing.T) {
 	for name, c := range map[string]struct {
 		set   balance.Rules
-		sends int // attempts of one request that is turned away each time
+		sends int // attempts of a request that servers turn away each time
 	}{
 		"none":        {balance.Rules{}, 3},
 		"two":         {balance.Rules{MaxAttempts: 2}, 2},
