--- a/internal/conform/process.go
+++ b/internal/conform/process.go
@@ -58,7 +58,7 @@
 	p.failures = append(p.failures, fmt.Sprintf(format, args...))
 }
 
-// requestName returns the request id that stands for a request number.
+// requestName returns the X-Request-ID of a request number.
 func requestName(id int) string { return "q" + strconv.Itoa(id) }
 
 // runProcess runs a row against the program at a path, with dir for its files, and returns the failed checks.
@@ -331,7 +331,7 @@
 	return n
 }
 
-// sendRequest sends a request on a connection of its own, and waits until the program has processed it: until it is
+// sendRequest sends a request on a new connection, and waits until the program has processed it: until it is
 // answered, has reached a server, or is counted as pending.
 func (p *processRunner) sendRequest(id string, s Step) error {
 	ctx, cancel := context.WithCancel(context.Background())
--- a/internal/rules/node_test.go
+++ b/internal/rules/node_test.go
@@ -182,8 +182,8 @@
 	return 0
 }
 
-// A pushed set comes into force at every member of a fleet, with real disks. Floor queries at the start that
-// found nothing must not delay it. The log has the times.
+// A pushed set takes effect at every member of a fleet, with real disks. Floor queries at the start that were
+// answered without a floor must not delay it. The test logs the times.
 func TestPushReachesAllNodes(t *testing.T) {
 	a := startFleet(t, *memberCount, 0)
 	a.waitForAll(t, "all have ended the wait for floors", func(s Status) bool { return s.Serves })
@@ -211,7 +211,7 @@
 	a.nodes["n0"].Push([]byte("form=1\nversion=1\nattempts=3\n"))
 	for began := time.Now(); a.nodes["n0"].Status().FileRefusal == ""; time.Sleep(time.Millisecond) {
 		if time.Since(began) > time.Minute {
-			t.Fatal("another body under version 1 is not refused for good")
+			t.Fatal("another body under version 1 is not permanently refused")
 		}
 	}
 }
--- a/policy/rules_test.go
+++ b/policy/rules_test.go
@@ -29,7 +29,7 @@
 }
 
 // After any number of rule sets between list events, fleet updates, operator calls and requests, the empty set restores
-// the state of a Balancer that never had one. Guards against compartments that ignore the fleet, server limits that
+// the state of a Balancer without any. Guards against compartments that ignore the fleet, server limits that
 // keep the weights of an earlier set, and list entries of excluded servers that are lost.
 func TestEmptyRuleSetRestoresTheSettings(t *testing.T) {
 	for seed := range uint64(200) {
@@ -68,7 +68,7 @@
 			}
 		}
 		b.SetRules(now, balance.Rules{})
-		without.sizeCompartments() // as SetRules does: the subset by the present traffic
+		without.sizeCompartments() // SetRules also recalculates the subset by the present traffic
 		without.recalculateWeights(now)
 		if got, want := describeRulesState(b), describeRulesState(without); got != want {
 			t.Fatalf("seed %d: after the empty rule set\n%s\nwithout rule sets\n%s", seed, got, want)
@@ -123,7 +123,7 @@
 		b.SetFleet(ms, balance.Fleet{Present: 40})
 		b.SetRules(2*ms, balance.Rules{MaxAttempts: 2, Budget: &balance.RetryBudget{}, Tenants: []balance.Tenant{{}, {Share: 1}}})
 		b.SetRules(3*ms, balance.Rules{Tenants: tenants})
-		same.rate, same.cfg.Balancers = b.rate, cfg.Balancers // the measured rate, and the fleet's number set later
+		same.rate, same.cfg.Balancers = b.rate, cfg.Balancers // the measured rate, and the number of balancers before SetFleet
 		same.updateSubset()
 		if got, want := describeRulesState(b), describeRulesState(same); got != want {
 			t.Errorf("%s:\n%s\nwith the same settings\n%s", name, got, want)
@@ -136,7 +136,7 @@
 func TestRuleSetAppliesToOpenRequests(t *testing.T) {
 	for name, c := range map[string]struct {
 		set   balance.Rules
-		sends int // attempts of one request that is turned away each time
+		sends int // attempts of a request that servers turn away each time
 	}{
 		"none":        {balance.Rules{}, 3},
 		"two":         {balance.Rules{MaxAttempts: 2}, 2},
@@ -323,8 +323,8 @@
 	}
 }
 
-// Guards against a list with invalid weights that breaks the round robin for good: weights whose sum or product with a
-// multiple is not a finite number count as 1.
+// Guards against a list with invalid weights that breaks the round robin permanently: weights whose sum or product with
+// a multiple is not a finite number count as 1.
 func TestInvalidWeights(t *testing.T) {
 	list := readyList(1, 2, 3, 4)
 	list[0].Weight, list[1].Weight, list[2].Weight = math.MaxFloat64, math.MaxFloat64, math.SmallestNonzeroFloat64
