--- a/internal/lab/roster.go
+++ b/internal/lab/roster.go
@@ -183,7 +183,7 @@
 		n, err := strconv.ParseInt(q.Get("index"), 10, 64)
 		ms, errWait := strconv.ParseInt(q.Get("wait"), 10, 64)
 		if err != nil || errWait != nil || ms < 0 {
-			http.Error(w, "index or wait is not a valid number", http.StatusBadRequest)
+			http.Error(w, "index or wait is no number", http.StatusBadRequest)
 			return
 		}
 		since, wait = n, min(time.Duration(ms)*time.Millisecond, maxWatch)
