--- a/internal/conform/module.go
+++ b/internal/conform/module.go
@@ -10,14 +10,17 @@
 	"arrowgw/policy"
 )
 
-// module is the decision module, in this process.
+// policySubject runs rows against the decision module in the test's process. It implements balance.Host, and records the
+// module's calls as actions.
 type policySubject struct {
 	balancer *policy.Balancer
-	actions  []action
+	actions  []action // since the last event
 }
 
 func (m *policySubject) addAction(a action) { m.actions = append(m.actions, a) }
 
+// The methods of balance.Host. Rows check nothing about CloseIdle, Probe and Log.
+
 func (m *policySubject) Send(id balance.RequestID, to balance.ServerID, timeout, unsent time.Duration) {
 	m.addAction(action{kind: actionSend, id: int(id), server: int(to), duration: timeout, unsentTimeout: cmp.Or(unsent, timeout)})
 }
@@ -74,9 +77,9 @@
 	case eventClientGone:
 		m.balancer.ClientGone(now, e.request.ID)
 	}
-	acts := m.actions
+	actions := m.actions
 	m.actions = nil
-	return acts, nil
+	return actions, nil
 }
 
 func (m *policySubject) close() error { return nil }
--- a/internal/conform/pages.go
+++ b/internal/conform/pages.go
@@ -8,14 +8,14 @@
 	"strings"
 )
 
-// Page is a page whose sentences the tables stand for.
+// Page is a page of the operators' specification whose sentences are covered by the tables.
 type Page struct {
-	Name     string   // first part of its sentences' ids
-	Path     string   // below the folder that the environment names
-	Sections []string // the headings that count; none: all of the page
+	Name     string   // first part of the ids of its sentences
+	Path     string   // relative to the directory in CONFORM_PAGES
+	Sections []string // headings of the covered sections; empty: the whole page
 }
 
-// Pages are all of them. They are the operators', and are not kept here: the index holds a hash of each sentence.
+// Pages are the covered pages. They are not part of the repository; the index holds a hash of each sentence instead.
 var Pages = []Page{
 	{"design", "docs/DESIGN-beechdale.md", nil},
 	{"protocol", "docs/PROTOCOL-beechdale.md", []string{"The rules on sockets", "Figures"}},
@@ -25,19 +25,20 @@
 
 // Sentence is one sentence of a page.
 type Sentence struct {
-	ID   string // page/section-number, as it stands there now
-	Hash string // of its words, whatever white space stands between them
+	ID   string // page/section-number, by the sentence's current position
+	Hash string // of the text with normalised white space
 }
 
 var (
 	heading     = regexp.MustCompile(`^#+\s+(.*)$`)
 	listItem    = regexp.MustCompile(`^\s*([-*]|\d+\.)\s+`)
 	sentenceEnd = regexp.MustCompile("[.!?:]\\)?\\s+[A-Z`\"(]")
-	word        = regexp.MustCompile(`[a-z0-9]+`)
+	sectionWord = regexp.MustCompile(`[a-z0-9]+`)
 )
 
-// Sentences cuts a page up. A paragraph, an entry of a list and a line of a table each begin a sentence; a full
-// stop or colon with a capital behind it ends one. Indented examples and rules between table heads are none.
+// SplitSentences splits a page into its sentences. Each paragraph, list item and table row begins a sentence. A sentence
+// ends at a full stop, colon, exclamation or question mark that precedes a capital letter, a quotation mark, a backquote
+// or a bracket. Indented examples and the separator lines of tables are skipped.
 func SplitSentences(p Page, text string) (all []Sentence) {
 	section, counts := "top", make(map[string]int)
 	wanted := len(p.Sections) == 0
@@ -62,7 +63,7 @@
 		case m != nil:
 			flush()
 			section = ""
-			for _, word := range word.FindAllString(strings.ToLower(m[1]), -1) { // its longest word is enough of a name
+			for _, word := range sectionWord.FindAllString(strings.ToLower(m[1]), -1) { // the section is named by the longest word of its heading
 				if len(word) > len(section) {
 					section = word
 				}
